--- a/fairshare/priorities.go
+++ b/fairshare/priorities.go
@@ -2,8 +2,8 @@
 
 // This file lowers and restores the priorities of running attempts.
 
-// Tick advances time: it refills floors and ceilings and returns the changes of priorities to make now. capacity is the work that
-// this router's share of the pool can do, core seconds per second. The list is valid until the next call.
+// Tick advances the time, refills floors and ceilings, and returns the priority changes to make now. capacity is the work that this
+// router's share of the pool can do, in core seconds per second. The returned slice is valid until the next call.
 func (t *Tree) Tick(now, capacity float64) []PriorityChange {
 	elapsed := max(now-t.lastTick, 0)
 	t.now, t.lastTick, t.capacity = now, now, max(capacity, 1e-3)
@@ -13,8 +13,8 @@
 		t.tokens = 0
 	}
 	for k := 0; k < len(t.running); k++ {
-		if a := &t.entries[t.running[k]]; a.restore {
-			a.restore = false
+		if e := &t.entries[t.running[k]]; e.restoreAtTick {
+			e.restoreAtTick = false
 			t.changePriority(t.running[k], false)
 		}
 	}
@@ -28,30 +28,30 @@
 	return t.nodes[i].threads/max(t.threads, 1) - t.share(i)
 }
 
-// adjustPriorities lowers running attempts of teams over their share for a queued request of a team within its own, and restores
-// them when none has waited too long for a while.
+// adjustPriorities lowers running attempts of teams over their share if a request of a team within its share has waited too long. Once
+// no such request has waited for restoreDelay, it restores the priorities.
 func (t *Tree) adjustPriorities() {
 	const (
-		patience    = 0.5 // of a request's time in the queue: attempts that end will not make room in time
-		calm        = 1.0 // seconds: longer than short requests run, so that a wave of them causes one change and one back
-		done        = 0.7 // of an attempt: it ends before a change matters
-		far         = 0.1 // of all threads that a team has over its share: not by chance, and worth the cost
-		mostLowered = 0.1 // of the threads: lowered attempts still run, use cores and may miss their targets
-		mostTimes   = 1   // that an attempt is lowered
+		minWaitFraction    = 0.5 // of a request's time in the queue; after that, ending attempts will not free threads in time
+		restoreDelay       = 1.0 // seconds; longer than short requests run, so that a wave of them causes one change and one restore
+		maxProgress        = 0.7 // completed fraction of an attempt; beyond it, the attempt ends before a change has an effect
+		minExcess          = 0.1 // of all threads that a team has over its share; less may be chance and is not worth the cost
+		maxLoweredFraction = 0.1 // of all threads; lowered attempts still run, use cores and may miss their latency targets
+		maxTimesLowered    = 1   // per attempt
 	)
-	if h := t.trackHead(); h >= 0 {
-		a := &t.entries[h]
-		if t.now >= a.queuedAt+patience*(a.latestStart-a.queuedAt) && t.now >= a.unplaceableUntil && t.WithinShare(a.team) && t.excessThreads(a.team) < 0 {
-			t.lastPressure = t.now
-			for freed := 0.0; freed < a.threads && t.tokens >= 1 && t.loweredThreads < t.threads*mostLowered; {
-				best, least := int32(-1), 0.0
-				for _, at := range t.running {
-					b := &t.entries[at]
-					if !b.adjustable || b.lowered || b.progress >= done || b.timesLowered >= mostTimes {
+	if head := t.trackHead(); head >= 0 {
+		e := &t.entries[head]
+		if t.now >= e.queuedAt+minWaitFraction*(e.latestStart-e.queuedAt) && t.now >= e.unplaceableUntil && t.WithinShare(e.team) && t.excessThreads(e.team) < 0 {
+			t.lastPressureAt = t.now
+			for freed := 0.0; freed < e.threads && t.tokens >= 1 && t.loweredThreads < t.threads*maxLoweredFraction; {
+				best, bestExcess := int32(-1), 0.0
+				for _, slot := range t.running {
+					candidate := &t.entries[slot]
+					if !candidate.adjustable || candidate.lowered || candidate.progress >= maxProgress || candidate.timesLowered >= maxTimesLowered {
 						continue
 					}
-					if over := t.excessThreads(b.team); over > max(least, far) {
-						best, least = at, over
+					if excess := t.excessThreads(candidate.team); excess > max(bestExcess, minExcess) {
+						best, bestExcess = slot, excess
 					}
 				}
 				if best < 0 {
@@ -63,7 +63,7 @@
 			return
 		}
 	}
-	if t.now-t.lastPressure < calm || t.loweredThreads == 0 {
+	if t.now-t.lastPressureAt < restoreDelay || t.loweredThreads == 0 {
 		return
 	}
 	for k := 0; k < len(t.running) && t.tokens >= 1; k++ {
@@ -74,28 +74,28 @@
 }
 
 // changePriority lowers or restores the priority of one attempt.
-func (t *Tree) changePriority(at int32, down bool) {
-	a := &t.entries[at]
+func (t *Tree) changePriority(slot int32, lower bool) {
+	e := &t.entries[slot]
 	t.tokens--
-	if a.lowered = down; down {
-		a.timesLowered++
-		t.loweredThreads += a.threads
+	if e.lowered = lower; lower {
+		e.timesLowered++
+		t.loweredThreads += e.threads
 	} else {
-		t.loweredThreads -= a.threads
+		t.loweredThreads -= e.threads
 	}
-	t.changes = append(t.changes, PriorityChange{at, down})
+	t.changes = append(t.changes, PriorityChange{slot, lower})
 }
 
-// refill gives floors and ceilings what the elapsed time brings, up to their burst.
+// refill adds the work of the elapsed time to floors and ceilings, up to their burst.
 func (t *Tree) refill(elapsed float64) {
-	for _, i := range t.limited {
+	for _, i := range t.limitedNodes {
 		n := &t.nodes[i]
 		if rate := n.Floor * t.capacity; rate > 0 {
-			n.floorLeft = min(max(n.floorLeft, -longestDebt*rate)+rate*elapsed, max(n.Burst, rate))
+			n.floorLeft = min(max(n.floorLeft, -maxDebtSeconds*rate)+rate*elapsed, max(n.Burst, rate))
 			t.reorder(i)
 		}
 		if rate := n.Ceiling * t.capacity; rate > 0 {
-			n.ceilLeft = min(max(n.ceilLeft, -longestDebt*rate)+rate*elapsed, max(n.Burst, rate))
+			n.ceilingLeft = min(max(n.ceilingLeft, -maxDebtSeconds*rate)+rate*elapsed, max(n.Burst, rate))
 		}
 	}
 }
--- a/fairshare/queue.go
+++ b/fairshare/queue.go
@@ -1,45 +1,45 @@
 package fairshare
 
-// This file keeps the queued requests and the running attempts.
+// This file holds the queues of requests and the running attempts.
 
 import (
 	"math"
 	"slices"
 )
 
-// Enqueue queues the request in a slot, or does nothing if it is queued. rank is its order within its team, lowest first; work in
-// core seconds; due the latest time to start it.
-func (t *Tree) Enqueue(now float64, at int32, team int, rank, work, threads, due float64) {
+// Enqueue queues the request in a slot. It does nothing if the request is already queued. rank is the order within the team, lowest
+// first; work is the expected work in core seconds; startBy is the latest time to start the request.
+func (t *Tree) Enqueue(now float64, slot int32, team int, rank, work, threads, startBy float64) {
 	t.now = now
-	a := t.account(at)
-	if a.queued {
+	e := t.entryOf(slot)
+	if e.queued {
 		return
 	}
-	*a = entry{team: team, rank: rank, work: work, threads: threads, queuedAt: now, latestStart: due, queued: true}
-	t.insert(at)
+	*e = entry{team: team, rank: rank, work: work, threads: threads, queuedAt: now, latestStart: startBy, queued: true}
+	t.insert(slot)
 }
 
 // insert puts an entry into its team's queue.
-func (t *Tree) insert(at int32) {
-	a := &t.entries[at]
-	leaf := t.leaf(a.team)
+func (t *Tree) insert(slot int32) {
+	e := &t.entries[slot]
+	leaf := t.leaf(e.team)
 	t.addInUse(leaf, 1)
 	n := &t.nodes[leaf]
-	k, _ := slices.BinarySearchFunc(n.queue, a.rank, func(x int32, rank float64) int {
-		if t.entries[x].rank > rank {
+	k, _ := slices.BinarySearchFunc(n.queue, e.rank, func(other int32, rank float64) int {
+		if t.entries[other].rank > rank {
 			return 1
 		}
-		return -1 // behind those of its rank
+		return -1 // after requests of equal rank
 	})
-	n.queue = slices.Insert(n.queue, k, at)
-	t.addQueued(leaf, 1, a.work)
+	n.queue = slices.Insert(n.queue, k, slot)
+	t.addQueued(leaf, 1, e.work)
 }
 
-// addQueued adds to what is queued at a leaf and at all above it.
-func (t *Tree) addQueued(leaf int32, by int, work float64) {
+// addQueued adds count requests and their work to the queued totals of a leaf and of all its ancestors.
+func (t *Tree) addQueued(leaf int32, count int, work float64) {
 	for i := leaf; ; i = t.nodes[i].parent {
 		n := &t.nodes[i]
-		if n.queued += by; n.queued == 0 {
+		if n.queued += count; n.queued == 0 {
 			n.queuedWork = 0
 		} else {
 			n.queuedWork += work
@@ -63,200 +63,200 @@
 	}
 }
 
-// Dequeue removes a request from its queue, or does nothing if it is not queued.
-func (t *Tree) Dequeue(at int32) {
-	if int(at) >= len(t.entries) || !t.entries[at].queued {
+// Dequeue removes a request from its queue. It does nothing if the request is not queued.
+func (t *Tree) Dequeue(slot int32) {
+	if int(slot) >= len(t.entries) || !t.entries[slot].queued {
 		return
 	}
-	a := &t.entries[at]
-	a.queued = false
-	leaf := t.leaf(a.team)
+	e := &t.entries[slot]
+	e.queued = false
+	leaf := t.leaf(e.team)
 	n := &t.nodes[leaf]
-	k := slices.Index(n.queue, at)
+	k := slices.Index(n.queue, slot)
 	n.queue = slices.Delete(n.queue, k, k+1)
-	t.addQueued(leaf, -1, -a.work)
+	t.addQueued(leaf, -1, -e.work)
 	t.addInUse(leaf, -1)
 }
 
-// StartWalk starts a walk over the queued requests in the present order; attempts that start during the walk change what follows.
+// StartWalk starts a walk over the queued requests in the current order. Attempts that start during the walk change the rest of it.
 func (t *Tree) StartWalk(now float64) {
 	t.now = now
-	t.walk++
+	t.walkNumber++
 }
 
-// Next returns the slot of the walk's next request, or -1. It stays the same until that request is started or skipped.
+// Next returns the slot of the walk's next request, or -1. The result stays the same until that request is started or skipped.
 func (t *Tree) Next() int32 { return t.next(t.root) }
 
-// next returns the walk's next request at or below a node.
+// next returns the walk's next request in the subtree of a node.
 func (t *Tree) next(i int32) int32 {
 	n := &t.nodes[i]
-	if n.walk != t.walk {
-		n.walk, n.walkPosition = t.walk, 0
+	if n.walkNumber != t.walkNumber {
+		n.walkNumber, n.walkPosition = t.walkNumber, 0
 	}
-	if n.leaf {
+	if n.isLeaf {
 		if n.walkPosition < len(n.queue) {
 			return n.queue[n.walkPosition]
 		}
 		return -1
 	}
-	// All before walkPosition have nothing more in this walk. One whose request starts only moves back, so that stays true.
+	// Nodes before walkPosition have no more requests in this walk. This stays true, as a node whose request starts only moves back.
 	for ; n.walkPosition < len(n.active); n.walkPosition++ {
-		if k := n.active[n.walkPosition]; !t.atCeiling(k) {
-			if at := t.next(k); at >= 0 {
-				return at
+		if child := n.active[n.walkPosition]; !t.atCeiling(child) {
+			if slot := t.next(child); slot >= 0 {
+				return slot
 			}
 		}
 	}
 	return -1
 }
 
-// Skip makes the walk go past a request that no server has free threads for.
-func (t *Tree) Skip(at int32) {
-	if a := &t.entries[at]; a.queued {
-		t.nodes[t.leaf(a.team)].walkPosition++
+// Skip advances the walk past a request that no server has enough free threads for.
+func (t *Tree) Skip(slot int32) {
+	if e := &t.entries[slot]; e.queued {
+		t.nodes[t.leaf(e.team)].walkPosition++
 	}
 }
 
-// atCeiling reports whether a node has used up what its ceiling allows.
-func (t *Tree) atCeiling(i int32) bool { return t.nodes[i].Ceiling > 0 && t.nodes[i].ceilLeft <= 0 }
+// atCeiling reports whether a node has used up the work that its ceiling allows.
+func (t *Tree) atCeiling(i int32) bool { return t.nodes[i].Ceiling > 0 && t.nodes[i].ceilingLeft <= 0 }
 
-// head returns the first request in the order at or below a node, or -1.
+// head returns the first request of the order in the subtree of a node, or -1.
 func (t *Tree) head(i int32) int32 {
 	n := &t.nodes[i]
-	if n.leaf {
+	if n.isLeaf {
 		return n.queue[0]
 	}
-	for _, k := range n.active {
-		if !t.atCeiling(k) {
-			if at := t.head(k); at >= 0 {
-				return at
+	for _, child := range n.active {
+		if !t.atCeiling(child) {
+			if slot := t.head(child); slot >= 0 {
+				return slot
 			}
 		}
 	}
 	return -1
 }
 
-// Ahead returns the queued work, in core seconds, that would start before a request of this team and rank.
+// WorkQueuedBefore returns the queued work, in core seconds, that would start before a request of the given team and rank.
 func (t *Tree) Ahead(team int, rank float64) float64 {
 	i := t.leaf(team)
-	a := 0.0
-	for _, h := range t.nodes[i].queue {
-		if t.entries[h].rank > rank {
+	total := 0.0
+	for _, slot := range t.nodes[i].queue {
+		if t.entries[slot].rank > rank {
 			break
 		}
-		a += t.entries[h].work
+		total += t.entries[slot].work
 	}
 	for ; i != t.root; i = t.nodes[i].parent {
 		n := &t.nodes[i]
 		p := &t.nodes[n.parent]
-		v := n.virtualTime
+		ownTime := n.virtualTime
 		if n.inUse == 0 {
-			v = max(v, mean(p)-t.slack(i))
+			ownTime = max(ownTime, meanVirtualTime(p)-t.burstAllowance(i))
 		}
-		until, own := v+a/n.Weight, a
-		for _, k := range p.active {
-			if k == i {
+		finishTime, ownWork := ownTime+total/n.Weight, total
+		for _, sibling := range p.active {
+			if sibling == i {
 				continue
 			}
-			// A sibling's work starts before while its virtual time is less, and as far as its floor goes.
-			s := &t.nodes[k]
-			before := (until - s.virtualTime) * s.Weight
+			// A sibling's work starts earlier as long as its virtual time is lower, or as far as its floor reaches.
+			s := &t.nodes[sibling]
+			workBefore := (finishTime - s.virtualTime) * s.Weight
 			if s.Floor > 0 {
-				before = max(before, s.floorLeft)
+				workBefore = max(workBefore, s.floorLeft)
 			}
-			if n.Floor > 0 && own < n.floorLeft {
-				before = 0
+			if n.Floor > 0 && ownWork < n.floorLeft {
+				workBefore = 0
 			}
-			a += min(max(before, 0), s.queuedWork)
+			total += min(max(workBefore, 0), s.queuedWork)
 		}
 	}
-	return a
+	return total
 }
 
-// AttemptStarted charges an attempt's expected work, in core seconds, to its team. adjustable tells that its priority could be
-// lowered.
-func (t *Tree) AttemptStarted(now float64, at int32, team int, work, threads float64, adjustable bool) {
+// AttemptStarted charges an attempt's expected work, in core seconds, to its team. adjustable reports whether the attempt's priority can
+// be lowered.
+func (t *Tree) AttemptStarted(now float64, slot int32, team int, work, threads float64, adjustable bool) {
 	t.now = now
-	a := t.account(at)
-	*a = entry{team: team, work: work, charged: work, threads: threads, running: true, adjustable: adjustable, runningIndex: int32(len(t.running))}
-	t.running = append(t.running, at)
+	e := t.entryOf(slot)
+	*e = entry{team: team, work: work, chargedWork: work, threads: threads, running: true, adjustable: adjustable, runningIndex: int32(len(t.running))}
+	t.running = append(t.running, slot)
 	t.threads += threads
 	leaf := t.leaf(team)
 	t.nodes[leaf].threads += threads
 	t.addInUse(leaf, 1)
 	t.charge(leaf, work, true)
-	if t.turn.at == at {
-		t.turn = turn{at: -1}
+	if t.headState.slot == slot {
+		t.headState = headState{slot: -1}
 	} else {
-		t.turn.bypassedWork += work
+		t.headState.bypassedWork += work
 	}
 }
 
-// AttemptEnded charges what an attempt took in place of what was expected. A negative work is unknown or still in progress, and
-// the charge stays.
-func (t *Tree) AttemptEnded(now float64, at int32, work float64) {
+// AttemptEnded replaces the charge for the expected work by the actual work of the attempt. Negative work means that it is unknown, or
+// that the attempt may still run on a server; the charge then stays.
+func (t *Tree) AttemptEnded(now float64, slot int32, work float64) {
 	t.now = now
-	if int(at) >= len(t.entries) || !t.entries[at].running {
+	if int(slot) >= len(t.entries) || !t.entries[slot].running {
 		return
 	}
-	a := &t.entries[at]
-	a.running = false
+	e := &t.entries[slot]
+	e.running = false
 	last := len(t.running) - 1
-	t.running[a.runningIndex] = t.running[last]
-	t.entries[t.running[last]].runningIndex = a.runningIndex
+	t.running[e.runningIndex] = t.running[last]
+	t.entries[t.running[last]].runningIndex = e.runningIndex
 	t.running = t.running[:last]
-	if t.threads -= a.threads; last == 0 {
+	if t.threads -= e.threads; last == 0 {
 		t.threads = 0
 	}
-	if a.lowered {
-		t.loweredThreads -= a.threads
+	if e.lowered {
+		t.loweredThreads -= e.threads
 	}
-	leaf := t.leaf(a.team)
+	leaf := t.leaf(e.team)
 	if n := &t.nodes[leaf]; n.inUse == 1 {
 		n.threads = 0
 	} else {
-		n.threads -= a.threads
+		n.threads -= e.threads
 	}
 	if work >= 0 {
-		t.charge(leaf, work-a.charged, false)
+		t.charge(leaf, work-e.chargedWork, false)
 	}
 	t.addInUse(leaf, -1)
 }
 
-// Noted reports the progress of a running attempt: the fraction done, or that it spills to disk.
-func (t *Tree) Noted(at int32, share float64, spills bool) {
-	if int(at) >= len(t.entries) || !t.entries[at].running {
+// ReportProgress records the progress of a running attempt: the completed fraction, and whether it spills to disk.
+func (t *Tree) Noted(slot int32, fraction float64, spills bool) {
+	if int(slot) >= len(t.entries) || !t.entries[slot].running {
 		return
 	}
-	a := &t.entries[at]
-	a.progress = max(a.progress, share)
-	if spills && t.spec.GuardSpill { // the slower it runs, the longer it holds memory
-		a.adjustable = false
-		a.restore = a.lowered
+	e := &t.entries[slot]
+	e.progress = max(e.progress, fraction)
+	if spills && t.spec.GuardSpill { // a slower attempt holds its memory for longer
+		e.adjustable = false
+		e.restoreAtTick = e.lowered
 	}
 }
 
-// WithinShare reports whether a team has had no more than its share of late, at every level.
+// WithinShare reports whether a team has recently had no more than its share, at every level of the tree.
 func (t *Tree) WithinShare(team int) bool {
 	for i := t.leaf(team); i != t.root; i = t.nodes[i].parent {
-		if n := &t.nodes[i]; n.virtualTime > mean(&t.nodes[n.parent])+1e-9*max(1, math.Abs(n.virtualTime)) && !(n.Floor > 0 && n.floorLeft > 0) {
+		if n := &t.nodes[i]; n.virtualTime > meanVirtualTime(&t.nodes[n.parent])+1e-9*max(1, math.Abs(n.virtualTime)) && !(n.Floor > 0 && n.floorLeft > 0) {
 			return false
 		}
 	}
 	return true
 }
 
-// excess returns how far a team is past its share and burst, in seconds of full use, or 0.
-func (t *Tree) excess(team int) (most float64) {
+// excess returns how far a team exceeds its share and burst, in seconds of full use, or 0.
+func (t *Tree) excess(team int) (largest float64) {
 	for i := t.leaf(team); i != t.root; i = t.nodes[i].parent {
 		n := &t.nodes[i]
-		most = max(most, (n.virtualTime-mean(&t.nodes[n.parent])-t.slack(i))/t.fullUsePerSecond(n.parent))
+		largest = max(largest, (n.virtualTime-meanVirtualTime(&t.nodes[n.parent])-t.burstAllowance(i))/t.virtualTimePerSecond(n.parent))
 	}
-	return most
+	return largest
 }
 
-// ShareOf returns a team's share of the pool among the teams in use now.
+// TeamShare returns a team's share of the pool among the teams that are in use now.
 func (t *Tree) ShareOf(team int) float64 { return t.share(t.leaf(team)) }
 
-// Queued returns the number of a team's queued requests.
+// QueuedRequests returns the number of a team's queued requests.
 func (t *Tree) Queued(team int) int { return t.nodes[t.leaf(team)].queued }
--- a/fairshare/tree_test.go
+++ b/fairshare/tree_test.go
@@ -395,7 +395,7 @@
 			}
 		}
 		if n.inUse > 0 && int32(i) != tree.root {
-			if far := math.Abs(n.virtualTime-mean(&tree.nodes[n.parent])) / tree.fullUsePerSecond(n.parent); math.IsNaN(far) {
+			if far := math.Abs(n.virtualTime-meanVirtualTime(&tree.nodes[n.parent])) / tree.virtualTimePerSecond(n.parent); math.IsNaN(far) {
 				t.Fatalf("node %d is %v s from the mean", i, far)
 			}
 		}
--- a/fairshare/turns.go
+++ b/fairshare/turns.go
@@ -1,31 +1,31 @@
 package fairshare
 
-// This file gives a turn to requests that were bypassed for too long.
+// This file reserves free threads for requests that were bypassed for too long.
 
 import "math"
 
-// turn is the request at the head of the order and the work that has bypassed it.
-type turn struct {
-	at           int32
-	team         int32   // leaf
-	bypassedWork float64 // work that others have started meanwhile
-	active       bool    // no other request may start
-	changedAt    float64 // when active last changed
+// headState tracks the request at the head of the order and how much work has bypassed it.
+type headState struct {
+	slot          int32   // of the request; -1: nothing is queued
+	team          int32   // leaf node of the request's team
+	bypassedWork  float64 // expected work of the other attempts that have started since
+	hasTurn       bool    // no other request may start
+	turnChangedAt float64 // when hasTurn last changed
 }
 
-// GaveUp notes the price, work per benefit, at which a queued request was given up.
+// RequestGivenUp records the price, in work per benefit, at which a queued request of a team was given up.
 func (t *Tree) GaveUp(now float64, team int, price float64) {
 	n := &t.nodes[t.leaf(team)]
 	n.giveUpPrice, n.giveUpAt = min(n.decayedGiveUpPrice(now), price), now
 }
 
-// Cut returns the price from which a team's requests are rejected, as such were given up of late. It doubles every two seconds, so
-// that such requests are soon tried again. Other teams' prices have no effect.
+// RejectionPrice returns the price from which a team's requests are rejected because requests of that price were recently given up. It
+// doubles every two seconds, so that such requests are soon admitted again. Prices of other teams have no effect.
 func (t *Tree) Cut(now float64, team int) float64 {
 	return t.nodes[t.leaf(team)].decayedGiveUpPrice(now)
 }
 
-// decayedGiveUpPrice returns the give-up price by now; +Inf: there is none.
+// decayedGiveUpPrice returns the give-up price at the given time, or +Inf if there is none.
 func (n *node) decayedGiveUpPrice(now float64) float64 {
 	if n.giveUpPrice == 0 {
 		return math.Inf(1)
@@ -33,10 +33,10 @@
 	return n.giveUpPrice * math.Exp2((now-n.giveUpAt)/2)
 }
 
-// MayStart reports whether a request may use free threads now: its team's ceiling allows it, and no other request has been
-// bypassed for too long. Such a request gets the threads that become free: one that needs two would else wait behind an endless
-// flood of requests for one.
-func (t *Tree) MayStart(now float64, at int32, team int) bool {
+// MayStart reports whether a request may use free threads now. It may if the ceilings of its team and of the groups above allow it, and
+// if no other request has been bypassed for too long. A request that was bypassed for too long gets the next threads that become free;
+// otherwise a request for two threads would wait forever behind a stream of requests for one.
+func (t *Tree) MayStart(now float64, slot int32, team int) bool {
 	t.now = now
 	for i := t.leaf(team); i != t.root; i = t.nodes[i].parent {
 		if t.atCeiling(i) {
@@ -46,50 +46,52 @@
 	if !t.spec.Turns || t.nodes[t.root].queued == 0 {
 		return true
 	}
-	h := t.trackHead()
-	return h < 0 || h == at || !t.headHasTurn()
+	head := t.trackHead()
+	return head < 0 || head == slot || !t.headHasTurn()
 }
 
-// trackHead updates the head of the order. The bypassed work is counted by team, as a cheaper request of it may become the head.
+// trackHead updates and returns the head of the order. The bypassed work is counted per team, since a cheaper request of the same team
+// may become the head.
 func (t *Tree) trackHead() int32 {
 	h := t.head(t.root)
-	if h >= 0 && h != t.turn.at {
-		if leaf := t.leaf(t.entries[h].team); t.turn.at < 0 || leaf != t.turn.team {
-			t.turn = turn{team: leaf, changedAt: t.now}
+	if h >= 0 && h != t.headState.slot {
+		if leaf := t.leaf(t.entries[h].team); t.headState.slot < 0 || leaf != t.headState.team {
+			t.headState = headState{team: leaf, turnChangedAt: t.now}
 		}
-		t.turn.at = h
+		t.headState.slot = h
 	} else if h < 0 {
-		t.turn = turn{at: -1}
+		t.headState = headState{slot: -1}
 	}
 	return h
 }
 
-// headHasTurn reports whether only the head may start now: more work than its team's share allows has bypassed it, or half its
-// time is over. It has turns of half a second with pauses of the same length, in case threads are not what it lacks.
+// headHasTurn reports whether only the head may start now. This is the case if more work has bypassed the head than the share of its team
+// allows, or if half of its time in the queue is over. Turns of half a second alternate with pauses of the same length, as free threads
+// may not be what the head waits for.
 func (t *Tree) headHasTurn() bool {
-	const spell = 0.5 // seconds: several times the duration of short requests
-	a := &t.entries[t.turn.at]
-	f := t.share(t.turn.team)
-	if t.now < a.unplaceableUntil || !t.WithinShare(a.team) ||
-		t.turn.bypassedWork < a.work*max(1, (1-f)/f) && t.now < a.queuedAt+(a.latestStart-a.queuedAt)/2 {
-		t.turn.active = false
+	const turnLength = 0.5 // seconds: several times the duration of short requests
+	e := &t.entries[t.headState.slot]
+	fraction := t.share(t.headState.team)
+	if t.now < e.unplaceableUntil || !t.WithinShare(e.team) ||
+		t.headState.bypassedWork < e.work*max(1, (1-fraction)/fraction) && t.now < e.queuedAt+(e.latestStart-e.queuedAt)/2 {
+		t.headState.hasTurn = false
 		return false
 	}
-	if t.now-t.turn.changedAt >= spell {
-		t.turn.active, t.turn.changedAt = !t.turn.active, t.now
+	if t.now-t.headState.turnChangedAt >= turnLength {
+		t.headState.hasTurn, t.headState.turnChangedAt = !t.headState.hasTurn, t.now
 	}
-	return t.turn.active
+	return t.headState.hasTurn
 }
 
-// MarkUnplaceable notes that no server would take a queued request, however many threads are free, so that it keeps no other from
-// them.
-func (t *Tree) MarkUnplaceable(at int32) {
-	const rest = 0.25 // seconds: servers come and go in seconds
-	t.entries[at].unplaceableUntil = t.now + rest
+// MarkUnplaceable records that no server would take a queued request, however many threads are free. The request then does not keep
+// other requests from the free threads.
+func (t *Tree) MarkUnplaceable(slot int32) {
+	const recheckDelay = 0.25 // seconds: servers become available or unavailable within seconds
+	t.entries[slot].unplaceableUntil = t.now + recheckDelay
 }
 
-// Lane reports whether a short request of this team may use the fast path past full servers: while others are queued, only if its
-// team is within its share.
+// MayUseFastPath reports whether a short request of a team may use the fast path past full servers. While other requests are queued, only
+// teams within their share may.
 func (t *Tree) Lane(team int) bool {
 	return t.nodes[t.root].queued == 0 || t.excess(team) == 0
 }
