--- a/fairshare/pool_test.go
+++ b/fairshare/pool_test.go
@@ -1,84 +1,84 @@
 package fairshare
 
-// pool is servers as a Tree sees them: threads that run one request each, and what is queued for them.
-type pool struct {
-	t     *Tree
-	now   float64
-	free  int
-	runs  []run
-	next  int32
-	jobs  map[int32]job
-	done  map[int]float64 // work by team
-	waits map[int32]float64
+// fakePool simulates servers and the requests that are queued for them. Each running attempt occupies its number of threads.
+type fakePool struct {
+	tree        *Tree
+	now         float64
+	freeThreads int
+	attempts    []attempt
+	nextSlot    int32
+	requests    map[int32]request
+	doneWork    map[int]float64   // core seconds by team
+	waits       map[int32]float64 // time in the queue by slot, once started
 }
 
-type job struct {
-	team    int
-	guess   float64 // expected work
-	work    float64
-	threads int
-	from    float64
+type request struct {
+	team     int
+	estimate float64 // expected core seconds
+	work     float64 // actual core seconds; an attempt runs for this many seconds
+	threads  int
+	queuedAt float64
 }
 
-type run struct {
-	at    int32
-	until float64
+type attempt struct {
+	slot   int32
+	endsAt float64
 }
 
-func newPool(t *Tree, places int) *pool {
-	return &pool{t: t, free: places, jobs: map[int32]job{}, done: map[int]float64{}, waits: map[int32]float64{}}
+func newPool(tree *Tree, threads int) *fakePool {
+	return &fakePool{tree: tree, freeThreads: threads, requests: map[int32]request{}, doneWork: map[int]float64{}, waits: map[int32]float64{}}
 }
 
-func (p *pool) hold(team int, rank, work float64) int32 {
-	return p.ask(rank, job{team: team, guess: work, work: work, threads: 1}, 1e9)
+func (p *fakePool) enqueueOne(team int, rank, work float64) int32 {
+	return p.enqueue(rank, request{team: team, estimate: work, work: work, threads: 1}, 1e9)
 }
 
-// ask is a command that has so many seconds until it should be sent.
-func (p *pool) ask(rank float64, j job, patience float64) int32 {
-	at := p.next
-	p.next++
-	j.from = p.now
-	p.jobs[at] = j
-	p.t.Enqueue(p.now, at, j.team, rank, j.guess, float64(j.threads), p.now+patience)
-	p.fill()
-	return at
+// enqueue queues a request that is to start within maxWait seconds.
+func (p *fakePool) enqueue(rank float64, r request, maxWait float64) int32 {
+	slot := p.nextSlot
+	p.nextSlot++
+	r.queuedAt = p.now
+	p.requests[slot] = r
+	p.tree.Enqueue(p.now, slot, r.team, rank, r.estimate, float64(r.threads), p.now+maxWait)
+	p.startAttempts()
+	return slot
 }
 
-func (p *pool) fill() {
-	for p.t.StartWalk(p.now); p.free > 0; {
-		at := p.t.Next()
-		if at < 0 {
+func (p *fakePool) startAttempts() {
+	for p.tree.StartWalk(p.now); p.freeThreads > 0; {
+		slot := p.tree.Next()
+		if slot < 0 {
 			return
 		}
-		j := p.jobs[at]
-		if p.free < j.threads || !p.t.MayStart(p.now, at, j.team) {
-			p.t.Skip(at)
+		r := p.requests[slot]
+		if p.freeThreads < r.threads || !p.tree.MayStart(p.now, slot, r.team) {
+			p.tree.Skip(slot)
 			continue
 		}
-		p.t.Dequeue(at)
-		p.t.AttemptStarted(p.now, at, j.team, j.guess, float64(j.threads), true)
-		p.waits[at] = p.now - j.from
-		p.free -= j.threads
-		p.runs = append(p.runs, run{at, p.now + j.work})
+		p.tree.Dequeue(slot)
+		p.tree.AttemptStarted(p.now, slot, r.team, r.estimate, float64(r.threads), true)
+		p.waits[slot] = p.now - r.queuedAt
+		p.freeThreads -= r.threads
+		p.attempts = append(p.attempts, attempt{slot, p.now + r.work})
 	}
 }
 
-// step goes on to the next end.
-func (p *pool) step() {
-	least := 0
-	for k, r := range p.runs {
-		if r.until < p.runs[least].until {
-			least = k
+// runToNextEnd advances the time to the end of the next attempt and starts what then fits.
+func (p *fakePool) runToNextEnd() {
+	first := 0
+	for k, a := range p.attempts {
+		if a.endsAt < p.attempts[first].endsAt {
+			first = k
 		}
 	}
-	r := p.runs[least]
-	p.runs = append(p.runs[:least], p.runs[least+1:]...)
-	p.now = max(p.now, r.until)
-	p.t.Tick(p.now, float64(p.free+len(p.runs)+1)) // the place of the one that ends, too
-	j := p.jobs[r.at]
-	p.t.AttemptEnded(p.now, r.at, j.work)
-	p.done[j.team] += j.work
-	delete(p.jobs, r.at)
-	p.free += j.threads
-	p.fill()
+	a := p.attempts[first]
+	p.attempts = append(p.attempts[:first], p.attempts[first+1:]...)
+	p.now = max(p.now, a.endsAt)
+	p.tree.Tick(p.now, float64(p.freeThreads+len(p.attempts)+1)) // includes the thread of the attempt that ends
+	r := p.requests[a.slot]
+	p.tree.AttemptEnded(p.now, a.slot, r.work)
+	p.doneWork[r.team] += r.work
+	delete(p.requests, a.slot)
+	p.freeThreads += r.threads
+	p.startAttempts()
 }
--- a/fairshare/tree_test.go
+++ b/fairshare/tree_test.go
@@ -10,13 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-// Properties are tried on the same cases every time; `make explore` tries others.
+// Properties use the same seed in every run; `make explore` tries others.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-func flat(weights ...float64) Spec {
+// flatSpec returns a spec of teams t0, t1 and so on without groups. Tenant k belongs to team tk.
+func flatSpec(weights ...float64) Spec {
 	s := Spec{Default: "t0", Ageing: 0.05, Turns: true, Changes: 20, GuardSpill: true}
 	for k, w := range weights {
 		s.Nodes = append(s.Nodes, Node{Name: fmt.Sprintf("t%d", k), Weight: w, Tenants: []int{k}})
@@ -24,7 +25,7 @@
 	return s
 }
 
-func must(t interface{ Fatal(...any) }, s Spec) *Tree {
+func newTree(t interface{ Fatal(...any) }, s Spec) *Tree {
 	tree, err := New(s, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -32,122 +33,123 @@
 	return tree
 }
 
-// TestShares: teams that always ask get the work of their weights, whatever the sizes of their commands, at every level.
+// TestShares checks that teams which always have queued requests get work in proportion to their weights at every level, whatever the size
+// of their requests.
 func TestShares(t *testing.T) {
 	s := Spec{Default: "c", Nodes: []Node{{Name: "org", Weight: 1}, {Name: "f", Under: "org", Weight: 3},
 		{Name: "a", Under: "f", Weight: 1}, {Name: "b", Under: "f", Weight: 2}, {Name: "c", Under: "org", Weight: 1}}}
-	tree := must(t, s)
-	p := newPool(tree, 8)
+	tree := newTree(t, s)
+	pool := newPool(tree, 8)
 	sizes := []float64{0.1, 1, 3} // a, b, c
 	for k := range 3 {
 		for range 100 {
-			p.hold(k, 1, sizes[k])
+			pool.enqueueOne(k, 1, sizes[k])
 		}
 	}
-	for p.now < 2000 {
-		p.step()
+	for pool.now < 2000 {
+		pool.runToNextEnd()
 		for k := range 3 {
-			for held := tree.Queued(k); held < 50; held++ {
-				p.hold(k, 1, sizes[k])
+			for queued := tree.Queued(k); queued < 50; queued++ {
+				pool.enqueueOne(k, 1, sizes[k])
 			}
 		}
 	}
-	all := p.done[0] + p.done[1] + p.done[2]
+	total := pool.doneWork[0] + pool.doneWork[1] + pool.doneWork[2]
 	for k, want := range []float64{0.25, 0.5, 0.25} {
-		if got := p.done[k] / all; math.Abs(got/want-1) > 0.01 {
-			t.Errorf("team %d had %.4f of the work, its budget is %.4f", k, got, want)
+		if got := pool.doneWork[k] / total; math.Abs(got/want-1) > 0.01 {
+			t.Errorf("team %d got %.4f of the work, its share is %.4f", k, got, want)
 		}
 	}
 }
 
-// TestSmall: a small team with large commands has no more than its part either.
-func TestSmall(t *testing.T) {
-	tree := must(t, flat(0.05, 1))
-	p := newPool(tree, 4)
-	for p.now < 4000 {
+// TestSmallTeamWithLargeRequests checks that a small team with large requests does not get more than its share.
+func TestSmallTeamWithLargeRequests(t *testing.T) {
+	tree := newTree(t, flatSpec(0.05, 1))
+	pool := newPool(tree, 4)
+	for pool.now < 4000 {
 		for k, work := range []float64{4, 0.5} {
-			for held := tree.Queued(k); held < 20; held++ {
-				p.hold(k, 1, work)
+			for queued := tree.Queued(k); queued < 20; queued++ {
+				pool.enqueueOne(k, 1, work)
 			}
 		}
-		p.step()
+		pool.runToNextEnd()
 	}
-	if got, want := p.done[0]/(p.done[0]+p.done[1]), 0.05/1.05; math.Abs(got/want-1) > 0.1 {
-		t.Errorf("a small team had %.4f of the work, its budget is %.4f", got, want)
+	if got, want := pool.doneWork[0]/(pool.doneWork[0]+pool.doneWork[1]), 0.05/1.05; math.Abs(got/want-1) > 0.1 {
+		t.Errorf("a small team got %.4f of the work, its share is %.4f", got, want)
 	}
 }
 
-// TestLending: what a team leaves unused goes to the others by weight, and is its own again when it asks: its first
-// command waits for one place to come free, and its share is whole from then on.
-func TestLending(t *testing.T) {
-	tree := must(t, flat(1, 1, 2))
-	p := newPool(tree, 4)
-	ask := func(teams ...int) {
+// TestUnusedShareIsLent checks that the share of an idle team goes to the others by weight, and that the team gets it back once it has
+// requests: the first one waits only until one thread becomes free, and from then on the team has its full share.
+func TestUnusedShareIsLent(t *testing.T) {
+	tree := newTree(t, flatSpec(1, 1, 2))
+	pool := newPool(tree, 4)
+	fillQueues := func(teams ...int) {
 		for _, k := range teams {
-			for held := tree.Queued(k); held < 20; held++ {
-				p.hold(k, 1, 1)
+			for queued := tree.Queued(k); queued < 20; queued++ {
+				pool.enqueueOne(k, 1, 1)
 			}
 		}
 	}
-	for p.now < 500 {
-		ask(0, 2)
-		p.step()
+	for pool.now < 500 {
+		fillQueues(0, 2)
+		pool.runToNextEnd()
 	}
-	if got := p.done[2] / p.done[0]; math.Abs(got-2) > 0.05 {
-		t.Errorf("lent %.3f to one of twice the weight, wanted 2", got)
+	if got := pool.doneWork[2] / pool.doneWork[0]; math.Abs(got-2) > 0.05 {
+		t.Errorf("the team of twice the weight got %.3f times the work of the other, want 2", got)
 	}
-	clear(p.done)
-	from := p.now
-	first := p.hold(1, 1, 1)
-	for p.now < from+4 {
-		ask(0, 1, 2)
-		p.step()
+	clear(pool.doneWork)
+	from := pool.now
+	first := pool.enqueueOne(1, 1, 1)
+	for pool.now < from+4 {
+		fillQueues(0, 1, 2)
+		pool.runToNextEnd()
 	}
-	if got := p.done[1] / (p.done[0] + p.done[1] + p.done[2]); got > 0.5 {
-		t.Errorf("a team that idled had %.2f of the work for four seconds: it hoards", got)
+	if got := pool.doneWork[1] / (pool.doneWork[0] + pool.doneWork[1] + pool.doneWork[2]); got > 0.5 {
+		t.Errorf("a team that was idle got %.2f of the work for four seconds: it kept too much credit", got)
 	}
-	for p.now < from+500 {
-		ask(0, 1, 2)
-		p.step()
+	for pool.now < from+500 {
+		fillQueues(0, 1, 2)
+		pool.runToNextEnd()
 	}
-	if p.waits[first] > 1 {
-		t.Errorf("the first command of a team that idled waited %.3f s, a place came free after 1", p.waits[first])
+	if pool.waits[first] > 1 {
+		t.Errorf("the first request of a team that was idle waited %.3f s, a thread became free after 1", pool.waits[first])
 	}
-	if all := p.done[0] + p.done[1] + p.done[2]; math.Abs(p.done[1]/all-0.25) > 0.01 {
-		t.Errorf("called back: %.4f of the work, its budget is 0.25", p.done[1]/all)
+	if total := pool.doneWork[0] + pool.doneWork[1] + pool.doneWork[2]; math.Abs(pool.doneWork[1]/total-0.25) > 0.01 {
+		t.Errorf("the team that was idle got %.4f of the work afterwards, its share is 0.25", pool.doneWork[1]/total)
 	}
 }
 
-// TestWaitBound: a command of a team that was inside its budget waits, in work of the pool, at most for what its own team
-// has before it over the team's part, and one command of the largest size for each other team and each place. (Goyal et
-// al. give it for one server; each place is one more command that can't be interrupted.)
+// TestWaitBound checks the bound on the wait of a request whose team was within its share. In work of the pool, it is the work that the team
+// itself has queued before divided by the team's share, plus one request of the largest size per other team and per thread. Goyal et al.
+// prove the bound for one server; each thread adds one request that cannot be interrupted.
 func TestWaitBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "teams")
-		places := rapid.IntRange(1, 6).Draw(t, "places")
+		threads := rapid.IntRange(1, 6).Draw(t, "places")
 		weights := rapid.SliceOfN(rapid.Float64Range(0.2, 5), n, n).Draw(t, "weights")
-		// Credit ends at ten seconds of full use: the largest commands of all teams together are less.
-		sizes := rapid.SliceOfN(rapid.Float64Range(0.05, 10*float64(places)/float64(n+1)), n, n).Draw(t, "sizes")
-		var commands []int
+		// Credit is limited to ten seconds of full use. The largest requests of all teams together stay below that.
+		sizes := rapid.SliceOfN(rapid.Float64Range(0.05, 10*float64(threads)/float64(n+1)), n, n).Draw(t, "sizes")
+		var requests []int
 		for range n {
-			commands = append(commands, rapid.IntRange(1, 30).Draw(t, "commands"))
+			requests = append(requests, rapid.IntRange(1, 30).Draw(t, "commands"))
 		}
-		waitBound(t, places, weights, sizes, commands)
+		checkWaitBound(t, threads, weights, sizes, requests)
 	})
 }
 
-// TestWaitBoundCases: what the property found once, each mended since.
+// TestWaitBoundCases covers inputs that once violated the bound of TestWaitBound.
 func TestWaitBoundCases(t *testing.T) {
-	waitBound(t, 1, []float64{1, 1}, []float64{1, 1}, []int{6, 1})
-	waitBound(t, 1, []float64{1, 1, 1, 1}, []float64{1, 1, 1.75, 0.5}, []int{1, 7, 7, 7})
+	checkWaitBound(t, 1, []float64{1, 1}, []float64{1, 1}, []int{6, 1})
+	checkWaitBound(t, 1, []float64{1, 1, 1, 1}, []float64{1, 1, 1.75, 0.5}, []int{1, 7, 7, 7})
 }
 
-func waitBound(t rapid.TB, places int, weights, sizes []float64, commands []int) {
+func checkWaitBound(t rapid.TB, threads int, weights, sizes []float64, requests []int) {
 	n := len(weights)
-	tree := must(t, flat(weights...))
-	tree.Tick(0, float64(places))
-	p := newPool(tree, places)
-	p.free = 0 // all wait before the first goes, so that every team is in use and inside its budget
+	tree := newTree(t, flatSpec(weights...))
+	tree.Tick(0, float64(threads))
+	pool := newPool(tree, threads)
+	pool.freeThreads = 0 // all requests are queued before the first starts, so that every team is in use and within its share
 	largest, sum := 0.0, 0.0
 	for _, s := range sizes {
 		largest = max(largest, s)
@@ -155,270 +157,271 @@
 	for _, w := range weights {
 		sum += w
 	}
-	type probe struct {
-		at    int32
-		bound float64
+	type queuedRequest struct {
+		slot    int32
+		maxWait float64
 	}
-	var probes []probe
+	var all []queuedRequest
 	for k := range n {
-		for j := range commands[k] {
-			at := p.hold(k, float64(j), sizes[k])
+		for j := range requests[k] {
+			slot := pool.enqueueOne(k, float64(j), sizes[k])
 			own := float64(j+1) * sizes[k]
-			probes = append(probes, probe{at, (own*sum/weights[k] + float64(n+places)*largest) / float64(places)})
+			all = append(all, queuedRequest{slot, (own*sum/weights[k] + float64(n+threads)*largest) / float64(threads)})
 		}
 	}
-	p.free = places
-	p.fill()
-	for len(p.runs) > 0 {
-		p.step()
+	pool.freeThreads = threads
+	pool.startAttempts()
+	for len(pool.attempts) > 0 {
+		pool.runToNextEnd()
 	}
-	for _, b := range probes {
-		if p.waits[b.at] > b.bound+1e-9 {
-			t.Fatalf("command %d waited %.3f s, the bound is %.3f", b.at, p.waits[b.at], b.bound)
+	for _, q := range all {
+		if pool.waits[q.slot] > q.maxWait+1e-9 {
+			t.Fatalf("request %d waited %.3f s, the bound is %.3f", q.slot, pool.waits[q.slot], q.maxWait)
 		}
 	}
 }
 
-// TestSettled: a team whose estimates are a tenth of the true work has no more of the pool for it.
-func TestSettled(t *testing.T) {
-	tree := must(t, flat(1, 1))
-	p := newPool(tree, 4)
-	for p.now < 1000 {
-		for k, guess := range []float64{0.1, 1} {
-			for held := tree.Queued(k); held < 20; held++ {
-				p.ask(1, job{team: k, guess: guess, work: 1, threads: 1}, 1e9)
+// TestActualWorkIsCharged checks that a team whose estimates are a tenth of the actual work does not get more of the pool for it.
+func TestActualWorkIsCharged(t *testing.T) {
+	tree := newTree(t, flatSpec(1, 1))
+	pool := newPool(tree, 4)
+	for pool.now < 1000 {
+		for k, estimate := range []float64{0.1, 1} {
+			for queued := tree.Queued(k); queued < 20; queued++ {
+				pool.enqueue(1, request{team: k, estimate: estimate, work: 1, threads: 1}, 1e9)
 			}
 		}
-		p.step()
+		pool.runToNextEnd()
 	}
-	if got := p.done[0] / (p.done[0] + p.done[1]); math.Abs(got-0.5) > 0.02 {
-		t.Errorf("a team that guesses a tenth had %.3f of the work, its budget is 0.5", got)
+	if got := pool.doneWork[0] / (pool.doneWork[0] + pool.doneWork[1]); math.Abs(got-0.5) > 0.02 {
+		t.Errorf("a team whose estimates are a tenth of the work got %.3f of the work, its share is 0.5", got)
 	}
 }
 
-// TestTurn: a command of two threads gets its places behind an endless flood of single ones, which find a place each time
-// one comes free; without turns it never does.
-func TestTurn(t *testing.T) {
+// TestTurnForBypassedRequest checks that a request for two threads starts despite an endless stream of requests for one thread, each of which
+// fits whenever a thread becomes free. Without turns it never starts.
+func TestTurnForBypassedRequest(t *testing.T) {
 	for _, turns := range []bool{true, false} {
-		s := flat(1, 1)
+		s := flatSpec(1, 1)
 		s.Turns = turns
-		tree := must(t, s)
-		p := newPool(tree, 4)
-		flood := func() {
-			for held := tree.Queued(1); held < 20; held++ {
-				p.ask(1, job{team: 1, guess: 0.1 + float64(p.next%7)/100, work: 0.1 + float64(p.next%7)/100, threads: 1}, 1e9)
+		tree := newTree(t, s)
+		pool := newPool(tree, 4)
+		fillQueue := func() {
+			for queued := tree.Queued(1); queued < 20; queued++ {
+				pool.enqueue(1, request{team: 1, estimate: 0.1 + float64(pool.nextSlot%7)/100, work: 0.1 + float64(pool.nextSlot%7)/100, threads: 1}, 1e9)
 			}
 		}
-		for flood(); p.now < 1; flood() {
-			p.step()
+		for fillQueue(); pool.now < 1; fillQueue() {
+			pool.runToNextEnd()
 		}
-		from := p.now
-		at := p.ask(1, job{guess: 4, work: 4, threads: 2}, 4)
-		for _, sent := p.waits[at]; !sent && p.now < from+10; _, sent = p.waits[at] {
-			flood()
-			p.step()
+		from := pool.now
+		slot := pool.enqueue(1, request{estimate: 4, work: 4, threads: 2}, 4)
+		for _, started := pool.waits[slot]; !started && pool.now < from+10; _, started = pool.waits[slot] {
+			fillQueue()
+			pool.runToNextEnd()
 		}
-		if wait, sent := p.waits[at]; turns && (!sent || wait > 2.5) || !turns && sent {
-			t.Errorf("turns %v: sent %v after %.2f s", turns, sent, wait)
+		if wait, started := pool.waits[slot]; turns && (!started || wait > 2.5) || !turns && started {
+			t.Errorf("turns %v: started %v after %.2f s", turns, started, wait)
 		}
 	}
 }
 
-// TestFloorCeiling: a floor comes before all weights, a ceiling holds with places free.
-func TestFloorCeiling(t *testing.T) {
-	s := flat(1, 99, 1)
+// TestFloorAndCeiling checks that a floor takes precedence over weights, and that a ceiling holds even while threads are free.
+func TestFloorAndCeiling(t *testing.T) {
+	s := flatSpec(1, 99, 1)
 	s.Nodes[0].Floor, s.Nodes[2].Ceiling = 0.3, 0.1
-	tree := must(t, s)
-	p := newPool(tree, 8)
-	ask := func(teams ...int) {
+	tree := newTree(t, s)
+	pool := newPool(tree, 8)
+	fillQueues := func(teams ...int) {
 		for _, k := range teams {
-			for held := tree.Queued(k); held < 30; held++ {
-				p.hold(k, 1, 0.5)
+			for queued := tree.Queued(k); queued < 30; queued++ {
+				pool.enqueueOne(k, 1, 0.5)
 			}
 		}
 	}
-	for p.now < 400 {
-		ask(0, 1)
-		p.step()
-	}
-	if got := p.done[0] / (p.done[0] + p.done[1]); got < 0.28 || got > 0.33 {
-		t.Errorf("a team of weight 1 in 100 with a floor of 0.3 had %.3f", got)
-	}
-	tree = must(t, s)
-	p = newPool(tree, 8)
-	for p.now < 400 {
-		ask(2)
-		p.now += 0.1
-		tree.Tick(p.now, 8)
-		for len(p.runs) > 0 && p.runs[0].until <= p.now {
-			p.step()
+	for pool.now < 400 {
+		fillQueues(0, 1)
+		pool.runToNextEnd()
+	}
+	if got := pool.doneWork[0] / (pool.doneWork[0] + pool.doneWork[1]); got < 0.28 || got > 0.33 {
+		t.Errorf("a team of weight 1 in 100 with a floor of 0.3 got %.3f of the work", got)
+	}
+	tree = newTree(t, s)
+	pool = newPool(tree, 8)
+	for pool.now < 400 {
+		fillQueues(2)
+		pool.now += 0.1
+		tree.Tick(pool.now, 8)
+		for len(pool.attempts) > 0 && pool.attempts[0].endsAt <= pool.now {
+			pool.runToNextEnd()
 		}
-		p.fill()
+		pool.startAttempts()
 	}
-	if got := p.done[2] / 400 / 8; math.Abs(got-0.1) > 0.01 {
-		t.Errorf("a team with a ceiling of 0.1 had %.3f of a pool that is otherwise free", got)
+	if got := pool.doneWork[2] / 400 / 8; math.Abs(got-0.1) > 0.01 {
+		t.Errorf("a team with a ceiling of 0.1 got %.3f of an otherwise idle pool", got)
 	}
 }
 
-// TestLevels: a team that fills the places steps back for one inside its budget that has used half its time, no more than
-// a tenth of the threads and so many changes a second, and is raised when none waits; what spills is raised at once.
-func TestLevels(t *testing.T) {
-	s := flat(1, 1)
+// TestPriorityChanges checks that attempts of a team that uses all threads are lowered for a request of a team within its share that has
+// used half its time: at most a tenth of the threads, and no more changes per second than configured. They are restored once no such
+// request waits. An attempt that spills to disk is restored at the next tick.
+func TestPriorityChanges(t *testing.T) {
+	s := flatSpec(1, 1)
 	s.Changes = 4
-	tree := must(t, s)
-	for at := range int32(40) {
-		tree.AttemptStarted(0, at, 0, 10, 1, true)
+	tree := newTree(t, s)
+	for slot := range int32(40) {
+		tree.AttemptStarted(0, slot, 0, 10, 1, true)
 	}
 	tree.Tick(0, 40)
 	tree.Enqueue(0, 100, 1, 1, 1, 1, 2)
 	changes := func(now float64) string { return fmt.Sprint(tree.Tick(now, 40)) }
 	for _, c := range []struct {
-		now  float64
-		what func()
-		want string
+		now    float64
+		action func()
+		want   string
 	}{
-		{0.5, nil, "[]"}, // not half its time yet
+		{0.5, nil, "[]"}, // less than half its time is over
 		{1.0, nil, "[{0 true}]"},
-		{1.05, nil, "[]"}, // a quarter of a second's changes at once
+		{1.05, nil, "[]"}, // only a quarter of a second's changes may be made at once
 		{1.3, nil, "[{1 true}]"},
 		{2, func() { tree.Noted(0, 0.2, true) }, "[{0 false}]"},
 		{2.3, nil, "[{2 true}]"},
 		{3, func() { tree.Dequeue(100) }, "[]"},
-		{3.4, nil, "[{1 false}]"}, // a second after the last that waited
+		{3.4, nil, "[{1 false}]"}, // a second after the request last waited too long
 		{3.7, nil, "[{2 false}]"},
 		{9, nil, "[]"},
-		{10, func() { // sends that can't be given another level, as where settings know none
-			tree = must(t, s)
-			for at := range int32(40) {
-				tree.AttemptStarted(10, at, 0, 10, 1, false)
+		{10, func() { // attempts whose priority cannot be changed, as when the settings define no priorities
+			tree = newTree(t, s)
+			for slot := range int32(40) {
+				tree.AttemptStarted(10, slot, 0, 10, 1, false)
 			}
 			tree.Enqueue(10, 100, 1, 1, 1, 1, 12)
 		}, "[]"},
 		{11.5, nil, "[]"},
 	} {
-		if c.what != nil {
-			c.what()
+		if c.action != nil {
+			c.action()
 		}
 		if got := changes(c.now); got != c.want {
-			t.Errorf("at %v: %s, wanted %s", c.now, got, c.want)
+			t.Errorf("at %v: changes %s, want %s", c.now, got, c.want)
 		}
 	}
 }
 
-// TestAccounts plays anything that a module may do and looks at what must always hold: the order is whole, nothing is
-// lost, what is idle has no place, credit and debt are bounded, and equal calls come to equal decisions.
-func TestAccounts(t *testing.T) {
+// TestInvariants makes random calls on two trees and checks after each that the order is consistent, that no request is lost, that only nodes
+// with queued requests are in an active list, that virtual times are numbers, and that equal calls give equal decisions.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		specs := []Spec{flat(1, 2, 3), flat(5, 1), {}, {Default: "t1", ByCall: true, Turns: true, Changes: 5, Nodes: []Node{
+		specs := []Spec{flatSpec(1, 2, 3), flatSpec(5, 1), {}, {Default: "t1", ByCall: true, Turns: true, Changes: 5, Nodes: []Node{
 			{Name: "x", Weight: 1, Floor: 0.2}, {Name: "t0", Under: "x", Weight: 2, Ceiling: 0.5, Floor: 0.1},
 			{Name: "t1", Weight: 1, Burst: 3, Tenants: []int{0, 1}}}}}
-		two := [2]*Tree{must(t, specs[0]), must(t, specs[0])}
+		trees := [2]*Tree{newTree(t, specs[0]), newTree(t, specs[0])}
 		now := 0.0
 		state := map[int32]string{}
 		steps := rapid.IntRange(1, 120).Draw(t, "steps")
 		for range steps {
 			now += rapid.Float64Range(0, 0.3).Draw(t, "pass")
-			at := int32(rapid.IntRange(0, 20).Draw(t, "at"))
-			team := rapid.IntRange(0, two[0].Teams()-1).Draw(t, "team")
+			slot := int32(rapid.IntRange(0, 20).Draw(t, "at"))
+			team := rapid.IntRange(0, trees[0].Teams()-1).Draw(t, "team")
 			work := rapid.Float64Range(0.01, 50).Draw(t, "work")
-			what := rapid.SampledFrom([]string{"hold", "unhold", "send", "end", "refund", "keep", "tick", "renew", "note", "ask"}).Draw(t, "what")
+			operation := rapid.SampledFrom([]string{"hold", "unhold", "send", "end", "refund", "keep", "tick", "renew", "note", "ask"}).Draw(t, "what")
 			spec := specs[rapid.IntRange(0, len(specs)-1).Draw(t, "spec")]
-			var said [2]string
-			for k, tree := range two {
+			var decisions [2]string
+			for k, tree := range trees {
 				switch {
-				case what == "hold" && state[at] == "":
-					tree.Enqueue(now, at, team, work, work, 1, now+2)
-				case what == "unhold":
-					tree.Dequeue(at)
-				case what == "send" && state[at] != "out":
-					tree.Dequeue(at)
-					tree.AttemptStarted(now, at, team, work, 2, true)
-				case what == "end":
-					tree.AttemptEnded(now, at, work)
-				case what == "refund":
-					tree.AttemptEnded(now, at, 0)
-				case what == "keep":
-					tree.AttemptEnded(now, at, -1)
-				case what == "tick":
-					said[k] = fmt.Sprint(tree.Tick(now, 20))
-				case what == "renew":
+				case operation == "hold" && state[slot] == "":
+					tree.Enqueue(now, slot, team, work, work, 1, now+2)
+				case operation == "unhold":
+					tree.Dequeue(slot)
+				case operation == "send" && state[slot] != "out":
+					tree.Dequeue(slot)
+					tree.AttemptStarted(now, slot, team, work, 2, true)
+				case operation == "end":
+					tree.AttemptEnded(now, slot, work)
+				case operation == "refund":
+					tree.AttemptEnded(now, slot, 0)
+				case operation == "keep":
+					tree.AttemptEnded(now, slot, -1)
+				case operation == "tick":
+					decisions[k] = fmt.Sprint(tree.Tick(now, 20))
+				case operation == "renew":
 					if err := tree.Reconfigure(spec); err != nil {
 						t.Fatal(err)
 					}
-				case what == "note":
-					tree.Noted(at, 0.4, work > 25)
-				case what == "ask":
-					said[k] = fmt.Sprint(tree.Ahead(team, work), tree.MayStart(now, at, team), tree.Lane(team))
+				case operation == "note":
+					tree.Noted(slot, 0.4, work > 25)
+				case operation == "ask":
+					decisions[k] = fmt.Sprint(tree.Ahead(team, work), tree.MayStart(now, slot, team), tree.Lane(team))
 				}
 			}
 			switch {
-			case what == "hold" && state[at] == "":
-				state[at] = "held"
-			case what == "unhold" && state[at] == "held":
-				delete(state, at)
-			case what == "send":
-				state[at] = "out"
-			case (what == "end" || what == "refund" || what == "keep") && state[at] == "out":
-				delete(state, at)
+			case operation == "hold" && state[slot] == "":
+				state[slot] = "held"
+			case operation == "unhold" && state[slot] == "held":
+				delete(state, slot)
+			case operation == "send":
+				state[slot] = "out"
+			case (operation == "end" || operation == "refund" || operation == "keep") && state[slot] == "out":
+				delete(state, slot)
 			}
-			for k, tree := range two {
-				said[k] += whole(t, tree, state, now)
+			for k, tree := range trees {
+				decisions[k] += checkInvariants(t, tree, state, now)
 			}
-			if said[0] != said[1] {
-				t.Fatalf("equal calls, other decisions:\n%s\n%s", said[0], said[1])
+			if decisions[0] != decisions[1] {
+				t.Fatalf("equal calls gave different decisions:\n%s\n%s", decisions[0], decisions[1])
 			}
 		}
 	})
 }
 
-// whole looks over a tree and prints the order that holds.
-func whole(t *rapid.T, tree *Tree, state map[int32]string, now float64) string {
-	held, out := 0, 0
+// checkInvariants checks the state of a tree and returns the order of its queued requests.
+func checkInvariants(t *rapid.T, tree *Tree, state map[int32]string, now float64) string {
+	queuedCount, runningCount := 0, 0
 	for _, s := range state {
 		if s == "held" {
-			held++
+			queuedCount++
 		} else {
-			out++
+			runningCount++
 		}
 	}
-	if r := &tree.nodes[tree.root]; r.queued != held || r.inUse != held+out || len(tree.running) != out {
-		t.Fatalf("%d held, %d in use and %d out, wanted %d held and %d out", r.queued, r.inUse, len(tree.running), held, out)
+	if r := &tree.nodes[tree.root]; r.queued != queuedCount || r.inUse != queuedCount+runningCount || len(tree.running) != runningCount {
+		t.Fatalf("%d queued, %d in use and %d running, want %d queued and %d running", r.queued, r.inUse, len(tree.running), queuedCount, runningCount)
 	}
 	for i := range tree.nodes {
 		n := &tree.nodes[i]
 		if (n.queued > 0 && int32(i) != tree.root) != (n.activeIndex >= 0) {
-			t.Fatalf("node %d holds %d and has place %d", i, n.queued, n.activeIndex)
+			t.Fatalf("node %d has %d queued requests and the active index %d", i, n.queued, n.activeIndex)
 		}
 		for k, c := range n.active {
 			if tree.nodes[c].activeIndex != int32(k) || k > 0 && tree.precedes(c, n.active[k-1]) {
-				t.Fatalf("order of node %d broken at %d", i, k)
+				t.Fatalf("the active list of node %d is out of order at %d", i, k)
 			}
 		}
 		if n.inUse > 0 && int32(i) != tree.root {
-			if far := math.Abs(n.virtualTime-meanVirtualTime(&tree.nodes[n.parent])) / tree.virtualTimePerSecond(n.parent); math.IsNaN(far) {
-				t.Fatalf("node %d is %v s from the mean", i, far)
+			if distance := math.Abs(n.virtualTime-meanVirtualTime(&tree.nodes[n.parent])) / tree.virtualTimePerSecond(n.parent); math.IsNaN(distance) {
+				t.Fatalf("the virtual time of node %d is %v s from the mean", i, distance)
 			}
 		}
 	}
 	order, seen := "", map[int32]bool{}
 	for tree.StartWalk(now); ; {
-		at := tree.Next()
-		if at < 0 {
+		slot := tree.Next()
+		if slot < 0 {
 			break
 		}
-		if seen[at] || state[at] != "held" {
-			t.Fatalf("%d comes twice or is not held", at)
+		if seen[slot] || state[slot] != "held" {
+			t.Fatalf("the walk returned %d twice, or it is not queued", slot)
 		}
-		seen[at] = true
-		order += fmt.Sprint(" ", at)
-		tree.Skip(at)
+		seen[slot] = true
+		order += fmt.Sprint(" ", slot)
+		tree.Skip(slot)
 	}
-	stopped := false
+	limited := false
 	for i := range tree.nodes {
-		stopped = stopped || tree.atCeiling(int32(i))
+		limited = limited || tree.atCeiling(int32(i))
 	}
-	if len(seen) != held && !stopped {
-		t.Fatalf("the walk brings %d of %d", len(seen), held)
+	if len(seen) != queuedCount && !limited {
+		t.Fatalf("the walk returned %d of %d queued requests", len(seen), queuedCount)
 	}
 	return order
 }
