--- a/fairshare/persist_test.go
+++ b/fairshare/persist_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestVirtualTimeLeads checks that a team that is ahead when its process ends starts behind the others in the next process, but only for
-// the work that it had too much.
+// TestVirtualTimeLeads checks that a team that is ahead when its process ends starts behind the others in the next
+// process, but only for the work that it had too much.
 func TestVirtualTimeLeads(t *testing.T) {
 	spec := Spec{Default: "a", Nodes: []Node{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}}
 	serveEight := func(tree *Tree, firstSlot int) (a, b float64) { // work of each team, with both always queued
--- a/fairshare/pool_test.go
+++ b/fairshare/pool_test.go
@@ -1,6 +1,7 @@
 package fairshare
 
-// fakePool simulates servers and the requests that are queued for them. Each running attempt occupies its number of threads.
+// fakePool simulates servers and the requests that are queued for them. Each running attempt occupies its number of
+// threads.
 type fakePool struct {
 	tree        *Tree
 	now         float64
--- a/fairshare/priorities.go
+++ b/fairshare/priorities.go
@@ -2,8 +2,9 @@
 
 // This file lowers and restores the priorities of running attempts.
 
-// Tick advances the time, refills floors and ceilings, and returns the priority changes to make now. capacity is the work that this
-// router's share of the pool can do, in core seconds per second. The returned slice is valid until the next call.
+// Tick advances the time, refills floors and ceilings, and returns the priority changes to make now. capacity is the
+// work that this router's share of the pool can do, in core seconds per second. The returned slice is valid until the
+// next call.
 func (t *Tree) Tick(now, capacity float64) []PriorityChange {
 	elapsed := max(now-t.lastTick, 0)
 	t.now, t.lastTick, t.capacity = now, now, max(capacity, 1e-3)
@@ -28,8 +29,8 @@
 	return t.nodes[i].threads/max(t.threads, 1) - t.share(i)
 }
 
-// adjustPriorities lowers running attempts of teams over their share if a request of a team within its share has waited too long. Once
-// no such request has waited for restoreDelay, it restores the priorities.
+// adjustPriorities lowers running attempts of teams over their share if a request of a team within its share has waited
+// too long. Once no such request has waited for restoreDelay, it restores the priorities.
 func (t *Tree) adjustPriorities() {
 	const (
 		minWaitFraction    = 0.5 // of a request's time in the queue; after that, ending attempts will not free threads in time
--- a/fairshare/queue.go
+++ b/fairshare/queue.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Enqueue queues the request in a slot. It does nothing if the request is already queued. rank is the order within the team, lowest
-// first; work is the expected work in core seconds; startBy is the latest time to start the request.
+// Enqueue queues the request in a slot. It does nothing if the request is already queued. rank is the order within the
+// team, lowest first; work is the expected work in core seconds; startBy is the latest time to start the request.
 func (t *Tree) Enqueue(now float64, slot int32, team int, rank, work, threads, startBy float64) {
 	t.now = now
 	e := t.entryOf(slot)
@@ -78,13 +78,15 @@
 	t.addInUse(leaf, -1)
 }
 
-// StartWalk starts a walk over the queued requests in the current order. Attempts that start during the walk change the rest of it.
+// StartWalk starts a walk over the queued requests in the current order. Attempts that start during the walk change the
+// rest of it.
 func (t *Tree) StartWalk(now float64) {
 	t.now = now
 	t.walkNumber++
 }
 
-// Next returns the slot of the walk's next request, or -1. The result stays the same until that request is started or skipped.
+// Next returns the slot of the walk's next request, or -1. The result stays the same until that request is started or
+// skipped.
 func (t *Tree) Next() int32 { return t.next(t.root) }
 
 // next returns the walk's next request in the subtree of a node.
@@ -99,7 +101,8 @@
 		}
 		return -1
 	}
-	// Nodes before walkPosition have no more requests in this walk. This stays true, as a node whose request starts only moves back.
+	// Nodes before walkPosition have no more requests in this walk. This stays true, as a node whose request starts
+	// only moves back.
 	for ; n.walkPosition < len(n.active); n.walkPosition++ {
 		if child := n.active[n.walkPosition]; !t.atCeiling(child) {
 			if slot := t.next(child); slot >= 0 {
@@ -136,7 +139,8 @@
 	return -1
 }
 
-// WorkQueuedBefore returns the queued work, in core seconds, that would start before a request of the given team and rank.
+// WorkQueuedBefore returns the queued work, in core seconds, that would start before a request of the given team and
+// rank.
 func (t *Tree) Ahead(team int, rank float64) float64 {
 	i := t.leaf(team)
 	total := 0.0
@@ -173,8 +177,8 @@
 	return total
 }
 
-// AttemptStarted charges an attempt's expected work, in core seconds, to its team. adjustable reports whether the attempt's priority can
-// be lowered.
+// AttemptStarted charges an attempt's expected work, in core seconds, to its team. adjustable reports whether the
+// attempt's priority can be lowered.
 func (t *Tree) AttemptStarted(now float64, slot int32, team int, work, threads float64, adjustable bool) {
 	t.now = now
 	e := t.entryOf(slot)
@@ -192,8 +196,8 @@
 	}
 }
 
-// AttemptEnded replaces the charge for the expected work by the actual work of the attempt. Negative work means that it is unknown, or
-// that the attempt may still run on a server; the charge then stays.
+// AttemptEnded replaces the charge for the expected work by the actual work of the attempt. Negative work means that it
+// is unknown, or that the attempt may still run on a server; the charge then stays.
 func (t *Tree) AttemptEnded(now float64, slot int32, work float64) {
 	t.now = now
 	if int(slot) >= len(t.entries) || !t.entries[slot].running {
--- a/fairshare/spec.go
+++ b/fairshare/spec.go
@@ -1,12 +1,13 @@
-// Package fairshare divides servers between teams that compete for them. It decides whose queued request goes next, which team is within
-// its share, and which running attempts have their priority lowered.
+// Package fairshare divides servers between teams that compete for them. It decides whose queued request goes next,
+// which team is within its share, and which running attempts have their priority lowered.
 //
-// The package does no I/O and has no clock, goroutine or socket. The caller reports the time and which requests are queued, started and
-// ended, and carries out the decisions. Work is in core seconds, times are in seconds. The same calls give the same decisions.
+// The package does no I/O and has no clock, goroutine or socket. The caller reports the time and which requests are
+// queued, started and ended, and carries out the decisions. Work is in core seconds, times are in seconds. The same
+// calls give the same decisions.
 //
-// Requests are ordered by hierarchical start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queuing", 1996; Bennett, Zhang:
-// "Hierarchical Packet Fair Queueing Algorithms", 1996). Virtual time is the weighted mean over the teams in use, as in EEVDF
-// (Stoica, Abdel-Wahab, 1995). docs/design/team-budgets.md compares this choice with others.
+// Requests are ordered by hierarchical start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queuing", 1996;
+// Bennett, Zhang: "Hierarchical Packet Fair Queueing Algorithms", 1996). Virtual time is the weighted mean over the
+// teams in use, as in EEVDF (Stoica, Abdel-Wahab, 1995). docs/design/team-budgets.md compares this choice with others.
 package fairshare
 
 import (
--- a/fairshare/spec_test.go
+++ b/fairshare/spec_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestReconfigure checks that an invalid spec changes nothing, that queued and running requests of a removed team continue under the default
-// team, and that a team that is added again keeps its handle.
+// TestReconfigure checks that an invalid spec changes nothing, that queued and running requests of a removed team
+// continue under the default team, and that a team that is added again keeps its handle.
 func TestReconfigure(t *testing.T) {
 	tree := newTree(t, flatSpec(1, 1))
 	removed := tree.TeamOf(1, nil)
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestTeamNamedByRequest checks that a request may name its team only if the spec allows it, and that requests with unknown names belong to
-// the default team and are counted.
+// TestTeamNamedByRequest checks that a request may name its team only if the spec allows it, and that requests with
+// unknown names belong to the default team and are counted.
 func TestTeamNamedByRequest(t *testing.T) {
 	s := flatSpec(1, 1)
 	tree := newTree(t, s)
--- a/fairshare/tree.go
+++ b/fairshare/tree.go
@@ -89,8 +89,8 @@
 	return t, t.Reconfigure(spec)
 }
 
-// Reconfigure replaces the spec. Teams whose names remain keep their accounts. Requests of a removed team belong to the default team
-// from then on. An invalid spec changes nothing and is returned as a *SpecError.
+// Reconfigure replaces the spec. Teams whose names remain keep their accounts. Requests of a removed team belong to the
+// default team from then on. An invalid spec changes nothing and is returned as a *SpecError.
 func (t *Tree) Reconfigure(spec Spec) error {
 	parent, isLeaf, err := spec.check()
 	if err != nil {
@@ -186,8 +186,8 @@
 	}
 }
 
-// TeamOf returns the handle of a request's team: the team that the request names, if the spec allows it; otherwise the team of its
-// tenant; otherwise the default team. Handles stay valid when the spec changes.
+// TeamOf returns the handle of a request's team: the team that the request names, if the spec allows it; otherwise the
+// team of its tenant; otherwise the default team. Handles stay valid when the spec changes.
 func (t *Tree) TeamOf(tenant int, named []byte) int {
 	if t.spec.ByCall && len(named) > 0 {
 		if h, ok := t.teamByName[string(named)]; ok && t.nodes[t.leafByTeam[h]].Name == string(named) {
@@ -254,14 +254,15 @@
 	return fraction
 }
 
-// virtualTimePerSecond returns by how much the virtual times of a node's children advance per second while they use all of its share.
+// virtualTimePerSecond returns by how much the virtual times of a node's children advance per second while they use all
+// of its share.
 func (t *Tree) virtualTimePerSecond(i int32) float64 {
 	p := &t.nodes[i]
 	return t.capacity * t.share(i) / max(p.sumWeight, 1e-6)
 }
 
-// burstAllowance returns, in virtual time, how much credit a child keeps while it idles, and how far it may exceed the mean before it
-// counts as over its share.
+// burstAllowance returns, in virtual time, how much credit a child keeps while it idles, and how far it may exceed the
+// mean before it counts as over its share.
 func (t *Tree) burstAllowance(i int32) float64 {
 	const defaultSeconds = 2.0 // seconds of the node's share; with less, a small team could never pay for its largest requests
 	n := &t.nodes[i]
@@ -293,12 +294,13 @@
 	t.nodes[t.root].inUse += count
 }
 
-// maxDebtSeconds bounds debt and credit, in seconds of full use. A team is held back for at most this long after a runaway request.
+// maxDebtSeconds bounds debt and credit, in seconds of full use. A team is held back for at most this long after a
+// runaway request.
 const maxDebtSeconds = 10.0
 
-// charge adds work to a leaf and all its ancestors. Debt and credit are bounded relative to the mean, so that one unusual request, or a
-// request that no server takes, has no lasting effect. The expected work of an attempt is always charged in full; otherwise a small
-// team with large requests would get more than its share.
+// charge adds work to a leaf and all its ancestors. Debt and credit are bounded relative to the mean, so that one
+// unusual request, or a request that no server takes, has no lasting effect. The expected work of an attempt is always
+// charged in full; otherwise a small team with large requests would get more than its share.
 func (t *Tree) charge(leaf int32, work float64, expected bool) {
 	t.chargeCount++
 	for i := leaf; i != t.root; i = t.nodes[i].parent {
--- a/fairshare/tree_test.go
+++ b/fairshare/tree_test.go
@@ -33,8 +33,8 @@
 	return tree
 }
 
-// TestShares checks that teams which always have queued requests get work in proportion to their weights at every level, whatever the size
-// of their requests.
+// TestShares checks that teams which always have queued requests get work in proportion to their weights at every
+// level, whatever the size of their requests.
 func TestShares(t *testing.T) {
 	s := Spec{Default: "c", Nodes: []Node{{Name: "org", Weight: 1}, {Name: "f", Under: "org", Weight: 3},
 		{Name: "a", Under: "f", Weight: 1}, {Name: "b", Under: "f", Weight: 2}, {Name: "c", Under: "org", Weight: 1}}}
@@ -79,8 +79,9 @@
 	}
 }
 
-// TestUnusedShareIsLent checks that the share of an idle team goes to the others by weight, and that the team gets it back once it has
-// requests: the first one waits only until one thread becomes free, and from then on the team has its full share.
+// TestUnusedShareIsLent checks that the share of an idle team goes to the others by weight, and that the team gets it
+// back once it has requests: the first one waits only until one thread becomes free, and from then on the team has its
+// full share.
 func TestUnusedShareIsLent(t *testing.T) {
 	tree := newTree(t, flatSpec(1, 1, 2))
 	pool := newPool(tree, 4)
@@ -120,9 +121,10 @@
 	}
 }
 
-// TestWaitBound checks the bound on the wait of a request whose team was within its share. In work of the pool, it is the work that the team
-// itself has queued before divided by the team's share, plus one request of the largest size per other team and per thread. Goyal et al.
-// prove the bound for one server; each thread adds one request that cannot be interrupted.
+// TestWaitBound checks the bound on the wait of a request whose team was within its share. In work of the pool, it is
+// the work that the team itself has queued before divided by the team's share, plus one request of the largest size per
+// other team and per thread. Goyal et al. prove the bound for one server; each thread adds one request that cannot be
+// interrupted.
 func TestWaitBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "teams")
@@ -181,7 +183,8 @@
 	}
 }
 
-// TestActualWorkIsCharged checks that a team whose estimates are a tenth of the actual work does not get more of the pool for it.
+// TestActualWorkIsCharged checks that a team whose estimates are a tenth of the actual work does not get more of the
+// pool for it.
 func TestActualWorkIsCharged(t *testing.T) {
 	tree := newTree(t, flatSpec(1, 1))
 	pool := newPool(tree, 4)
@@ -198,8 +201,8 @@
 	}
 }
 
-// TestTurnForBypassedRequest checks that a request for two threads starts despite an endless stream of requests for one thread, each of which
-// fits whenever a thread becomes free. Without turns it never starts.
+// TestTurnForBypassedRequest checks that a request for two threads starts despite an endless stream of requests for one
+// thread, each of which fits whenever a thread becomes free. Without turns it never starts.
 func TestTurnForBypassedRequest(t *testing.T) {
 	for _, turns := range []bool{true, false} {
 		s := flatSpec(1, 1)
@@ -226,7 +229,8 @@
 	}
 }
 
-// TestFloorAndCeiling checks that a floor takes precedence over weights, and that a ceiling holds even while threads are free.
+// TestFloorAndCeiling checks that a floor takes precedence over weights, and that a ceiling holds even while threads
+// are free.
 func TestFloorAndCeiling(t *testing.T) {
 	s := flatSpec(1, 99, 1)
 	s.Nodes[0].Floor, s.Nodes[2].Ceiling = 0.3, 0.1
@@ -262,9 +266,10 @@
 	}
 }
 
-// TestPriorityChanges checks that attempts of a team that uses all threads are lowered for a request of a team within its share that has
-// used half its time: at most a tenth of the threads, and no more changes per second than configured. They are restored once no such
-// request waits. An attempt that spills to disk is restored at the next tick.
+// TestPriorityChanges checks that attempts of a team that uses all threads are lowered for a request of a team within
+// its share that has used half its time: at most a tenth of the threads, and no more changes per second than
+// configured. They are restored once no such request waits. An attempt that spills to disk is restored at the next
+// tick.
 func TestPriorityChanges(t *testing.T) {
 	s := flatSpec(1, 1)
 	s.Changes = 4
@@ -308,8 +313,9 @@
 	}
 }
 
-// TestInvariants makes random calls on two trees and checks after each that the order is consistent, that no request is lost, that only nodes
-// with queued requests are in an active list, that virtual times are numbers, and that equal calls give equal decisions.
+// TestInvariants makes random calls on two trees and checks after each that the order is consistent, that no request is
+// lost, that only nodes with queued requests are in an active list, that virtual times are numbers, and that equal
+// calls give equal decisions.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		specs := []Spec{flatSpec(1, 2, 3), flatSpec(5, 1), {}, {Default: "t1", ByCall: true, Turns: true, Changes: 5, Nodes: []Node{
--- a/fairshare/turns.go
+++ b/fairshare/turns.go
@@ -19,8 +19,9 @@
 	n.giveUpPrice, n.giveUpAt = min(n.decayedGiveUpPrice(now), price), now
 }
 
-// RejectionPrice returns the price from which a team's requests are rejected because requests of that price were recently given up. It
-// doubles every two seconds, so that such requests are soon admitted again. Prices of other teams have no effect.
+// RejectionPrice returns the price from which a team's requests are rejected because requests of that price were
+// recently given up. It doubles every two seconds, so that such requests are soon admitted again. Prices of other teams
+// have no effect.
 func (t *Tree) Cut(now float64, team int) float64 {
 	return t.nodes[t.leaf(team)].decayedGiveUpPrice(now)
 }
@@ -33,9 +34,10 @@
 	return n.giveUpPrice * math.Exp2((now-n.giveUpAt)/2)
 }
 
-// MayStart reports whether a request may use free threads now. It may if the ceilings of its team and of the groups above allow it, and
-// if no other request has been bypassed for too long. A request that was bypassed for too long gets the next threads that become free;
-// otherwise a request for two threads would wait forever behind a stream of requests for one.
+// MayStart reports whether a request may use free threads now. It may if the ceilings of its team and of the groups
+// above allow it, and if no other request has been bypassed for too long. A request that was bypassed for too long gets
+// the next threads that become free; otherwise a request for two threads would wait forever behind a stream of requests
+// for one.
 func (t *Tree) MayStart(now float64, slot int32, team int) bool {
 	t.now = now
 	for i := t.leaf(team); i != t.root; i = t.nodes[i].parent {
@@ -50,8 +52,8 @@
 	return head < 0 || head == slot || !t.headHasTurn()
 }
 
-// trackHead updates and returns the head of the order. The bypassed work is counted per team, since a cheaper request of the same team
-// may become the head.
+// trackHead updates and returns the head of the order. The bypassed work is counted per team, since a cheaper request
+// of the same team may become the head.
 func (t *Tree) trackHead() int32 {
 	h := t.head(t.root)
 	if h >= 0 && h != t.headState.slot {
@@ -65,9 +67,9 @@
 	return h
 }
 
-// headHasTurn reports whether only the head may start now. This is the case if more work has bypassed the head than the share of its team
-// allows, or if half of its time in the queue is over. Turns of half a second alternate with pauses of the same length, as free threads
-// may not be what the head waits for.
+// headHasTurn reports whether only the head may start now. This is the case if more work has bypassed the head than the
+// share of its team allows, or if half of its time in the queue is over. Turns of half a second alternate with pauses
+// of the same length, as free threads may not be what the head waits for.
 func (t *Tree) headHasTurn() bool {
 	const turnLength = 0.5 // seconds: several times the duration of short requests
 	e := &t.entries[t.headState.slot]
@@ -83,15 +85,15 @@
 	return t.headState.hasTurn
 }
 
-// MarkUnplaceable records that no server would take a queued request, however many threads are free. The request then does not keep
-// other requests from the free threads.
+// MarkUnplaceable records that no server would take a queued request, however many threads are free. The request then
+// does not keep other requests from the free threads.
 func (t *Tree) MarkUnplaceable(slot int32) {
 	const recheckDelay = 0.25 // seconds: servers become available or unavailable within seconds
 	t.entries[slot].unplaceableUntil = t.now + recheckDelay
 }
 
-// MayUseFastPath reports whether a short request of a team may use the fast path past full servers. While other requests are queued, only
-// teams within their share may.
+// MayUseFastPath reports whether a short request of a team may use the fast path past full servers. While other
+// requests are queued, only teams within their share may.
 func (t *Tree) Lane(team int) bool {
 	return t.nodes[t.root].queued == 0 || t.excess(team) == 0
 }
