--- a/fairshare/tree.go
+++ b/fairshare/tree.go
@@ -208,7 +208,7 @@
 	return n
 }
 
-// TeamName returns the name of a team.
+// Name returns the name of a team.
 func (t *Tree) Name(team int) string { return t.nodes[t.leaf(team)].Name }
 
 // TeamCount returns the number of team handles.
