--- a/fairshare/turns.go
+++ b/fairshare/turns.go
@@ -6,7 +6,7 @@
 
 // headState tracks the request at the head of the order and how much work has bypassed it.
 type headState struct {
-	slot          int32   // of the request; -1: nothing is queued
+	slot          int32   // of the request; -1: none
 	team          int32   // leaf node of the request's team
 	bypassedWork  float64 // expected work of the other attempts that have started since
 	hasTurn       bool    // no other request may start
@@ -67,9 +67,10 @@
 	return h
 }
 
-// headHasTurn reports whether only the head may start now. This is the case if more work has bypassed the head than the
-// share of its team allows, or if half of its time in the queue is over. Turns of half a second alternate with pauses
-// of the same length, as free threads may not be what the head waits for.
+// headHasTurn reports whether only the head may start now. The head gets turns if its team is within its share, if some
+// server would take it, and if more work has bypassed it than the share of its team allows or half of its time in the
+// queue is over. Turns of half a second alternate with pauses of the same length, as free threads may not be what the
+// head waits for.
 func (t *Tree) headHasTurn() bool {
 	const turnLength = 0.5 // seconds: several times the duration of short requests
 	e := &t.entries[t.headState.slot]
@@ -92,8 +93,8 @@
 	t.entries[slot].unplaceableUntil = t.now + recheckDelay
 }
 
-// MayUseFastPath reports whether a short request of a team may use the fast path past full servers. While other
-// requests are queued, only teams within their share may.
+// MayUseFastPath reports whether a short request of a team may use the fast path past full servers. While requests are
+// queued, only teams that are within their share and burst may.
 func (t *Tree) Lane(team int) bool {
 	return t.nodes[t.root].queued == 0 || t.excess(team) == 0
 }
