--- a/fleet/failover/capacity.go
+++ b/fleet/failover/capacity.go
@@ -2,81 +2,85 @@
 
 import "math"
 
-// Capacity is what zones can serve within targets, in core seconds a second: measured, and never taken from a setting alone.
+// Capacity estimates the work that each zone can serve within its latency targets, in core seconds per second. The estimate is measured;
+// it never rests on configuration alone.
 type Capacity struct {
-	zones []measured
+	zones []zoneCapacity
 }
 
-type measured struct {
-	proven float64 // work a second for each core that was served within targets, fading
-	failed float64 // and that was too much, fading upwards; 0: never seen
-	seen   float64 // seconds of load that stand behind it
-	at     float64
+type zoneCapacity struct {
+	servedPerCore   float64 // core seconds per second and core that were served within targets; decays to the default
+	overloadPerCore float64 // core seconds per second and core at which the zone was overloaded; grows slowly; 0: never overloaded
+	observedSeconds float64 // seconds of significant load behind the estimate
+	updatedAt       float64
 }
 
-// How a capacity is learned.
+// How a capacity is confidentSeconds.
 const (
-	// Of a core that was never seen at its limit: the list says how many there are, and work is told in their seconds. Less
-	// would shed what a zone serves well; what it can't bear shows within a second or two, and counts from then on.
-	prior   = 0.92
-	halved  = 60.0 // seconds in which what was proven loses half of what it is over the prior
-	margin  = 1.0  // of what is known well; what is known by little gets less
-	learned = 20.0 // seconds of load until it is known well
-	relearn = 1.01 // a second, by which a limit that was hit is tried again: doubles in a minute
+	// Assumed load per core before a limit has been observed. Discovery reports the number of cores, and work is measured in core
+	// seconds. A lower value would reject requests that a zone serves well. A value that is too high shows as overload within a second
+	// or two, and the measured limit applies from then on.
+	defaultPerCore   = 0.92
+	servedHalfLife   = 60.0 // seconds in which the excess of servedPerCore over the default halves
+	safetyFactor     = 1.0  // applied to a well-observed estimate; a zone with few observations gets a lower factor
+	confidentSeconds = 20.0 // seconds of significant load until an estimate counts as well observed
+	limitGrowth      = 1.01 // growth per second of an overload limit, so that the zone is tested again: doubles in about a minute
 )
 
-// NewCapacity of so many zones.
-func NewCapacity(zones int) *Capacity { return &Capacity{zones: make([]measured, zones)} }
+// NewCapacity returns an estimator for the given number of zones.
+func NewCapacity(zones int) *Capacity { return &Capacity{zones: make([]zoneCapacity, zones)} }
 
-// Observe one second: what a zone served in time, whether it was too much for it, on so many ready cores, slow times slower than the
-// others' are.
-func (c *Capacity) Observe(now float64, zone int, work, cores, slow float64, crowded bool) {
+// Observe records one second of a zone: the work served in time, the number of ready cores, the slowdown relative to other zones, and
+// whether the zone was overloaded.
+func (c *Capacity) Observe(now float64, zone int, work, cores, slowdown float64, overloaded bool) {
 	m := &c.zones[zone]
-	dt := min(max(now-m.at, 0), 5)
-	if m.at == 0 {
+	dt := min(max(now-m.updatedAt, 0), 5)
+	if m.updatedAt == 0 {
 		dt = 1
 	}
-	m.at = now
-	m.proven = prior + (m.proven-prior)*math.Exp2(-dt/halved)
-	if m.failed > 0 {
-		m.failed *= math.Pow(relearn, dt)
+	m.updatedAt = now
+	m.servedPerCore = defaultPerCore + (m.servedPerCore-defaultPerCore)*math.Exp2(-dt/servedHalfLife)
+	if m.overloadPerCore > 0 {
+		m.overloadPerCore *= math.Pow(limitGrowth, dt)
 	}
 	if cores <= 0 {
 		return
 	}
-	// At the others' pace: what it bore while it was slow is no limit once it is not. No core does more than its time.
-	each := work / cores
-	each = max(each, min(each*max(slow, 1), 1))
-	if crowded {
-		if m.failed == 0 || each < m.failed {
-			m.failed = max(each, 0.05)
+	// Converts to the speed of the other zones, so that a limit observed while the zone was slow does not persist after it recovers. A core
+	// cannot do more than one core second per second.
+	perCore := work / cores
+	perCore = max(perCore, min(perCore*max(slowdown, 1), 1))
+	if overloaded {
+		if m.overloadPerCore == 0 || perCore < m.overloadPerCore {
+			m.overloadPerCore = max(perCore, 0.05)
 		}
-		m.proven = min(m.proven, m.failed)
+		m.servedPerCore = min(m.servedPerCore, m.overloadPerCore)
 		return
 	}
-	if each > 0.2*prior {
-		m.seen = min(m.seen+dt, learned)
+	if perCore > 0.2*defaultPerCore {
+		m.observedSeconds = min(m.observedSeconds+dt, confidentSeconds)
 	}
-	m.proven = max(m.proven, each)
-	if m.failed > 0 && m.failed < each {
-		m.failed = 0 // it bears more than what was once too much
+	m.servedPerCore = max(m.servedPerCore, perCore)
+	if m.overloadPerCore > 0 && m.overloadPerCore < perCore {
+		m.overloadPerCore = 0 // the zone now serves more than the load that once overloaded it
 	}
 }
 
-// Of a zone with so many ready cores that runs slower than usual by a factor. A zone that little is known of gets a wider margin.
-func (c *Capacity) Of(zone int, cores, slow float64) float64 {
-	return max(cores, 0) * c.each(zone) / max(slow, 1)
+// ZoneCapacity returns the estimated capacity of a zone with the given ready cores and slowdown. A zone with few observations gets a wider
+// safety margin.
+func (c *Capacity) Of(zone int, cores, slowdown float64) float64 {
+	return max(cores, 0) * c.perCore(zone) / max(slowdown, 1)
 }
 
-// Limit of each core's work at which a zone was seen to be full, 0: never.
-func (c *Capacity) Limit(zone int) float64 { return c.zones[zone].failed }
+// OverloadLimit returns the load per core at which the zone was observed to be overloaded, or 0 if it never was.
+func (c *Capacity) Limit(zone int) float64 { return c.zones[zone].overloadPerCore }
 
-// each core's work.
-func (c *Capacity) each(zone int) float64 {
+// perCore returns the estimated capacity per core.
+func (c *Capacity) perCore(zone int) float64 {
 	m := &c.zones[zone]
-	each := max(m.proven, prior)
-	if m.failed > 0 {
-		each = min(each, m.failed)
+	perCore := max(m.servedPerCore, defaultPerCore)
+	if m.overloadPerCore > 0 {
+		perCore = min(perCore, m.overloadPerCore)
 	}
-	return each * margin * (0.96 + 0.04*min(m.seen/learned, 1))
+	return perCore * safetyFactor * (0.96 + 0.04*min(m.observedSeconds/confidentSeconds, 1))
 }
--- /dev/null
+++ b/fleet/failover/controller.go
@@ -0,0 +1,609 @@
+package failover
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+)
+
+// Config holds the parameters of a controller.
+type Terms struct {
+	Life  float64     // seconds that a router follows a plan, counted from its request for the plan
+	Drift float64     // largest relative error of clocks
+	Way   [][]float64 // round trip between zones in seconds
+	Slack float64     // longest round trip in seconds that the latency targets allow, 0: no limit
+	// Share of the fleet's work that may be moved out of its zones per minute, 0: three quarters. Only an operator can lift the limit.
+	MostMove float64
+}
+
+// PlanLifetime is the standard lifetime of a plan in seconds: three times the interval of the reports that renew it.
+const Life = 3.0
+
+// Orders are an operator's instructions, agreed on by the quorum like plans.
+type Orders struct {
+	Away   []bool `json:"away,omitempty"`   // zones to be evacuated
+	Freeze bool   `json:"freeze,omitempty"` // the plan does not change automatically
+	Free   bool   `json:"free,omitempty"`   // no limit on the work moved per minute
+}
+
+// PublishedPlan is the information that all routers receive.
+type Published struct {
+	Epoch uint64 `json:"epoch"`
+	Plan  Plan   `json:"plan"`
+	Still Plan   `json:"still"` // envelope for routers that receive no plan: their own zone and a part of the other zones' spare capacity
+	Else  Plan   `json:"else"`  // rows for origins whose own zone fails before the next plan; allows for the loss of two zones at a time
+	Why   string `json:"why,omitempty"`
+
+	Zones  []string  `json:"zones,omitempty"`  // zone names
+	Demand []float64 `json:"demand,omitempty"` // by zone: core seconds per second that the plan was computed for
+	Room   []float64 `json:"room,omitempty"`   // by zone: capacity
+	Asked  []float64 `json:"asked,omitempty"`  // by zone: last known demand, even if the zone does not report now; for the next owner
+}
+
+// Controller computes plans and the steps between them. Only the owner of the fleet's plan runs one.
+type Controller struct {
+	cfg               Terms
+	zones             int
+	capacity          *Capacity
+	now               Published
+	previous          Published // some routers may still follow it
+	fallbacks         Plan      // largest shares that any router without a connection may still use, by what it received last
+	publishedAt       float64   // when now was published
+	zoneStatus        []zoneStatus
+	moves             []move
+	demandUpdatedAt   float64
+	capacityUpdatedAt float64
+	startedAt         float64
+	Changes           []float64 // times at which the plan changed
+	Verdict           Judgement
+	lastDemand        []float64   // by zone: last known demand, decaying while the zone does not report
+	unreached         []sustained // by zone: 1 if its own routers do not reach it
+	slowdown          []sustained // by zone: slowdown relative to the other zones, now or when last observed; 1: none
+	lastReported      []float64   // by zone: time of the last report with demand
+	incomplete        []bool      // by zone: some of its routers do not report, but may still serve clients
+	reportingSince    []float64   // by zone: since when its routers report demand, +Inf: they do not
+	Demand            []float64   // by zone: reported demand, and the last known demand of routers that do not report
+	Load              []float64   // by zone: load from Demand under the plan
+	Room              []float64   // by zone: capacity that the plan counts on
+}
+
+// zoneStatus is the status of a zone, with hysteresis.
+type zoneStatus struct {
+	movedAway         bool    // the plan moves work away from the zone
+	contradictedSince float64 // since when the evidence has contradicted movedAway, 0: it does not
+	awayUntil         float64 // work does not return earlier
+	relapses          int
+	capacityShare     float64 // share of its capacity that the plan uses while work returns, 1: all
+	steppedAt         float64
+}
+
+type move struct{ at, share float64 }
+
+// Parameters of the hysteresis, and bounds.
+const (
+	lostDelay     = 0.5 // seconds that a zone must appear lost: two evaluations; its routers have suspected it for longer
+	failingDelay  = 2.0 // seconds that a zone must appear failing
+	recoveryDelay = 3.0 // seconds that a zone must appear healthy again
+	firstAwayTime = 8.0 // seconds before work returns to a zone for the first time
+	// Seconds before work returns after a relapse; doubles each time. A probe of the zone costs three plans, and two plans per minute
+	// are acceptable.
+	relapseAwayTime     = 120.0
+	maxAwayTime         = 300.0 // upper bound of the doubling
+	relapseMemory       = 120.0 // seconds without a relapse after awayUntil that reset the count
+	returnStep          = 0.34  // share of a zone's capacity that returns in one step
+	returnStepInterval  = 2.0   // seconds between two return steps, so that the effect on the zone shows in reports
+	firstStepInterval   = 4.0   // seconds after the first, small step: it probes a zone that may fail again at once
+	minChange           = 0.04  // share of the fleet's work below which a change does not justify a new plan
+	minReturnHome       = 0.002 // share of the fleet's work below which work that is away stays away
+	urgentRejectedShare = 0.01  // share of work that is rejected although other zones have capacity, from which a new plan is made at once
+	minChangeInterval   = 15.0  // seconds between two changes that are not urgent
+	fallbackSpareShare  = 0.25  // share of a zone's spare capacity that is reserved for routers that receive no plan
+	defaultMaxMoved     = 0.75
+	// Seconds until all routers of a returning zone report. Before that, more routers would use a share than have reported demand for it.
+	fullReportDelay = 2.5
+)
+
+// NewController continues from the last published plan. Its Epoch is 0 if there was none.
+func NewController(t Terms, zones int, now float64, published Published) *Controller {
+	c := &Controller{cfg: t, zones: zones, capacity: NewCapacity(zones), now: published, publishedAt: now, startedAt: now, zoneStatus: make([]zoneStatus, zones),
+		unreached: make([]sustained, zones), slowdown: make([]sustained, zones)}
+	if c.now.Plan.Check(zones) != nil || c.now.Still.Check2(zones) != nil {
+		c.now = Published{Epoch: published.Epoch, Plan: Near(zones), Still: Near(zones)}
+	}
+	c.previous, c.fallbacks = c.now, c.now.Still
+	for z := range c.zoneStatus {
+		c.zoneStatus[z].capacityShare, c.slowdown[z].value = 1, 1
+		// A zone that the previous owner moved work away from stays so until the evidence contradicts it.
+		if c.now.Plan.Load(ones(zones))[z] == 0 {
+			c.zoneStatus[z].movedAway, c.zoneStatus[z].awayUntil, c.zoneStatus[z].capacityShare = true, now+firstAwayTime, 0
+		}
+	}
+	return c
+}
+
+func ones(n int) []float64 {
+	x := make([]float64, n)
+	for k := range x {
+		x[k] = 1
+	}
+	return x
+}
+
+// ValidateEnvelope returns an error if p is not a valid envelope. Unlike those of a plan, the rows of an envelope may sum
+// to more than 1.
+func (p Plan) Check2(zones int) error {
+	if len(p.Share) != zones {
+		return fmt.Errorf("envelope has %d zones, want %d", len(p.Share), zones)
+	}
+	for o, row := range p.Share {
+		if len(row) != zones {
+			return fmt.Errorf("zone %d: row has %d shares", o, len(row))
+		}
+		for _, x := range row {
+			if !(x >= 0 && x <= 1+1e-6) {
+				return fmt.Errorf("zone %d: invalid share %v", o, x)
+			}
+		}
+	}
+	return nil
+}
+
+// Now returns the plan that was published last.
+func (c *Controller) Now() Published { return c.now }
+
+// maxAge returns how long a router may follow a plan after it last received it, for any clock within the drift.
+func (c *Controller) maxAge() float64 { return c.cfg.Life * (1 + c.cfg.Drift) / (1 - c.cfg.Drift) }
+
+// Settled reports whether no router can follow an older plan than the last one: either all sessions have confirmed it, or
+// older plans have expired on any clock within the drift.
+func (c *Controller) Settled(now float64, reports []Report, sessions int) bool {
+	if now >= c.publishedAt+c.maxAge() {
+		return true
+	}
+	confirmed := 0
+	for k := range reports {
+		if reports[k].Epoch >= c.now.Epoch {
+			confirmed++
+		}
+	}
+	return confirmed >= sessions && sessions > 0
+}
+
+// Next evaluates one second's evidence. If ok is true, p is to be published under its epoch.
+func (c *Controller) Next(now float64, reports []Report, sessions int, orders Orders) (p Published, ok bool) {
+	valid := reports[:0:0]
+	for k := range reports {
+		if reports[k].Check(c.zones) {
+			valid = append(valid, reports[k])
+		}
+	}
+	c.Verdict = Judge(valid, c.zones)
+	c.updateDemand(now, valid)
+	demand, pinned := c.Demand, make([]float64, c.zones)
+	for k := range valid {
+		pinned[valid[k].Zone] += valid[k].Pinned
+	}
+	c.resetFallbacks(valid)
+	cores := c.updateCapacity(now, valid)
+	urgent := c.updateStatus(now, orders)
+	planCapacity := make([]float64, c.zones)
+	for z := range planCapacity {
+		if !c.zoneStatus[z].movedAway {
+			planCapacity[z] = c.capacity.Of(z, cores[z], c.slowdown[z].value) * c.zoneStatus[z].capacityShare
+			if v := c.Verdict.Zones[z]; (v == Well || v == Slow) && c.zoneStatus[z].capacityShare == 1 {
+				// A zone can serve the load that it now serves well, or slowly but in time.
+				planCapacity[z] = max(planCapacity[z], min(c.now.Plan.Load(demand)[z], demand[z]))
+			}
+		}
+	}
+	c.Room, c.Load = planCapacity, c.now.Plan.Load(demand)
+	if orders.Freeze || !c.Settled(now, valid, sessions) {
+		return p, false
+	}
+	roundTrip := make([][]float64, c.zones)
+	for o := range roundTrip {
+		roundTrip[o] = make([]float64, c.zones)
+		for z := range roundTrip[o] {
+			if roundTrip[o][z] = c.cfg.Way[o][z]; c.unusable(o, z) || o != z && now < c.reportingSince[o]+fullReportDelay {
+				roundTrip[o][z] = math.Inf(1)
+			}
+		}
+	}
+	available := slices.Clone(planCapacity)
+	for o := range available { // reserves capacity for attempts of routers that receive no plan
+		for z, x := range c.fallbacks.Share[o] {
+			if c.incomplete[o] && o != z {
+				available[z] = max(available[z]-x*c.lastDemand[o], 0)
+			}
+		}
+	}
+	target := Solve(Problem{Demand: demand, Pinned: pinned, Capacity: available, Way: roundTrip, Slack: c.cfg.Slack})
+	recovered := max(rejectedShare(c.now.Plan, demand)-rejectedShare(target, demand), 0)
+	change := Moved(c.now.Plan, target, demand) + recovered
+	pressing := recovered >= urgentRejectedShare // work that is rejected although other zones have capacity does not wait for the interval
+	for z, load := range c.Load {
+		pressing = pressing || load > 1.05*planCapacity[z] && load > 0 && target.Load(demand)[z] < load*0.98
+	}
+	// Work that is away without a reason also returns, a little later, even if so small a change would not justify a new
+	// plan otherwise.
+	returnsHome := localShare(target, demand)-localShare(c.now.Plan, demand) > minReturnHome && now >= c.lastChange()+minChangeInterval
+	if change < minChange && !pressing && !returnsHome || !urgent && !pressing && now < c.lastChange()+minChangeInterval && !c.returning() {
+		return c.publishDemand(now, demand, planCapacity)
+	}
+	target = c.limitMoves(now, target, demand, orders)
+	stepCapacity := slices.Clone(planCapacity)
+	for z := range stepCapacity {
+		if c.serves(z) && c.zoneStatus[z].movedAway { // work that the zone still has is served there until other zones have capacity
+			stepCapacity[z] = max(stepCapacity[z], c.capacity.Of(z, cores[z], c.slowdown[z].value))
+		}
+	}
+	for o, lastDemand := range c.lastDemand { // reserves the fallback shares of routers that are not counted and may receive no plan
+		for z := range stepCapacity {
+			if o != z && demand[o] < lastDemand {
+				stepCapacity[z] = max(stepCapacity[z]-c.fallbacks.Share[o][z]*(lastDemand-demand[o]), 0)
+			}
+		}
+	}
+	next := Toward(c.now.Plan, Toward(c.possibleShares(), target, c.fallbacks, demand, stepCapacity), c.fallbacks, demand, stepCapacity)
+	if Moved(c.now.Plan, next, demand) < minReturnHome && math.Abs(rejectedShare(next, demand)-rejectedShare(c.now.Plan, demand)) < minReturnHome {
+		return p, false
+	}
+	c.moves = append(c.moves, move{now, movedAway(c.now.Plan, next, demand)})
+	c.Changes = append(c.Changes, now)
+	return c.publish(now, next, demand, planCapacity), true
+}
+
+func (c *Controller) publish(now float64, p Plan, demand, planCapacity []float64) Published {
+	c.previous, c.publishedAt = c.now, now
+	c.now = Published{Epoch: c.now.Epoch + 1, Plan: p, Still: c.fallbackPlan(p, demand, planCapacity), Else: c.zoneLossPlan(p, demand, planCapacity), Why: c.reason(), Demand: slices.Clone(demand), Room: planCapacity, Asked: slices.Clone(c.lastDemand)}
+	c.fallbacks = envelope(c.fallbacks, c.now.Still)
+	return c.now
+}
+
+// zoneLossPlan computes in advance where each zone's work goes if that zone and one more are lost: into the capacity that
+// the plan leaves free. The routers of a lost zone then need no message, which saves two seconds.
+func (c *Controller) zoneLossPlan(p Plan, demand, planCapacity []float64) Plan {
+	// Zones that may be lost before the next plan. With 1, the loss of two zones within 2 s pushed a third one to a load of 1.18.
+	const concurrentLosses = 2
+	result := Near(c.zones)
+	load := p.Load(demand)
+	for o := range demand {
+		available, ownDemand, roundTrip := make([]float64, c.zones), make([]float64, c.zones), make([][]float64, c.zones)
+		for z := range available {
+			if roundTrip[z] = c.cfg.Way[z]; z != o {
+				available[z] = max(planCapacity[z]-load[z]+p.Share[o][z]*demand[o], 0) / concurrentLosses
+			}
+		}
+		ownDemand[o] = demand[o]
+		result.Share[o] = Solve(Problem{Demand: ownDemand, Pinned: make([]float64, c.zones), Capacity: available, Way: roundTrip, Slack: c.cfg.Slack}).Share[o]
+	}
+	return result
+}
+
+// possibleShares returns the largest shares that routers may use now. Routers whose zone is lost may already have moved
+// their work on their own.
+func (c *Controller) possibleShares() Plan {
+	p := c.now.Plan.Clone()
+	for o, v := range c.Verdict.Zones {
+		if row := c.now.Plan.Share[o]; v == Lost && row[o] > 0 && c.now.Else.Check(c.zones) == nil {
+			for z, x := range c.now.Else.Share[o] {
+				p.Share[o][z] = max(p.Share[o][z], x)
+			}
+		}
+	}
+	return p
+}
+
+// publishDemand publishes the zones' demand together with the unchanged shares. Without it, an owner that takes over while
+// a zone's routers do not report would consider that zone's servers free.
+func (c *Controller) publishDemand(now float64, demand, planCapacity []float64) (Published, bool) {
+	// A share of the zone's demand, and seconds between two updates, as each later plan must wait until all routers have this one.
+	const minDifference, minInterval = 0.25, 60.0
+	if now < c.startedAt+2*fullReportDelay || now < c.publishedAt+minInterval && c.now.Asked != nil {
+		return c.now, false
+	}
+	for z, x := range c.lastDemand {
+		published := 0.0
+		if z < len(c.now.Asked) {
+			published = c.now.Asked[z]
+		}
+		if math.Abs(x-published) > minDifference*max(x, published) && demand[z] > 0 {
+			return c.publish(now, c.now.Plan, demand, planCapacity), true
+		}
+	}
+	return c.now, false
+}
+
+// updateDemand updates the demand of each zone. Routers that lost their connection to the coordinators go on serving
+// clients from servers that others may be sent to, so their last reported demand still counts. A lost zone that does not
+// report has no demand. As soon as the first of its routers reports again the demand of all counts; otherwise the share
+// given to one router would be used by all that return after it.
+func (c *Controller) updateDemand(now float64, reports []Report) {
+	// Seconds. A lower sum of the reports of some routers may be true, but without any report the demand is unknown.
+	const partialHalfLife, silentHalfLife = 60.0, 600.0
+	dt := min(max(now-c.demandUpdatedAt, 0), 5)
+	c.demandUpdatedAt = now
+	c.Demand = make([]float64, c.zones)
+	if c.lastDemand == nil {
+		c.lastDemand, c.reportingSince, c.lastReported = make([]float64, c.zones), make([]float64, c.zones), make([]float64, c.zones)
+		copy(c.lastDemand, c.now.Asked)
+	}
+	for k := range reports {
+		c.Demand[reports[k].Zone] += reports[k].Demand
+	}
+	for z, reported := range c.Demand {
+		if reported == 0 {
+			c.reportingSince[z] = math.Inf(1)
+		} else if math.IsInf(c.reportingSince[z], 1) {
+			c.reportingSince[z] = now
+		}
+		halfLife := partialHalfLife
+		if reported == 0 {
+			halfLife = silentHalfLife
+		}
+		c.lastDemand[z] = max(reported, c.lastDemand[z]*math.Exp2(-dt/halfLife))
+		if reported > 0 {
+			c.lastReported[z] = now
+		}
+		// The routers of a lost zone may only be disconnected: they follow the plan for its lifetime, and then the fallback
+		// envelope.
+		if v := c.Verdict.Zones[z]; now < c.lastReported[z]+c.maxAge() || v != Lost && v != Empty {
+			c.Demand[z] = c.lastDemand[z]
+		}
+	}
+}
+
+// resetFallbacks drops the older fallback shares of a zone once all of its routers report and have the last plan. A router
+// that has been disconnected for long uses the fallback shares that it received last, so capacity stays reserved for them
+// until it reports again.
+func (c *Controller) resetFallbacks(reports []Report) {
+	const completeShare = 0.95 // of the zone's demand: below it, at least one router may not report
+	reported, outdated := make([]float64, c.zones), make([]bool, c.zones)
+	for k := range reports {
+		r := &reports[k]
+		reported[r.Zone] += r.Demand
+		outdated[r.Zone] = outdated[r.Zone] || r.Epoch < c.now.Epoch
+	}
+	recent := envelope(c.now.Still, c.previous.Still)
+	c.incomplete = make([]bool, c.zones)
+	for o := range reported {
+		complete := reported[o] >= completeShare*c.lastDemand[o]
+		if c.incomplete[o] = !complete; reported[o] > 0 && complete && !outdated[o] {
+			c.fallbacks.Share[o] = recent.Share[o]
+		}
+	}
+}
+
+// serves reports whether a zone completes the work sent to it, even if the plan moves work away from it.
+func (c *Controller) serves(z int) bool {
+	v := c.Verdict.Zones[z]
+	return v == Well || v == Slow || v == Overloaded
+}
+
+func (c *Controller) lastChange() float64 {
+	if len(c.Changes) == 0 {
+		return math.Inf(-1)
+	}
+	return c.Changes[len(c.Changes)-1]
+}
+
+// returning reports whether work is returning to a zone in steps.
+func (c *Controller) returning() bool {
+	for z := range c.zoneStatus {
+		if !c.zoneStatus[z].movedAway && c.zoneStatus[z].capacityShare < 1 {
+			return true
+		}
+	}
+	return false
+}
+
+// localShare returns the share of all work that stays in its own zone.
+func localShare(p Plan, demand []float64) float64 {
+	total, local := 0.0, 0.0
+	for o, row := range p.Share {
+		total, local = total+demand[o], local+row[o]*demand[o]
+	}
+	if total <= 0 {
+		return 1
+	}
+	return local / total
+}
+
+func rejectedShare(p Plan, demand []float64) float64 {
+	total, rejected := 0.0, 0.0
+	for o, row := range p.Share {
+		sum := 0.0
+		for _, x := range row {
+			sum += x
+		}
+		total, rejected = total+demand[o], rejected+max(1-sum, 0)*demand[o]
+	}
+	if total <= 0 {
+		return 0
+	}
+	return rejected / total
+}
+
+// updateCapacity records the work that each zone served and returns its ready cores: the median of the numbers that routers
+// report.
+func (c *Controller) updateCapacity(now float64, reports []Report) []float64 {
+	const unknownHalfLife = 60.0 // seconds
+	dt := min(max(now-c.capacityUpdatedAt, 0), 5)
+	c.capacityUpdatedAt = now
+	cores := make([]float64, c.zones)
+	for z := range cores {
+		work := 0.0
+		var readyVotes, coldVotes []weightedValue
+		for k := range reports {
+			work += reports[k].Sights[z].Work / reports[k].seconds()
+			readyVotes, coldVotes = append(readyVotes, weightedValue{reports[k].Sights[z].Ready, 1}), append(coldVotes, weightedValue{reports[k].Sights[z].Cold, 1})
+		}
+		cores[z], _ = weightedMedian(readyVotes)
+		if v := c.Verdict.Zones[z]; v == Unknown { // without observations the last slowdown decays slowly
+			c.Verdict.Slow[z] = 1 + (c.slowdown[z].value-1)*math.Exp2(-dt/unknownHalfLife)
+		}
+		v := c.Verdict.Zones[z]
+		if v == Lost || v == Unknown {
+			continue
+		}
+		coldCores, _ := weightedMedian(coldVotes)
+		// The usable part of cold servers is a conservative guess. If only that part counted, the same work would overstate
+		// the capacity of warm servers.
+		c.capacity.Observe(now, z, work, cores[z]+coldCores, c.Verdict.Slow[z], v == Overloaded && coldCores == 0)
+	}
+	c.sustain(now)
+	return cores
+}
+
+// updateStatus moves work away from zones and back, with hysteresis. urgent is true if a zone changed between the two.
+func (c *Controller) updateStatus(now float64, orders Orders) (urgent bool) {
+	for z := range c.zoneStatus {
+		s := &c.zoneStatus[z]
+		v := c.Verdict.Zones[z]
+		evacuated := z < len(orders.Away) && orders.Away[z]
+		bad := v == Lost || v == Empty || v == Draining || v == Failing || evacuated
+		delay := lostDelay
+		if v == Failing {
+			delay = failingDelay
+		}
+		if s.movedAway {
+			delay = recoveryDelay
+		}
+		if v == Unknown && !evacuated {
+			// Nobody sends attempts there, so there is no evidence. A zone that work was moved away from is probed by a
+			// first small step at awayUntil. Any other zone keeps its status.
+			bad = s.movedAway && now < s.awayUntil
+		}
+		if bad == s.movedAway {
+			s.contradictedSince = 0
+		} else if s.contradictedSince == 0 {
+			s.contradictedSince = now
+		}
+		switch {
+		case s.contradictedSince == 0 || now < s.contradictedSince+delay && !evacuated:
+		case !s.movedAway:
+			if now > s.awayUntil+relapseMemory {
+				s.relapses = 0
+			}
+			s.movedAway, s.contradictedSince, s.capacityShare = true, 0, 0
+			if s.awayUntil = now + firstAwayTime; s.relapses > 0 {
+				s.awayUntil = now + min(relapseAwayTime*math.Pow(2, float64(min(s.relapses-1, 10))), maxAwayTime)
+			}
+			s.relapses++
+			urgent = true
+		case now >= s.awayUntil:
+			s.movedAway, s.contradictedSince, s.capacityShare, s.steppedAt = false, 0, returnStep/2, now
+			urgent = true
+		}
+		interval := returnStepInterval
+		if s.capacityShare < returnStep {
+			interval = firstStepInterval
+		}
+		if !s.movedAway && s.capacityShare < 1 && now >= s.steppedAt+interval && (v == Well || v == Unknown) {
+			s.capacityShare, s.steppedAt = min(s.capacityShare+returnStep, 1), now
+		}
+	}
+	return urgent
+}
+
+// limitMoves keeps the work moved out of its zones within a minute under the limit: a part moves now, the rest in a later
+// minute. Returning work does not count and is not held back, as the return steps of its zone already limit it. If it did
+// count, a zone that is lost again would find the minute's limit used up by its own return, and its work would be rejected
+// while other zones have capacity.
+func (c *Controller) limitMoves(now float64, target Plan, demand []float64, orders Orders) Plan {
+	allowed := c.cfg.MostMove
+	if allowed <= 0 {
+		allowed = defaultMaxMoved
+	}
+	recent := c.moves[:0]
+	for _, m := range c.moves {
+		if now-m.at < 60 {
+			recent = append(recent, m)
+			allowed -= m.share
+		}
+	}
+	c.moves = recent
+	wanted := movedAway(c.now.Plan, target, demand)
+	if orders.Free || wanted <= max(allowed, 0) || wanted <= 0 {
+		return target
+	}
+	fraction := max(allowed, 0) / wanted
+	p := c.now.Plan.Clone()
+	for o := range p.Share {
+		returnsHome := true // this row's work only returns to its own zone
+		for z, x := range p.Share[o] {
+			returnsHome = returnsHome && (z == o || target.Share[o][z] <= x)
+		}
+		for z := range p.Share[o] {
+			if targetShare := target.Share[o][z]; returnsHome || targetShare < p.Share[o][z] && c.zoneStatus[z].movedAway && !c.serves(z) {
+				p.Share[o][z] = targetShare // work sent to a lost zone fails, so it is rejected at once
+			} else {
+				p.Share[o][z] += fraction * (targetShare - p.Share[o][z])
+			}
+		}
+	}
+	return p
+}
+
+// movedAway returns the share of all demand that goes to a zone other than its own under plan b but not under plan a.
+func movedAway(a, b Plan, demand []float64) float64 {
+	total, moved := 0.0, 0.0
+	for o := range demand {
+		total += demand[o]
+		for z := range demand {
+			if z != o {
+				moved += max(b.Share[o][z]-a.Share[o][z], 0) * demand[o]
+			}
+		}
+	}
+	if total <= 0 {
+		return 0
+	}
+	return moved / total
+}
+
+// envelope returns the larger share of both plans for each pair of zones.
+func envelope(a, b Plan) Plan {
+	c := a.Clone()
+	for o := range c.Share {
+		for z := range c.Share[o] {
+			c.Share[o][z] = max(c.Share[o][z], b.Share[o][z])
+		}
+	}
+	return c
+}
+
+// fallbackPlan returns the shares for routers that receive no plan: their own zone and a part of every other zone's spare
+// capacity.
+func (c *Controller) fallbackPlan(p Plan, demand, planCapacity []float64) Plan {
+	fallback := Near(c.zones)
+	load := p.Load(demand)
+	for z := range planCapacity {
+		spare := max(planCapacity[z]-load[z], 0) * fallbackSpareShare / max(float64(c.zones-1), 1)
+		for o := range fallback.Share {
+			if o != z && demand[o] > 0 {
+				fallback.Share[o][z] = min(spare/demand[o], 1)
+			}
+		}
+	}
+	return fallback
+}
+
+func (c *Controller) reason() string {
+	var parts []string
+	for z, s := range c.zoneStatus {
+		switch {
+		case s.movedAway:
+			parts = append(parts, fmt.Sprintf("zone %d is %v", z, c.Verdict.Zones[z]))
+		case s.capacityShare < 1:
+			parts = append(parts, fmt.Sprintf("zone %d returns (%.0f %%)", z, 100*s.capacityShare))
+		case c.capacity.Limit(z) > 0:
+			parts = append(parts, fmt.Sprintf("zone %d was full at %.2f of a core", z, c.capacity.Limit(z)))
+		}
+	}
+	if len(parts) == 0 {
+		return "all zones are in use"
+	}
+	return strings.Join(parts, ", ")
+}
--- a/fleet/failover/evidence.go
+++ b/fleet/failover/evidence.go
@@ -1,6 +1,7 @@
-// Package failover decides, for a whole fleet, where each zone's work goes: what zones are lost, slow or cut off, what each can
-// serve, a plan of shares, and the steps from one plan to the next. It does no I/O and knows no clock; times are seconds by the
-// caller's own. One router at a time runs it, under a fence; all others follow its plans for as long as they live.
+// Package failover decides for a whole fleet where each zone's work goes. It detects zones that are lost, slow or cut off,
+// estimates the capacity of each zone, computes a plan of shares, and computes the steps from one plan to the next. It does
+// no I/O and reads no clock; times are seconds of the caller's clock. One router at a time runs the controller, protected
+// by a fence. All other routers follow its plans until the plans expire.
 package failover
 
 import (
@@ -9,71 +10,74 @@
 	"slices"
 )
 
-// MostZones that a plan has room for.
+// MaxZones is the largest number of zones that a plan supports.
 const MostZones = 16
 
-// Sight is what one router saw of one zone's engines since its last report.
+// ZoneObservation is what one router observed of one zone's servers since its last report.
 type Sight struct {
-	Sent   float64 `json:"n,omitempty"` // sends that ended
-	Bad    float64 `json:"b,omitempty"` // of those: cut, refused to connect, not answered in time
-	Turned float64 `json:"t,omitempty"` // turned away as full
-	Late   float64 `json:"l,omitempty"` // answered after the latency target
-	Work   float64 `json:"w,omitempty"` // core seconds answered in time
-	Slow   float64 `json:"s,omitempty"` // time of answers over what their work takes on an idle core, by work; 0: none
-	Ready  float64 `json:"r,omitempty"` // cores of ready engines in its list, cold ones by what they bear
-	Cold   float64 `json:"c,omitempty"` // cores that cold ones do not bear yet
-	Drains float64 `json:"d,omitempty"` // cores of draining ones
-	Doubt  float64 `json:"q,omitempty"` // cores of ready ones that it sends trials only, as they failed it
-	Did    float64 `json:"-"`           // core seconds that stand behind Slow
+	Sent   float64 `json:"n,omitempty"` // attempts that ended
+	Bad    float64 `json:"b,omitempty"` // of those: cut off, connection refused, or not completed in time
+	Turned float64 `json:"t,omitempty"` // rejected because a server was full
+	Late   float64 `json:"l,omitempty"` // completed after the latency target
+	Work   float64 `json:"w,omitempty"` // core seconds completed in time
+	Slow   float64 `json:"s,omitempty"` // response time relative to an idle core's for the same work, weighted by work; 0: no data
+	Ready  float64 `json:"r,omitempty"` // cores of ready servers in discovery; a cold server counts with the part that it can already serve
+	Cold   float64 `json:"c,omitempty"` // cores of cold servers that cannot be used yet
+	Drains float64 `json:"d,omitempty"` // cores of draining servers
+	Doubt  float64 `json:"q,omitempty"` // cores of ready servers to which this router sends only probes because attempts there failed
+	Did    float64 `json:"-"`           // core seconds of work behind Slow
 }
 
-// bad is the share of what fails there by this router's word, and the weight of that word. A router that has stopped sending
-// because engines failed it sends nearly nothing, and knows all the same.
-func (s *Sight) bad() (share, weight float64) {
+// failureShare returns the share of failures in the zone as this router observed it, and the weight of the observation. A
+// router that has suspended servers because of failures sends them almost nothing, so its suspected cores count as evidence
+// too.
+func (s *Sight) failureShare() (share, weight float64) {
 	if s.Sent > 0 {
-		share, weight = s.Bad/s.Sent, min(s.Sent/enough, 1)
+		share, weight = s.Bad/s.Sent, min(s.Sent/fullWeightAttempts, 1)
 	}
-	if doubt := min(s.Doubt/max(s.Ready, 1e-9), 1); s.Ready > 0 && doubt > 0 {
-		share, weight = max(share, doubt), max(weight, doubt)
+	if suspected := min(s.Doubt/max(s.Ready, 1e-9), 1); s.Ready > 0 && suspected > 0 {
+		share, weight = max(share, suspected), max(weight, suspected)
 	}
 	return share, weight
 }
 
-// Report is a router's evidence, once a second.
+// Report is a router's evidence, sent once per second.
 type Report struct {
 	Zone   int     `json:"zone"`   // of the router
-	Demand float64 `json:"demand"` // core seconds a second that its clients ask for
-	Pinned float64 `json:"pinned"` // of those: may not leave the zone
-	Epoch  uint64  `json:"epoch"`  // plan that it follows, 0: none
-	Span   float64 `json:"span"`   // seconds that it is about, 0: one
+	Demand float64 `json:"demand"` // core seconds per second that its clients request
+	Pinned float64 `json:"pinned"` // part of Demand that must stay in the zone
+	Epoch  uint64  `json:"epoch"`  // epoch of the plan that it follows, 0: none
+	Span   float64 `json:"span"`   // seconds covered by the report, 0: one second
 	Sights []Sight `json:"sights"` // by zone
 }
 
-// Fails tells whether this router's own zone fails it: it sends most of what is ready there trials only.
+// OwnZoneFails reports whether this router's own zone fails: the router sends only probes to most of the ready servers
+// there.
 func (r *Report) Fails() bool {
 	if r.Zone < 0 || r.Zone >= len(r.Sights) {
 		return false
 	}
-	share, weight := r.Sights[r.Zone].bad()
-	return share >= mostBad && weight >= little
+	share, weight := r.Sights[r.Zone].failureShare()
+	return share >= unreachableShare && weight >= minWeight
 }
 
-// seconds that a report is about. A late one tells of more work than a second's, and would have a zone bear more than it does.
+// seconds returns the time that the report covers. A late report covers the work of more than one second; without this
+// correction it would overstate the zone's capacity.
 func (r *Report) seconds() float64 {
 	if r.Span <= 0 {
 		return 1
 	}
-	return max(r.Span, 0.2) // two reports in a row tell of a few answers: no rate
+	return max(r.Span, 0.2) // two reports in close succession cover too few responses for a rate
 }
 
-// Check tells whether a report can be one.
+// Valid reports whether the values of a report are plausible.
 func (r *Report) Check(zones int) bool {
-	good := func(x float64) bool { return x >= 0 && x < 1e9 }
-	if r.Zone < 0 || r.Zone >= zones || len(r.Sights) != zones || !good(r.Demand) || !good(r.Span) || !good(r.Pinned) || r.Pinned > r.Demand+1e-9 {
+	valid := func(x float64) bool { return x >= 0 && x < 1e9 }
+	if r.Zone < 0 || r.Zone >= zones || len(r.Sights) != zones || !valid(r.Demand) || !valid(r.Span) || !valid(r.Pinned) || r.Pinned > r.Demand+1e-9 {
 		return false
 	}
 	for _, s := range r.Sights {
-		if !good(s.Sent) || !good(s.Bad) || !good(s.Turned) || !good(s.Late) || !good(s.Work) || !good(s.Slow) || !good(s.Ready) || !good(s.Drains) || !good(s.Cold) || !good(s.Doubt) ||
+		if !valid(s.Sent) || !valid(s.Bad) || !valid(s.Turned) || !valid(s.Late) || !valid(s.Work) || !valid(s.Slow) || !valid(s.Ready) || !valid(s.Drains) || !valid(s.Cold) || !valid(s.Doubt) ||
 			s.Bad+s.Turned > s.Sent+1e-9 {
 			return false
 		}
@@ -81,44 +85,45 @@
 	return true
 }
 
-// Verdict on a zone.
+// ZoneHealth is the state of a zone.
 type Verdict uint8
 
-// The verdicts on a zone.
+// The states of a zone.
 const (
-	Unknown    Verdict = iota // nobody sends there
-	Well                      //
-	Lost                      // reached by nobody that counts
-	Slow                      // answers take several times the usual
-	Failing                   // a good part of what is sent there fails
-	Overloaded                // turns away, or is late
-	Draining                  // its engines are being taken away
-	Empty                     // the list has no ready engine there
+	Unknown    Verdict = iota // no router sends attempts there
+	Well                      // attempts succeed in time
+	Lost                      // unreachable for all observers that count
+	Slow                      // responses take several times as long as in other zones
+	Failing                   // a considerable share of attempts fails
+	Overloaded                // rejects requests or completes them late
+	Draining                  // its servers are being removed
+	Empty                     // discovery lists no ready server there
 )
 
 func (v Verdict) String() string {
 	return [...]string{"unknown", "well", "lost", "slow", "failing", "overloaded", "draining", "empty"}[v]
 }
 
-// Judgement of the whole matrix of observers' zones and target zones.
+// Assessment covers the whole matrix of observing zones and target zones.
 type Judgement struct {
 	Zones []Verdict
-	Slow  []float64 // slowdown of each zone against the others, 1: none
-	Cut   [][]bool  // from a zone to one: reached by others, or by its own, but not from there
-	Alone []bool    // the observers of this zone are the ones cut off
+	Slow  []float64 // slowdown of each zone relative to the others, 1: none
+	Cut   [][]bool  // [from][to]: reachable for other zones or for its own routers, but not from this one
+	Alone []bool    // the observers in this zone are themselves cut off
 }
 
-// vote is one router's word with its weight.
-type vote struct{ value, weight float64 }
+// weightedValue is one router's observation and its weight.
+type weightedValue struct{ value, weight float64 }
 
-// median by weight: a minority of observers, whatever they say, moves it no further than to what an honest one says.
-func median(votes []vote) (value, weight float64) {
-	for _, v := range votes {
+// weightedMedian returns the median by weight. A minority of observers cannot move it beyond the values that honest
+// observers report.
+func weightedMedian(values []weightedValue) (value, weight float64) {
+	for _, v := range values {
 		weight += v.weight
 	}
-	slices.SortFunc(votes, func(a, b vote) int { return cmp.Compare(a.value, b.value) })
+	slices.SortFunc(values, func(a, b weightedValue) int { return cmp.Compare(a.value, b.value) })
 	sum := 0.0
-	for _, v := range votes {
+	for _, v := range values {
 		if sum += v.weight; sum >= weight/2 {
 			return v.value, weight
 		}
@@ -126,166 +131,167 @@
 	return 0, 0
 }
 
-// What makes a verdict.
+// Thresholds of an assessment.
 const (
-	enough   = 8.0  // sends for a router's whole weight: fewer count as few
-	little   = 0.5  // weight under which nothing is known
-	mostBad  = 0.5  // share of bad sends from which a zone is not reached
-	someBad  = 0.15 // and from which it fails
-	mostSlow = 2.5  // slowdown, as health has it for one engine
-	agree    = 0.6  // share of all observers' weight that has to agree before a zone is given up: half may lie
-	full     = 0.2  // share turned away or late
+	fullWeightAttempts = 8.0  // attempts for a router's full weight; fewer reduce it in proportion
+	minWeight          = 0.5  // total weight below which there is not enough evidence
+	unreachableShare   = 0.5  // share of failed attempts from which a zone counts as unreachable
+	failingShare       = 0.15 // share of failed attempts from which a zone counts as failing
+	slowThreshold      = 2.5  // slowdown from which a zone is slow, the same as for a single server's health
+	agreementShare     = 0.6  // share of the observers' weight that must agree that a zone is lost; up to half may report wrong data
+	overloadedShare    = 0.2  // share of attempts that are rejected or late
 )
 
-// Judge the zones by reports that are fresh. A router weighs by what it has sent, up to a bound; a zone's word is the median of
-// its routers'.
+// Assess evaluates the zones from fresh reports. A router's weight grows with the attempts that it sent, up to a bound. The
+// observation of a zone is the median over its routers.
 func Judge(reports []Report, zones int) Judgement {
 	j := Judgement{Zones: make([]Verdict, zones), Slow: make([]float64, zones), Alone: make([]bool, zones)}
-	bad := make([][]float64, zones) // from, to: share that fails, NaN: not known
+	failureShare := make([][]float64, zones) // [from][to]: share of failed attempts, NaN: unknown
 	for o := range zones {
 		j.Cut = append(j.Cut, make([]bool, zones))
-		bad[o] = make([]float64, zones)
+		failureShare[o] = make([]float64, zones)
 		for z := range zones {
-			var votes []vote
+			var shares []weightedValue
 			for k := range reports {
-				if share, w := reports[k].Sights[z].bad(); reports[k].Zone == o && w > 0 {
-					votes = append(votes, vote{share, w})
+				if share, w := reports[k].Sights[z].failureShare(); reports[k].Zone == o && w > 0 {
+					shares = append(shares, weightedValue{share, w})
 				}
 			}
-			value, weight := median(votes)
-			if bad[o][z] = value; weight < little {
-				bad[o][z] = math.NaN()
+			value, weight := weightedMedian(shares)
+			if failureShare[o][z] = value; weight < minWeight {
+				failureShare[o][z] = math.NaN()
 			}
 		}
 	}
-	reaches := func(o, z int) bool { return bad[o][z] < mostBad }
-	fails := func(o, z int) bool { return bad[o][z] >= mostBad }
-	// A zone whose observers reach no other one, while others reach each other, is itself cut off: its word on others counts for
-	// nothing.
+	reaches := func(o, z int) bool { return failureShare[o][z] < unreachableShare }
+	fails := func(o, z int) bool { return failureShare[o][z] >= unreachableShare }
+	// A zone is itself cut off if its observers reach no other zone while other zones reach each other. Its observations of
+	// other zones are ignored.
 	for o := range zones {
-		none, others := 0, 0
+		failedTargets, witnesses := 0, 0
 		for z := range zones {
 			if z != o && fails(o, z) {
-				none++
+				failedTargets++
 			}
 			for p := range zones {
 				if z != o && p != o && p != z && reaches(p, z) {
-					others++
+					witnesses++
 				}
 			}
-			if z != o && (reaches(o, z) || z != o && reaches(z, z) && math.IsNaN(bad[o][z])) {
-				none = -zones
+			if z != o && (reaches(o, z) || z != o && reaches(z, z) && math.IsNaN(failureShare[o][z])) {
+				failedTargets = -zones
 			}
 		}
-		j.Alone[o] = none >= 2 && others > 0
+		j.Alone[o] = failedTargets >= 2 && witnesses > 0
 	}
-	j.Slow = slower(reports, zones)
+	j.Slow = relativeSlowdowns(reports, zones)
 	for z := range zones {
-		j.Zones[z] = judgeOne(reports, z, j.Alone, j.Slow[z])
-		own := reaches(z, z) // its own routers reach it: it is there
-		if j.Zones[z] == Lost && own {
+		j.Zones[z] = judgeZone(reports, z, j.Alone, j.Slow[z])
+		reachedByOwn := reaches(z, z) // if its own routers reach it, the zone is up
+		if j.Zones[z] == Lost && reachedByOwn {
 			j.Zones[z] = Well
 		}
-		// Where its own routers are not heard, one other zone's word may be about the way between the two only.
-		if others := 0; j.Zones[z] == Lost && math.IsNaN(bad[z][z]) && zones > 2 {
+		// If the zone's own routers do not report, a single other zone may only have lost the link between the two.
+		if witnesses := 0; j.Zones[z] == Lost && math.IsNaN(failureShare[z][z]) && zones > 2 {
 			for o := range zones {
 				if o != z && fails(o, z) && !j.Alone[o] {
-					others++
+					witnesses++
 				}
 			}
-			if others < 2 {
+			if witnesses < 2 {
 				j.Zones[z] = Unknown
 			}
 		}
 		for o := range zones {
-			// Its own work too: others may reach it, or say that they do. Who reaches nobody has nowhere better to go.
+			// This includes the zone's own work: the zone may be reachable for others, or others may wrongly claim so. A
+			// zone whose routers reach no zone has nowhere better to send its work.
 			j.Cut[o][z] = fails(o, z) && j.Zones[z] != Lost && (o != z || !j.Alone[o])
 		}
 	}
 	return j
 }
 
-// judgeOne takes the word of all observers that are not cut off themselves.
-func judgeOne(reports []Report, z int, alone []bool, pace float64) Verdict {
-	var lost, failing, crowded, weight, ready, drains float64
-	var cores, going []vote
+// judgeZone evaluates a zone from all observers that are not cut off themselves.
+func judgeZone(reports []Report, zone int, isolated []bool, slowdown float64) Verdict {
+	var lost, failing, overloaded, weight, readyCores, drainingCores float64
+	var readyVotes, drainingVotes []weightedValue
 	for k := range reports {
 		r := &reports[k]
-		s := &r.Sights[z]
-		if alone[r.Zone] && r.Zone != z {
+		s := &r.Sights[zone]
+		if isolated[r.Zone] && r.Zone != zone {
 			continue
 		}
-		cores, going = append(cores, vote{s.Ready, 1}), append(going, vote{s.Drains, 1})
-		share, w := s.bad()
+		readyVotes, drainingVotes = append(readyVotes, weightedValue{s.Ready, 1}), append(drainingVotes, weightedValue{s.Drains, 1})
+		share, w := s.failureShare()
 		if w <= 0 {
 			continue
 		}
 		weight += w
-		if share >= mostBad {
+		if share >= unreachableShare {
 			lost += w
-		} else if share >= someBad {
+		} else if share >= failingShare {
 			failing += w
 		}
-		if s.Sent > 0 && (s.Turned+s.Late)/s.Sent >= full {
-			crowded += w
+		if s.Sent > 0 && (s.Turned+s.Late)/s.Sent >= overloadedShare {
+			overloaded += w
 		}
 	}
-	ready, _ = median(cores)
-	drains, _ = median(going)
+	readyCores, _ = weightedMedian(readyVotes)
+	drainingCores, _ = weightedMedian(drainingVotes)
 	switch {
-	case len(cores) > 0 && ready <= 0 && drains > 0:
+	case len(readyVotes) > 0 && readyCores <= 0 && drainingCores > 0:
 		return Draining
-	case len(cores) > 0 && ready <= 0:
+	case len(readyVotes) > 0 && readyCores <= 0:
 		return Empty
-	case weight < little:
+	case weight < minWeight:
 		return Unknown
-	case lost >= agree*weight:
+	case lost >= agreementShare*weight:
 		return Lost
-	case lost+failing >= agree*weight:
+	case lost+failing >= agreementShare*weight:
 		return Failing
-	case crowded >= agree*weight: // whether it is slow too or not: what it serves is its measure
+	case overloaded >= agreementShare*weight: // takes precedence over Slow: the work that it serves measures its capacity
 		return Overloaded
-	case pace >= mostSlow:
+	case slowdown >= slowThreshold:
 		return Slow
 	}
 	return Well
 }
 
-// slower compares zones with each other, as their own routers see them: time over work, less what their load explains. A router's own
-// usual would follow a zone that stays slow, and a fleet that is slow everywhere has nowhere better to go. A zone that its own routers
-// tell nothing of is not slow.
-func slower(reports []Report, zones int) []float64 {
-	const most = 0.8 // of a zone's cores in use: what load explains past that is five times and more, and a rough guess
-	paces, all := make([]float64, zones), make([]float64, zones)
+// relativeSlowdowns compares the zones as their own routers observe them: response time relative to work, less the part
+// that load explains. Comparing a router with its own past would adapt to a zone that stays slow. If the whole fleet is
+// slow there is nowhere better to send work. A zone without data from its own routers does not count as slow.
+func relativeSlowdowns(reports []Report, zones int) []float64 {
+	const maxUtilization = 0.8 // of a zone's cores; beyond it load explains a fivefold slowdown or more, and the estimate is rough
+	normalized, relative := make([]float64, zones), make([]float64, zones)
 	for z := range zones {
-		var slow, cores []vote
+		var slowVotes, coreVotes []weightedValue
 		work := 0.0
 		for k := range reports {
 			r := &reports[k]
 			s := &r.Sights[z]
 			work += s.Work / r.seconds()
-			cores = append(cores, vote{s.Ready + s.Cold, 1})
+			coreVotes = append(coreVotes, weightedValue{s.Ready + s.Cold, 1})
 			if r.Zone == z && s.Slow > 0 && s.Sent > 0 {
-				slow = append(slow, vote{s.Slow, min(s.Sent/enough, 1)})
+				slowVotes = append(slowVotes, weightedValue{s.Slow, min(s.Sent/fullWeightAttempts, 1)})
 			}
 		}
-		pace, weight := median(slow)
-		have, _ := median(cores)
-		if weight >= little && have > 0 {
-			paces[z] = max(pace*(1-min(work/have, most)), 1)
+		slowdown, weight := weightedMedian(slowVotes)
+		cores, _ := weightedMedian(coreVotes)
+		if weight >= minWeight && cores > 0 {
+			normalized[z] = max(slowdown*(1-min(work/cores, maxUtilization)), 1)
 		}
 	}
 	for z := range zones {
-		all[z] = 1
-		var others []vote
+		relative[z] = 1
+		var others []weightedValue
 		for y := range zones {
-			if y != z && paces[y] > 0 {
-				others = append(others, vote{paces[y], 1})
+			if y != z && normalized[y] > 0 {
+				others = append(others, weightedValue{normalized[y], 1})
 			}
 		}
-		if base, _ := median(others); paces[z] > 0 && base > 0 {
-			all[z] = max(paces[z]/base, 1)
+		if base, _ := weightedMedian(others); normalized[z] > 0 && base > 0 {
+			relative[z] = max(normalized[z]/base, 1)
 		}
 	}
-	return all
+	return relative
 }
--- /dev/null
+++ b/fleet/failover/move_limit_test.go
@@ -0,0 +1,57 @@
+package failover
+
+import "testing"
+
+// TestZoneLostTwice covers a zone that is lost, returns and is lost again within a minute: its work must go to zones with
+// free capacity each time. Returning work must not count against the limit on work moved away.
+func TestZoneLostTwice(t *testing.T) {
+	c := NewController(Terms{Life: Life, Drift: 0.05, Way: roundTrips3()}, 3, 100, Published{Epoch: 1, Plan: Near(3), Still: Near(3)})
+	reports := func(lost bool) (r []Report) {
+		for z := range 3 {
+			r = append(r, Report{Zone: z, Demand: 5, Sights: observations(3, 5.0/3)})
+			if s := &r[z].Sights[0]; lost {
+				s.Work, s.Bad, s.Doubt = 0, s.Sent, s.Ready
+			}
+		}
+		return r
+	}
+	now := 100.0
+	_, _, now = runController(c, now, 5, reports(false), Orders{})
+	for round := range 2 {
+		_, _, now = runController(c, now, 6, reports(true), Orders{})
+		if served := sum(c.Now().Plan.Share[0]); c.Now().Plan.Share[0][0] > 0 || served < 0.99 {
+			t.Fatalf("loss %d: %v of the zone's work is served: %v, although other zones have capacity", round+1, served, c.Now().Plan.Share)
+		}
+		_, _, now = runController(c, now, 16, reports(false), Orders{})
+		if c.Now().Plan.Share[0][0] < 0.9 && round == 0 {
+			t.Fatalf("work does not return to its zone: %v", c.Now().Plan.Share)
+		}
+	}
+	if now > 100+60 {
+		t.Fatalf("took %v s; the test needs all of it to happen within a minute", now-100)
+	}
+}
+
+// TestMovedPerMinute checks that at most the configured share of the fleet's work moves away within a minute, unless an
+// operator lifts the limit.
+func TestMovedPerMinute(t *testing.T) {
+	for _, free := range []bool{false, true} {
+		c := NewController(Terms{Life: Life, Drift: 0.05, Way: roundTrips3(), MostMove: 0.2}, 3, 100, Published{Epoch: 1, Plan: Near(3), Still: Near(3)})
+		var reports []Report
+		for z := range 3 {
+			reports = append(reports, Report{Zone: z, Demand: 4, Sights: observations(3, 4.0/3)})
+		}
+		_, _, now := runController(c, 100, 5, reports, Orders{})
+		runController(c, now, 20, reports, Orders{Away: []bool{true, false, false}, Free: free})
+		if moved := movedAway(Near(3), c.Now().Plan, []float64{4, 4, 4}); free && moved < 0.33 || !free && (moved > 0.2+1e-9 || moved < 0.19) {
+			t.Errorf("limit lifted %v: %v of the work moved away", free, moved)
+		}
+	}
+}
+
+func sum(values []float64) (s float64) {
+	for _, x := range values {
+		s += x
+	}
+	return s
+}
--- a/fleet/failover/plan.go
+++ b/fleet/failover/plan.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Plan is where each origin zone's work goes: Share[o][z] of what is asked for at o goes to z. What is missing to one in a row
-// fits nowhere and is shed at its origin, least benefit first.
+// Plan says where each origin zone's work goes: Share[o][z] of the demand at o goes to z. If a row sums to less than 1, the
+// rest fits nowhere and is rejected at its origin, starting with the least benefit.
 type Plan struct {
 	Share [][]float64 `json:"share"`
 }
 
-// Near is the plan of a fleet in which all is well: everything stays.
+// LocalPlan returns the plan of a healthy fleet: all work stays in its own zone.
 func Near(zones int) Plan {
 	p := Plan{}
 	for o := range zones {
@@ -23,27 +23,27 @@
 	return p
 }
 
-// Check tells what is wrong with a plan of so many zones.
+// Validate returns an error if p is not a valid plan for the given number of zones.
 func (p Plan) Check(zones int) error {
 	if len(p.Share) != zones {
-		return fmt.Errorf("a plan for %d zones, there are %d", len(p.Share), zones)
+		return fmt.Errorf("plan has %d zones, want %d", len(p.Share), zones)
 	}
 	for o, row := range p.Share {
 		sum := 0.0
 		for _, x := range row {
 			if !(x >= 0 && x <= 1+1e-6) {
-				return fmt.Errorf("zone %d: a share of %v", o, x)
+				return fmt.Errorf("zone %d: invalid share %v", o, x)
 			}
 			sum += x
 		}
 		if len(row) != zones || sum > 1+1e-6 {
-			return fmt.Errorf("zone %d: %d shares of %v in all", o, len(row), sum)
+			return fmt.Errorf("zone %d: invalid row with %d shares and a sum of %v", o, len(row), sum)
 		}
 	}
 	return nil
 }
 
-// Clone with rows of its own.
+// Clone returns a deep copy.
 func (p Plan) Clone() Plan {
 	c := Plan{}
 	for _, row := range p.Share {
@@ -52,7 +52,7 @@
 	return c
 }
 
-// Load that each zone gets by a plan.
+// Load returns the load of each zone under the plan.
 func (p Plan) Load(demand []float64) []float64 {
 	load := make([]float64, len(p.Share))
 	for o, row := range p.Share {
@@ -63,191 +63,192 @@
 	return load
 }
 
-// Problem is what a plan has to solve.
+// Problem is the input of Solve.
 type Problem struct {
-	Demand   []float64   // core seconds a second, by origin
-	Pinned   []float64   // of those: may not leave
+	Demand   []float64   // core seconds per second, by origin
+	Pinned   []float64   // part of Demand that must stay in its zone
 	Capacity []float64   // by zone
-	Way      [][]float64 // distance between zones: seconds there and back; what is not to be used: +Inf
-	Slack    float64     // seconds that a way may take and targets still be met, 0: any
+	Way      [][]float64 // distance between zones: round trip in seconds; +Inf: must not be used
+	Slack    float64     // longest round trip in seconds that still allows the latency targets to be met, 0: no limit
 }
 
-// Solve gives the shares with the most work served and, of those, the least distance. It is a transport problem, solved by
-// shortest augmenting paths: exact, and small at sixteen zones. (The test compares it with a linear programme by the library's
-// simplex, which is as good and some thirty times slower, and with filling near to far one zone after another, which is not
-// optimal where two zones overflow into the same third.)
+// Solve returns the shares that serve the most work and, among those, have the least total distance. It solves a transport
+// problem by shortest augmenting paths, which is exact and fast enough for sixteen zones. A linear program solved by
+// simplex is as good but some thirty times slower. Filling zones from near to far, one after another, is not optimal if two
+// zones overflow into the same third zone. The tests compare the result with the simplex solution.
 func Solve(p Problem) Plan {
 	n := len(p.Demand)
 	plan := Plan{}
-	left := slices.Clone(p.Capacity)
-	need := slices.Clone(p.Demand)
+	remaining := slices.Clone(p.Capacity)
+	unserved := slices.Clone(p.Demand)
 	flow := make([][]float64, n)
 	for o := range n {
 		plan.Share = append(plan.Share, make([]float64, n))
 		flow[o] = make([]float64, n)
-		// What may not leave comes first at its own zone.
-		pinned := min(p.Pinned[o], need[o])
-		flow[o][o] = min(pinned, max(left[o], 0))
-		left[o] -= flow[o][o]
-		need[o] -= pinned
+		// Pinned work has precedence in its own zone.
+		pinned := min(p.Pinned[o], unserved[o])
+		flow[o][o] = min(pinned, max(remaining[o], 0))
+		remaining[o] -= flow[o][o]
+		unserved[o] -= pinned
 	}
-	fixed := make([]float64, n)
+	pinnedFlow := make([]float64, n)
 	for o := range n {
-		fixed[o] = flow[o][o]
+		pinnedFlow[o] = flow[o][o]
 	}
 	usable := func(o, z int) bool {
 		return !math.IsInf(p.Way[o][z], 1) && (p.Slack <= 0 || o == z || p.Way[o][z] <= p.Slack)
 	}
-	const tiny = 1e-9
-	for range 4 * n * n { // each path fills an origin, a zone or an arc: far fewer are needed
-		// Distances from the origins that still need something, over arcs to zones and back over flow.
-		origin, zone := make([]float64, n), make([]float64, n)
-		cameO, cameZ := make([]int, n), make([]int, n)
+	const epsilon = 1e-9
+	for range 4 * n * n { // each path exhausts an origin, a zone or an arc: far fewer are needed
+		// Distances from the origins with unserved demand, forward over arcs to zones and backward over existing flow.
+		originDistance, zoneDistance := make([]float64, n), make([]float64, n)
+		previousZone, previousOrigin := make([]int, n), make([]int, n)
 		for k := range n {
-			origin[k], zone[k], cameO[k], cameZ[k] = math.Inf(1), math.Inf(1), -1, -1
-			if need[k] > tiny {
-				origin[k] = 0
+			originDistance[k], zoneDistance[k], previousZone[k], previousOrigin[k] = math.Inf(1), math.Inf(1), -1, -1
+			if unserved[k] > epsilon {
+				originDistance[k] = 0
 			}
 		}
 		for changed, rounds := true, 0; changed && rounds <= 2*n; rounds++ {
 			changed = false
 			for o := range n {
 				for z := range n {
-					if usable(o, z) && origin[o]+p.Way[o][z] < zone[z]-1e-12 {
-						zone[z], cameZ[z], changed = origin[o]+p.Way[o][z], o, true
+					if usable(o, z) && originDistance[o]+p.Way[o][z] < zoneDistance[z]-1e-12 {
+						zoneDistance[z], previousOrigin[z], changed = originDistance[o]+p.Way[o][z], o, true
 					}
-					if flow[o][z]-keptAt(o, z, fixed) > tiny && zone[z]-p.Way[o][z] < origin[o]-1e-12 {
-						origin[o], cameO[o], changed = zone[z]-p.Way[o][z], z, true
+					if flow[o][z]-pinnedAt(o, z, pinnedFlow) > epsilon && zoneDistance[z]-p.Way[o][z] < originDistance[o]-1e-12 {
+						originDistance[o], previousZone[o], changed = zoneDistance[z]-p.Way[o][z], z, true
 					}
 				}
 			}
 		}
-		best := -1
+		nearest := -1
 		for z := range n {
-			if left[z] > tiny && !math.IsInf(zone[z], 1) && (best < 0 || zone[z] < zone[best]) {
-				best = z
+			if remaining[z] > epsilon && !math.IsInf(zoneDistance[z], 1) && (nearest < 0 || zoneDistance[z] < zoneDistance[nearest]) {
+				nearest = z
 			}
 		}
-		if best < 0 {
+		if nearest < 0 {
 			break
 		}
-		// How much the path carries, then along it.
-		most := left[best]
-		for z, steps := best, 0; steps <= 2*n; steps++ {
-			o := cameZ[z]
-			if cameO[o] < 0 {
-				most = min(most, need[o])
+		// First computes the amount that the path can carry, then adds it along the path.
+		amount := remaining[nearest]
+		for z, steps := nearest, 0; steps <= 2*n; steps++ {
+			o := previousOrigin[z]
+			if previousZone[o] < 0 {
+				amount = min(amount, unserved[o])
 				break
 			}
-			z = cameO[o]
-			most = min(most, flow[o][z]-keptAt(o, z, fixed))
+			z = previousZone[o]
+			amount = min(amount, flow[o][z]-pinnedAt(o, z, pinnedFlow))
 		}
-		if most <= tiny {
+		if amount <= epsilon {
 			break
 		}
-		left[best] -= most
-		for z, steps := best, 0; steps <= 2*n; steps++ {
-			o := cameZ[z]
-			flow[o][z] += most
-			if cameO[o] < 0 {
-				need[o] -= most
+		remaining[nearest] -= amount
+		for z, steps := nearest, 0; steps <= 2*n; steps++ {
+			o := previousOrigin[z]
+			flow[o][z] += amount
+			if previousZone[o] < 0 {
+				unserved[o] -= amount
 				break
 			}
-			z = cameO[o]
-			flow[o][z] -= most
+			z = previousZone[o]
+			flow[o][z] -= amount
 		}
 	}
 	for o := range n {
 		for z := range n {
-			if p.Demand[o] > tiny {
+			if p.Demand[o] > epsilon {
 				plan.Share[o][z] = min(max(flow[o][z]/p.Demand[o], 0), 1)
 			} else if o == z && p.Capacity[o] > 0 {
-				plan.Share[o][z] = 1 // nothing is asked for: what comes stays
+				plan.Share[o][z] = 1 // no demand: any new work stays local
 			}
 		}
 	}
 	return plan
 }
 
-func keptAt(o, z int, fixed []float64) float64 {
+func pinnedAt(o, z int, pinnedFlow []float64) float64 {
 	if o == z {
-		return fixed[o]
+		return pinnedFlow[o]
 	}
 	return 0
 }
 
-// Mixed is the most load that each zone can get from any mixture of routers on these plans.
+// MaxMixedLoad returns the largest load that each zone can get from any mixture of routers on these plans.
 func Mixed(demand []float64, plans ...Plan) []float64 {
 	n := len(demand)
 	load := make([]float64, n)
 	for z := range n {
 		for o := range n {
-			most := 0.0
+			maxShare := 0.0
 			for _, p := range plans {
-				most = max(most, p.Share[o][z])
+				maxShare = max(maxShare, p.Share[o][z])
 			}
-			load[z] += most * demand[o]
+			load[z] += maxShare * demand[o]
 		}
 	}
 	return load
 }
 
-// Toward goes from one plan as far to another as any mixture of the two, and of the plan of those that hear nothing, stays within
-// capacity: what shrinks shrinks at once, what grows waits until what makes room for it is gone. Where the first is over a
-// capacity already, nothing grows there.
-func Toward(from, to, still Plan, demand, capacity []float64) Plan {
+// StepToward moves from one plan toward another as far as capacity allows for any mixture of routers that follow the old
+// plan, the new plan or the fallback envelope. Shares that shrink do so at once. Shares that grow wait until the work that
+// occupies their capacity has left. If the old plan already exceeds the capacity of a zone, no share grows there.
+func Toward(from, to, fallback Plan, demand, capacity []float64) Plan {
 	n := len(demand)
 	step := from.Clone()
-	for o := range n { // the shrinking part, whole: it takes nothing from anybody
+	for o := range n { // shares that shrink change at once: this takes capacity from nobody
 		for z := range n {
 			step.Share[o][z] = min(from.Share[o][z], to.Share[o][z])
 		}
 	}
-	room, bears, follow := make([]float64, n), make([]bool, n), Mixed(demand, from)
-	for z, load := range Mixed(demand, from, still) {
-		room[z], bears[z] = max(capacity[z]-load, 0), load <= capacity[z]+1e-9
+	freeCapacity, withinCapacity, plannedLoad := make([]float64, n), make([]bool, n), Mixed(demand, from)
+	for z, load := range Mixed(demand, from, fallback) {
+		freeCapacity[z], withinCapacity[z] = max(capacity[z]-load, 0), load <= capacity[z]+1e-9
 	}
-	for z := range n { // the growing part, each zone's room shared by want
-		want := 0.0
+	for z := range n { // shares that grow divide the zone's free capacity in proportion to need
+		wanted := 0.0
 		for o := range n {
-			base := max(from.Share[o][z], still.Share[o][z])
-			want += max(to.Share[o][z]-base, 0) * demand[o]
+			baseline := max(from.Share[o][z], fallback.Share[o][z])
+			wanted += max(to.Share[o][z]-baseline, 0) * demand[o]
 		}
 		scale := 1.0
-		if want > room[z] {
-			scale = room[z] / want
+		if wanted > freeCapacity[z] {
+			scale = freeCapacity[z] / wanted
 		}
 		for o := range n {
-			base := max(from.Share[o][z], still.Share[o][z])
-			if !bears[z] { // full by what some may do already; a zone's own comes back into what others leave by their plans
+			baseline := max(from.Share[o][z], fallback.Share[o][z])
+			// The zone may already be full: its own work only returns into capacity that other origins have left under the plan.
+			if !withinCapacity[z] {
 				if o == z && demand[z] > 0 {
-					left := max(capacity[z]-follow[z], 0) / demand[z]
-					step.Share[z][z] = max(step.Share[z][z], min(to.Share[z][z], from.Share[z][z]+left))
+					available := max(capacity[z]-plannedLoad[z], 0) / demand[z]
+					step.Share[z][z] = max(step.Share[z][z], min(to.Share[z][z], from.Share[z][z]+available))
 				}
 				continue
 			}
-			if to.Share[o][z] <= base { // those that hear nothing have as much: it costs no room
-				step.Share[o][z] = max(step.Share[o][z], min(to.Share[o][z], base))
+			if to.Share[o][z] <= baseline { // the fallback envelope grants as much already, so this takes no additional capacity
+				step.Share[o][z] = max(step.Share[o][z], min(to.Share[o][z], baseline))
 				continue
 			}
-			step.Share[o][z] = max(step.Share[o][z], base+scale*(to.Share[o][z]-base))
+			step.Share[o][z] = max(step.Share[o][z], baseline+scale*(to.Share[o][z]-baseline))
 		}
 	}
-	for o := range n { // what can't grow yet stays where it was, where that zone still bears it
-		sum, was, will := 0.0, 0.0, 0.0
+	for o := range n { // work that cannot move yet stays in its current zone while that zone is within capacity
+		sum, oldSum, targetSum := 0.0, 0.0, 0.0
 		for z := range n {
-			sum, was, will = sum+step.Share[o][z], was+from.Share[o][z], will+to.Share[o][z]
+			sum, oldSum, targetSum = sum+step.Share[o][z], oldSum+from.Share[o][z], targetSum+to.Share[o][z]
 		}
-		missing := min(was, will) - sum
+		missing := min(oldSum, targetSum) - sum
 		for z := range n {
-			if back := from.Share[o][z] - step.Share[o][z]; missing > 0 && back > 0 && bears[z] {
-				back = min(back, missing)
-				step.Share[o][z] += back
-				missing -= back
+			if restored := from.Share[o][z] - step.Share[o][z]; missing > 0 && restored > 0 && withinCapacity[z] {
+				restored = min(restored, missing)
+				step.Share[o][z] += restored
+				missing -= restored
 			}
 		}
 	}
-	for o := range n { // a row must not give out more than there is
+	for o := range n { // the shares of a row must not exceed 1
 		sum := 0.0
 		for _, x := range step.Share[o] {
 			sum += x
@@ -261,7 +262,7 @@
 	return step
 }
 
-// Moved is the share of all demand that goes elsewhere by one plan than by another.
+// MovedShare returns the share of all demand that goes to another zone under plan b than under plan a.
 func Moved(a, b Plan, demand []float64) float64 {
 	total, moved := 0.0, 0.0
 	for o := range demand {
--- a/fleet/failover/sustained.go
+++ b/fleet/failover/sustained.go
@@ -1,16 +1,16 @@
 package failover
 
-// sustained follows a signal: down at once, and up only to what the signal has stayed at or above for some time. One look at
-// reports can be wrong: in the first second after a start the reports of honest routers are about a fraction of a second and weigh
-// little beside those of a few liars.
+// sustained filters a signal. The value falls at once, but rises only to the level that the signal has kept for some time.
+// A single evaluation of reports can be wrong: in the first second after a start, reports of honest routers cover a
+// fraction of a second and weigh little compared with those of a few routers that report wrong data.
 type sustained struct {
 	value  float64
 	rising bool
 	since  float64 // seconds: when the signal rose above value
-	lowest float64 // of the signal since then
+	lowest float64 // lowest signal since then
 }
 
-// observe takes the signal of one look and returns the sustained value. Both now and delay are seconds.
+// observe records the signal of one evaluation and returns the sustained value. Both now and delay are in seconds.
 func (s *sustained) observe(now, signal, delay float64) float64 {
 	if signal <= s.value {
 		s.value, s.rising = signal, false
@@ -26,22 +26,22 @@
 	return s.value
 }
 
-// sustain updates, by zone, what has to last for some looks before a plan is made by it: that its own routers do not reach it, and
-// how many times slower than the others it is.
+// sustain updates the conditions of each zone that must last for several evaluations before they affect a plan: its own
+// routers do not reach it, and it is slower than the others.
 func (c *Controller) sustain(now float64) {
 	for z := range c.unreached {
 		unreached := 0.0
 		if c.Verdict.Cut[z][z] {
 			unreached = 1
 		}
-		c.unreached[z].observe(now, unreached, loseAfter)
-		c.slowdown[z].observe(now, c.Verdict.Slow[z], loseAfter)
+		c.unreached[z].observe(now, unreached, lostDelay)
+		c.slowdown[z].observe(now, c.Verdict.Slow[z], lostDelay)
 	}
 }
 
-// cut tells whether a plan sends nothing from one zone to another because the first one's routers do not reach it. A zone's own
-// work is moved only where that has lasted, as it is for a zone that all have lost.
-func (c *Controller) cut(from, to int) bool {
+// unusable reports whether a plan must send nothing from one zone to another because routers in the first do not reach the
+// second. A zone's own work moves only once that has lasted for a while, as for a zone that is lost to all.
+func (c *Controller) unusable(from, to int) bool {
 	if from == to {
 		return c.unreached[to].value > 0
 	}
--- a/fleet/failover/sustained_test.go
+++ b/fleet/failover/sustained_test.go
@@ -2,46 +2,47 @@
 
 import "testing"
 
-// TestSustained: down at once, up only to the lowest of what was seen for the whole delay.
+// TestSustained checks that the value falls at once and rises only to the lowest signal of the whole delay.
 func TestSustained(t *testing.T) {
 	s := sustained{value: 1}
-	for _, look := range []struct{ now, signal, want float64 }{
-		{10, 5, 1}, {10.5, 1, 1}, // one look
-		{11, 5, 1}, {11.25, 3, 1}, {11.5, 4, 3}, // for the delay, by the lowest
-		{12, 2, 2},               // less counts at once
-		{12.5, 9, 2}, {13, 9, 9}, // from there up again
+	for _, step := range []struct{ now, signal, want float64 }{
+		{10, 5, 1}, {10.5, 1, 1}, // a single evaluation
+		{11, 5, 1}, {11.25, 3, 1}, {11.5, 4, 3}, // after the delay, the lowest signal
+		{12, 2, 2},               // a lower signal applies at once
+		{12.5, 9, 2}, {13, 9, 9}, // rises again from there
 		{13.5, 0.5, 0.5},
 	} {
-		if got := s.observe(look.now, look.signal, 0.5); got != look.want {
-			t.Errorf("at %v: %v after %v, wanted %v", look.now, got, look.signal, look.want)
+		if got := s.observe(step.now, step.signal, 0.5); got != step.want {
+			t.Errorf("at %v: got %v after signal %v, want %v", step.now, got, step.signal, step.want)
 		}
 	}
 }
 
-// TestOneLook: evidence of one look against a zone moves none of its work, that of three does.
-func TestOneLook(t *testing.T) {
-	well := func() (all []Report) {
+// TestSingleEvaluation checks that evidence from a single evaluation moves none of a zone's work, and that evidence from
+// three does.
+func TestSingleEvaluation(t *testing.T) {
+	healthy := func() (reports []Report) {
 		for zone := range 3 {
-			all = append(all, Report{Zone: zone, Demand: 6, Sights: sights(3, 2)})
+			reports = append(reports, Report{Zone: zone, Demand: 6, Sights: observations(3, 2)})
 		}
-		return all
+		return reports
 	}
-	unreached := well() // by its own routers, others reach it
+	unreached := healthy() // for its own routers; others reach it
 	unreached[1].Sights[1].Bad, unreached[1].Sights[1].Work = 20, 0
-	slow := well() // and fails in part: a zone that is slow only keeps its work
+	slow := healthy() // and partly failing: a zone that is only slow keeps its work
 	for k := range slow {
 		slow[k].Sights[1].Bad, slow[k].Sights[1].Slow = 6, 12
 	}
 	for name, bad := range map[string][]Report{"unreached": unreached, "slow": slow} {
-		c := NewController(Terms{Life: Life, Drift: 0.05, Way: way3()}, 3, 100, Published{Epoch: 1, Plan: Near(3), Still: Near(3)})
-		_, _, now := lookFor(c, 100, 20, well(), Orders{})
-		_, _, now = lookFor(c, now, 0.5, bad, Orders{})
+		c := NewController(Terms{Life: Life, Drift: 0.05, Way: roundTrips3()}, 3, 100, Published{Epoch: 1, Plan: Near(3), Still: Near(3)})
+		_, _, now := runController(c, 100, 20, healthy(), Orders{})
+		_, _, now = runController(c, now, 0.5, bad, Orders{})
 		if row := c.Now().Plan.Share[1]; row[1] < 1 {
-			t.Errorf("%s: shares %v after one look", name, row)
+			t.Errorf("%s: shares %v after one evaluation", name, row)
 		}
-		lookFor(c, now, 1, bad, Orders{})
+		runController(c, now, 1, bad, Orders{})
 		if row := c.Now().Plan.Share[1]; row[1] > 0.5 {
-			t.Errorf("%s: shares %v after three", name, row)
+			t.Errorf("%s: shares %v after three evaluations", name, row)
 		}
 	}
 }
