--- a/fleet/registry/entry.go
+++ b/fleet/registry/entry.go
@@ -9,28 +9,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version of entries that this program writes and the newest that it reads. Version 2 has the bounds of the larger fleet; its
-// fields are those of version 1.
+// Version is the version of entries that this program writes, and the newest that it reads. Version 2 has larger bounds for
+// a larger fleet; its fields are the same as in version 1.
 const Version uint16 = 2
 
-// Kind of an entry. Numbers are for good: agreed entries lie on disks.
+// Kind is the kind of an entry. Its numbers never change, since agreed entries are stored on disk.
 type Kind uint8
 
 // The kinds of entries, each with the fields that it uses.
 const (
 	Nothing Kind = iota
 	Open         // Name, Incarnation, Zone, Region: a process takes part
-	Close        // Session: it has ended, or its lease has run out; its works are free
-	Assign       // Work, Session, Zone: a free work gets its owner and a new fence
-	Release      // Work, Session, Fence: its owner has stopped
-	Drop         // Work: nobody wants it any more
-	Note         // Work, Session, Fence, Body: its owner puts something down
-	Ask          // Work: an operator asks the owner to let go
-	Keep         // Keeper, Name, Addr, Zone, Reads, Started: a keeper, or news of it
-	Unkeep       // Keeper: it is none any more
-	Floor        // Fence: no fence up to this may be given again
-	Say          // Work, Body: an operator's word, under a fence of its own; nobody owns such a work
-	kinds
+	Close        // Session: it has ended or its lease has expired; its tasks become free
+	Assign       // Task, Session, Zone: a free task gets an owner and a new fence
+	Release      // Task, Session, Fence: the owner releases the task
+	Drop         // Task: nobody needs it any more
+	Note         // Task, Session, Fence, Body: the owner stores an annotation
+	Ask          // Task: an operator asks the owner to release the task
+	Keep         // Coordinator, Name, Addr, Zone, ReadableVersion, Started: a coordinator joins or its data changes
+	Unkeep       // Coordinator: it is no longer a member
+	Floor        // Fence: no fence up to this value may be assigned again
+	Say          // Task, Body: an operator stores an annotation under a new fence; such a task has no owner
+	kindCount
 )
 
 var kindNames = [...]string{"nothing", "open", "close", "assign", "release", "drop", "note", "ask", "keep", "unkeep", "floor", "say"}
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Entry is one change. Fields that its kind does not name are empty.
+// Entry is one change of the registry. Fields that its kind does not use are empty.
 type Entry struct {
 	Version     uint16 `cbor:"1,keyasint"`
 	Kind        Kind   `cbor:"2,keyasint"`
@@ -60,31 +60,31 @@
 	Started     bool   `cbor:"14,keyasint,omitempty"`
 }
 
-// ErrUnknown is the error of an entry that a newer version of the program wrote.
-var ErrUnknown = errors.New("an entry of a newer version")
+// ErrUnknown is the error for an entry written by a newer version of the program.
+var ErrUnknown = errors.New("entry of a newer version")
 
-// Check tells whether the entry may be agreed on. It is called before it is proposed, so that what nobody can read never
-// comes into the log; and again when it is applied.
+// Validate returns an error if the entry must not be agreed on. It is called before an entry is proposed, so that an entry
+// that no process can read never enters the log, and again when the entry is applied.
 func (e Entry) Check() error {
 	switch {
-	case e.Version == 0 || e.Version > Version || e.Kind >= kinds:
+	case e.Version == 0 || e.Version > Version || e.Kind >= kindCount:
 		return fmt.Errorf("%w: version %d, %v", ErrUnknown, e.Version, e.Kind)
 	case len(e.Body) > MostNote:
-		return fmt.Errorf("%v: %d bytes are put down, %d are the most", e.Kind, len(e.Body), MostNote)
+		return fmt.Errorf("%v: annotation of %d bytes exceeds the maximum of %d", e.Kind, len(e.Body), MostNote)
 	}
 	for _, text := range [...]string{e.Work, e.Name, e.Zone, e.Region, e.Addr} {
 		if err := CheckName(text); err != nil {
 			return fmt.Errorf("%v: %v", e.Kind, err)
 		}
 	}
-	if missing := e.missing(); missing != "" {
-		return fmt.Errorf("%v: without %s", e.Kind, missing)
+	if missingFields := e.missingFields(); missingFields != "" {
+		return fmt.Errorf("%v: missing %s", e.Kind, missingFields)
 	}
 	return nil
 }
 
-// missing names the fields of the entry's kind one of which is not set, "": all are.
-func (e Entry) missing() string {
+// missingFields names the required fields of the entry's kind if any of them is not set, and returns "" otherwise.
+func (e Entry) missingFields() string {
 	switch e.Kind {
 	case Open:
 		if e.Name == "" || e.Incarnation == 0 {
@@ -114,23 +114,24 @@
 	return ""
 }
 
-// CheckName tells whether a text may be a name in the record.
+// ValidateName returns an error if text is not a valid name in the registry.
 func CheckName(text string) error {
 	if len(text) > MostName {
-		return fmt.Errorf("a name of %d bytes, %d are the most", len(text), MostName)
+		return fmt.Errorf("name of %d bytes exceeds the maximum of %d", len(text), MostName)
 	}
 	if !utf8.ValidString(text) {
-		return errors.New("a name that is not UTF-8")
+		return errors.New("name is not valid UTF-8")
 	}
 	for _, c := range text {
 		if !unicode.IsPrint(c) {
-			return fmt.Errorf("a name with %q", c)
+			return fmt.Errorf("name contains %q", c)
 		}
 	}
 	return nil
 }
 
-// Deterministic both ways: the same value has one text, and what is not exactly a value is refused.
+// The encoding is deterministic in both directions: a value has exactly one encoding, and input that is not an exact
+// encoding of a value is rejected.
 var (
 	encode = must(cbor.CoreDetEncOptions().EncMode())
 	decode = must(cbor.DecOptions{
@@ -147,7 +148,7 @@
 	return v
 }
 
-// Marshal is the entry's one text.
+// Marshal returns the unique encoding of the entry.
 func (e Entry) Marshal() ([]byte, error) {
 	if err := e.Check(); err != nil {
 		return nil, err
@@ -155,21 +156,21 @@
 	return encode.Marshal(e)
 }
 
-// Parse reads an entry. One of a newer version is ErrUnknown, also where the rest of it can't be read.
-func Parse(text []byte) (e Entry, err error) {
-	if err = decode.Unmarshal(text, &e); err != nil {
-		var head struct {
+// Parse decodes an entry. For an entry of a newer version it returns ErrUnknown, even if the rest cannot be decoded.
+func Parse(data []byte) (e Entry, err error) {
+	if err = decode.Unmarshal(data, &e); err != nil {
+		var header struct {
 			Version uint16 `cbor:"1,keyasint"`
 		}
-		if cbor.Unmarshal(text, &head) == nil && head.Version > Version {
-			return Entry{Version: head.Version}, fmt.Errorf("%w: version %d", ErrUnknown, head.Version)
+		if cbor.Unmarshal(data, &header) == nil && header.Version > Version {
+			return Entry{Version: header.Version}, fmt.Errorf("%w: version %d", ErrUnknown, header.Version)
 		}
 		return e, err
 	}
 	return e, e.Check()
 }
 
-// snapshotVersion stands before the state in a snapshot.
+// snapshotVersion is written before the state in a snapshot.
 const snapshotVersion uint16 = 1
 
 type snapshot struct {
@@ -177,7 +178,7 @@
 	State   cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// Snapshot is the record's one text: two records are the same where these are.
+// Snapshot returns the unique encoding of the registry: two registries are equal if their snapshots are.
 func (r *Record) Snapshot() ([]byte, error) {
 	s, err := encode.Marshal(r.s)
 	if err != nil {
@@ -186,10 +187,10 @@
 	return encode.Marshal(snapshot{snapshotVersion, s})
 }
 
-// Restore is the record of a snapshot.
-func Restore(text []byte) (*Record, error) {
+// Restore returns the registry of a snapshot.
+func Restore(data []byte) (*Record, error) {
 	var s snapshot
-	if err := decode.Unmarshal(text, &s); err != nil {
+	if err := decode.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("snapshot: %v", err)
 	}
 	if s.Version != snapshotVersion {
@@ -199,35 +200,35 @@
 	if err := decode.Unmarshal(s.State, &r.s); err != nil {
 		return nil, fmt.Errorf("snapshot: %v", err)
 	}
-	if err := r.whole(); err != nil {
+	if err := r.validate(); err != nil {
 		return nil, fmt.Errorf("snapshot: %v", err)
 	}
-	r.index()
+	r.rebuildIndexes()
 	return r, nil
 }
 
-// whole tells whether a state that was read could have come from entries.
-func (r *Record) whole() error {
+// validate returns an error if a decoded state cannot be the result of entries.
+func (r *Record) validate() error {
 	s := &r.s
 	if len(s.Sessions) > MostSessions || len(s.Works) > MostWorks || len(s.Keepers) > MostKeepers {
 		return ErrFull
 	}
-	named := map[string]bool{}
+	activeNames := map[string]bool{}
 	for id, x := range s.Sessions {
-		if x == nil || x.ID != id || id == 0 || id > s.Index || x.Name == "" || x.Incarnation == 0 || !x.Superseded && named[x.Name] {
-			return fmt.Errorf("session %d is not whole", id)
+		if x == nil || x.ID != id || id == 0 || id > s.Index || x.Name == "" || x.Incarnation == 0 || !x.Superseded && activeNames[x.Name] {
+			return fmt.Errorf("session %d is invalid", id)
 		}
-		named[x.Name] = named[x.Name] || !x.Superseded
+		activeNames[x.Name] = activeNames[x.Name] || !x.Superseded
 	}
 	for name, w := range s.Works {
 		if w == nil || w.Name != name || name == "" || w.Fence == 0 || w.Fence > s.Fence || w.Owner != 0 && s.Sessions[w.Owner] == nil ||
 			len(w.Note) > MostNote || w.Noted > s.Index || w.By > w.Fence {
-			return fmt.Errorf("work %q is not whole", name)
+			return fmt.Errorf("task %q is invalid", name)
 		}
 	}
 	for id, k := range s.Keepers {
 		if k == nil || k.ID != id || id == 0 || id > s.Keeper {
-			return fmt.Errorf("keeper %d is not whole", id)
+			return fmt.Errorf("coordinator %d is invalid", id)
 		}
 	}
 	for k, v := range map[string]bool{"sessions": s.Sessions == nil, "works": s.Works == nil, "keepers": s.Keepers == nil} {
