--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -198,7 +198,7 @@
 func (r *Record) NextKeeper() uint64 { return r.s.Keeper + 1 }
 
 // Size returns the number of sessions and tasks.
-func (r *Record) Size() (sessions, works int) { return len(r.s.Sessions), len(r.s.Works) }
+func (r *Record) Size() (sessions, tasks int) { return len(r.s.Sessions), len(r.s.Works) }
 
 // TasksOf returns the tasks of a session, ordered by name.
 func (r *Record) Owned(session uint64) (all []*Work) {
@@ -315,7 +315,8 @@
 		return ErrFull
 	}
 	if previous != nil {
-		previous.Superseded = true // the old process may be suspended with its lease still running: its tasks are freed when the lease ends
+		// The old process may be suspended with its lease still running: its tasks are freed when the lease ends.
+		previous.Superseded = true
 	}
 	r.s.Sessions[index] = &Session{ID: index, Name: e.Name, Incarnation: e.Incarnation, Zone: e.Zone, Region: e.Region}
 	r.sessionByName[e.Name] = index
