--- a/fleet/failover/controller.go
+++ b/fleet/failover/controller.go
@@ -17,7 +17,7 @@
 	MostMove float64
 }
 
-// PlanLifetime is the standard lifetime of a plan in seconds: three times the interval of the reports that renew it.
+// Lifetime is the standard lifetime of a plan in seconds: three times the interval of the reports that renew it.
 const Life = 3.0
 
 // Orders are an operator's instructions, agreed on by the quorum like plans.
@@ -130,7 +130,7 @@
 	return x
 }
 
-// ValidateEnvelope returns an error if p is not a valid envelope. Unlike those of a plan, the rows of an envelope may sum
+// CheckEnvelope returns an error if p is not a valid envelope. Unlike those of a plan, the rows of an envelope may sum
 // to more than 1.
 func (p Plan) Check2(zones int) error {
 	if len(p.Share) != zones {
--- a/fleet/failover/plan.go
+++ b/fleet/failover/plan.go
@@ -23,7 +23,7 @@
 	return p
 }
 
-// Validate returns an error if p is not a valid plan for the given number of zones.
+// Check returns an error if p is not a valid plan for the given number of zones.
 func (p Plan) Check(zones int) error {
 	if len(p.Share) != zones {
 		return fmt.Errorf("plan has %d zones, want %d", len(p.Share), zones)
--- a/fleet/registry/entry.go
+++ b/fleet/registry/entry.go
@@ -63,7 +63,7 @@
 // ErrUnknown is the error for an entry written by a newer version of the program.
 var ErrUnknown = errors.New("entry of a newer version")
 
-// Validate returns an error if the entry must not be agreed on. It is called before an entry is proposed, so that an entry
+// Check returns an error if the entry must not be agreed on. It is called before an entry is proposed, so that an entry
 // that no process can read never enters the log, and again when the entry is applied.
 func (e Entry) Check() error {
 	switch {
@@ -114,7 +114,7 @@
 	return ""
 }
 
-// ValidateName returns an error if text is not a valid name in the registry.
+// CheckName returns an error if text is not a valid name in the registry.
 func CheckName(text string) error {
 	if len(text) > MostName {
 		return fmt.Errorf("name of %d bytes exceeds the maximum of %d", len(text), MostName)
--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -121,7 +121,7 @@
 	return r
 }
 
-// Bootstrap returns the registry of a new quorum with the given coordinators, as its first entry leaves it.
+// Begin returns the registry of a new quorum with the given coordinators, as its first entry leaves it.
 func Begin(coordinators []Keeper, lease, drift float64) (*Record, error) {
 	if !(lease >= 0.2 && lease <= 600) || !(drift >= 0 && drift <= 0.3) {
 		return nil, fmt.Errorf("lease %v s or clock drift %v out of range: want 0.2 to 600 s and 0 to 0.3", lease, drift)
