--- a/fleet/agent/finder.go
+++ b/fleet/agent/finder.go
@@ -1,43 +1,44 @@
 package agent
 
-// Finder knows which keeper to ask: the one that led last, else one after another.
+// Finder chooses the coordinator to ask: the last known leader, otherwise one after another.
 type Finder struct {
-	addrs []string
-	at    int
-	hint  string
+	addrs      []string
+	current    int
+	leaderHint string
 }
 
-// NewFinder over keepers' addresses, one at least, beginning with the one of that number: so that routers spread.
+// NewFinder returns a finder over the coordinators' addresses, at least one. first is the index to begin with, which spreads routers
+// over coordinators.
 func NewFinder(addrs []string, first int) *Finder {
-	return &Finder{addrs: addrs, at: first % len(addrs)}
+	return &Finder{addrs: addrs, current: first % len(addrs)}
 }
 
-// Target to ask now.
+// Target returns the address to ask now.
 func (f *Finder) Target() string {
-	if f.hint != "" {
-		return f.hint
+	if f.leaderHint != "" {
+		return f.leaderHint
 	}
-	return f.addrs[f.at]
+	return f.addrs[f.current]
 }
 
-// Elsewhere takes the word of the one asked that another leads, "": it doesn't know who.
+// Redirect reports that the coordinator asked is not the leader, and the leader's address, "": unknown.
 func (f *Finder) Elsewhere(asked, leader string) {
 	if leader != "" && leader != asked {
-		f.hint = leader
+		f.leaderHint = leader
 		return
 	}
 	f.Failed(asked)
 }
 
-// Failed notes that the coordinator asked did not answer.
+// Failed reports that the coordinator asked did not answer.
 func (f *Finder) Failed(asked string) {
-	if f.hint != "" {
-		if f.hint == asked {
-			f.hint = ""
+	if f.leaderHint != "" {
+		if f.leaderHint == asked {
+			f.leaderHint = ""
 		}
 		return
 	}
-	if f.addrs[f.at] == asked {
-		f.at = (f.at + 1) % len(f.addrs)
+	if f.addrs[f.current] == asked {
+		f.current = (f.current + 1) % len(f.addrs)
 	}
 }
--- a/fleet/agent/member.go
+++ b/fleet/agent/member.go
@@ -1,6 +1,7 @@
-// Package agent is one router's part in the fleet: its session with the keepers, the works that it owns, and what it makes of
-// others' words. It does no I/O and knows no clock: a driver gives it time and answers and sends what it puts out. What it
-// tells the module are plain values; with nothing heard it tells nothing, and the module decides as if there were no fleet.
+// Package agent is one router's membership in the fleet: its session with the coordinators, the tasks that it owns, and its handling
+// of other routers' messages. The package does no I/O and has no clock: a driver passes in the time and the answers, and sends the
+// requests that it returns. It gives the admission module plain values; without messages from the fleet it gives none, and the module
+// decides as if there were no fleet.
 package agent
 
 import (
@@ -17,250 +18,253 @@
 	"dunereach/probing"
 )
 
-// Kinds of work. What follows the slash names the thing.
+// Kinds of task. A task's name is its kind, a slash, and the name of the thing that the task is about.
 const (
-	Warmth = "warmth" // deals out a cold engine's allowance
-	Trials = "trial"  // tries a suspected engine for all
-	Quotas = "quota"  // deals out a tenant's quota
-	Plans  = "plan"   // makes the plan of zones' shares
+	Warmth = "warmth" // grants shares of a cold server's allowance
+	Trials = "trial"  // probes a suspected server on behalf of all routers
+	Quotas = "quota"  // grants shares of a tenant's quota
+	Plans  = "plan"   // makes the plan of the zones' shares
 )
 
-// The fleet's plan, and the operators' words on it, which nobody owns.
+// Names of the task of the fleet's plan, and of the operators' orders on it, which nobody owns.
 const (
 	PlanWork  = Plans + "/zones"
 	WordsWork = "words/zones"
 )
 
-// Config of one member.
+// Config is the configuration of one member.
 type Config struct {
 	Name, Zone, Region string
-	Incarnation        uint64 // by chance, one process's life
+	Incarnation        uint64 // random, identifies one process
 	Seed               uint64
-	Stands             []string // kinds of work: it takes part in these, and would own them
-	Tenants            []string // whose quotas are the fleet's, as the module numbers them
-	Zones              int      // that the settings name, and which is ours
-	ZoneNumber         int
+	Stands             []string // kinds of task that this member takes part in and can own
+	Tenants            []string // tenants whose quotas are shared by the fleet, in the module's numbering
+	Zones              int      // number of zones in the settings
+	ZoneNumber         int      // of this router's zone
 	ZoneNames          []string
-	Way                [][]float64 // seconds there and back between them
-	Members            int         // routers that the settings name
-	Window             float64     // seconds of a cold engine's limit
-	Began              float64
-	Clean              bool // no earlier process of this name can have laid a part down
-	Keeps              bool // there is a folder: what must outlive the process is put out as Keep
+	Way                [][]float64 // round trip times between zones, in seconds
+	Members            int         // number of routers in the settings
+	Window             float64     // seconds over which a cold server's limit counts
+	Began              float64     // when the process started
+	Clean              bool        // no earlier process of this name can have relinquished a share that is still relinquished
+	Keeps              bool        // there is a folder: state that must outlive the process is returned as a request to persist it
 	Log                func(text string)
-	Trace              func(Trace)    // nil: none
-	Now                func() float64 // a reading of the clock, asked for at the moment of an act; nil: the time that was given
+	Trace              func(Trace)    // nil: no tracing
+	Now                func() float64 // reads the clock just before an action; nil: the time that was passed in is used
 }
 
-// Trace of one act, for looking at a fault: what an owner did, what a member laid down or may use, and until when, by the clock
-// that leases are counted on.
+// Trace is an event for fault analysis: an action of an owner, or a share that a member relinquished or may use, and until when, by
+// the clock that leases are counted on.
 type Trace struct {
-	What      string // "begins" (with parts laid down until then), "act", "laid", "part" or "refused"
+	What      string // "begins" (with shares relinquished until then), "act", "laid", "part", "plan" or "refused"
 	Work      string
 	Fence     uint64
 	Part      float64
 	At, Until float64
 }
 
-// Engine is one start of a server.
+// Server is one start of a server.
 type Engine struct {
 	ID    uint32
 	Start float64
 	Zone  string
 }
 
-func (e Engine) work(kind string) string { return fmt.Sprintf("%s/%d@%.3f", kind, e.ID, e.Start) }
+// taskName returns the name of a task of a kind about this start of the server.
+func (e Engine) taskName(kind string) string { return fmt.Sprintf("%s/%d@%.3f", kind, e.ID, e.Start) }
 
-// Cold is a cold engine that this router would send to.
+// ColdServer is a cold server that this router would use.
 type Cold struct {
 	Engine
-	Need, Least float64 // parts of its allowance: that it has use for, and that is of use at all
+	Need, Least float64 // shares of its allowance: the share needed, and the smallest share that is of use
 }
 
-// Health is what this router knows of an engine that someone doubts.
+// Health is this router's knowledge of a server that some router suspects.
 type Health struct {
 	Engine
-	Ill   bool
-	Heard float64 // seconds since it last answered here, negative: never
+	Ill   bool    // unhealthy here
+	Heard float64 // seconds since it last answered this router, negative: never
 }
 
-// Demand is what the router tells several times a second.
+// Demand is the router's needs and knowledge, which it reports several times a second.
 type Demand struct {
 	Cold    []Cold
 	Doubted []Health
-	Health  func(engine uint32) (Health, bool) // of any engine that the list has
-	Report  func() failover.Report             // what was seen of zones since it was asked last
+	Health  func(engine uint32) (Health, bool) // of any server on the list of servers
+	Report  func() failover.Report             // observations of the zones since the last call
 	Tenants []Tenant
 }
 
-// Tenant whose quota is the fleet's.
+// Tenant is a tenant whose quota is shared by the fleet.
 type Tenant struct {
 	Number int
-	Need   float64 // part of the quota
+	Need   float64 // share of the quota
 }
 
-// Request goes to a keeper. Its answer comes back by Answer.
+// Request is a request to a coordinator. Its answer is passed to Answer.
 type Request struct {
 	Seq  uint64
 	Beat *coordinator.Beat
 	Mail *coordinator.Mail
 	Act  *coordinator.Act
-	Keep *Kept // not for a keeper: to be kept before Kept is called
+	Keep *Kept // not sent to a coordinator: state to store on disk before Persisted is called
 }
 
-// Kept is what outlives the process.
+// PersistentState is the state that outlives the process.
 type Kept struct {
 	Marks   []lease.FenceMark `json:"marks" cbor:"1,keyasint"`
 	Floor   uint64            `json:"floor" cbor:"2,keyasint"`
 	Highest uint64            `json:"highest" cbor:"3,keyasint"`
-	Pledged bool              `json:"pledged" cbor:"4,keyasint"` // a part may be laid down
+	Pledged bool              `json:"pledged" cbor:"4,keyasint"` // a share may be relinquished
 }
 
-// whole is one thing with parts.
-type whole struct {
-	holder  *allocation.Holder
-	dealer  *allocation.Granter // while its work is ours
-	need    float64
-	least   float64
-	zone    string
-	key     start   // of a cold engine
-	wanted  float64 // when there was last use for it
-	opened  float64
-	pledged uint64 // round that was pledged for, under the fence
-	fence   uint64
+// sharedQuota is one quota of which members use shares: a cold server's allowance or a tenant's quota.
+type sharedQuota struct {
+	holder            *allocation.Holder
+	granter           *allocation.Granter // while this member owns its task, else nil
+	need              float64
+	leastShare        float64
+	zone              string
+	key               serverStart // of a cold server
+	lastNeeded        float64     // when the router last needed it
+	roundOpenedAt     float64
+	relinquishedRound uint64 // last round that a share was relinquished for, under fence
+	fence             uint64
 }
 
-// trial is a suspected engine.
-type trial struct {
-	engine Engine
-	wanted float64
-	noted  float64
-	well   bool
+// probeTask is the task of probing a suspected server.
+type probeTask struct {
+	server      Engine
+	lastNeeded  float64
+	annotatedAt float64
+	healthy     bool
 }
 
-// Stats for people and tests.
+// Stats are counters for operators and tests.
 type Stats struct {
-	Refused   int // letters under an old fence
-	Late      int // deals whose life was over
+	Refused   int // messages rejected for a stale fence
+	Late      int // grants that had expired on arrival
 	Dealt     int
 	Pledges   int
-	Lost      int // works that went without our letting go
+	Lost      int // tasks lost without a release
 	Gained    int
-	ToldOld   int // times that this member was told it is no owner any more
+	ToldOld   int // answers saying that this member is no longer the owner
 	Confirmed int
 }
 
-// Member of the fleet.
+// Member is one router as a member of the fleet.
 type Member struct {
-	cfg      Config
-	terms    lease.Terms
-	owner    *lease.Owner
-	gate     *lease.Gate
-	book     *probing.Hints
-	wholes   map[string]*whole
-	cold     map[start]*whole // the same by engine, since the module asks for them with each command
-	quotas   []*whole         // and by tenant
-	trials   map[string]*trial
-	demand   Demand
-	session  uint64
-	got      uint64
-	highest  uint64
-	seq      uint64
-	out      []Request
-	letters  []coordinator.Letter
-	sent     map[uint64]sent
-	beats    int // out
-	beatAt   float64
-	told     string // wants of the last beat
-	wait     float64
-	over     bool // another process has our name
-	closing  bool
-	kept     Kept // on disk
-	keeping  uint64
-	clearing bool // the word that nothing is laid down is on its way to the disk
-	parts    allocation.Terms
-	quota    allocation.Terms
-
-	doesWarmth, doesTrials, doesQuotas, doesPlans bool
-
-	guide    *failover.Guide
-	control  *failover.Controller
-	controls uint64 // fence that it is under
-	seen     map[string]evidence
-	reportAt float64
-	nextAt   float64
-	plan     failover.Published // the newest that was heard
-	shown    failover.Published // what the record showed last
-	said     uint64             // highest epoch that we gave a plan
-
-	publishing bool // one is being agreed
-	agreedAt   float64
-	orders     failover.Orders
-
-	fleet int
-	rnd   *rand.Rand
-	round uint64 // last that was opened of any whole
-	Stats Stats
-}
-
-// evidence of one router, and when it came.
+	cfg                Config
+	terms              lease.Terms
+	owner              *lease.Owner
+	gate               *lease.Gate
+	hints              *probing.Hints
+	quotasByTask       map[string]*sharedQuota
+	coldQuotas         map[serverStart]*sharedQuota // those of cold servers, since the module looks them up with each request
+	tenantQuotas       []*sharedQuota               // those of tenants, by number
+	probeTasks         map[string]*probeTask
+	demand             Demand
+	session            uint64
+	lastSnapshot       uint64
+	highestFence       uint64
+	lastSeq            uint64
+	outgoing           []Request
+	messages           []coordinator.Letter
+	inFlight           map[uint64]inFlight
+	heartbeatsInFlight int // sent and not yet answered
+	nextHeartbeat      float64
+	lastRequested      string // tasks requested by the last heartbeat
+	backoff            float64
+	superseded         bool // a newer process has this member's name
+	closing            bool
+	persisted          Kept // the state that is on disk
+	persistSeq         uint64
+	persistingClear    bool // the state in flight to the disk says that nothing is relinquished
+	coldTerms          allocation.Terms
+	tenantTerms        allocation.Terms
+
+	warmUpEnabled, probesEnabled, quotasEnabled, plansEnabled bool
+
+	guide            *failover.Guide
+	controller       *failover.Controller
+	controllerFence  uint64 // the fence that the controller acts under
+	evidenceByRouter map[string]evidence
+	reportedAt       float64
+	nextPlanAt       float64
+	newestPlan       failover.Published // the newest plan received
+	registryPlan     failover.Published // the plan that the registry showed last
+	highestEpoch     uint64             // highest epoch that this member gave a plan
+
+	publishing    bool // a plan is proposed and its outcome not yet known
+	planDecidedAt float64
+	orders        failover.Orders
+
+	fleetSize int
+	rng       *rand.Rand
+	lastRound uint64 // last round that was opened for any quota
+	Stats     Stats
+}
+
+// evidence is a router's report and when it arrived.
 type evidence struct {
-	report failover.Report
-	at     float64
+	report     failover.Report
+	receivedAt float64
 }
 
-// start of an engine.
-type start struct {
-	id uint32
-	at float64
+// serverStart identifies one start of a server.
+type serverStart struct {
+	id        uint32
+	startedAt float64
 }
 
-type sent struct {
-	at   float64
-	beat bool
-	work string
-	note bool
+// inFlight is a request that has no answer yet. task is the task that an action is about.
+type inFlight struct {
+	sentAt     float64
+	heartbeat  bool
+	task       string
+	annotation bool
 }
 
-// Bounds of one member.
+// Bounds and intervals of one member.
 const (
-	mostWholes = 96 // cold engines and tenants at a time: with trials they fit a beat's wants
-	mostTrials = 24
-	idle       = 10.0 // seconds without use after which an owner lets go
-	every      = 0.5  // seconds between rounds
-	noteEvery  = 1.0
+	maxQuotas          = 96 // cold servers and tenants at a time: with probe tasks they fit into a heartbeat's requested tasks
+	maxProbeTasks      = 24
+	idleTimeout        = 10.0 // seconds without use after which an owner releases a task
+	roundInterval      = 0.5  // seconds between rounds of grants
+	annotationInterval = 1.0  // seconds between two annotations of a task
 )
 
-// New member. kept is what an earlier process left.
-func New(cfg Config, kept Kept) *Member {
-	m := &Member{cfg: cfg, gate: lease.NewGate(), book: probing.NewHints(), wholes: map[string]*whole{},
-		cold: map[start]*whole{}, quotas: make([]*whole, len(cfg.Tenants)), trials: map[string]*trial{}, sent: map[uint64]sent{}, kept: kept, highest: kept.Highest,
-		rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), beatAt: cfg.Began}
-	m.doesWarmth, m.doesTrials, m.doesQuotas = slices.Contains(cfg.Stands, Warmth), slices.Contains(cfg.Stands, Trials), slices.Contains(cfg.Stands, Quotas)
-	if m.doesPlans = slices.Contains(cfg.Stands, Plans) && cfg.Zones > 1 && cfg.Zones <= failover.MostZones; m.doesPlans {
+// New returns a member. persisted is the state that an earlier process left.
+func New(cfg Config, persisted Kept) *Member {
+	m := &Member{cfg: cfg, gate: lease.NewGate(), hints: probing.NewHints(), quotasByTask: map[string]*sharedQuota{},
+		coldQuotas: map[serverStart]*sharedQuota{}, tenantQuotas: make([]*sharedQuota, len(cfg.Tenants)), probeTasks: map[string]*probeTask{}, inFlight: map[uint64]inFlight{}, persisted: persisted, highestFence: persisted.Highest,
+		rng: rand.New(rand.NewPCG(cfg.Seed, 7)), nextHeartbeat: cfg.Began}
+	m.warmUpEnabled, m.probesEnabled, m.quotasEnabled = slices.Contains(cfg.Stands, Warmth), slices.Contains(cfg.Stands, Trials), slices.Contains(cfg.Stands, Quotas)
+	if m.plansEnabled = slices.Contains(cfg.Stands, Plans) && cfg.Zones > 1 && cfg.Zones <= failover.MostZones; m.plansEnabled {
 		const drift = 0.05
-		m.guide, m.seen = failover.NewGuide(cfg.ZoneNumber, cfg.Zones, drift), map[string]evidence{}
+		m.guide, m.evidenceByRouter = failover.NewGuide(cfg.ZoneNumber, cfg.Zones, drift), map[string]evidence{}
 	}
-	m.gate.Import(kept.Marks, kept.Floor)
+	m.gate.Import(persisted.Marks, persisted.Floor)
 	if cfg.Keeps {
-		m.cfg.Clean = !kept.Pledged
+		m.cfg.Clean = !persisted.Pledged
 	}
-	const drift = 0.05 // until the keepers say
+	const drift = 0.05 // until the coordinators give their terms
 	m.setTerms(0, drift)
 	m.owner = lease.NewOwner(m.terms)
 	begins := Trace{What: "begins", Work: "*", At: cfg.Began, Until: cfg.Began}
 	if !m.cfg.Clean {
-		begins.Until += m.parts.Longest()
+		begins.Until += m.coldTerms.Longest()
 	}
 	m.trace(begins)
 	return m
 }
 
+// setTerms sets the lease's terms, and those of grants that follow from them.
 func (m *Member) setTerms(duration, drift float64) {
 	m.terms = lease.Terms{Lease: duration, Drift: drift}
-	m.parts = allocation.Standard(m.cfg.Members, m.cfg.Window, drift)
-	m.quota = allocation.Standard(m.cfg.Members, 1, drift) // a quota is so much a second
-	for name, w := range m.wholes {
+	m.coldTerms = allocation.Standard(m.cfg.Members, m.cfg.Window, drift)
+	m.tenantTerms = allocation.Standard(m.cfg.Members, 1, drift) // a quota is an amount per second
+	for name, w := range m.quotasByTask {
 		w.holder.Terms(m.termsOf(name))
 	}
 }
@@ -271,256 +275,263 @@
 	}
 }
 
-// ---- what the module asks
+// ---- queries of the admission module
 
-// Part of a cold engine's allowance that this router may use now; ok is false: the equal part.
-func (m *Member) Part(now float64, engine uint32, at float64) (part float64, ok bool) {
-	if !m.doesWarmth {
+// WarmUpShare returns the share of a cold server's allowance that this router may use now. If ok is false, it is the equal share.
+func (m *Member) Part(now float64, server uint32, startedAt float64) (share float64, ok bool) {
+	if !m.warmUpEnabled {
 		return 0, false
 	}
-	key := start{engine, at}
-	if w := m.cold[key]; w != nil {
+	key := serverStart{server, startedAt}
+	if w := m.coldQuotas[key]; w != nil {
 		return w.holder.Share(now)
 	}
-	return m.unheard(now, m.parts)
+	return m.unknownQuotaShare(now, m.coldTerms)
 }
 
-// unheard is the part of a whole that this process has no account of: the equal part, unless an earlier process may have laid
-// it down.
-func (m *Member) unheard(now float64, t allocation.Terms) (float64, bool) {
+// unknownQuotaShare returns the share of a quota that this process has no account of: the equal share, unless an earlier process may
+// have relinquished it.
+func (m *Member) unknownQuotaShare(now float64, t allocation.Terms) (float64, bool) {
 	if m.cfg.Clean || now >= m.cfg.Began+t.Longest() {
 		return 0, false
 	}
 	return 0, true
 }
 
-// Quota is the part of a tenant's.
-func (m *Member) Quota(now float64, tenant int) (part float64, ok bool) {
-	if !m.doesQuotas {
+// QuotaShare returns the share of a tenant's quota that this router may use now. If ok is false, it is the equal share.
+func (m *Member) Quota(now float64, tenant int) (share float64, ok bool) {
+	if !m.quotasEnabled {
 		return 0, false
 	}
-	if w := m.quotas[tenant]; w != nil {
+	if w := m.tenantQuotas[tenant]; w != nil {
 		return w.holder.Share(now)
 	}
-	return m.unheard(now, m.quota)
+	return m.unknownQuotaShare(now, m.tenantTerms)
 }
 
-// TrialAt moves the time of the next trial of an engine that this router doubts.
-func (m *Member) TrialAt(now float64, engine uint32, at, own float64) float64 {
-	if !m.doesTrials {
-		return own
+// NextProbe adjusts the time of the next probe of a server that this router suspects.
+func (m *Member) TrialAt(now float64, server uint32, startedAt, ownNext float64) float64 {
+	if !m.probesEnabled {
+		return ownNext
 	}
-	return m.book.NextProbe(now, engine, at, own)
+	return m.hints.NextProbe(now, server, startedAt, ownNext)
 }
 
-// Tried tells how a trial went.
-func (m *Member) Tried(now float64, engine uint32, at float64, well bool) {
-	why := m.book.Probed(now, engine, at, well)
-	m.log("server %d probed, %v: answered %v", engine, why, well)
+// Probed reports the result of a probe.
+func (m *Member) Tried(now float64, server uint32, startedAt float64, healthy bool) {
+	effect := m.hints.Probed(now, server, startedAt, healthy)
+	m.log("server %d probed, %v: answered %v", server, effect, healthy)
 }
 
-// ---- what the router tells
+// ---- reports of the router
 
-// Tell of what there is use for.
+// SetDemand reports the router's demand.
 func (m *Member) Tell(now float64, d Demand) {
 	m.demand = d
-	if m.doesWarmth {
+	if m.warmUpEnabled {
 		for _, c := range d.Cold {
-			key := start{c.ID, c.Start}
-			if w := m.cold[key]; w != nil {
-				w.need, w.least, w.zone, w.wanted = c.Need, c.Least, c.Zone, now
-			} else if w = m.use(now, c.work(Warmth), m.parts); w != nil {
-				w.need, w.least, w.zone, w.key = c.Need, c.Least, c.Zone, key
-				m.cold[key] = w
+			key := serverStart{c.ID, c.Start}
+			if w := m.coldQuotas[key]; w != nil {
+				w.need, w.leastShare, w.zone, w.lastNeeded = c.Need, c.Least, c.Zone, now
+			} else if w = m.useQuota(now, c.taskName(Warmth), m.coldTerms); w != nil {
+				w.need, w.leastShare, w.zone, w.key = c.Need, c.Least, c.Zone, key
+				m.coldQuotas[key] = w
 			}
 		}
 	}
-	if m.doesQuotas {
+	if m.quotasEnabled {
 		for _, t := range d.Tenants {
-			if m.quotas[t.Number] == nil {
-				m.quotas[t.Number] = m.use(now, Quotas+"/"+m.cfg.Tenants[t.Number], m.quota)
+			if m.tenantQuotas[t.Number] == nil {
+				m.tenantQuotas[t.Number] = m.useQuota(now, Quotas+"/"+m.cfg.Tenants[t.Number], m.tenantTerms)
 			}
-			if w := m.quotas[t.Number]; w != nil {
-				w.need, w.wanted = t.Need, now
+			if w := m.tenantQuotas[t.Number]; w != nil {
+				w.need, w.lastNeeded = t.Need, now
 			}
 		}
 	}
-	if m.doesTrials {
+	if m.probesEnabled {
 		for _, h := range d.Doubted {
-			name := h.work(Trials)
-			x := m.trials[name]
+			name := h.taskName(Trials)
+			x := m.probeTasks[name]
 			if x == nil {
-				if len(m.trials) >= mostTrials {
+				if len(m.probeTasks) >= maxProbeTasks {
 					continue
 				}
-				x = &trial{engine: h.Engine, noted: math.Inf(-1)}
-				m.trials[name] = x
+				x = &probeTask{server: h.Engine, annotatedAt: math.Inf(-1)}
+				m.probeTasks[name] = x
 			}
-			x.wanted = now
+			x.lastNeeded = now
 		}
 	}
 }
 
-// use is a whole that there is use for now, nil: there are too many.
-func (m *Member) use(now float64, name string, t allocation.Terms) *whole {
-	if w := m.wholes[name]; w != nil {
-		w.wanted = now
+// useQuota returns the quota of a task that the router needs now, or nil if there are too many.
+func (m *Member) useQuota(now float64, name string, t allocation.Terms) *sharedQuota {
+	if w := m.quotasByTask[name]; w != nil {
+		w.lastNeeded = now
 		return w
 	}
-	if len(m.wholes) >= mostWholes || registry.CheckName(name) != nil {
+	if len(m.quotasByTask) >= maxQuotas || registry.CheckName(name) != nil {
 		return nil
 	}
-	w := &whole{holder: allocation.NewHolder(t, m.cfg.Began, m.cfg.Clean), wanted: now}
-	m.wholes[name] = w
+	w := &sharedQuota{holder: allocation.NewHolder(t, m.cfg.Began, m.cfg.Clean), lastNeeded: now}
+	m.quotasByTask[name] = w
 	return w
 }
 
 // ---- time
 
-// Tick lets time pass and gives what is to be sent. A driver calls it some ten times a second and after each answer.
+// Tick advances the time and returns the requests to send. A driver calls it some ten times a second and after each answer.
 func (m *Member) Tick(now float64) []Request {
-	if m.over {
+	if m.superseded {
 		return m.flush()
 	}
 	m.forget(now)
-	m.beat(now)
+	m.heartbeat(now)
 	if !m.closing {
-		m.own(now)
-		m.pledge(now)
-		m.planning(now)
+		m.performOwnedTasks(now)
+		m.relinquish(now)
+		m.planStep(now)
 	}
-	if m.cfg.Keeps && m.kept.Pledged && m.keeping == 0 && m.laid(now) == 0 {
-		m.keep(now, false) // nothing is laid down any more: a next process may use its equal part at once (after pledge, that waits for true)
+	if m.cfg.Keeps && m.persisted.Pledged && m.persistSeq == 0 && m.relinquishedCount(now) == 0 {
+		// Nothing is relinquished any more: the next process may use its equal share at once. relinquish runs before this and starts
+		// its own persist request, with true, which this one would wait for.
+		m.persist(now, false)
 	}
-	if len(m.letters) > 0 && m.session != 0 {
-		n := min(len(m.letters), coordinator.MostLetters)
-		m.request(now, Request{Mail: &coordinator.Mail{Session: m.session, Incarnation: m.cfg.Incarnation, Letters: m.letters[:n:n]}}, sent{})
-		m.letters = m.letters[n:]
+	if len(m.messages) > 0 && m.session != 0 {
+		n := min(len(m.messages), coordinator.MostLetters)
+		m.request(now, Request{Mail: &coordinator.Mail{Session: m.session, Incarnation: m.cfg.Incarnation, Letters: m.messages[:n:n]}}, inFlight{})
+		m.messages = m.messages[n:]
 	}
 	return m.flush()
 }
 
 func (m *Member) flush() []Request {
-	out := m.out
-	m.out = nil
-	return out
+	outgoing := m.outgoing
+	m.outgoing = nil
+	return outgoing
 }
 
-func (m *Member) request(now float64, r Request, s sent) {
-	m.seq++
-	r.Seq, s.at = m.seq, now
-	m.sent[r.Seq] = s
-	m.out = append(m.out, r)
+// request queues a request for the driver and remembers that its answer is outstanding.
+func (m *Member) request(now float64, r Request, s inFlight) {
+	m.lastSeq++
+	r.Seq, s.sentAt = m.lastSeq, now
+	m.inFlight[r.Seq] = s
+	m.outgoing = append(m.outgoing, r)
 }
 
-// forget what there is no use for any more.
+// forget drops quotas and probe tasks that are no longer needed.
 func (m *Member) forget(now float64) {
-	for name, w := range m.wholes {
-		if now-w.wanted <= idle {
+	for name, w := range m.quotasByTask {
+		if now-w.lastNeeded <= idleTimeout {
 			continue
 		}
-		if w.dealer != nil {
-			m.letGo(now, name)
+		if w.granter != nil {
+			m.release(now, name)
 		}
 		if now >= w.holder.RelinquishedUntil() {
-			delete(m.wholes, name)
-			delete(m.cold, w.key)
-			if k := slices.Index(m.quotas, w); k >= 0 {
-				m.quotas[k] = nil
+			delete(m.quotasByTask, name)
+			delete(m.coldQuotas, w.key)
+			if k := slices.Index(m.tenantQuotas, w); k >= 0 {
+				m.tenantQuotas[k] = nil
 			}
 		}
 	}
-	for name, x := range m.trials {
-		if now-x.wanted > idle {
-			m.letGo(now, name)
-			delete(m.trials, name)
+	for name, x := range m.probeTasks {
+		if now-x.lastNeeded > idleTimeout {
+			m.release(now, name)
+			delete(m.probeTasks, name)
 		}
 	}
 }
 
-// laid is how many wholes this process has an unfinished pledge for.
-func (m *Member) laid(now float64) (n int) {
-	for _, w := range m.wholes {
+// relinquishedCount returns the number of quotas whose equal share is still relinquished. An earlier process counts as one as long as
+// its relinquishments may hold.
+func (m *Member) relinquishedCount(now float64) (n int) {
+	for _, w := range m.quotasByTask {
 		if now < w.holder.RelinquishedUntil() {
 			n++
 		}
 	}
-	if !m.cfg.Clean && now < m.cfg.Began+max(m.parts.Longest(), m.quota.Longest()) {
+	if !m.cfg.Clean && now < m.cfg.Began+max(m.coldTerms.Longest(), m.tenantTerms.Longest()) {
 		n++
 	}
 	return n
 }
 
-func (m *Member) letGo(now float64, work string) {
-	if w := m.wholes[work]; w != nil {
-		w.dealer = nil
+// release stops acting on a task and tells the coordinators so.
+func (m *Member) release(now float64, task string) {
+	if w := m.quotasByTask[task]; w != nil {
+		w.granter = nil
 	}
-	if c, ok := m.owner.Release(work); ok {
-		m.log("work %q fence %d: let go", work, c.Fence)
-		m.request(now, Request{Act: &coordinator.Act{Kind: "release", Session: m.session, Work: work, Fence: c.Fence}}, sent{work: work})
+	if c, ok := m.owner.Release(task); ok {
+		m.log("task %q fence %d: released", task, c.Fence)
+		m.request(now, Request{Act: &coordinator.Act{Kind: "release", Session: m.session, Work: task, Fence: c.Fence}}, inFlight{task: task})
 	}
 }
 
-// beat keeps the session: one beat is out at a time, and a second one when there is something new to want.
-func (m *Member) beat(now float64) {
-	wants := m.wants()
-	fresh := fmt.Sprint(wants)
-	if m.closing || now < m.beatAt || m.beats > 1 || m.beats == 1 && fresh == m.told {
+// heartbeat renews the session. One heartbeat is in flight at a time, and a second one when the requested tasks have changed.
+func (m *Member) heartbeat(now float64) {
+	requestedTasks := m.requestedTasks()
+	requestedText := fmt.Sprint(requestedTasks)
+	if m.closing || now < m.nextHeartbeat || m.heartbeatsInFlight > 1 || m.heartbeatsInFlight == 1 && requestedText == m.lastRequested {
 		return
 	}
-	const gap = 0.05 // seconds between two beats at least
-	m.beatAt, m.told = now+gap, fresh
-	m.beats++
+	const minInterval = 0.05 // seconds between two heartbeats at least
+	m.nextHeartbeat, m.lastRequested = now+minInterval, requestedText
+	m.heartbeatsInFlight++
 	m.request(now, Request{Beat: &coordinator.Beat{Name: m.cfg.Name, Incarnation: m.cfg.Incarnation, Zone: m.cfg.Zone, Region: m.cfg.Region,
-		Session: m.session, Got: m.got, Stands: m.cfg.Stands, Wants: wants, Highest: m.highest}}, sent{beat: true})
+		Session: m.session, Got: m.lastSnapshot, Stands: m.cfg.Stands, Wants: requestedTasks, Highest: m.highestFence}}, inFlight{heartbeat: true})
 }
 
-func (m *Member) wants() (all []coordinator.Want) {
-	for _, name := range sorted(m.wholes) {
-		all = append(all, coordinator.Want{Work: name, Zone: m.wholes[name].zone})
+// requestedTasks returns the tasks that a heartbeat requests.
+func (m *Member) requestedTasks() (all []coordinator.Want) {
+	for _, name := range sortedKeys(m.quotasByTask) {
+		all = append(all, coordinator.Want{Work: name, Zone: m.quotasByTask[name].zone})
 	}
-	for _, name := range sorted(m.trials) {
-		all = append(all, coordinator.Want{Work: name, Zone: m.trials[name].engine.Zone})
+	for _, name := range sortedKeys(m.probeTasks) {
+		all = append(all, coordinator.Want{Work: name, Zone: m.probeTasks[name].server.Zone})
 	}
-	if m.doesPlans {
+	if m.plansEnabled {
 		all = append(all, coordinator.Want{Work: PlanWork}, coordinator.Want{Work: WordsWork})
 	}
 	return all
 }
 
-// Kept tells that what was put out is on the disk, or that it could not be kept.
+// Persisted reports that a state to persist is on the disk, or that storing it failed.
 func (m *Member) Kept(seq uint64, k Kept, err error) {
-	delete(m.sent, seq)
-	if seq == m.keeping {
-		m.keeping, m.clearing = 0, false
+	delete(m.inFlight, seq)
+	if seq == m.persistSeq {
+		m.persistSeq, m.persistingClear = 0, false
 	}
 	if err == nil {
-		m.kept = k
+		m.persisted = k
 	} else {
-		m.kept.Pledged = m.kept.Pledged && k.Pledged // nobody knows what is there: before the next pledge it is kept anew
+		// The state on disk is unknown: it is stored again before the next relinquishment.
+		m.persisted.Pledged = m.persisted.Pledged && k.Pledged
 	}
 }
 
-// ---- what keepers answer
+// ---- state
 
-// Held gives the tasks that this member owns, by the registry.
+// Held returns the tasks that this member owns according to the registry.
 func (m *Member) Held() []lease.Claim { return m.owner.Held() }
 
-// May tells whether this member may act on a task now, and under which fence.
-func (m *Member) May(now float64, work string) (fence uint64, ok bool) {
-	return m.owner.Permit(now, work, 0)
+// Permit reports whether this member may act on a task now, and under which fence.
+func (m *Member) May(now float64, task string) (fence uint64, ok bool) {
+	return m.owner.Permit(now, task, 0)
 }
 
-// Session is the number of this member's session, 0: none.
+// Session returns the number of this member's session, or 0.
 func (m *Member) Session() uint64 { return m.session }
 
-// Fleet is how many sessions there are.
-func (m *Member) Fleet() int { return m.fleet }
+// FleetSize returns the number of sessions in the fleet.
+func (m *Member) Fleet() int { return m.fleetSize }
 
-// Live is what the owner of a whole has dealt and what may still be in use of it, 0 where it isn't ours.
-func (m *Member) Live(now float64, work string) float64 {
-	if w := m.wholes[work]; w != nil && w.dealer != nil {
-		return w.dealer.InUse(now)
+// SharesInUse returns the sum of the shares of a quota that may be in use, or 0 if this member doesn't own the quota's task.
+func (m *Member) Live(now float64, task string) float64 {
+	if w := m.quotasByTask[task]; w != nil && w.granter != nil {
+		return w.granter.InUse(now)
 	}
 	return 0
 }
--- a/fleet/agent/member_test.go
+++ b/fleet/agent/member_test.go
@@ -12,149 +12,150 @@
 	"dunereach/fleet/registry"
 )
 
-var cold = Engine{ID: 7, Start: 3, Zone: "east"}
+var coldServer = Engine{ID: 7, Start: 3, Zone: "east"}
 
-// talk is a member and what it asked for.
-type talk struct {
-	t    *testing.T
-	m    *Member
-	now  float64
-	open []Request
+// testMember is a member and its requests that are not yet answered.
+type testMember struct {
+	t       *testing.T
+	m       *Member
+	now     float64
+	pending []Request
 }
 
-func newTalk(t *testing.T, c Config) *talk {
+func newTestMember(t *testing.T, c Config) *testMember {
 	c.Name, c.Incarnation, c.Members, c.Window, c.Began = "n1", 41, 4, 1, 100
 	if c.Stands == nil {
 		c.Stands = []string{Warmth, Trials, Quotas}
 	}
-	return &talk{t: t, m: New(c, Kept{Pledged: c.Keeps}), now: 100}
+	return &testMember{t: t, m: New(c, Kept{Pledged: c.Keeps}), now: 100}
 }
 
-func (k *talk) tick(seconds float64) {
+func (k *testMember) tick(seconds float64) {
 	k.now += seconds
-	k.m.Tell(k.now, Demand{Cold: []Cold{{cold, 0.5, 0.1}}})
-	k.open = append(k.open, k.m.Tick(k.now)...)
+	k.m.Tell(k.now, Demand{Cold: []Cold{{coldServer, 0.5, 0.1}}})
+	k.pending = append(k.pending, k.m.Tick(k.now)...)
 }
 
-// take the oldest open request of a kind.
-func (k *talk) take(kind string) Request {
+// takeRequest removes and returns the oldest pending request of a kind.
+func (k *testMember) takeRequest(kind string) Request {
 	k.t.Helper()
-	for n, r := range k.open {
+	for n, r := range k.pending {
 		if kind == "beat" && r.Beat != nil || kind == "mail" && r.Mail != nil || r.Act != nil && r.Act.Kind == kind || kind == "keep" && r.Keep != nil {
-			k.open = append(k.open[:n:n], k.open[n+1:]...)
+			k.pending = append(k.pending[:n:n], k.pending[n+1:]...)
 			return r
 		}
 	}
-	k.t.Fatalf("no %s among %+v", kind, k.open)
+	k.t.Fatalf("no %s among %+v", kind, k.pending)
 	return Request{}
 }
 
-func (k *talk) view(v coordinator.View) {
-	r := k.take("beat")
+func (k *testMember) answerHeartbeat(v coordinator.View) {
+	r := k.takeRequest("beat")
 	v.Session, v.Lease, v.Drift = 5, 4, 0.05
 	k.m.Answer(k.now, r.Seq, v, nil)
 }
 
-func deal(fence uint64, w word) coordinator.Letter {
+func grantMessage(fence uint64, w messageBody) coordinator.Letter {
 	body, _ := json.Marshal(w)
-	return coordinator.Letter{Work: cold.work(Warmth), Fence: fence, Body: body, From: "n2"}
+	return coordinator.Letter{Work: coldServer.taskName(Warmth), Fence: fence, Body: body, From: "n2"}
 }
 
-// TestLetters: a deal that answers another process's pledge does nothing, nor does one under an old fence; one that answers ours
-// is the part that may be used.
+// TestLetters: a grant that answers another process's relinquishment has no effect, nor has one under a stale fence. A grant that
+// answers this process's relinquishment is the share that it may use.
 func TestLetters(t *testing.T) {
-	k := newTalk(t, Config{Clean: true})
+	k := newTestMember(t, Config{Clean: true})
 	k.tick(0.1)
-	work := cold.work(Warmth)
-	k.view(coordinator.View{Number: 1, Works: []coordinator.Seen{{Work: work, Fence: 3, Owner: "n2"}}, Mail: []coordinator.Letter{deal(3, word{Deal: &allocation.Grant{Fence: 3, Round: 1}})}})
+	taskName := coldServer.taskName(Warmth)
+	k.answerHeartbeat(coordinator.View{Number: 1, Works: []coordinator.Seen{{Work: taskName, Fence: 3, Owner: "n2"}}, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
 	k.tick(0.1)
-	mail := k.take("mail").Mail
-	var w word
-	if len(mail.Letters) != 1 || json.Unmarshal(mail.Letters[0].Body, &w) != nil || w.Pledge == nil || w.Pledge.Fence != 3 {
-		t.Fatalf("no pledge: %+v", mail)
+	mail := k.takeRequest("mail").Mail
+	var w messageBody
+	if len(mail.Letters) != 1 || json.Unmarshal(mail.Letters[0].Body, &w) != nil || w.ShareRelinquishment == nil || w.ShareRelinquishment.Fence != 3 {
+		t.Fatalf("no relinquishment: %+v", mail)
 	}
 	if part, ok := k.m.Part(k.now, 7, 3); !ok || part != 0 {
-		t.Errorf("pledged, and it uses %v %v", part, ok)
+		t.Errorf("it has relinquished its share, and uses %v %v", part, ok)
 	}
-	answer := allocation.Grant{Fence: 3, Round: 1, Tag: w.Pledge.Tag, Share: 0.4, Lifetime: 1.5}
+	answer := allocation.Grant{Fence: 3, Round: 1, Tag: w.ShareRelinquishment.Tag, Share: 0.4, Lifetime: 1.5}
 	k.tick(0.1)
-	k.view(coordinator.View{Number: 2, Mail: []coordinator.Letter{deal(3, word{Deal: &answer, For: 40})}})
+	k.answerHeartbeat(coordinator.View{Number: 2, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 40})}})
 	if part, _ := k.m.Part(k.now, 7, 3); part != 0 {
-		t.Errorf("a deal for an earlier process gave %v", part)
+		t.Errorf("a grant for an earlier process gave %v", part)
 	}
 	k.tick(0.1)
-	k.view(coordinator.View{Number: 3, Mail: []coordinator.Letter{deal(3, word{Deal: &answer, For: 41})}})
+	k.answerHeartbeat(coordinator.View{Number: 3, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 41})}})
 	if part, ok := k.m.Part(k.now, 7, 3); !ok || part != 0.4 {
-		t.Errorf("a deal for us gave %v %v", part, ok)
+		t.Errorf("a grant for this process gave %v %v", part, ok)
 	}
 	k.tick(0.1)
-	k.view(coordinator.View{Number: 4, Mail: []coordinator.Letter{deal(4, word{Deal: &allocation.Grant{Fence: 4, Round: 1}}), deal(3, word{Deal: &answer, For: 41})}})
+	k.answerHeartbeat(coordinator.View{Number: 4, Mail: []coordinator.Letter{grantMessage(4, messageBody{ShareGrant: &allocation.Grant{Fence: 4, Round: 1}}), grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 41})}})
 	if k.m.Stats.Refused != 1 {
-		t.Errorf("%d letters under an old fence were refused", k.m.Stats.Refused)
+		t.Errorf("%d messages under a stale fence were rejected", k.m.Stats.Refused)
 	}
 	if part, ok := k.m.Part(k.now+30, 7, 3); ok {
-		t.Errorf("30 s later it uses %v, and not its equal part", part)
+		t.Errorf("30 s later it uses %v, and not its equal share", part)
 	}
 }
 
-// TestReleaseAgain: the word that a work was let go of is said until the keepers have it.
+// TestReleaseAgain: a release whose request was lost is sent again until the coordinators have it.
 func TestReleaseAgain(t *testing.T) {
-	k := newTalk(t, Config{Clean: true})
-	work := cold.work(Warmth)
-	mine := []coordinator.Mine{{Claim: lease.Claim{Work: work, Fence: 3}}}
+	k := newTestMember(t, Config{Clean: true})
+	taskName := coldServer.taskName(Warmth)
+	mine := []coordinator.Mine{{Claim: lease.Claim{Work: taskName, Fence: 3}}}
 	k.tick(0.1)
-	k.view(coordinator.View{Number: 1, Mine: mine})
+	k.answerHeartbeat(coordinator.View{Number: 1, Mine: mine})
 	k.tick(0.1)
 	mine[0].Asked = true
-	k.view(coordinator.View{Number: 2, Mine: mine})
+	k.answerHeartbeat(coordinator.View{Number: 2, Mine: mine})
 	k.tick(0.1)
-	k.m.Answer(k.now, k.take("release").Seq, nil, ErrNoAnswer)
-	if _, ok := k.m.May(k.now, work); ok {
-		t.Error("it still may act")
+	k.m.Answer(k.now, k.takeRequest("release").Seq, nil, ErrNoAnswer)
+	if _, ok := k.m.May(k.now, taskName); ok {
+		t.Error("it may still act")
 	}
-	k.view(coordinator.View{Number: 3, Mine: mine})
+	k.answerHeartbeat(coordinator.View{Number: 3, Mine: mine})
 	k.tick(0.1)
-	k.take("release")
+	k.takeRequest("release")
 }
 
-// TestKeeps: with a folder nothing is pledged before the disk has it, and the word is taken back when nothing is laid down.
+// TestKeeps: a member with a folder relinquishes nothing before the disk says so, and the disk is cleared once nothing is
+// relinquished.
 func TestKeeps(t *testing.T) {
-	k := newTalk(t, Config{Keeps: true})
+	k := newTestMember(t, Config{Keeps: true})
 	if part, ok := k.m.Part(100.1, 7, 3); !ok || part != 0 {
-		t.Errorf("an earlier process may have pledged, and it uses %v %v", part, ok)
+		t.Errorf("an earlier process may have relinquished its share, and it uses %v %v", part, ok)
 	}
 	k.tick(0.1)
-	k.m.kept.Pledged = false // as an earlier process left it at its clean end
-	k.view(coordinator.View{Number: 1, Mail: []coordinator.Letter{deal(3, word{Deal: &allocation.Grant{Fence: 3, Round: 1}})}})
+	k.m.persisted.Pledged = false // as an earlier process leaves it when it ends in order
+	k.answerHeartbeat(coordinator.View{Number: 1, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
 	k.tick(0.1)
-	r := k.take("keep")
+	r := k.takeRequest("keep")
 	if k.m.Kept(r.Seq, *r.Keep, nil); k.m.Stats.Pledges != 0 {
-		t.Error("it pledged before the disk had it")
+		t.Error("it relinquished before the disk said so")
 	}
 	k.tick(0.1)
 	for k.m.Stats.Pledges == 0 {
-		r := k.take("keep")
+		r := k.takeRequest("keep")
 		k.m.Kept(r.Seq, *r.Keep, nil)
 		k.tick(0.1)
 	}
-	for range 300 { // there is no use for it any more
+	for range 300 { // the quota is no longer needed
 		k.now += 0.1
-		k.open = append(k.open, k.m.Tick(k.now)...)
+		k.pending = append(k.pending, k.m.Tick(k.now)...)
 	}
-	r = k.take("keep")
+	r = k.takeRequest("keep")
 	if r.Keep.Pledged {
-		t.Error("nothing is laid down, and the disk says that something is")
+		t.Error("nothing is relinquished, and the disk says that something is")
 	}
 }
 
-// TestClearing: while the word that nothing is laid down is on its way to the disk nothing is pledged, or the next process would
-// believe it.
+// TestClearing: nothing is relinquished while a state that says so is being written to the disk. Otherwise the next process would
+// read it and use its equal share at once.
 func TestClearing(t *testing.T) {
-	k := newTalk(t, Config{Keeps: true})
-	kept := func() bool {
-		for n, r := range k.open {
+	k := newTestMember(t, Config{Keeps: true})
+	persisted := func() bool {
+		for n, r := range k.pending {
 			if r.Keep != nil {
-				k.open = append(k.open[:n:n], k.open[n+1:]...)
+				k.pending = append(k.pending[:n:n], k.pending[n+1:]...)
 				k.m.Kept(r.Seq, *r.Keep, nil)
 				return true
 			}
@@ -162,50 +163,50 @@
 		return false
 	}
 	k.tick(0.1)
-	k.view(coordinator.View{Number: 1, Mail: []coordinator.Letter{deal(3, word{Deal: &allocation.Grant{Fence: 3, Round: 1}})}})
+	k.answerHeartbeat(coordinator.View{Number: 1, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
 	for n := 0; k.m.Stats.Pledges == 0; n++ {
 		if n == 10 {
-			t.Fatal("it pledges nothing")
+			t.Fatal("it relinquishes nothing")
 		}
 		k.tick(0.1)
-		kept()
+		persisted()
 	}
-	k.tick(20) // no round for long: nothing is laid down any more
+	k.tick(20) // no round for a long time: nothing is relinquished any more
 	k.tick(0.1)
-	if r := k.take("keep"); r.Keep.Pledged {
-		t.Fatal("it is not cleared")
+	if r := k.takeRequest("keep"); r.Keep.Pledged {
+		t.Fatal("the disk is not cleared")
 	} else {
-		k.open = append(k.open, r)
+		k.pending = append(k.pending, r)
 	}
-	k.view(coordinator.View{Number: 2, Mail: []coordinator.Letter{deal(3, word{Deal: &allocation.Grant{Fence: 3, Round: 9}})}})
+	k.answerHeartbeat(coordinator.View{Number: 2, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 9}})}})
 	before := k.m.Stats.Pledges
 	if k.tick(0.1); k.m.Stats.Pledges > before {
-		t.Error("it pledges while the disk is being told that nothing is pledged")
+		t.Error("it relinquishes while the disk is being cleared")
 	}
 	for n := 0; k.m.Stats.Pledges == before; n++ {
 		if n == 10 {
-			t.Fatalf("it pledges no more: %+v", k.open)
+			t.Fatalf("it relinquishes no more: %+v", k.pending)
 		}
-		kept()
+		persisted()
 		k.tick(0.1)
 	}
-	if !k.m.kept.Pledged {
-		t.Error("it has pledged, and the disk does not say so")
+	if !k.m.persisted.Pledged {
+		t.Error("it has relinquished, and the disk does not say so")
 	}
 }
 
-// TestSuperseded: a process whose name a newer one has opens no session any more, and acts on nothing.
+// TestSuperseded: a process that was superseded by a newer one of its name opens no session and acts on no task.
 func TestSuperseded(t *testing.T) {
-	k := newTalk(t, Config{Clean: true})
+	k := newTestMember(t, Config{Clean: true})
 	k.tick(0.1)
-	work := cold.work(Warmth)
-	k.view(coordinator.View{Number: 1, Mine: []coordinator.Mine{{Claim: lease.Claim{Work: work, Fence: 3}}}})
+	taskName := coldServer.taskName(Warmth)
+	k.answerHeartbeat(coordinator.View{Number: 1, Mine: []coordinator.Mine{{Claim: lease.Claim{Work: taskName, Fence: 3}}}})
 	k.tick(0.1)
-	k.m.Answer(k.now, k.take("beat").Seq, nil, registry.ErrSuperseded)
-	k.open = nil
+	k.m.Answer(k.now, k.takeRequest("beat").Seq, nil, registry.ErrSuperseded)
+	k.pending = nil
 	k.tick(10)
-	if _, ok := k.m.May(k.now, work); ok || len(k.open) > 0 {
-		t.Errorf("it goes on: %+v", k.open)
+	if _, ok := k.m.May(k.now, taskName); ok || len(k.pending) > 0 {
+		t.Errorf("it still acts: %+v", k.pending)
 	}
 }
 
@@ -227,20 +228,20 @@
 	}
 }
 
-// TestPlanUnsure: a plan of which nobody knows whether it was agreed is no ground for the next: the next one starts from the record,
-// under an epoch that was never said.
+// TestPlanUnsure: if it is unknown whether a plan was committed, the next plan does not build on it: it starts from the registry's
+// plan, under an epoch that was never used.
 func TestPlanUnsure(t *testing.T) {
-	k := newTalk(t, Config{Clean: true, Stands: []string{Plans}, Zones: 2, ZoneNames: []string{"a", "b"}, Way: [][]float64{{0, 1}, {1, 0}}})
+	k := newTestMember(t, Config{Clean: true, Stands: []string{Plans}, Zones: 2, ZoneNames: []string{"a", "b"}, Way: [][]float64{{0, 1}, {1, 0}}})
 	lost := failover.Report{Zone: 0, Demand: 4, Sights: []failover.Sight{{Sent: 20, Bad: 20, Ready: 8}, {Sent: 20, Work: 1, Ready: 8}}}
 	number := uint64(0)
-	step := func(seconds float64, answer error) (said []failover.Published) {
+	step := func(seconds float64, answer error) (published []failover.Published) {
 		for end := k.now + seconds; k.now < end; {
 			k.now += 0.1
 			k.m.Tell(k.now, Demand{Report: func() failover.Report { return lost }})
-			k.open = append(k.open, k.m.Tick(k.now)...)
-			for len(k.open) > 0 {
-				r := k.open[0]
-				k.open = k.open[1:]
+			k.pending = append(k.pending, k.m.Tick(k.now)...)
+			for len(k.pending) > 0 {
+				r := k.pending[0]
+				k.pending = k.pending[1:]
 				switch {
 				case r.Beat != nil:
 					number++
@@ -251,12 +252,12 @@
 					if json.Unmarshal(r.Act.Body, &p) != nil {
 						t.Fatal(r.Act)
 					}
-					said = append(said, p)
+					published = append(published, p)
 					k.m.Answer(k.now, r.Seq, coordinator.Posted{}, answer)
 				}
 			}
 		}
-		return said
+		return published
 	}
 	first := step(8, ErrNoAnswer)
 	if len(first) == 0 || first[len(first)-1].Plan.Share[0][0] > 0 {
@@ -264,18 +265,18 @@
 	}
 	second := step(12, ErrNoAnswer)
 	if len(second) == 0 {
-		t.Fatal("it did not try again")
+		t.Fatal("it did not plan again")
 	}
 	last := uint64(0)
-	at := 0
+	count := 0
 	for _, p := range append(first, second...) {
 		if p.Epoch <= last {
 			t.Errorf("epoch %d after %d", p.Epoch, last)
 		}
 		last = p.Epoch
-		at++
+		count++
 	}
-	if most := 20 / 3; at > most {
-		t.Errorf("%d plans in 20 s, none of which is known to be agreed", at)
+	if maxPlans := 20 / 3; count > maxPlans {
+		t.Errorf("%d plans in 20 s, none of which is known to be committed", count)
 	}
 }
--- a/fleet/agent/plan.go
+++ b/fleet/agent/plan.go
@@ -8,93 +8,94 @@
 	"dunereach/fleet/failover"
 )
 
-// This file carries evidence to the owner of the fleet's plan, the owner's plans to the record, and what the record has to this
+// This file sends evidence to the owner of the fleet's plan, the owner's plans to the registry, and the registry's plan to this
 // router's guide.
 
-// Guide that the module follows, nil: none.
+// Guide returns the guide that the admission module follows, or nil.
 func (m *Member) Guide() *failover.Guide { return m.guide }
 
-// planning tells what was seen, once a second, and makes plans where that work is ours.
-func (m *Member) planning(now float64) {
-	if !m.doesPlans || m.session == 0 || m.demand.Report == nil {
+// planStep reports this router's observations once a second, and makes plans if this member owns the plan's task.
+func (m *Member) planStep(now float64) {
+	if !m.plansEnabled || m.session == 0 || m.demand.Report == nil {
 		return
 	}
-	const every, look, fresh = 1.0, 0.5, 2.5 // seconds; evidence that is older says nothing
-	own := false
+	const reportInterval, planInterval, evidenceLifetime = 1.0, 0.5, 2.5 // seconds; older evidence is not used
+	ownsPlan := false
 	for _, c := range m.owner.Held() {
-		own = own || c.Work == PlanWork
+		ownsPlan = ownsPlan || c.Work == PlanWork
 	}
-	if !own {
-		m.control = nil
+	if !ownsPlan {
+		m.controller = nil
 	}
-	if now >= m.reportAt+every {
+	if now >= m.reportedAt+reportInterval {
 		r := m.demand.Report()
-		if m.reportAt > 0 {
-			r.Span = now - m.reportAt
+		if m.reportedAt > 0 {
+			r.Span = now - m.reportedAt
 		}
-		m.reportAt = now
+		m.reportedAt = now
 		r.Epoch = m.guide.Epoch(now)
 		m.guide.See(r.Fails())
-		if own {
-			m.seen[m.cfg.Name] = evidence{r, now}
+		if ownsPlan {
+			m.evidenceByRouter[m.cfg.Name] = evidence{r, now}
 		} else {
-			m.write(PlanWork, 0, "", word{Report: &r})
+			m.queueMessage(PlanWork, 0, "", messageBody{Report: &r})
 		}
 	}
-	fence, ok := m.owner.Permit(m.at(now), PlanWork, 0.5) // seconds that agreeing takes at most
+	fence, ok := m.owner.Permit(m.currentTime(now), PlanWork, 0.5) // seconds until a plan is committed, at most
 	if !ok {
 		return
 	}
 	if m.publishing {
-		return // the next step stands on this one, which may not have been agreed
-	}
-	const shows = 2.0 // seconds after which what was agreed has to show in a view
-	if m.control != nil && m.shown.Epoch != m.control.Now().Epoch && m.control.Now().Epoch > 0 && now > m.agreedAt+shows {
-		m.control = nil // an older word of ours came late and stands there now
-	}
-	if m.control == nil || m.controls != fence {
-		// From what the record has, under an epoch that nobody has heard of: whatever was said before may still come.
-		last := m.shown
-		last.Epoch = max(last.Epoch, m.plan.Epoch, m.said)
-		m.control = failover.NewController(failover.Terms{Life: failover.Life, Drift: m.terms.Drift, Way: m.cfg.Way}, m.cfg.Zones, now, last)
-		m.controls, m.nextAt, m.agreedAt = fence, now+every, now+1e9 // a second's evidence first; nothing of ours has to show yet
+		return // the next plan builds on this one, which may not be committed
+	}
+	const maxVisibleDelay = 2.0 // seconds after which a committed plan has to appear in a snapshot
+	if m.controller != nil && m.registryPlan.Epoch != m.controller.Now().Epoch && m.controller.Now().Epoch > 0 && now > m.planDecidedAt+maxVisibleDelay {
+		m.controller = nil // an older plan of this member was committed late and has replaced the newer one
+	}
+	if m.controller == nil || m.controllerFence != fence {
+		// Start from the registry's plan, under an epoch that nobody has seen: plans that were sent before may still arrive.
+		last := m.registryPlan
+		last.Epoch = max(last.Epoch, m.newestPlan.Epoch, m.highestEpoch)
+		m.controller = failover.NewController(failover.Terms{Life: failover.Life, Drift: m.terms.Drift, Way: m.cfg.Way}, m.cfg.Zones, now, last)
+		// A second's evidence is collected first. 1e9: no plan of this member has to appear in a snapshot yet.
+		m.controllerFence, m.nextPlanAt, m.planDecidedAt = fence, now+reportInterval, now+1e9
 		return
 	}
-	if now < m.nextAt {
+	if now < m.nextPlanAt {
 		return
 	}
-	m.nextAt = now + look
+	m.nextPlanAt = now + planInterval
 	var reports []failover.Report
-	for _, name := range sorted(m.seen) {
-		if e := m.seen[name]; now-e.at <= fresh {
+	for _, name := range sortedKeys(m.evidenceByRouter) {
+		if e := m.evidenceByRouter[name]; now-e.receivedAt <= evidenceLifetime {
 			reports = append(reports, e.report)
 		} else {
-			delete(m.seen, name)
+			delete(m.evidenceByRouter, name)
 		}
 	}
-	p, changed := m.control.Next(now, reports, m.fleet, m.orders)
+	p, changed := m.controller.Next(now, reports, m.fleetSize, m.orders)
 	if !changed {
 		return
 	}
 	p.Zones = m.cfg.ZoneNames
 	m.log("plan %d under fence %d: %s", p.Epoch, fence, p.Why)
-	m.publishing, m.said = true, p.Epoch
+	m.publishing, m.highestEpoch = true, p.Epoch
 	m.trace(Trace{What: "plan", Work: PlanWork, Fence: fence, At: now})
-	m.request(now, Request{Act: &coordinator.Act{Kind: "note", Session: m.session, Work: PlanWork, Fence: fence, Body: packed(p)}}, sent{work: PlanWork, note: true})
+	m.request(now, Request{Act: &coordinator.Act{Kind: "note", Session: m.session, Work: PlanWork, Fence: fence, Body: encodePlan(p)}}, inFlight{task: PlanWork, annotation: true})
 }
 
-// published tells what became of a plan. One that may or may not be agreed is no ground for the next step: it is started anew from
-// what the record shows, when all that may follow another plan have stopped.
-func (m *Member) published(now float64, err error) {
-	m.publishing, m.agreedAt = false, now
+// planDecided handles the outcome of a proposed plan. The next plan must not build on one that may or may not be committed, so
+// planning starts again from the registry's plan, once every router that may follow another plan has stopped doing so.
+func (m *Member) planDecided(now float64, err error) {
+	m.publishing, m.planDecidedAt = false, now
 	if err != nil {
-		m.control = nil
+		m.controller = nil
 	}
 }
 
-// packed is a plan as the record keeps it: four digits of a share are more than evidence has.
-func packed(p failover.Published) []byte {
-	short := func(x failover.Plan) failover.Plan {
+// encodePlan returns a plan as the registry stores it. Four decimals of a share are more precise than the evidence.
+func encodePlan(p failover.Published) []byte {
+	truncated := func(x failover.Plan) failover.Plan {
 		c := x.Clone()
 		for _, row := range c.Share {
 			for z := range row {
@@ -103,7 +104,7 @@
 		}
 		return c
 	}
-	p.Plan, p.Still = short(p.Plan), short(p.Still)
+	p.Plan, p.Still = truncated(p.Plan), truncated(p.Still)
 	for _, figures := range [][]float64{p.Demand, p.Room} {
 		for z := range figures {
 			figures[z] = math.Round(figures[z]*1e3) / 1e3
@@ -113,9 +114,10 @@
 	return text
 }
 
-// planned takes what the record has of the plan and of the operators' words, as it was at least when it was asked for.
-func (m *Member) planned(asked float64, x coordinator.Seen) {
-	if !m.doesPlans || len(x.Note) == 0 {
+// readPlanAnnotation takes over the registry's plan or the operators' orders. They are at least as new as askedAt, when the heartbeat
+// was sent.
+func (m *Member) readPlanAnnotation(askedAt float64, x coordinator.Seen) {
+	if !m.plansEnabled || len(x.Note) == 0 {
 		return
 	}
 	switch x.Work {
@@ -124,8 +126,8 @@
 		if json.Unmarshal(x.Note, &p) != nil {
 			return
 		}
-		if m.shown = p; m.guide.Hear(asked, p) {
-			m.plan = p
+		if m.registryPlan = p; m.guide.Hear(askedAt, p) {
+			m.newestPlan = p
 		}
 	case WordsWork:
 		var o failover.Orders
--- a/fleet/agent/sorted.go
+++ b/fleet/agent/sorted.go
@@ -5,4 +5,5 @@
 	"slices"
 )
 
-func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys returns a map's keys in order, so that everything derived from them is deterministic.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/fleet/agent/tasks.go
+++ b/fleet/agent/tasks.go
@@ -1,6 +1,6 @@
 package agent
 
-// This file does the works that are ours, and lays parts down for those of others.
+// This file acts on the tasks that this member owns, and relinquishes shares to the owners of other tasks.
 
 import (
 	"encoding/json"
@@ -14,130 +14,133 @@
 	"dunereach/probing"
 )
 
-// own does the works that are ours. Each act asks at its moment whether the lease still runs.
-func (m *Member) own(now float64) {
+// performOwnedTasks acts on the tasks that this member owns. It checks before each action that the lease still holds.
+func (m *Member) performOwnedTasks(now float64) {
 	for _, c := range m.owner.Held() {
-		if x := m.trials[c.Work]; x != nil {
-			m.find(now, c, x)
+		if x := m.probeTasks[c.Work]; x != nil {
+			m.annotateFinding(now, c, x)
 			continue
 		}
-		w := m.wholes[c.Work]
-		if c.Work == PlanWork && m.doesPlans {
-			continue // planning
+		w := m.quotasByTask[c.Work]
+		if c.Work == PlanWork && m.plansEnabled {
+			continue // planStep does this
 		}
-		if w == nil { // ours since before we forgot it
-			m.letGo(now, c.Work)
+		if w == nil { // acquired before this member forgot the quota
+			m.release(now, c.Work)
 			continue
 		}
-		if w.dealer == nil || w.dealer.Fence() != c.Fence {
-			w.dealer, w.opened = allocation.NewGranter(m.termsOf(c.Work), c.Fence, m.round, now), math.Inf(-1)
+		if w.granter == nil || w.granter.Fence() != c.Fence {
+			w.granter, w.roundOpenedAt = allocation.NewGranter(m.termsOf(c.Work), c.Fence, m.lastRound, now), math.Inf(-1)
 		}
-		// A deal counts from now on wherever it gets to, so nothing is to be taken off for its way.
-		now := m.at(now)
+		// A grant counts from now on, wherever it arrives, so nothing is subtracted for the time until it arrives.
+		now := m.currentTime(now)
 		fence, ok := m.owner.Permit(now, c.Work, 0)
-		if !ok || fence != w.dealer.Fence() {
+		if !ok || fence != w.granter.Fence() {
 			continue
 		}
-		if now-w.opened >= every {
-			w.opened = now
+		if now-w.roundOpenedAt >= roundInterval {
+			w.roundOpenedAt = now
 			m.trace(Trace{What: "act", Work: c.Work, Fence: fence, At: now, Until: m.owner.Until()})
-			d := allocation.Grant{Fence: fence, Round: w.dealer.OpenRound(now)}
-			m.round = max(m.round, d.Round)
-			m.write(c.Work, fence, "*", word{Deal: &d})
+			d := allocation.Grant{Fence: fence, Round: w.granter.OpenRound(now)}
+			m.lastRound = max(m.lastRound, d.Round)
+			m.queueMessage(c.Work, fence, "*", messageBody{ShareGrant: &d})
 			w.holder.Receive(now, d)
 		}
-		for _, to := range w.dealer.Grants(now) {
+		for _, to := range w.granter.Grants(now) {
 			m.Stats.Dealt++
 			if to.Name == m.cfg.Name && to.Incarnation == m.cfg.Incarnation {
-				m.hear(now, c.Work, w, to.Grant)
+				m.receiveGrant(now, c.Work, w, to.Grant)
 				continue
 			}
-			m.write(c.Work, fence, to.Name, word{Deal: &to.Grant, For: to.Incarnation})
+			m.queueMessage(c.Work, fence, to.Name, messageBody{ShareGrant: &to.Grant, ForIncarnation: to.Incarnation})
 		}
 	}
 }
 
-func (m *Member) termsOf(work string) allocation.Terms {
-	if strings.HasPrefix(work, Quotas+"/") {
-		return m.quota
+// termsOf returns the terms of the quota that a task is about.
+func (m *Member) termsOf(task string) allocation.Terms {
+	if strings.HasPrefix(task, Quotas+"/") {
+		return m.tenantTerms
 	}
-	return m.parts
+	return m.coldTerms
 }
 
-// at is the time of an act: a process may have stood still since it was told the time.
-func (m *Member) at(now float64) float64 {
+// currentTime returns the time of an action. The process may have been paused since the driver passed in now.
+func (m *Member) currentTime(now float64) float64 {
 	if m.cfg.Now != nil {
 		return max(now, m.cfg.Now())
 	}
 	return now
 }
 
-// find puts down what we found of an engine, where we know anything.
-func (m *Member) find(now float64, c lease.Claim, x *trial) {
-	if m.demand.Health == nil || now-x.noted < noteEvery {
+// annotateFinding annotates a probe task with this router's finding on the server, if it has any.
+func (m *Member) annotateFinding(now float64, c lease.Claim, x *probeTask) {
+	if m.demand.Health == nil || now-x.annotatedAt < annotationInterval {
 		return
 	}
-	h, ok := m.demand.Health(x.engine.ID)
-	if !ok || h.Start != x.engine.Start || !h.Ill && (h.Heard < 0 || h.Heard > 1) {
-		return // it neither fails here nor has answered of late: nothing was found
+	h, ok := m.demand.Health(x.server.ID)
+	if !ok || h.Start != x.server.Start || !h.Ill && (h.Heard < 0 || h.Heard > 1) {
+		return // it neither fails here nor has answered recently: there is no finding
 	}
-	const way = 0.5 // seconds that agreeing takes at most, before the finding is seen
-	fence, may := m.owner.Permit(m.at(now), c.Work, way)
-	if !may {
+	const maxAgreeTime = 0.5 // seconds until the annotation is committed and visible, at most
+	fence, permitted := m.owner.Permit(m.currentTime(now), c.Work, maxAgreeTime)
+	if !permitted {
 		return
 	}
-	x.noted, x.well = now, !h.Ill
-	body, _ := json.Marshal(probing.Finding{Server: x.engine.ID, Start: x.engine.Start, Healthy: !h.Ill})
-	m.request(now, Request{Act: &coordinator.Act{Kind: "note", Session: m.session, Work: c.Work, Fence: fence, Body: body}}, sent{work: c.Work, note: true})
+	x.annotatedAt, x.healthy = now, !h.Ill
+	body, _ := json.Marshal(probing.Finding{Server: x.server.ID, Start: x.server.Start, Healthy: !h.Ill})
+	m.request(now, Request{Act: &coordinator.Act{Kind: "note", Session: m.session, Work: c.Work, Fence: fence, Body: body}}, inFlight{task: c.Work, annotation: true})
 }
 
-// word is a letter's body.
-type word struct {
-	Deal   *allocation.Grant          `json:"deal,omitempty"`
-	For    uint64                     `json:"for,omitempty"` // the incarnation that a deal answers
-	Pledge *allocation.Relinquishment `json:"pledge,omitempty"`
-	Report *failover.Report           `json:"report,omitempty"`
+// messageBody is the body of a message between routers.
+type messageBody struct {
+	ShareGrant          *allocation.Grant          `json:"deal,omitempty"`
+	ForIncarnation      uint64                     `json:"for,omitempty"` // the incarnation that a grant is for
+	ShareRelinquishment *allocation.Relinquishment `json:"pledge,omitempty"`
+	Report              *failover.Report           `json:"report,omitempty"`
 }
 
-func (m *Member) write(work string, fence uint64, to string, w word) {
+// queueMessage queues a message for the coordinators to forward.
+func (m *Member) queueMessage(task string, fence uint64, to string, w messageBody) {
 	body, _ := json.Marshal(w)
-	if m.letters = append(m.letters, coordinator.Letter{Work: work, Fence: fence, To: to, Body: body}); len(m.letters) > 4*coordinator.MostLetters {
-		m.letters = m.letters[1:] // keepers are slow: the oldest are of least use
+	if m.messages = append(m.messages, coordinator.Letter{Work: task, Fence: fence, To: to, Body: body}); len(m.messages) > 4*coordinator.MostLetters {
+		m.messages = m.messages[1:] // the coordinators are slow: drop the oldest message, which is of least use
 	}
 }
 
-// pledge lays parts down where an owner has opened a round, once for each.
-func (m *Member) pledge(now float64) {
-	for _, name := range sorted(m.wholes) {
-		w := m.wholes[name]
+// relinquish relinquishes shares to owners that have opened a round, once for each round.
+func (m *Member) relinquish(now float64) {
+	for _, name := range sortedKeys(m.quotasByTask) {
+		w := m.quotasByTask[name]
 		round, fence := w.holder.Round(), w.holder.Fence()
-		if round == 0 || now-w.wanted > 1 || fence == w.fence && round <= w.pledged {
+		if round == 0 || now-w.lastNeeded > 1 || fence == w.fence && round <= w.relinquishedRound {
 			continue
 		}
-		if m.cfg.Keeps && (!m.kept.Pledged || m.clearing) {
-			if m.keeping == 0 {
-				m.keep(now, true)
+		if m.cfg.Keeps && (!m.persisted.Pledged || m.persistingClear) {
+			if m.persistSeq == 0 {
+				m.persist(now, true)
 			}
-			return // a process that comes after this one has to know
+			return // the disk has to say so before the member relinquishes, for the process that comes after this one
 		}
-		p, ok := w.holder.Relinquish(now, w.need, w.least)
+		p, ok := w.holder.Relinquish(now, w.need, w.leastShare)
 		if !ok {
 			continue
 		}
 		m.Stats.Pledges++
 		m.trace(Trace{What: "laid", Work: name, Fence: fence, At: now, Until: w.holder.RelinquishedUntil()})
-		w.fence, w.pledged = fence, round
-		if w.dealer != nil && w.dealer.Fence() == fence {
-			w.dealer.Relinquish(now, m.cfg.Name, m.cfg.Incarnation, p)
+		w.fence, w.relinquishedRound = fence, round
+		if w.granter != nil && w.granter.Fence() == fence {
+			w.granter.Relinquish(now, m.cfg.Name, m.cfg.Incarnation, p)
 			continue
 		}
-		m.write(name, 0, "", word{Pledge: &p})
+		m.queueMessage(name, 0, "", messageBody{ShareRelinquishment: &p})
 	}
 }
 
-func (m *Member) keep(now float64, pledged bool) {
+// persist requests that the state is stored, and whether shares may be relinquished.
+func (m *Member) persist(now float64, relinquished bool) {
 	marks, floor := m.gate.Export()
-	k := Kept{Marks: marks, Floor: floor, Highest: m.highest, Pledged: pledged}
-	m.request(now, Request{Keep: &k}, sent{})
-	m.keeping, m.clearing = m.seq, !pledged
+	k := Kept{Marks: marks, Floor: floor, Highest: m.highestFence, Pledged: relinquished}
+	m.request(now, Request{Keep: &k}, inFlight{})
+	m.persistSeq, m.persistingClear = m.lastSeq, !relinquished
 }
--- a/fleet/coordinator/coordinator.go
+++ b/fleet/coordinator/coordinator.go
@@ -47,8 +47,8 @@
 }
 
 // InitialState returns the state that every coordinator of a new registry stores first.
-func Begin(keepers []registry.Keeper, lease, drift float64) (Stored, error) {
-	r, err := registry.Begin(keepers, lease, drift)
+func Begin(coordinators []registry.Keeper, lease, drift float64) (Stored, error) {
+	r, err := registry.Begin(coordinators, lease, drift)
 	if err != nil {
 		return Stored{}, err
 	}
@@ -57,7 +57,7 @@
 		return Stored{}, err
 	}
 	var voters []uint64
-	for _, k := range keepers {
+	for _, k := range coordinators {
 		voters = append(voters, k.ID)
 	}
 	return Stored{
--- a/fleet/coordinator/coordinator_test.go
+++ b/fleet/coordinator/coordinator_test.go
@@ -248,9 +248,9 @@
 		t.Fatal("nobody owns the task")
 	}
 	fence := c.snapshots[owner].Mine[0].Fence
-	post := func(from int, letters []Letter) {
+	post := func(from int, messages []Letter) {
 		c.request++
-		c.coordinator.Post(c.now, c.request, &Mail{Session: c.requests[from].Session, Incarnation: 1, Letters: letters})
+		c.coordinator.Post(c.now, c.request, &Mail{Session: c.requests[from].Session, Incarnation: 1, Letters: messages})
 		c.process()
 		if a := c.answers[c.request]; a.Err != nil || len(a.Value.(Posted).Old) > 0 {
 			t.Fatalf("%+v", a)
