--- a/fleet/agent/finder.go
+++ b/fleet/agent/finder.go
@@ -7,8 +7,8 @@
 	leaderHint string
 }
 
-// NewFinder returns a finder over the coordinators' addresses, at least one. first is the index to begin with, which spreads routers
-// over coordinators.
+// NewFinder returns a finder over the coordinators' addresses, at least one. first is the index to begin with, which spreads
+// routers over coordinators.
 func NewFinder(addrs []string, first int) *Finder {
 	return &Finder{addrs: addrs, current: first % len(addrs)}
 }
--- a/fleet/agent/member.go
+++ b/fleet/agent/member.go
@@ -1,7 +1,7 @@
-// Package agent is one router's membership in the fleet: its session with the coordinators, the tasks that it owns, and its handling
-// of other routers' messages. The package does no I/O and has no clock: a driver passes in the time and the answers, and sends the
-// requests that it returns. It gives the admission module plain values; without messages from the fleet it gives none, and the module
-// decides as if there were no fleet.
+// Package agent is one router's membership in the fleet: its session with the coordinators, the tasks that it owns, and its
+// handling of other routers' messages. The package does no I/O and has no clock: a driver passes in the time and the answers,
+// and sends the requests that it returns. It gives the admission module plain values; without messages from the fleet it
+// gives none, and the module decides as if there were no fleet.
 package agent
 
 import (
@@ -53,8 +53,8 @@
 	Now                func() float64 // reads the clock just before an action; nil: the time that was passed in is used
 }
 
-// Trace is an event for fault analysis: an action of an owner, or a share that a member relinquished or may use, and until when, by
-// the clock that leases are counted on.
+// Trace is an event for fault analysis: an action of an owner, or a share that a member relinquished or may use, and until
+// when, by the clock that leases are counted on.
 type Trace struct {
 	What      string // "begins" (with shares relinquished until then), "act", "laid", "part", "plan" or "refused"
 	Work      string
@@ -277,7 +277,8 @@
 
 // ---- queries of the admission module
 
-// WarmUpShare returns the share of a cold server's allowance that this router may use now. If ok is false, it is the equal share.
+// WarmUpShare returns the share of a cold server's allowance that this router may use now. If ok is false, it is the equal
+// share.
 func (m *Member) Part(now float64, server uint32, startedAt float64) (share float64, ok bool) {
 	if !m.warmUpEnabled {
 		return 0, false
@@ -289,8 +290,8 @@
 	return m.unknownQuotaShare(now, m.coldTerms)
 }
 
-// unknownQuotaShare returns the share of a quota that this process has no account of: the equal share, unless an earlier process may
-// have relinquished it.
+// unknownQuotaShare returns the share of a quota that this process has no account of: the equal share, unless an earlier
+// process may have relinquished it.
 func (m *Member) unknownQuotaShare(now float64, t allocation.Terms) (float64, bool) {
 	if m.cfg.Clean || now >= m.cfg.Began+t.Longest() {
 		return 0, false
@@ -394,8 +395,8 @@
 		m.planStep(now)
 	}
 	if m.cfg.Keeps && m.persisted.Pledged && m.persistSeq == 0 && m.relinquishedCount(now) == 0 {
-		// Nothing is relinquished any more: the next process may use its equal share at once. relinquish runs before this and starts
-		// its own persist request, with true, which this one would wait for.
+		// Nothing is relinquished any more: the next process may use its equal share at once. relinquish runs before this and
+		// starts its own persist request, with true, which this one would wait for.
 		m.persist(now, false)
 	}
 	if len(m.messages) > 0 && m.session != 0 {
@@ -445,8 +446,8 @@
 	}
 }
 
-// relinquishedCount returns the number of quotas whose equal share is still relinquished. An earlier process counts as one as long as
-// its relinquishments may hold.
+// relinquishedCount returns the number of quotas whose equal share is still relinquished. An earlier process counts as one as
+// long as its relinquishments may hold.
 func (m *Member) relinquishedCount(now float64) (n int) {
 	for _, w := range m.quotasByTask {
 		if now < w.holder.RelinquishedUntil() {
--- a/fleet/agent/member_test.go
+++ b/fleet/agent/member_test.go
@@ -60,9 +60,9 @@
 	return coordinator.Letter{Work: coldServer.taskName(Warmth), Fence: fence, Body: body, From: "n2"}
 }
 
-// TestLetters: a grant that answers another process's relinquishment has no effect, nor has one under a stale fence. A grant that
-// answers this process's relinquishment is the share that it may use.
-func TestLetters(t *testing.T) {
+// TestGrantMessages: a grant that answers another process's relinquishment has no effect, nor has one under a stale fence. A
+// grant that answers this process's relinquishment is the share that it may use.
+func TestGrantMessages(t *testing.T) {
 	k := newTestMember(t, Config{Clean: true})
 	k.tick(0.1)
 	taskName := coldServer.taskName(Warmth)
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestReleaseAgain: a release whose request was lost is sent again until the coordinators have it.
-func TestReleaseAgain(t *testing.T) {
+// TestReleaseRepeated: a release whose request was lost is sent again until the coordinators have it.
+func TestReleaseRepeated(t *testing.T) {
 	k := newTestMember(t, Config{Clean: true})
 	taskName := coldServer.taskName(Warmth)
 	mine := []coordinator.Mine{{Claim: lease.Claim{Work: taskName, Fence: 3}}}
@@ -117,9 +117,9 @@
 	k.takeRequest("release")
 }
 
-// TestKeeps: a member with a folder relinquishes nothing before the disk says so, and the disk is cleared once nothing is
-// relinquished.
-func TestKeeps(t *testing.T) {
+// TestPersistBeforeRelinquish: a member with a folder relinquishes nothing before the disk says so, and the disk is cleared
+// once nothing is relinquished.
+func TestPersistBeforeRelinquish(t *testing.T) {
 	k := newTestMember(t, Config{Keeps: true})
 	if part, ok := k.m.Part(100.1, 7, 3); !ok || part != 0 {
 		t.Errorf("an earlier process may have relinquished its share, and it uses %v %v", part, ok)
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestClearing: nothing is relinquished while a state that says so is being written to the disk. Otherwise the next process would
-// read it and use its equal share at once.
-func TestClearing(t *testing.T) {
+// TestPersistClear: nothing is relinquished while a state that says so is being written to the disk. Otherwise the next
+// process would read it and use its equal share at once.
+func TestPersistClear(t *testing.T) {
 	k := newTestMember(t, Config{Keeps: true})
 	persisted := func() bool {
 		for n, r := range k.pending {
@@ -228,9 +228,9 @@
 	}
 }
 
-// TestPlanUnsure: if it is unknown whether a plan was committed, the next plan does not build on it: it starts from the registry's
-// plan, under an epoch that was never used.
-func TestPlanUnsure(t *testing.T) {
+// TestPlanOutcomeUnknown: if it is unknown whether a plan was committed, the next plan does not build on it: it starts from
+// the registry's plan, under an epoch that was never used.
+func TestPlanOutcomeUnknown(t *testing.T) {
 	k := newTestMember(t, Config{Clean: true, Stands: []string{Plans}, Zones: 2, ZoneNames: []string{"a", "b"}, Way: [][]float64{{0, 1}, {1, 0}}})
 	lost := failover.Report{Zone: 0, Demand: 4, Sights: []failover.Sight{{Sent: 20, Bad: 20, Ready: 8}, {Sent: 20, Work: 1, Ready: 8}}}
 	number := uint64(0)
--- a/fleet/agent/plan.go
+++ b/fleet/agent/plan.go
@@ -114,8 +114,8 @@
 	return text
 }
 
-// readPlanAnnotation takes over the registry's plan or the operators' orders. They are at least as new as askedAt, when the heartbeat
-// was sent.
+// readPlanAnnotation takes over the registry's plan or the operators' orders. They are at least as new as askedAt, when the
+// heartbeat was sent.
 func (m *Member) readPlanAnnotation(askedAt float64, x coordinator.Seen) {
 	if !m.plansEnabled || len(x.Note) == 0 {
 		return
--- a/fleet/coordinator/coordinator.go
+++ b/fleet/coordinator/coordinator.go
@@ -1,7 +1,7 @@
-// Package coordinator implements one member of the quorum that replicates the fleet's registry. It holds raft (a library that is a
-// state machine itself), the registry, and the state that only the leader has, such as when each session's last heartbeat arrived.
-// The package does no I/O: a driver passes in the time, messages and requests, and carries out its output. The simulator runs the
-// same package on virtual time.
+// Package coordinator implements one member of the quorum that replicates the fleet's registry. It holds raft (a library that
+// is a state machine itself), the registry, and the state that only the leader has, such as when each session's last
+// heartbeat arrived. The package does no I/O: a driver passes in the time, messages and requests, and carries out its output.
+// The simulator runs the same package on virtual time.
 package coordinator
 
 import (
@@ -187,8 +187,8 @@
 	return s
 }
 
-// Tick advances the time. It is called about every TickEvery. After a pause of the process, raft's clock advances by a second at
-// most, so that the coordinator doesn't call an election before it has read the messages that arrived meanwhile.
+// Tick advances the time. It is called about every TickEvery. After a pause of the process, raft's clock advances by a second
+// at most, so that the coordinator doesn't call an election before it has read the messages that arrived meanwhile.
 func (k *Keeper) Tick(now float64) {
 	k.now = max(k.now, now)
 	if k.now-k.lastTick > 1 {
@@ -277,8 +277,8 @@
 	k.pendingProposals[k.lastProposal] = done
 }
 
-// number puts the coordinator's ID and the proposal's number before its text, so that the coordinator recognizes its own proposals
-// when they are committed.
+// number puts the coordinator's ID and the proposal's number before its text, so that the coordinator recognizes its own
+// proposals when they are committed.
 func (k *Keeper) number(text []byte) []byte {
 	k.lastProposal++
 	header := binary.BigEndian.AppendUint64(nil, k.cfg.ID)
--- a/fleet/coordinator/coordinator_test.go
+++ b/fleet/coordinator/coordinator_test.go
@@ -83,9 +83,9 @@
 	return View{}, nil
 }
 
-// TestNameAgain: a process that starts under the name of another one gets its own session at once. The other process may only be
-// paused, so it keeps its tasks until its lease has expired, but its heartbeats no longer renew the lease.
-func TestNameAgain(t *testing.T) {
+// TestSupersedingProcess: a process that starts under the name of another one gets its own session at once. The other process
+// may only be paused, so it keeps its tasks until its lease has expired, but its heartbeats no longer renew the lease.
+func TestSupersedingProcess(t *testing.T) {
 	l := newTestCoordinator(t)
 	l.run(5)
 	older := Beat{Name: "n1", Incarnation: 1, Stands: []string{"w"}, Wants: []Want{{Work: "w/1"}}}
@@ -128,8 +128,9 @@
 	t.Error("the task never became free")
 }
 
-// TestFloor: a registry that is older than one that a session has seen gives no fence up to the highest one that the session saw.
-func TestFloor(t *testing.T) {
+// TestFenceFloor: a registry that is older than one that a session has seen gives no fence up to the highest one that the
+// session saw.
+func TestFenceFloor(t *testing.T) {
 	l := newTestCoordinator(t)
 	l.run(5)
 	b := Beat{Name: "n1", Incarnation: 1, Stands: []string{"w"}, Wants: []Want{{Work: "w/1"}}, Highest: 500}
@@ -143,9 +144,9 @@
 	}
 }
 
-// TestHeldOpening: the heartbeat with which a process opens a session arrives late and repeatedly, after the process has exited. The
-// process that has the name now keeps its session.
-func TestHeldOpening(t *testing.T) {
+// TestDelayedOpen: the heartbeat with which a process opens a session arrives late and repeatedly, after the process has
+// exited. The process that has the name now keeps its session.
+func TestDelayedOpen(t *testing.T) {
 	l := newTestCoordinator(t)
 	l.run(5)
 	earlier := Beat{Name: "n1", Incarnation: 1}
@@ -168,8 +169,8 @@
 	}
 }
 
-// TestOlderCoordinator: while a coordinator of the previous version is a member, entries keep that version's bounds. Once it reports
-// the new version, the larger bounds apply.
+// TestOlderCoordinator: while a coordinator of the previous version is a member, entries keep that version's bounds. Once it
+// reports the new version, the larger bounds apply.
 func TestOlderCoordinator(t *testing.T) {
 	l := newTestCoordinator(t)
 	l.run(5)
@@ -237,8 +238,8 @@
 	}
 }
 
-// TestRoundOfAllRouters: all routers of the largest fleet answer an owner's round at once, and the owner grants to each of them. No
-// message is lost.
+// TestRoundOfAllRouters: all routers of the largest fleet answer an owner's round at once, and the owner grants to each of
+// them. No message is lost.
 func TestRoundOfAllRouters(t *testing.T) {
 	const routers, task = 1600, "warmth/1"
 	c := newTestSessions(t, routers, "warmth", task)
@@ -305,8 +306,8 @@
 	}
 }
 
-// TestHeartbeatsGrowLinearly: the cost of a heartbeat does not grow with the number of sessions, even while a task is requested that
-// nobody can own, as the operators' orders are.
+// TestHeartbeatsGrowLinearly: the cost of a heartbeat does not grow with the number of sessions, even while a task is
+// requested that nobody can own, as the operators' orders are.
 func TestHeartbeatsGrowLinearly(t *testing.T) {
 	perHeartbeat := func(sessions int) float64 {
 		c := newTestSessions(t, sessions, "plan", "words/zones")
--- a/fleet/coordinator/membership.go
+++ b/fleet/coordinator/membership.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// addCoordinator adds a coordinator under an ID that was never used before. An existing member of the same name has lost its folder,
-// or it would not ask to join. Its record of earlier votes is lost with the folder, so it must never vote under the old ID again.
+// addCoordinator adds a coordinator under an ID that was never used before. An existing member of the same name has lost its
+// folder, or it would not ask to join. Its record of earlier votes is lost with the folder, so it must never vote under the
+// old ID again.
 func (k *Keeper) addCoordinator(request uint64, o *Order) {
 	if o.Name == "" || o.Addr == "" {
 		k.answer(request, nil, fmt.Errorf("%w: name or address is missing", ErrBad))
@@ -90,8 +91,8 @@
 		func(err error) { k.answer(request, id, err) })
 }
 
-// changeMembership proposes a change of the coordinators' group. One change is in progress at a time, and it is committed like any
-// other entry.
+// changeMembership proposes a change of the coordinators' group. One change is in progress at a time, and it is committed
+// like any other entry.
 func (k *Keeper) changeMembership(kind pb.ConfChangeType, e registry.Entry, done func(error)) {
 	if k.changingMembers {
 		done(ErrBusy)
--- a/fleet/coordinator/messages.go
+++ b/fleet/coordinator/messages.go
@@ -7,18 +7,19 @@
 
 // This file defines the messages between sessions and coordinators. They are sent as JSON (internal/coordserver).
 
-// Heartbeat renews a session's lease and lists the tasks that the session requests. Its answer, a Snapshot, is held until something
-// changes.
+// Heartbeat renews a session's lease and lists the tasks that the session requests. Its answer, a Snapshot, is held until
+// something changes.
 type Beat struct {
-	Name        string   `json:"name"`
-	Incarnation uint64   `json:"incarnation"`
-	Zone        string   `json:"zone,omitempty"`
-	Region      string   `json:"region,omitempty"`
-	Session     uint64   `json:"session,omitempty"` // as assigned by the coordinators, 0: open a session
-	Got         uint64   `json:"got,omitempty"`     // number of the last snapshot received; returning the first one, which has no session, opens the session
-	Stands      []string `json:"stands,omitempty"`  // kinds of task that the session can own
-	Wants       []Want   `json:"wants,omitempty"`   // the tasks that it requests
-	Highest     uint64   `json:"highest,omitempty"` // the highest fence that it has ever seen
+	Name        string `json:"name"`
+	Incarnation uint64 `json:"incarnation"`
+	Zone        string `json:"zone,omitempty"`
+	Region      string `json:"region,omitempty"`
+	Session     uint64 `json:"session,omitempty"` // as assigned by the coordinators, 0: open a session
+	// Number of the last snapshot received. The first answer has no session: returning its number opens one.
+	Got     uint64   `json:"got,omitempty"`
+	Stands  []string `json:"stands,omitempty"`  // kinds of task that the session can own
+	Wants   []Want   `json:"wants,omitempty"`   // the tasks that it requests
+	Highest uint64   `json:"highest,omitempty"` // the highest fence that it has ever seen
 }
 
 // RequestedTask is the name of a task, "kind/thing", and the zone that it belongs to.
@@ -73,8 +74,8 @@
 	Letters     []Letter `json:"letters"`
 }
 
-// PostResult is the answer to a batch of messages. It lists the tasks whose messages were rejected because the sender is not the
-// owner, with their current fences.
+// PostResult is the answer to a batch of messages. It lists the tasks whose messages were rejected because the sender is not
+// the owner, with their current fences.
 type Posted struct {
 	Old []lease.FenceMark `json:"old,omitempty"`
 }
@@ -93,8 +94,8 @@
 	Kind string `json:"kind"` // "release" of a task, "say" to store the body under a task's name, "join" or "leave" of a coordinator
 	Body []byte `json:"body,omitempty"`
 	Work string `json:"work,omitempty"`
-	// Fence of the owner that a release is meant for: once that owner has released the task, the order is done and asks nobody else.
-	// 0 means the owner at the time when the order is committed; such an order is not safe to repeat.
+	// Fence of the owner that a release is meant for: once that owner has released the task, the order is done and asks
+	// nobody else. 0 means the owner at the time when the order is committed; such an order is not safe to repeat.
 	Fence uint64 `json:"fence,omitempty"`
 	Name  string `json:"name,omitempty"`
 	Addr  string `json:"addr,omitempty"`
@@ -124,6 +125,6 @@
 	MostStands  = 16
 )
 
-// maxInbox is how many messages may wait for one session; newer ones push out older ones. All routers answer an owner's round at
-// once, and one router may own several tasks.
+// maxInbox is how many messages may wait for one session; newer ones push out older ones. All routers answer an owner's round
+// at once, and one router may own several tasks.
 const maxInbox = 4 * registry.MostRouters
--- a/fleet/coordinator/sessions.go
+++ b/fleet/coordinator/sessions.go
@@ -14,8 +14,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// sessionTable is a leader's state of the sessions beyond what the registry holds. A leader that steps down discards it, and the
-// next leader starts every session's lease again, which can only lengthen it.
+// sessionTable is a leader's state of the sessions beyond what the registry holds. A leader that steps down discards it, and
+// the next leader starts every session's lease again, which can only lengthen it.
 type sessionTable struct {
 	sessions         map[uint64]*sessionState   // by session ID
 	sessionsByName   map[string][]uint64        // sessions of each name, in ascending order: an older one may still exist
@@ -111,8 +111,8 @@
 	k.sessionTable = newSessionTable()
 }
 
-// RequestClosed reports that nobody waits for a request any more. A process whose held heartbeat lost its connection may have exited,
-// and gets no task until its next heartbeat.
+// RequestClosed reports that nobody waits for a request any more. A process whose held heartbeat lost its connection may have
+// exited, and gets no task until its next heartbeat.
 func (k *Keeper) Gone(request uint64) {
 	for _, c := range k.sessions {
 		if c.heldHeartbeat != nil && c.heldHeartbeat.request == request {
@@ -175,8 +175,9 @@
 	k.confirmLeadership()
 }
 
-// confirmLeadership asks the other coordinators, with a raft read index request, whether this one is still the leader. One request
-// is in flight at a time and covers everything received, so that hundreds of sessions cost some tens of rounds a second.
+// confirmLeadership asks the other coordinators, with a raft read index request, whether this one is still the leader. One
+// request is in flight at a time and covers everything received, so that hundreds of sessions cost some tens of rounds a
+// second.
 func (k *Keeper) confirmLeadership() {
 	const retryAfter = 0.5   // seconds after which a request counts as lost
 	const minInterval = 0.05 // seconds between two requests: at most twenty rounds a second among coordinators
@@ -338,8 +339,8 @@
 	c.candidateKinds = kinds
 }
 
-// openSession opens a session for a process that proves to be alive now by returning a token. A heartbeat that was delayed in the
-// network, of a process that has exited since, must not supersede the process that has its name now.
+// openSession opens a session for a process that proves to be alive now by returning a token. A heartbeat that was delayed in
+// the network, of a process that has exited since, must not supersede the process that has its name now.
 func (k *Keeper) openSession(w pendingRequest) {
 	b := w.heartbeat
 	if s := k.reg.Named(b.Name); s != nil && s.Incarnation == b.Incarnation {
@@ -405,8 +406,8 @@
 	k.promoteLearner()
 }
 
-// endSilentSessions ends each session that has sent no heartbeat for a lease, counted from the start of this leader's term at the
-// earliest.
+// endSilentSessions ends each session that has sent no heartbeat for a lease, counted from the start of this leader's term at
+// the earliest.
 func (k *Keeper) endSilentSessions() {
 	duration, _ := k.reg.Terms()
 	for _, s := range k.reg.Sessions() {
--- a/fleet/coordinator/tasks.go
+++ b/fleet/coordinator/tasks.go
@@ -14,15 +14,16 @@
 	"dunereach/fleet/registry"
 )
 
-// largeFleet is the number of sessions from which on free tasks are assigned only once per TickEvery: assigning at each heartbeat
-// costs time quadratic in the number of sessions.
+// largeFleet is the number of sessions from which on free tasks are assigned only once per TickEvery: assigning at each
+// heartbeat costs time quadratic in the number of sessions.
 const largeFleet = 300
 
 const (
 	requestLifetime = 3.0 // seconds for which a request for a task counts without being repeated
-	// assignDelay is how long a task of a large fleet is requested before it gets an owner, in seconds: one and a half times as long
-	// as a heartbeat is held, since a session can own a task only after it received the answer to an earlier heartbeat. Otherwise the
-	// router whose heartbeat happens to arrive first owns all tasks that appear at once, and all other routers' messages go to it.
+	// assignDelay is how long a task of a large fleet is requested before it gets an owner, in seconds: one and a half times
+	// as long as a heartbeat is held, since a session can own a task only after it received the answer to an earlier
+	// heartbeat. Otherwise the router whose heartbeat happens to arrive first owns all tasks that appear at once, and all
+	// other routers' messages go to it.
 	assignDelay = 1.5
 )
 
@@ -240,8 +241,8 @@
 	}
 }
 
-// deliveryDelay is how long a message waits to be delivered together with others, in seconds. A grant's lifetime is fifteen times as
-// long, and the delay saves a busy coordinator half of its requests.
+// deliveryDelay is how long a message waits to be delivered together with others, in seconds. A grant's lifetime is fifteen
+// times as long, and the delay saves a busy coordinator half of its requests.
 const deliveryDelay = 0.1
 
 // deliver puts a message into a session's inbox, which drops its oldest message when it is full.
