--- a/fleet/agent/member_test.go
+++ b/fleet/agent/member_test.go
@@ -61,17 +61,17 @@
 }
 
 // TestGrantMessages: a grant that answers another process's relinquishment has no effect, nor has one under a stale fence. A
-// grant that answers this process's relinquishment is the share that it may use.
+// grant that answers this process's relinquishment sets the share that it may use.
 func TestGrantMessages(t *testing.T) {
 	k := newTestMember(t, Config{Clean: true})
 	k.tick(0.1)
 	taskName := coldServer.taskName(Warmth)
 	k.answerHeartbeat(coordinator.View{Number: 1, Works: []coordinator.Seen{{Work: taskName, Fence: 3, Owner: "n2"}}, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
 	k.tick(0.1)
-	mail := k.takeRequest("mail").Mail
+	batch := k.takeRequest("mail").Mail
 	var w messageBody
-	if len(mail.Letters) != 1 || json.Unmarshal(mail.Letters[0].Body, &w) != nil || w.ShareRelinquishment == nil || w.ShareRelinquishment.Fence != 3 {
-		t.Fatalf("no relinquishment: %+v", mail)
+	if len(batch.Letters) != 1 || json.Unmarshal(batch.Letters[0].Body, &w) != nil || w.ShareRelinquishment == nil || w.ShareRelinquishment.Fence != 3 {
+		t.Fatalf("no relinquishment: %+v", batch)
 	}
 	if part, ok := k.m.Part(k.now, 7, 3); !ok || part != 0 {
 		t.Errorf("it has relinquished its share, and uses %v %v", part, ok)
