--- a/internal/frontend/front.go
+++ b/internal/frontend/session.go
@@ -24,14 +24,14 @@
 	Key                   []byte  // commands of ordered profiles with the same run one after the other
 	Token                 []byte  // of a uniqued command: by it engines know a repeat
 	Waited                float64 // seconds for which it has been here unread: its client has waited as long
-	have                  uint    // fields that came, by their place in the table
+	seenFields            uint    // fields that came, by their place in the table
 }
 
 // Caller is who asked, by the number that its protocol gives the call. A command that it holds gets one answer.
 type Caller interface {
 	Hold(seq int32, id uint32)
-	Answered(seq int32, pages [][]byte, told *Told)
-	Shed(seq int32, pause float64, told *Told)
+	Answered(seq int32, pages [][]byte, waitInfo *Told)
+	Shed(seq int32, pause float64, waitInfo *Told)
 	Failed(seq int32)
 }
 
@@ -50,7 +50,7 @@
 	Behind() bool        // what is fed may have been here for a while
 	Room(bytes int) bool // takes memory for what is not whole yet, or gives it back; false: there is no more
 	Bad(how string)
-	ClientClosing(s *Session, why CloseReason) // a connection takes no more calls, and closes
+	ClientClosing(s *Session, reason CloseReason) // a connection takes no more calls, and closes
 	Closed(s *Session)
 }
 
@@ -65,28 +65,28 @@
 
 // Session is one client's connection.
 type Session struct {
-	Line     Line
-	Serial   uint64 // of its arrival: an older connection has a lower one
-	desk     Desk
-	frames   thrift.Frames
-	scratch  *[]byte
-	open     map[int32]uint32 // commands by the sequence number of their call
-	kept     int              // bytes of an unfinished frame
-	begun    int              // ticks that the frame has been unfinished for; of the first one, with those before the session
-	quiet    int              // ticks since the last whole message or answer
-	asked    bool             // a whole message has come
-	half     bool             // the client has said its last
-	last     bool             // takes no more commands, and closes once nothing is open
-	early    int              // bytes that came before the session began and are yet to be fed, and for how long the last of them had been here
-	earlyFor time.Duration
-	turned   bool        // was turned away on arrival: its first message is still owed an answer
-	closed   bool        // what comes now crosses the close, and is nobody's
-	why      CloseReason // the first reason to close it
+	Line            Line
+	Serial          uint64 // of its arrival: an older connection has a lower one
+	handler         Desk
+	frames          thrift.Frames
+	scratch         *[]byte
+	open            map[int32]uint32 // commands by the sequence number of their call
+	partialBytes    int              // bytes of an unfinished frame
+	partialTicks    int              // ticks that the frame has been unfinished for; of the first one, with those before the session
+	quietTicks      int              // ticks since the last whole message or answer
+	messageReceived bool             // a whole message has come
+	halfClosed      bool             // the client has said its last
+	closeWhenIdle   bool             // takes no more commands, and closes once nothing is open
+	earlyBytes      int              // bytes that came before the session began and are yet to be fed, and for how long the last of them had been here
+	earlyAge        time.Duration
+	rejectFirst     bool        // was turned away on arrival: its first message is still owed an answer
+	closing         bool        // what comes now crosses the close, and is nobody's
+	reason          CloseReason // the first reason to close it
 }
 
 // NewSession is a session at a desk. The scratch is where answers are put together, one after the other.
-func NewSession(desk Desk, scratch *[]byte) *Session {
-	return &Session{desk: desk, scratch: scratch, open: map[int32]uint32{}}
+func NewSession(handler Desk, scratch *[]byte) *Session {
+	return &Session{handler: handler, scratch: scratch, open: map[int32]uint32{}}
 }
 
 // Up is called once the connection is established. Nothing is to be done then.
@@ -94,45 +94,45 @@
 
 // Feed takes bytes as they come. Once the close is decided nothing more is taken: its answer would never leave.
 func (s *Session) Feed(b []byte) {
-	if s.closed {
+	if s.closing {
 		return
 	}
 	err := s.frames.Feed(b, s.frame)
-	s.early = max(s.early-len(b), 0)
-	was := s.kept
-	if s.kept = s.frames.Kept(); !s.desk.Room(s.kept-was) && err == nil {
-		err = errRoom
+	s.earlyBytes = max(s.earlyBytes-len(b), 0)
+	before := s.partialBytes
+	if s.partialBytes = s.frames.Kept(); !s.handler.Room(s.partialBytes-before) && err == nil {
+		err = errPartialLimit
 	}
-	if err != nil && !s.closed { // nothing behind it can be read; what was answered before still goes out
-		s.desk.Bad(err.Error())
-		s.abandon()
-		s.note(Unreadable)
+	if err != nil && !s.closing { // nothing behind it can be read; what was answered before still goes out
+		s.handler.Bad(err.Error())
+		s.abandonRequests()
+		s.noteReason(Unreadable)
 		s.finish()
 	}
 }
 
-// abandon: nobody waits for what is open here.
-func (s *Session) abandon() {
-	s.desk.Room(-s.kept)
-	s.kept, s.frames = 0, thrift.Frames{}
+// abandonRequests: nobody waits for what is open here.
+func (s *Session) abandonRequests() {
+	s.handler.Room(-s.partialBytes)
+	s.partialBytes, s.frames = 0, thrift.Frames{}
 	for _, seq := range slices.Sorted(maps.Keys(s.open)) { // in order: equal input must act alike
 		id := s.open[seq]
 		delete(s.open, seq)
-		s.desk.Left(id)
+		s.handler.Left(id)
 	}
 }
 
-// note keeps the first reason to close the connection.
-func (s *Session) note(why CloseReason) {
-	if s.why == Kept {
-		s.why = why
+// noteReason keeps the first reason to close the connection.
+func (s *Session) noteReason(reason CloseReason) {
+	if s.reason == Kept {
+		s.reason = reason
 	}
 }
 
 func (s *Session) finish() {
-	if !s.closed {
-		s.closed = true
-		s.desk.ClientClosing(s, s.why)
+	if !s.closing {
+		s.closing = true
+		s.handler.ClientClosing(s, s.reason)
 		s.Line.Finish()
 	}
 }
@@ -140,99 +140,99 @@
 // Ended takes the end of a connection: a client that has closed its side may still read, one whose connection is gone has left.
 func (s *Session) Ended(how transport.Ending) {
 	if how == transport.Finished {
-		s.half = true
-		s.note(ClientClosed)
+		s.halfClosed = true
+		s.noteReason(ClientClosed)
 		for _, seq := range slices.Sorted(maps.Keys(s.open)) {
 			if id, open := s.open[seq]; open {
-				s.desk.HalfClosed(id)
+				s.handler.HalfClosed(id)
 			}
 		}
-		s.rest()
+		s.closeIfIdle()
 		return
 	}
-	s.closed = true
-	s.abandon()
-	s.desk.Closed(s)
+	s.closing = true
+	s.abandonRequests()
+	s.handler.Closed(s)
 }
 
 // Last closes the connection as soon as nothing is open on it. What a client asks until then is shed: it would keep the
 // connection open for as long as it likes.
-func (s *Session) Last(why CloseReason) {
-	s.last = true
-	s.note(why)
-	s.rest()
+func (s *Session) Last(reason CloseReason) {
+	s.closeWhenIdle = true
+	s.noteReason(reason)
+	s.closeIfIdle()
 }
 
 // TurnAway sheds the first that comes, and closes the connection. Closed at once, it would be reset under a call that
 // is on its way.
-func (s *Session) TurnAway(why CloseReason) {
-	s.last, s.turned = true, true
-	s.note(why)
+func (s *Session) TurnAway(reason CloseReason) {
+	s.closeWhenIdle, s.rejectFirst = true, true
+	s.noteReason(reason)
 }
 
-func (s *Session) rest() {
-	if (s.half || s.last && !s.turned) && len(s.open) == 0 {
+func (s *Session) closeIfIdle() {
+	if (s.halfClosed || s.closeWhenIdle && !s.rejectFirst) && len(s.open) == 0 {
 		s.finish()
 	}
 }
 
-const mostOpen = 32 // calls on one connection, the protocol's
+const maxOpen = 32 // calls on one connection, the protocol's
 
 // Hold notes that a call's command is in hand.
 func (s *Session) Hold(seq int32, id uint32) { s.open[seq] = id }
 
 var (
-	errHead  = errors.New("message is not of the strict binary protocol")
-	errTwice = errors.New("sequence number is open already")
-	errRoom  = errors.New("too many unfinished messages")
+	errProtocol     = errors.New("message is not of the strict binary protocol")
+	errDuplicateSeq = errors.New("sequence number is open already")
+	errPartialLimit = errors.New("too many unfinished messages")
 )
 
 func (s *Session) frame(frame []byte) error {
 	r := thrift.NewReader(frame)
 	kind, name, seq := r.Message()
 	if r.Bad || kind != thrift.Call && kind != thrift.Oneway {
-		return errHead
+		return errProtocol
 	}
-	if s.closed { // by the message before it
+	if s.closing { // by the message before it
 		return nil
 	}
-	s.asked, s.turned, s.quiet, s.begun = true, false, 0, 0
+	s.messageReceived, s.rejectFirst, s.quietTicks, s.partialTicks = true, false, 0, 0
 	switch string(name) {
 	case "call":
-		if _, twice := s.open[seq]; twice {
-			return errTwice
+		if _, duplicate := s.open[seq]; duplicate {
+			return errDuplicateSeq
 		}
-		if s.last {
+		if s.closeWhenIdle {
 			s.Shed(seq, 0, nil)
 			return nil
 		}
-		if len(s.open) >= mostOpen {
-			s.except(string(name), seq, thrift.ProtocolError, "too many open calls")
+		if len(s.open) >= maxOpen {
+			s.writeException(string(name), seq, thrift.ProtocolError, "too many open calls")
 			return nil
 		}
 		var a Ask
-		if bad := a.read(&r); bad != "" {
-			s.except(string(name), seq, thrift.ProtocolError, bad)
+		if fault := a.read(&r); fault != "" {
+			s.writeException(string(name), seq, thrift.ProtocolError, fault)
 			return nil
 		}
-		a.Waited = s.waitedFor().Seconds()
-		s.desk.Take(s, seq, &a)
+		a.Waited = s.messageAge().Seconds()
+		s.handler.Take(s, seq, &a)
 	case "cancel":
-		if of, ok := readCancel(&r); ok {
-			if id, ok := s.open[of]; ok {
-				delete(s.open, of)
-				s.desk.Left(id)
-				s.rest()
+		if target, ok := readCancel(&r); ok {
+			if id, ok := s.open[target]; ok {
+				delete(s.open, target)
+				s.handler.Left(id)
+				s.closeIfIdle()
 			}
 		}
 	case "health":
-		s.reply("health", seq, nil, s.desk.Ready())
+		s.reply("health", seq, nil, s.handler.Ready())
 	default:
 		if kind == thrift.Call {
-			s.except(string(name), seq, thrift.UnknownMethod, "unknown method")
+			s.writeException(string(name), seq, thrift.UnknownMethod, "unknown method")
 		}
 	}
-	s.rest()
+	s.closeIfIdle()
 	return nil
 }
 
@@ -251,8 +251,8 @@
 }
 
 // read takes the arguments of a call; bad says what is wrong with them.
-func (a *Ask) read(r *thrift.Reader) (bad string) {
-	var have struct{ fields, body bool }
+func (a *Ask) read(r *thrift.Reader) (fault string) {
+	var present struct{ fields, body bool }
 	for {
 		t, id := r.Field()
 		if t == thrift.Stop {
@@ -260,18 +260,18 @@
 		}
 		switch {
 		case t == thrift.Map && id == 1:
-			have.fields = true
+			present.fields = true
 			k, v, n := r.Pairs()
 			if n > 0 && (k != thrift.String || v != thrift.String) {
 				return "fields are no map of strings"
 			}
 			for ; n > 0; n-- {
-				if name, value := r.Bytes(), r.Bytes(); !r.Bad && !a.field(string(name), value) {
+				if name, value := r.Bytes(), r.Bytes(); !r.Bad && !a.setField(string(name), value) {
 					return "field " + string(name) + " can't be used"
 				}
 			}
 		case t == thrift.String && id == 2:
-			have.body, a.Statement = true, r.Bytes()
+			present.body, a.Statement = true, r.Bytes()
 		default:
 			r.Skip(t)
 		}
@@ -279,7 +279,7 @@
 	switch {
 	case r.Bad:
 		return "arguments can't be read"
-	case !have.body || !have.fields || a.Ref == [16]byte{} || a.Allow == 0 || a.Profile == nil:
+	case !present.body || !present.fields || a.Ref == [16]byte{} || a.Allow == 0 || a.Profile == nil:
 		return "a field is missing"
 	case len(bytes.TrimSpace(a.Statement)) == 0 || bytes.IndexByte(a.Statement, 0) >= 0 || !utf8.Valid(a.Statement):
 		return "the statement is no text"
@@ -287,16 +287,16 @@
 	return ""
 }
 
-const mostToken = 128 // bytes: four times what clients send
+const maxToken = 128 // bytes: four times what clients send
 
-// field takes one in; none can stand there twice.
-func (a *Ask) field(name string, value []byte) (ok bool) {
+// setField takes one in; none can stand there twice.
+func (a *Ask) setField(name string, value []byte) (ok bool) {
 	ok = true
 	if k := slices.Index(fields[:], name); k >= 0 {
-		if a.have&(1<<k) != 0 {
+		if a.seenFields&(1<<k) != 0 {
 			return false
 		}
-		a.have |= 1 << k
+		a.seenFields |= 1 << k
 	}
 	switch name {
 	case "service":
@@ -312,27 +312,27 @@
 		}
 		copy(a.Ref[:], value)
 	case "allow":
-		a.Allow, ok = number(value, 1000)
+		a.Allow, ok = parseNumber(value, 1000)
 	case "replay":
-		a.Token, ok = value, len(value) <= mostToken
+		a.Token, ok = value, len(value) <= maxToken
 		for _, c := range value { // it goes on to engines as the value of a field
 			ok = ok && c > ' ' && c < 0x7f && c != ',' && c != '='
 		}
 	case "lookup":
 		a.Key = value
 	case "effort":
-		a.Effort, ok = number(value, 1000)
+		a.Effort, ok = parseNumber(value, 1000)
 		ok = ok && a.Effort < 1e6 // work of days on one core is no estimate
 	case "memory":
-		a.Memory, ok = number(value, 1)
+		a.Memory, ok = parseNumber(value, 1)
 	}
 	return ok
 }
 
 var fields = [...]string{"service", "project", "ref", "allow", "effort", "memory", "replay", "lookup"}
 
-// number reads a plain decimal figure: no sign before it, no infinity, nothing that only some readers take.
-func number(b []byte, unit float64) (float64, bool) {
+// parseNumber reads a plain decimal figure: no sign before it, no infinity, nothing that only some readers take.
+func parseNumber(b []byte, unit float64) (float64, bool) {
 	for k, c := range b {
 		if c < '0' && c != '.' && (k == 0 || b[k-1]|0x20 != 'e') || c > '9' && (c|0x20 != 'e' || k == 0) {
 			return 0, false
@@ -343,10 +343,10 @@
 }
 
 // Answered passes a whole result on: the pages as they came.
-func (s *Session) Answered(seq int32, pages [][]byte, told *Told) {
+func (s *Session) Answered(seq int32, pages [][]byte, waitInfo *Told) {
 	delete(s.open, seq)
-	s.reply("call", seq, pages, true, told.pairs()...)
-	s.rest()
+	s.reply("call", seq, pages, true, waitInfo.pairs()...)
+	s.closeIfIdle()
 }
 
 func (s *Session) reply(name string, seq int32, pages [][]byte, good bool, pairs ...string) {
@@ -366,12 +366,12 @@
 }
 
 // Shed refuses: a retry is harmless, best after the pause.
-func (s *Session) Shed(seq int32, pause float64, told *Told) {
-	pairs := told.pairs()
+func (s *Session) Shed(seq int32, pause float64, waitInfo *Told) {
+	pairs := waitInfo.pairs()
 	if pause > 0 {
 		pairs = append(pairs, "cooldown", millis(pause))
 	}
-	s.exception(seq, 1, pairs...)
+	s.replyException(seq, 1, pairs...)
 }
 
 func millis(seconds float64) string { return strconv.Itoa(int(seconds*1000 + 0.5)) }
@@ -385,23 +385,23 @@
 }
 
 // Failed promises nothing.
-func (s *Session) Failed(seq int32) { s.exception(seq, 2) }
+func (s *Session) Failed(seq int32) { s.replyException(seq, 2) }
 
-func (s *Session) exception(seq int32, field uint16, pairs ...string) {
+func (s *Session) replyException(seq int32, field uint16, pairs ...string) {
 	delete(s.open, seq)
 	b := thrift.Begin(*s.scratch, thrift.Reply, "call", seq)
 	b = thrift.AppendField(b, thrift.Struct, field)
 	b = thrift.AppendPairs(thrift.AppendField(b, thrift.Map, 1), pairs...)
 	s.write(thrift.End(append(b, byte(thrift.Stop))))
-	s.rest()
+	s.closeIfIdle()
 }
 
-func (s *Session) except(name string, seq int32, kind int32, text string) {
+func (s *Session) writeException(name string, seq int32, kind int32, text string) {
 	s.write(thrift.Except(*s.scratch, name, seq, kind, text))
 }
 
 func (s *Session) write(b []byte) {
 	*s.scratch = b
-	s.quiet = 0
+	s.quietTicks = 0
 	s.Line.Append(b)
 }
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/session_test.go
@@ -14,41 +14,41 @@
 	"dunereach/internal/transport"
 )
 
-// desk takes every command, numbered from 1, and is the connection too.
-type desk struct {
-	say   script.Say
-	s     *Session
-	last  uint32
-	ready bool
-	kept  int
+// testHandler takes every command, numbered from 1, and is the connection too.
+type testHandler struct {
+	say          script.Say
+	s            *Session
+	lastID       uint32
+	ready        bool
+	partialBytes int
 }
 
-func (d *desk) Take(s Caller, seq int32, a *Ask) {
-	d.last++
-	s.Hold(seq, d.last)
-	d.say("takes %d: call %d ref %s profile %s tenant %s allow %g effort %g memory %g, %q", d.last, seq, a.Ref, a.Profile,
-		a.Tenant, a.Allow, a.Effort, a.Memory, a.Statement)
+func (d *testHandler) Take(s Caller, seq int32, request *Ask) {
+	d.lastID++
+	s.Hold(seq, d.lastID)
+	d.say("takes %d: call %d ref %s profile %s tenant %s allow %g effort %g memory %g, %q", d.lastID, seq, request.Ref, request.Profile,
+		request.Tenant, request.Allow, request.Effort, request.Memory, request.Statement)
 }
-func (d *desk) Left(id uint32)                            { d.say("%d left", id) }
-func (d *desk) HalfClosed(id uint32)                      { d.say("%d half-closed", id) }
-func (d *desk) Ready() bool                               { return d.ready }
-func (d *desk) Room(n int) bool                           { d.kept += n; return d.kept < 200 }
-func (d *desk) Bad(how string)                            { d.say("bad: %s", how) }
-func (d *desk) Closed(*Session)                           { d.say("closed") }
-func (d *desk) ClientClosing(_ *Session, why CloseReason) { d.say("closing: %v", why) }
-func (d *desk) Finish()                                   { d.say("finishes") }
-func (d *desk) InputPending() bool                        { return false }
-func (d *desk) InputAge() time.Duration                   { return 0 }
-func (d *desk) Behind() bool                              { return false }
-func (d *desk) OutputPending() bool                       { return false }
-func (d *desk) Append(b []byte) int64 {
+func (d *testHandler) Left(id uint32)                               { d.say("%d left", id) }
+func (d *testHandler) HalfClosed(id uint32)                         { d.say("%d half-closed", id) }
+func (d *testHandler) Ready() bool                                  { return d.ready }
+func (d *testHandler) Room(n int) bool                              { d.partialBytes += n; return d.partialBytes < 200 }
+func (d *testHandler) Bad(text string)                              { d.say("bad: %s", text) }
+func (d *testHandler) Closed(*Session)                              { d.say("closed") }
+func (d *testHandler) ClientClosing(_ *Session, reason CloseReason) { d.say("closing: %v", reason) }
+func (d *testHandler) Finish()                                      { d.say("finishes") }
+func (d *testHandler) InputPending() bool                           { return false }
+func (d *testHandler) InputAge() time.Duration                      { return 0 }
+func (d *testHandler) Behind() bool                                 { return false }
+func (d *testHandler) OutputPending() bool                          { return false }
+func (d *testHandler) Append(b []byte) int64 {
 	d.say("answers %s", fake.Show(b[4:]))
 	return 0
 }
 
 func start(pieces bool) func(*testing.T, script.Say) func([]string) {
 	return func(t *testing.T, say script.Say) func([]string) {
-		d := &desk{say: say, ready: true}
+		d := &testHandler{say: say, ready: true}
 		var scratch []byte
 		d.s = NewSession(d, &scratch)
 		d.s.Line = d
@@ -56,11 +56,11 @@
 	}
 }
 
-func (d *desk) step(t *testing.T, w []string, pieces bool) {
-	seq := int32(0)
+func (d *testHandler) step(t *testing.T, w []string, pieces bool) {
+	number := int32(0)
 	if len(w) > 1 {
 		n, _ := strconv.Atoi(w[1])
-		seq = int32(n)
+		number = int32(n)
 	}
 	var frame []byte
 	switch w[0] {
@@ -69,7 +69,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		frame = thrift.Begin(nil, thrift.Call, "call", seq)
+		frame = thrift.Begin(nil, thrift.Call, "call", number)
 		frame = thrift.AppendBytes(thrift.AppendField(frame, thrift.String, 2), body) // fields in any order
 		var pairs []string
 		for _, p := range w[2 : len(w)-1] {
@@ -84,9 +84,9 @@
 		frame = thrift.End(thrift.AppendPairs(thrift.AppendField(frame, thrift.Map, 1), pairs...))
 	case "cancel":
 		frame = thrift.Begin(nil, thrift.Oneway, "cancel", 0)
-		frame = thrift.End(append(thrift.AppendField(frame, thrift.I32, 1), 0, 0, 0, byte(seq)))
+		frame = thrift.End(append(thrift.AppendField(frame, thrift.I32, 1), 0, 0, 0, byte(number)))
 	case "health", "unknown":
-		frame = thrift.End(thrift.AppendBool(thrift.AppendField(thrift.Begin(nil, thrift.Call, w[0], seq), thrift.Bool, 1), true))
+		frame = thrift.End(thrift.AppendBool(thrift.AppendField(thrift.Begin(nil, thrift.Call, w[0], number), thrift.Bool, 1), true))
 	case "raw":
 		b, err := hex.DecodeString(strings.Join(w[1:], ""))
 		if err != nil {
@@ -99,22 +99,22 @@
 	case "ready":
 		d.ready = w[1] == "yes"
 	case "answered":
-		d.s.Answered(seq, [][]byte{[]byte("a\tb\n"), []byte("c\td\n")}, nil)
+		d.s.Answered(number, [][]byte{[]byte("a\tb\n"), []byte("c\td\n")}, nil)
 	case "shed":
-		d.s.Shed(seq, 0.25, nil)
+		d.s.Shed(number, 0.25, nil)
 	case "shed-now":
-		d.s.Shed(seq, 0, nil)
+		d.s.Shed(number, 0, nil)
 	case "failed":
-		d.s.Failed(seq)
+		d.s.Failed(number)
 	case "idle":
-		for range seq {
+		for range number {
 			d.s.Tick()
 		}
 	case "spare":
 		rank, ok := d.s.Spare()
 		d.say("can be spared: %v, %d", ok, rank)
 	case "waited": // milliseconds
-		d.s.Waited(transport.Arrival{Silent: time.Duration(seq) * time.Millisecond})
+		d.s.Waited(transport.Arrival{Silent: time.Duration(number) * time.Millisecond})
 	case "last":
 		d.s.Last(RouterEnds)
 	case "turn-away":
@@ -140,7 +140,7 @@
 	f.Add([]byte("\x00\x00\x00\x10\x80\x01\x00\x01\x00\x00\x00\x04call\x00\x00\x00\x01\x00"))
 	f.Add([]byte("\x00\x00\x00\x1b\x80\x01\x00\x01\x00\x00\x00\x04call\x00\x00\x00\x01\x0f\x00\x01\x0f\xff\xff\xff\xff\x0f\x00\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		d := &desk{say: func(string, ...any) {}}
+		d := &testHandler{say: func(string, ...any) {}}
 		var scratch []byte
 		d.s = NewSession(d, &scratch)
 		d.s.Line = d
--- a/internal/router/close_test.go
+++ b/internal/router/close_test.go
@@ -20,36 +20,36 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// hall is a service on real sockets whose owner is the test: nothing happens between two lines but what the test has happen.
-type hall struct {
+// harness is a service on real sockets whose owner is the test: nothing happens between two lines but what the test has happen.
+type harness struct {
 	*service
 	t        *testing.T
 	listener *net.TCPListener
 	close    func()
-	heard    chan fake.Said
-	places   []*fake.Engine
+	received chan fake.Said
+	servers  []*fake.Engine
 	list     []admission.Entry
 }
 
-// newHall has so many engines, of which none is listed yet.
-func newHall(t *testing.T, descriptors, engineCount int) *hall {
+// newHarness has so many engines, of which none is listed yet.
+func newHarness(t *testing.T, descriptors, serverCount int) *harness {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	profile := admission.Profile{Target: 20, Benefit: 1, Threads: 1}
 	once := profile
-	once.Effect, once.Window = admission.Uniqued, window
+	once.Effect, once.Window = admission.Uniqued, dedupWindow
 	never := profile
 	never.Effect = admission.NonReplayable
 	set := settings.Settings{Profiles: []string{"lookup", "once", "never"}, Open: 99, Longest: 30, ConnectTimeout: 10, Brain: admission.Settings{
 		Routers: 1, Tick: 0.005, KindCores: []float64{8}, Profiles: []admission.Profile{profile, once, never}}}
 	inbox := make(transport.Inbox, 256)
-	h := &hall{t: t, heard: make(chan fake.Said, 100), service: &service{Router: New(set, 1<<20, zap.NewNop(), func(uint32) string { return "" }),
+	h := &harness{t: t, received: make(chan fake.Said, 100), service: &service{Router: New(set, 1<<20, zap.NewNop(), func(uint32) string { return "" }),
 		cfg:   config.Config{Settings: set, Limits: config.Limits{Sockets: descriptors}},
-		clock: newClock(), log: zap.NewNop(), inbox: inbox, arrivals: make(chan net.Conn), accepted: make(chan struct{}),
+		clock: newClock(), log: zap.NewNop(), inbox: inbox, arrivals: make(chan net.Conn), acceptDone: make(chan struct{}),
 		sessions: map[*frontend.Session]struct{}{}, ctx: ctx, group: group, net: transport.NewNet(ctx, group, inbox, 1<<20, 8)}}
 	h.Start(h.clock.now(), backends.New(h.Router, backends.Limits{Streams: 100, Conns: 10, Idle: 30}, h.dial))
-	for range engineCount {
-		h.places = append(h.places, fake.NewEngine(t, h.heard))
+	for range serverCount {
+		h.servers = append(h.servers, fake.NewEngine(t, h.received))
 	}
 	var err error
 	if h.listener, err = net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
@@ -60,24 +60,24 @@
 	return h
 }
 
-// ready lists an engine, by its place.
-func (h *hall) ready(k int) {
+// listServer lists an engine, by its place.
+func (h *harness) listServer(k int) {
 	h.list = append(h.list, admission.Entry{Engine: uint32(k + 1), State: admission.Ready})
 	h.Members(h.clock.now(), admission.Full, h.list, func() {
-		h.pool.Members(h.list, func(n uint32) netip.AddrPort { return netip.MustParseAddrPort(h.places[n-1].Addr) })
+		h.pool.Members(h.list, func(n uint32) netip.AddrPort { return netip.MustParseAddrPort(h.servers[n-1].Addr) })
 	})
 }
 
-func (h *hall) client() *fake.Client { return fake.NewClient(h.t, h.listener.Addr().String()) }
+func (h *harness) client() *fake.Client { return fake.NewClient(h.t, h.listener.Addr().String()) }
 
-func (h *hall) call(c *fake.Client, ref string) int32 { return h.ask(c, "lookup", ref) }
+func (h *harness) call(c *fake.Client, ref string) int32 { return h.callProfile(c, "lookup", ref) }
 
-func (h *hall) ask(c *fake.Client, profile, ref string) int32 {
+func (h *harness) callProfile(c *fake.Client, profile, ref string) int32 {
 	return c.Call("SELECT 1", "service", profile, "project", "acme", "allow", "20000", "ref", ref+strings.Repeat("0", 15))
 }
 
 // deliver makes what comes off connections known, so many times.
-func (h *hall) deliver(n int) {
+func (h *harness) deliver(n int) {
 	h.t.Helper()
 	for range n {
 		select {
@@ -89,15 +89,15 @@
 	}
 }
 
-func (h *hall) expect(c *fake.Client, want string) {
+func (h *harness) expectReply(c *fake.Client, want string) {
 	h.t.Helper()
 	if got := c.Next(); got != want {
 		h.t.Errorf("the client got %q, want %q", got, want)
 	}
 }
 
-// waiting waits until so much is ready for the owner.
-func (h *hall) waiting(entries int) {
+// waitForInput waits until so much is ready for the owner.
+func (h *harness) waitForInput(entries int) {
 	h.t.Helper()
 	for end := time.Now().Add(fake.Patience); len(h.inbox) < entries; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -106,19 +106,19 @@
 	}
 }
 
-const window = 0.2 // seconds in which engines drop a repeat
+const dedupWindow = 0.2 // seconds in which engines drop a repeat
 
-const harmless = "2/1 call{ 1={ 1=[ ] } }"
+const rejectedReply = "2/1 call{ 1={ 1=[ ] } }"
 
 // TestCrosses: a call that its reader has read when the close is decided is not taken: its answer would never leave. The
 // client sees a clean end.
 func TestCrosses(t *testing.T) {
-	h := newHall(t, 100, 0)
+	h := newHarness(t, 100, 0)
 	go h.accept(h.listener)
 	c := h.client()
-	h.arrive(<-h.arrivals, false)
+	h.acceptClient(<-h.arrivals, false)
 	h.call(c, "a")
-	h.waiting(1)
+	h.waitForInput(1)
 	for s := range h.sessions {
 		s.Last(frontend.RouterEnds)
 	}
@@ -126,21 +126,21 @@
 	if h.Owed() != 0 {
 		t.Error("it was taken")
 	}
-	h.expect(c, "closed")
+	h.expectReply(c, "closed")
 }
 
 // TestInTime: what has come and is ready in the instant in which the grace ends is taken, on an open connection as on a
 // new one; what comes after it is shed while the connection is still owed something.
 func TestInTime(t *testing.T) {
-	h := newHall(t, 100, 0)
+	h := newHarness(t, 100, 0)
 	go h.accept(h.listener)
 	open := h.client()
-	h.arrive(<-h.arrivals, false)
+	h.acceptClient(<-h.arrivals, false)
 	h.call(open, "a")
-	h.waiting(1)
+	h.waitForInput(1)
 	fresh := h.client()
 	for end := time.Now().Add(fake.Patience); h.Owed() < 1 || len(h.sessions) < 2; { // the accepting goroutine holds it out
-		h.closeFront(h.listener)
+		h.closeFrontend(h.listener)
 		if time.Now().After(end) {
 			t.Fatal("what was ready was not taken")
 		}
@@ -150,33 +150,33 @@
 	}
 	h.call(open, "b")
 	h.deliver(1)
-	h.expect(open, "2/2 call{ 1={ 1=[ ] } }")
-	h.expect(fresh, "closed")
+	h.expectReply(open, "2/2 call{ 1={ 1=[ ] } }")
+	h.expectReply(fresh, "closed")
 }
 
 // TestAcceptQueue: connections that the kernel has accepted when the router ends are turned away with an answer, and none
 // is reset with the listener.
 func TestAcceptQueue(t *testing.T) {
-	h := newHall(t, 100, 0)
+	h := newHarness(t, 100, 0)
 	var late []*fake.Client
 	for k := range 5 {
 		late = append(late, h.client())
 		h.call(late[k], string(rune('a'+k)))
 	}
-	h.closeFront(h.listener)
+	h.closeFrontend(h.listener)
 	go h.accept(h.listener)
 	for open := true; open; {
 		select {
 		case nc := <-h.arrivals:
-			h.arrive(nc, true)
-		case <-h.accepted:
+			h.acceptClient(nc, true)
+		case <-h.acceptDone:
 			open = false
 		}
 	}
 	h.deliver(5)
 	for _, c := range late {
-		h.expect(c, harmless)
-		h.expect(c, "closed")
+		h.expectReply(c, rejectedReply)
+		h.expectReply(c, "closed")
 	}
 	if h.Owed() != 0 {
 		t.Error("one was taken")
@@ -186,21 +186,21 @@
 // TestTurnedAway: a client for whom there is no room has its call shed and a clean end; where not even that can be held,
 // its connection is closed.
 func TestTurnedAway(t *testing.T) {
-	h := newHall(t, 24, 0) // 8 for clients, and one beyond to turn away by
+	h := newHarness(t, 24, 0) // 8 for clients, and one beyond to turn away by
 	go h.accept(h.listener)
 	for k := range 8 {
 		h.call(h.client(), string(rune('1'+k)))
-		h.arrive(<-h.arrivals, false)
+		h.acceptClient(<-h.arrivals, false)
 		h.deliver(1)
 	}
 	c, none := h.client(), h.client()
-	h.arrive(<-h.arrivals, false)
-	h.arrive(<-h.arrivals, false)
-	h.expect(none, "closed")
+	h.acceptClient(<-h.arrivals, false)
+	h.acceptClient(<-h.arrivals, false)
+	h.expectReply(none, "closed")
 	h.call(c, "a")
 	h.deliver(1)
-	h.expect(c, harmless)
-	h.expect(c, "closed")
+	h.expectReply(c, rejectedReply)
+	h.expectReply(c, "closed")
 	if h.Owed() != 8 {
 		t.Errorf("%d commands are in hand", h.Owed())
 	}
--- a/internal/router/descriptors_test.go
+++ b/internal/router/descriptors_test.go
@@ -9,9 +9,9 @@
 // TestDivide: clients, lingering ones, servers and the reserve never pass the descriptors that there are, and usual clients have their third.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(3*reserve, 1<<20).Draw(t, "descriptors")
-		s := divide(n)
-		if taken := s.clients + s.turnedOff + s.lingering + s.servers + reserve; taken > n {
+		n := rapid.IntRange(3*reservedDescriptors, 1<<20).Draw(t, "descriptors")
+		s := divideDescriptors(n)
+		if taken := s.clients + s.rejecting + s.lingering + s.servers + reservedDescriptors; taken > n {
 			t.Errorf("%d of %d are taken: %+v", taken, n, s)
 		}
 		if s.clients < n/3 || s.servers < 1 || s.lingering < 1 {
@@ -23,11 +23,11 @@
 // TestOldestRestGoes: where resting clients fill the descriptors, the one that has rested longest makes room; a connection that has
 // just come in stays, as its call is on its way.
 func TestOldestRestGoes(t *testing.T) {
-	h := newHall(t, 48, 0) // 18 for clients
+	h := newHarness(t, 48, 0) // 18 for clients
 	go h.accept(h.listener)
 	for range 18 {
 		c := h.client()
-		h.arrive(<-h.arrivals, false)
+		h.acceptClient(<-h.arrivals, false)
 		c.AskHealth()
 		h.deliver(1)
 		for s := range h.sessions { // time goes on
@@ -35,9 +35,9 @@
 		}
 	}
 	fresh := h.client()
-	h.arrive(<-h.arrivals, false)
+	h.acceptClient(<-h.arrivals, false)
 	second := h.client()
-	h.arrive(<-h.arrivals, false)
+	h.acceptClient(<-h.arrivals, false)
 	closed := map[uint64]bool{}
 	for range 2 {
 		h.deliver(1) // the end of one that made room
--- a/internal/router/nameserver.go
+++ b/internal/router/nameserver.go
@@ -16,15 +16,15 @@
 
 // datagram is what came from a name server, and on which socket.
 type datagram struct {
-	from *net.UDPConn
-	text []byte
+	from    *net.UDPConn
+	payload []byte
 }
 
-// hear hands on datagrams of a name server until its socket is closed.
-func (s *service) hear(ask *net.UDPConn) error {
+// readAnswers hands on datagrams of a name server until its socket is closed.
+func (s *service) readAnswers(socket *net.UDPConn) error {
 	for {
 		buf := make([]byte, 9000) // answers hold 8,000 at most
-		n, err := ask.Read(buf)
+		n, err := socket.Read(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
@@ -37,42 +37,42 @@
 			}
 		}
 		select {
-		case s.answers <- datagram{ask, buf[:n]}:
+		case s.answers <- datagram{socket, buf[:n]}:
 		case <-s.ctx.Done():
 			return nil
 		}
 	}
 }
 
-// askBy opens a socket for questions to a name server.
-func (s *service) askBy(addr netip.AddrPort) error {
-	ask, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
+// openQuerySocket opens a socket for questions to a name server.
+func (s *service) openQuerySocket(addr netip.AddrPort) error {
+	querySocket, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
 	if err == nil {
-		s.ask, s.askedAt = ask, s.clock.now()
-		s.group.Go(func() error { return s.hear(ask) })
+		s.querySocket, s.querySocketOpenedAt = querySocket, s.clock.now()
+		s.group.Go(func() error { return s.readAnswers(querySocket) })
 	}
 	return err
 }
 
-// askAnew asks on a new socket where nothing has come for some questions: what is lost on the way of one may be lost for good.
+// reopenIfSilent asks on a new socket where nothing has come for some questions: what is lost on the way of one may be lost for good.
 // The one before stays for answers that are slow.
-func (s *service) askAnew() {
-	const unheard = 1.0 // seconds, ten questions: not all by chance, and short against the time in which news counts as told
+func (s *service) reopenIfSilent() {
+	const maxSilence = 1.0 // seconds, ten questions: not all by chance, and short against the time in which news counts as told
 	now := s.clock.now()
-	if now-max(s.heardAt, s.askedAt) < unheard {
+	if now-max(s.lastAnswerAt, s.querySocketOpenedAt) < maxSilence {
 		return
 	}
-	was, older := s.ask, s.askedBy
-	if s.askedAt = now; s.askBy(s.cfg.NameServer) == nil {
-		s.askedBy = was
-		hush(older)
+	previous, older := s.querySocket, s.previousSocket
+	if s.querySocketOpenedAt = now; s.openQuerySocket(s.cfg.NameServer) == nil {
+		s.previousSocket = previous
+		closeSockets(older)
 	}
 }
 
-func (s *service) hushAll() { hush(s.ask, s.askedBy) }
+func (s *service) closeQuerySockets() { closeSockets(s.querySocket, s.previousSocket) }
 
-// hush closes sockets, those that are there.
-func hush(sockets ...*net.UDPConn) {
+// closeSockets closes sockets, those that are there.
+func closeSockets(sockets ...*net.UDPConn) {
 	for _, c := range sockets {
 		if c != nil {
 			c.Close()
@@ -80,51 +80,51 @@
 	}
 }
 
-// question asks for the list of engines.
-func (s *service) question() {
-	s.waits = true
-	s.ask.Write(s.list.Question(nil))
+// sendQuestion asks for the list of engines.
+func (s *service) sendQuestion() {
+	s.answerPending = true
+	s.querySocket.Write(s.list.Question(nil))
 }
 
-// oddAnswers is answers of the name server in a row with the same fault.
-type oddAnswers struct {
-	fault string
+// repeatedFault is answers of the name server in a row with the same fault.
+type repeatedFault struct {
+	text  string
 	count int
 }
 
-// logOdd writes a line where answers begin to be odd, or odd in another way, and one where they are good again.
-func (s *service) logOdd(err error) {
-	was := s.odd
+// logAnswerFault writes a line where answers begin to be odd, or odd in another way, and one where they are good again.
+func (s *service) logAnswerFault(err error) {
+	previous := s.answerFault
 	switch {
-	case err != nil && err.Error() == was.fault:
-		s.odd.count++
+	case err != nil && err.Error() == previous.text:
+		s.answerFault.count++
 		return
 	case err != nil:
-		s.odd = oddAnswers{err.Error(), 1}
+		s.answerFault = repeatedFault{err.Error(), 1}
 		s.log.Warn("list of engines", zap.Error(err), zap.Uint32("rev", s.list.Rev()))
-	case was.count > 0:
-		s.odd = oddAnswers{}
-		s.log.Info("the name server's answers are good again", zap.String("were", was.fault), zap.Int("answers", was.count))
+	case previous.count > 0:
+		s.answerFault = repeatedFault{}
+		s.log.Info("the name server's answers are good again", zap.String("were", previous.text), zap.Int("answers", previous.count))
 	}
 }
 
-func (s *service) answer(msg []byte) {
-	was := s.list.Rev()
-	fresh, err := s.list.Answer(msg)
-	s.logOdd(err)
+func (s *service) handleAnswer(msg []byte) {
+	previousRev := s.list.Rev()
+	updated, err := s.list.Answer(msg)
+	s.logAnswerFault(err)
 	if errors.As(err, &discovery.Unread{}) {
 		return
 	}
-	s.waits = s.list.Unsettled()
-	if s.heardAt = s.clock.now(); s.deaf {
-		s.deaf = false
+	s.answerPending = s.list.Unsettled()
+	if s.lastAnswerAt = s.clock.now(); s.nameServerSilent {
+		s.nameServerSilent = false
 		s.log.Info("the name server answers again")
 	}
-	if fresh || s.list.Rev() != was {
-		s.serial = s.list.Rev()
+	if updated || s.list.Rev() != previousRev {
+		s.listSerial = s.list.Rev()
 		s.log.Info("list of engines", zap.Uint32("rev", s.list.Rev()), zap.Int("engines", len(s.list.List())))
 	}
-	if fresh {
-		s.members(admission.Full)
+	if updated {
+		s.publishList(admission.Full)
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,44 +18,44 @@
 	"go.uber.org/zap"
 )
 
-// wire stands in for connections on both sides, and keeps what was written last.
-type wire struct{ last []byte }
-
-func (w *wire) Append(b []byte) int64        { w.last = append(w.last[:0], b...); return 0 }
-func (w *wire) Begun(int64) bool             { return true }
-func (w *wire) AppendRequest(b []byte) int64 { return w.Append(b) }
-func (w *wire) Delivered() bool              { return true }
-func (w *wire) Withdraw(int64, int) bool {
+// fakeConn stands in for connections on both sides, and keeps what was written last.
+type fakeConn struct{ last []byte }
+
+func (w *fakeConn) Append(b []byte) int64        { w.last = append(w.last[:0], b...); return 0 }
+func (w *fakeConn) Begun(int64) bool             { return true }
+func (w *fakeConn) AppendRequest(b []byte) int64 { return w.Append(b) }
+func (w *fakeConn) Delivered() bool              { return true }
+func (w *fakeConn) Withdraw(int64, int) bool {
 	return false
 }
-func (w *wire) Finish()                 {}
-func (w *wire) InputPending() bool      { return false }
-func (w *wire) InputAge() time.Duration { return 0 }
-func (w *wire) OutputPending() bool     { return false }
-func (w *wire) Drop()                   {}
-func (w *wire) Bad()                    {}
-
-type stage struct {
+func (w *fakeConn) Finish()                 {}
+func (w *fakeConn) InputPending() bool      { return false }
+func (w *fakeConn) InputAge() time.Duration { return 0 }
+func (w *fakeConn) OutputPending() bool     { return false }
+func (w *fakeConn) Drop()                   {}
+func (w *fakeConn) Bad()                    {}
+
+type testRouter struct {
 	*Router
 	client  *frontend.Session
-	answers wire
-	engine  wire
+	answers fakeConn
+	server  fakeConn
 	sink    transport.Sink
 	scratch []byte
-	ask     frontend.Ask
+	request frontend.Ask
 	list    []admission.Entry
-	refs    int
+	lastRef int
 }
 
-func (s *stage) Closed(*frontend.Session) {}
+func (s *testRouter) Closed(*frontend.Session) {}
 
-func newStage(open int) *stage {
+func newTestRouter(open int) *testRouter {
 	set := settings.Settings{Profiles: []string{"lookup"}, Open: open, Longest: 30, Brain: admission.Settings{Routers: 1, Tick: 0.005,
 		KindCores: []float64{8}, MaxPause: 0.5, Profiles: []admission.Profile{{Target: 20, Benefit: 1, Threads: 1}}}}
-	s := &stage{Router: New(set, 100, zap.NewNop(), func(uint32) string { return "" })}
+	s := &testRouter{Router: New(set, 100, zap.NewNop(), func(uint32) string { return "" })}
 	pool := backends.New(s.Router, backends.Limits{Streams: 100, Conns: 10, Idle: 30}, func(_ netip.AddrPort, k transport.Sink) backends.Line {
 		s.sink = k
-		return &s.engine
+		return &s.server
 	})
 	s.Start(0, pool)
 	s.list = []admission.Entry{{Engine: 1, State: admission.Ready}}
@@ -65,18 +65,18 @@
 	return s
 }
 
-// take has the client call; the session is told by hand, as frames are the front's business.
-func (s *stage) take(seq int32, allow float64, statement string) string {
-	s.refs++
-	s.ask = frontend.Ask{Profile: []byte("lookup"), Allow: allow, Statement: []byte(statement)}
-	copy(s.ask.Ref[:], fmt.Sprintf("%016x", s.refs))
+// call has the client call; the session is told by hand, as frames are the front's business.
+func (s *testRouter) call(seq int32, allow float64, statement string) string {
+	s.lastRef++
+	s.request = frontend.Ask{Profile: []byte("lookup"), Allow: allow, Statement: []byte(statement)}
+	copy(s.request.Ref[:], fmt.Sprintf("%016x", s.lastRef))
 	s.answers.last = s.answers.last[:0]
-	s.Take(s.client, seq, &s.ask)
+	s.Take(s.client, seq, &s.request)
 	s.pool.Settle()
-	return s.answered()
+	return s.reply()
 }
 
-func (s *stage) answered() string {
+func (s *testRouter) reply() string {
 	if len(s.answers.last) == 0 {
 		return "nothing"
 	}
@@ -86,82 +86,82 @@
 // TestBounds: what passes the settings' bound or the memory for statements is shed before the module has it; a
 // command that ends makes room; none is kept for longer than any client waits.
 func TestBounds(t *testing.T) {
-	s := newStage(2)
-	shed := func(seq int) string { return fmt.Sprintf("2/%d call{ 1={ 1=[ cooldown=500 ] } }", seq) }
-	got := []string{s.take(1, 9, "SELECT 1"), s.take(2, 1e9, "SELECT 1"), s.take(3, 9, "SELECT 1")}
+	s := newTestRouter(2)
+	rejected := func(seq int) string { return fmt.Sprintf("2/%d call{ 1={ 1=[ cooldown=500 ] } }", seq) }
+	got := []string{s.call(1, 9, "SELECT 1"), s.call(2, 1e9, "SELECT 1"), s.call(3, 9, "SELECT 1")}
 	s.Left(1)
-	got = append(got, s.take(4, 9, string(make([]byte, 101))), s.take(5, 9, "SELECT 1"))
-	if diff := cmp.Diff([]string{"nothing", "nothing", shed(3), shed(4), "nothing"}, got); diff != "" {
+	got = append(got, s.call(4, 9, string(make([]byte, 101))), s.call(5, 9, "SELECT 1"))
+	if diff := cmp.Diff([]string{"nothing", "nothing", rejected(3), rejected(4), "nothing"}, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	s.Tick(31)
-	if s.Owed() != 0 || len(s.cmds) != 0 || s.held != 0 {
-		t.Errorf("%d owed, %d in hand with %d bytes after the longest wait", s.Owed(), len(s.cmds), s.held)
+	if s.Owed() != 0 || len(s.requests) != 0 || s.statementBytes != 0 {
+		t.Errorf("%d owed, %d in hand with %d bytes after the longest wait", s.Owed(), len(s.requests), s.statementBytes)
 	}
 }
 
-// TestInHand: while a client waits under an id, nobody else's command has it; once it has left, it may come again.
-func TestInHand(t *testing.T) {
-	s := newStage(9)
-	again := func(seq int32) string {
-		s.refs = 0
-		return s.take(seq, 9, fmt.Sprint("SELECT ", seq))
+// TestDuplicateID: while a client waits under an id, nobody else's command has it; once it has left, it may come again.
+func TestDuplicateID(t *testing.T) {
+	s := newTestRouter(9)
+	callWithSameID := func(seq int32) string {
+		s.lastRef = 0
+		return s.call(seq, 9, fmt.Sprint("SELECT ", seq))
 	}
-	got := []string{again(1), again(2)}
+	got := []string{callWithSameID(1), callWithSameID(2)}
 	s.Left(1)
-	got = append(got, again(3))
+	got = append(got, callWithSameID(3))
 	if diff := cmp.Diff([]string{"nothing", "2/2 call{ 2={ 1=[ ] } }", "nothing"}, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
 
-// TestUnwanted: an answer for a client that has left goes nowhere, and the module hears that it came.
-func TestUnwanted(t *testing.T) {
-	s := newStage(9)
-	s.take(1, 9, "SELECT 1")
+// TestResultForDepartedClient: an answer for a client that has left goes nowhere, and the module hears that it came.
+func TestResultForDepartedClient(t *testing.T) {
+	s := newTestRouter(9)
+	s.call(1, 9, "SELECT 1")
 	s.sink.Up()
 	s.Left(1)
 	s.sink.Feed([]byte("0000000000000001 served count=1,ticks=5 5\r\na\tb\t\n\r\n"))
-	if got := s.answered(); got != "nothing" || len(s.cmds) != 0 {
-		t.Errorf("the client that left got %s; %d in hand", got, len(s.cmds))
+	if got := s.reply(); got != "nothing" || len(s.requests) != 0 {
+		t.Errorf("the client that left got %s; %d in hand", got, len(s.requests))
 	}
 }
 
-// TestCancelled: a send that the module takes back as its client leaves is told to have ended before its place is
+// TestCancelledAttemptEndsFirst: a send that the module takes back as its client leaves is told to have ended before its place is
 // another command's.
-func TestCancelled(t *testing.T) {
-	s := newStage(9)
+func TestCancelledAttemptEndsFirst(t *testing.T) {
+	s := newTestRouter(9)
 	s.set.Brain.Cancels = true
 	s.Start(0, s.pool)
 	s.Members(0, admission.Full, s.list, func() {})
-	s.take(1, 9, "SELECT 1")
+	s.call(1, 9, "SELECT 1")
 	s.sink.Up()
 	s.Left(1)
-	if len(s.cmds) != 1 || string(s.engine.last) != "abort 0000000000000001\r\n" {
-		t.Errorf("%d in hand, the engine was sent %q", len(s.cmds), s.engine.last)
+	if len(s.requests) != 1 || string(s.server.last) != "abort 0000000000000001\r\n" {
+		t.Errorf("%d in hand, the engine was sent %q", len(s.requests), s.server.last)
 	}
-	if s.pool.Settle(); len(s.cmds) != 0 {
+	if s.pool.Settle(); len(s.requests) != 0 {
 		t.Error("still in hand")
 	}
 }
 
 // TestNoGarbage: a command that runs its ordinary course allocates nothing once places are there.
 func TestNoGarbage(t *testing.T) {
-	s := newStage(9)
-	s.take(1, 9, "SELECT 1")
+	s := newTestRouter(9)
+	s.call(1, 9, "SELECT 1")
 	s.sink.Up()
 	seq := int32(1)
 	answer := []byte("0000000000000001 served count=1,ticks=5 5\r\na\tb\t\n\r\n")
-	course := func() {
+	cycle := func() {
 		s.sink.Feed(answer)
 		seq++
-		s.Take(s.client, seq, &s.ask)
+		s.Take(s.client, seq, &s.request)
 		s.pool.Settle()
 	}
 	for range 1000 {
-		course()
+		cycle()
 	}
-	if n := testing.AllocsPerRun(1000, course); n > 0 {
+	if n := testing.AllocsPerRun(1000, cycle); n > 0 {
 		t.Errorf("%v allocations a command", n)
 	}
 }
--- a/internal/router/stalled.go
+++ b/internal/router/stalled.go
@@ -8,37 +8,37 @@
 
 // stall finds a router that serves nobody: it is ready, has servers and waiting clients, and begins no attempt.
 type stall struct {
-	attempts uint64 // begun when it was last looked at
-	since    float64
-	said     bool // the log says so
+	attemptsBegun uint64 // begun when it was last looked at
+	since         float64
+	logged        bool // the log says so
 }
 
-// watchStall is called every second. It says once that nothing is sent, and once that something is again.
-func (r *Router) watchStall(readyServers int) {
+// detectStall is called every second. It says once that nothing is sent, and once that something is again.
+func (r *Router) detectStall(readyServers int) {
 	s := &r.stall
-	waiting := r.waiting()
-	sends := r.attempts != s.attempts
-	if sends && s.said {
-		s.said = false
+	waitingRequests := r.waitingRequests()
+	progressed := r.attemptsBegun != s.attemptsBegun
+	if progressed && s.logged {
+		s.logged = false
 		r.log.Info("attempts are begun again")
 	}
-	if sends || waiting == 0 || readyServers == 0 || !r.listed {
-		s.attempts, s.since = r.attempts, r.now
+	if progressed || waitingRequests == 0 || readyServers == 0 || !r.listReceived {
+		s.attemptsBegun, s.since = r.attemptsBegun, r.now
 		return
 	}
-	if s.said || r.now-s.since < stallAfter {
+	if s.logged || r.now-s.since < stallAfter {
 		return
 	}
-	s.said = true
-	r.log.Warn("clients wait and nothing is sent", zap.Int("waiting", waiting), zap.Int("in hand", len(r.cmds)),
-		zap.Int("servers", readyServers), zap.Int("connections", r.pool.Connections()), zap.Bool("behind", r.backlog.held),
+	s.logged = true
+	r.log.Warn("clients wait and nothing is sent", zap.Int("waiting", waitingRequests), zap.Int("in hand", len(r.requests)),
+		zap.Int("servers", readyServers), zap.Int("connections", r.pool.Connections()), zap.Bool("behind", r.ownerDelay.holding),
 		zap.Float64("seconds", r.now-s.since))
 }
 
-// waiting counts the requests that a client waits for and that have no attempt out.
-func (r *Router) waiting() (n int) {
-	for _, c := range r.cmds {
-		if !c.over() && !c.job.Out() {
+// waitingRequests counts the requests that a client waits for and that have no attempt out.
+func (r *Router) waitingRequests() (n int) {
+	for _, c := range r.requests {
+		if !c.done() && !c.attempt.Out() {
 			n++
 		}
 	}
--- a/internal/router/stalled_test.go
+++ b/internal/router/stalled_test.go
@@ -9,18 +9,18 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// stalledFor20 is a router with one client's request, watched each second for 20 s, and what it has logged.
-func stalledFor20(servers int, held bool) (*stage, *observer.ObservedLogs) {
+// watchStallFor20s is a router with one client's request, watched each second for 20 s, and what it has logged.
+func watchStallFor20s(servers int, noServerKnown bool) (*testRouter, *observer.ObservedLogs) {
 	core, lines := observer.New(zap.InfoLevel)
-	s := newStage(9)
+	s := newTestRouter(9)
 	s.log = zap.New(core)
-	if held { // the module knows of no server that is ready, whatever the list says
+	if noServerKnown { // the module knows of no server that is ready, whatever the list says
 		s.Members(0, admission.Full, nil, func() {})
 	}
-	s.take(1, 60, "SELECT 1")
+	s.call(1, 60, "SELECT 1")
 	for now := range 20 {
 		s.at(float64(now))
-		s.watchStall(servers)
+		s.detectStall(servers)
 	}
 	return s, lines
 }
@@ -29,23 +29,23 @@
 // requests there is no server, or whose attempt is out.
 func TestStallIsSaid(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		servers int
-		held    bool
-		lines   int
+		name          string
+		servers       int
+		noServerKnown bool
+		lines         int
 	}{{"nothing is sent", 1, true, 1}, {"no server is ready", 0, true, 0}, {"an attempt is out", 1, false, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			s, lines := stalledFor20(c.servers, c.held)
+			s, lines := watchStallFor20s(c.servers, c.noServerKnown)
 			if n := lines.FilterMessage("clients wait and nothing is sent").Len(); n != c.lines {
 				t.Errorf("%d lines, want %d", n, c.lines)
 			}
-			if !c.held || c.servers == 0 {
+			if !c.noServerKnown || c.servers == 0 {
 				return
 			}
 			s.Members(20, admission.Full, s.list, func() {})
 			s.at(21)
-			s.watchStall(c.servers)
-			s.watchStall(c.servers)
+			s.detectStall(c.servers)
+			s.detectStall(c.servers)
 			if n := lines.FilterMessage("attempts are begun again").Len(); n != 1 {
 				t.Errorf("that it sends again is said %d times", n)
 			}
--- a/internal/router/knows.go
+++ b/internal/router/state.go
@@ -23,26 +23,26 @@
 }
 
 // Quick is what changes fast, and Slow the rest.
-func (r *Router) Quick() (q warmstart.Record) {
-	q.Known = r.mind.Knows()
-	q.Known.Profiles = nil
+func (r *Router) Quick() (record warmstart.Record) {
+	record.Known = r.controller.Knows()
+	record.Known.Profiles = nil
 	if r.teams != nil {
-		for name, ahead := range r.teams.Levels() {
-			q.Teams = append(q.Teams, warmstart.Team{Name: name, Ahead: ahead})
+		for name, level := range r.teams.Levels() {
+			record.Teams = append(record.Teams, warmstart.Team{Name: name, Ahead: level})
 		}
 	}
-	q.Serial = r.serial
-	return q
+	record.Serial = r.listSerial
+	return record
 }
 
 // Slow gives what is saved seldom, since it changes slowly: the profiles and the distributions of their waits.
 func (r *Router) Slow() (profiles []warmstart.Profile, all []warmstart.Wait) {
-	profiles = r.mind.Knows().Profiles
-	book := r.set.Brain.Waits
-	if book == nil {
+	profiles = r.controller.Knows().Profiles
+	estimator := r.set.Brain.Waits
+	if estimator == nil {
 		return profiles, nil
 	}
-	for _, l := range book.Learned() {
+	for _, l := range estimator.Learned() {
 		w := warmstart.Wait{Profile: l.Profile}
 		if l.Team >= 0 {
 			if r.teams == nil {
@@ -64,17 +64,17 @@
 }
 
 // Recall has the router start with what is believed.
-func (r *Router) Recall(x warmstart.Restored) {
-	r.set.Brain.Memory = &x.Beliefs
+func (r *Router) Recall(restored warmstart.Restored) {
+	r.set.Brain.Memory = &restored.Beliefs
 	if r.teams != nil {
-		r.teams.RestoreLevels(x.Teams)
+		r.teams.RestoreLevels(restored.Teams)
 	}
-	book := r.set.Brain.Waits
-	if book == nil {
+	estimator := r.set.Brain.Waits
+	if estimator == nil {
 		return
 	}
 	var all []waittime.Learned
-	for _, w := range x.Waits {
+	for _, w := range restored.Waits {
 		l := waittime.Learned{Team: -1, Profile: w.Profile}
 		if w.Team != "" {
 			team, ok := 0, false
@@ -93,5 +93,5 @@
 		}
 		all = append(all, l)
 	}
-	book.Restore(all)
+	estimator.Restore(all)
 }
--- a/internal/router/subset_test.go
+++ b/internal/router/subset_test.go
@@ -18,31 +18,31 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// silent is a host that does nothing of what it is asked for.
-type silent struct{}
-
-func (silent) Send(id, engine uint32, limit, by float64)            {}
-func (silent) Shed(id uint32, pause float64)                        {}
-func (silent) Fail(id uint32)                                       {}
-func (silent) Cancel(id uint32, send int)                           {}
-func (silent) Withdraw(id uint32, send int)                         {}
-func (silent) Probe(engine uint32)                                  {}
-func (silent) Priority(id uint32, level int, grant float64)         {}
-func (silent) Wake(after float64, token uint64)                     {}
-func (silent) Tell(peer int, data []byte)                           {}
-func (silent) Watch(on bool)                                        {}
-func (silent) Log(text string)                                      {}
-func (silent) Told(id uint32, k waittime.Kind, e waittime.Estimate) {}
-
-// viewed is a view with the module that it is for, and its log.
-type viewed struct {
+// noopHost is a host that does nothing of what it is asked for.
+type noopHost struct{}
+
+func (noopHost) Send(id, engine uint32, limit, by float64)            {}
+func (noopHost) Shed(id uint32, pause float64)                        {}
+func (noopHost) Fail(id uint32)                                       {}
+func (noopHost) Cancel(id uint32, send int)                           {}
+func (noopHost) Withdraw(id uint32, send int)                         {}
+func (noopHost) Probe(engine uint32)                                  {}
+func (noopHost) Priority(id uint32, level int, grant float64)         {}
+func (noopHost) Wake(after float64, token uint64)                     {}
+func (noopHost) Tell(peer int, data []byte)                           {}
+func (noopHost) Watch(on bool)                                        {}
+func (noopHost) Log(text string)                                      {}
+func (noopHost) Told(id uint32, k waittime.Kind, e waittime.Estimate) {}
+
+// testView is a view with the module that it is for, and its log.
+type testView struct {
 	*subsetView
-	mind *admission.Brain
-	said *observer.ObservedLogs
-	t    *testing.T
+	controller *admission.Brain
+	logs       *observer.ObservedLogs
+	t          *testing.T
 }
 
-func newViewed(t *testing.T, section operator.Subset) *viewed {
+func newTestView(t *testing.T, section operator.Subset) *testView {
 	cfg := config.Config{Name: "r1", Operator: operator.File{Subset: &section}, Settings: settings.Settings{Zones: []string{"a", "b"},
 		Kinds: []string{"std"}, Profiles: []string{"any"}, Brain: admission.Settings{Me: 3, Routers: 8, Tick: 0.005, WarmUp: 15, FallWindow: 1,
 			FallMultiple: 2, ColdFrom: 0.35, Profiles: []admission.Profile{{Target: 1, Benefit: 1, Threads: 1}}}}}
@@ -51,17 +51,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &viewed{v, admission.New(cfg.Settings.Brain, 0, silent{}), said, t}
+	return &testView{v, admission.New(cfg.Settings.Brain, 0, noopHost{}), said, t}
 }
 
-// tell has the view and the module take a list.
-func (v *viewed) tell(now float64, list []admission.Entry) {
-	v.take(now, list)
-	v.mind.Members(now, admission.Full, v.held)
+// setBoth has the view and the module take a list.
+func (v *testView) setBoth(now float64, list []admission.Entry) {
+	v.setList(now, list)
+	v.controller.Members(now, admission.Full, v.held)
 }
 
-func (v *viewed) lines(part string) (n int) {
-	for _, e := range v.said.All() {
+func (v *testView) countLogLines(part string) (n int) {
+	for _, e := range v.logs.All() {
 		if strings.Contains(e.Message, part) {
 			n++
 		}
@@ -76,7 +76,7 @@
 	return all
 }
 
-func numbers(list []admission.Entry) (all []uint32) {
+func serverIDs(list []admission.Entry) (all []uint32) {
 	for _, e := range list {
 		all = append(all, e.Engine)
 	}
@@ -85,138 +85,138 @@
 
 // TestSmallPoolIsHandedOn: the very list comes out, and the module's shares are untouched, where the pool is no larger than the subset.
 func TestSmallPoolIsHandedOn(t *testing.T) {
-	v := newViewed(t, operator.Subset{Size: 8})
+	v := newTestView(t, operator.Subset{Size: 8})
 	list := entries(8)
-	v.tell(0, list)
-	if &v.held[0] != &list[0] || &v.linked[0] != &list[0] || len(v.held) != 8 || len(v.linked) != 8 {
+	v.setBoth(0, list)
+	if &v.held[0] != &list[0] || &v.connected[0] != &list[0] || len(v.held) != 8 || len(v.connected) != 8 {
 		t.Error("the list is not the one that was given")
 	}
-	if part := v.part(); part.Part != 0 || part.Zones != nil {
-		t.Errorf("the part of the pool is %v", part)
+	if heldShare := v.heldShare(); heldShare.Part != 0 || heldShare.Zones != nil {
+		t.Errorf("the part of the pool is %v", heldShare)
 	}
-	if v.review(10, v.mind) {
+	if v.review(10, v.controller) {
 		t.Error("a whole pool was reviewed")
 	}
-	v.tell(1, nil)
+	v.setBoth(1, nil)
 	if len(v.held) != 0 {
 		t.Error("an empty list has databases")
 	}
 }
 
-// TestHeldPart: the module knows what part of the pool its list is.
-func TestHeldPart(t *testing.T) {
-	v := newViewed(t, operator.Subset{Size: 8, Room: new(float64)})
-	v.tell(0, entries(80))
-	if part := v.part(); len(v.held) != 8 || part.Part != 0.1 || part.Zones[0]+part.Zones[1] != 0.2 {
-		t.Errorf("%d held, part %v", len(v.held), part)
+// TestHeldShare: the module knows what part of the pool its list is.
+func TestHeldShare(t *testing.T) {
+	v := newTestView(t, operator.Subset{Size: 8, Room: new(float64)})
+	v.setBoth(0, entries(80))
+	if heldShare := v.heldShare(); len(v.held) != 8 || heldShare.Part != 0.1 || heldShare.Zones[0]+heldShare.Zones[1] != 0.2 {
+		t.Errorf("%d held, part %v", len(v.held), heldShare)
 	}
 }
 
 // TestNeedWidensAndCalmNarrows: what is cold can't be used, so the subset doubles; when it is warm again the subset returns, and
 // what left it keeps its connections for the grace and then goes at the stated rate.
 func TestNeedWidensAndCalmNarrows(t *testing.T) {
-	v := newViewed(t, operator.Subset{Size: 8, Room: new(float64)})
+	v := newTestView(t, operator.Subset{Size: 8, Room: new(float64)})
 	list := entries(200)
-	v.tell(0, list)
-	first := numbers(v.held)
+	v.setBoth(0, list)
+	first := serverIDs(v.held)
 	const restarted = 100.0
 	for k := range list {
 		if slices.Contains(first, list[k].Engine) {
 			list[k].ReadyAt = restarted
 		}
 	}
-	v.tell(restarted, list)
-	if !slices.Equal(numbers(v.held), first) {
+	v.setBoth(restarted, list)
+	if !slices.Equal(serverIDs(v.held), first) {
 		t.Fatal("a restart under the same names moves places")
 	}
-	if !v.review(restarted, v.mind) || len(v.held) != 16 {
+	if !v.review(restarted, v.controller) || len(v.held) != 16 {
 		t.Fatalf("%d held after a need", len(v.held))
 	}
-	v.mind.Members(restarted, admission.Full, v.held)
+	v.controller.Members(restarted, admission.Full, v.held)
 	now, most := restarted, len(v.held)
 	for ; now < restarted+15+2*subset.CalmFor && len(v.held) > 8; now += 0.1 {
-		if v.review(now, v.mind) {
-			v.mind.Members(now, admission.Full, v.held)
+		if v.review(now, v.controller) {
+			v.controller.Members(now, admission.Full, v.held)
 		}
 		most = max(most, len(v.held))
 	}
-	if !slices.Equal(numbers(v.held), first) || most > 32 {
+	if !slices.Equal(serverIDs(v.held), first) || most > 32 {
 		t.Fatalf("%d held after calm, %d at most", len(v.held), most)
 	}
 	narrowed := now
-	for len(v.linked) > 8 && now < narrowed+60 {
-		before := len(v.linked)
+	for len(v.connected) > 8 && now < narrowed+60 {
+		before := len(v.connected)
 		now += 0.1
-		v.review(now, v.mind)
-		if len(v.linked) < before && now < narrowed+subset.LeaveGrace-0.2 {
+		v.review(now, v.controller)
+		if len(v.connected) < before && now < narrowed+subset.LeaveGrace-0.2 {
 			t.Fatalf("connections are closed %.1f s after a database left", now-narrowed)
 		}
 	}
-	if took := now - narrowed; took < subset.LeaveGrace+1/subset.LeaveRate || len(v.linked) != 8 {
-		t.Errorf("%d are linked %.1f s later", len(v.linked), took)
+	if took := now - narrowed; took < subset.LeaveGrace+1/subset.LeaveRate || len(v.connected) != 8 {
+		t.Errorf("%d are linked %.1f s later", len(v.connected), took)
 	}
 }
 
 // TestColdStays: a database that better ones displace stays while it is cold.
 func TestColdStays(t *testing.T) {
-	v := newViewed(t, operator.Subset{Size: 8, Room: new(float64), Least: new(int)})
+	v := newTestView(t, operator.Subset{Size: 8, Room: new(float64), Least: new(int)})
 	some := entries(60)[:30]
 	for k := range some {
 		some[k].ReadyAt = 100
 	}
-	v.tell(100, some)
-	before := numbers(v.held)
-	v.tell(101, append(some, entries(60)[30:]...))
+	v.setBoth(100, some)
+	before := serverIDs(v.held)
+	v.setBoth(101, append(some, entries(60)[30:]...))
 	for _, e := range before {
-		if !slices.Contains(numbers(v.held), e) {
+		if !slices.Contains(serverIDs(v.held), e) {
 			t.Errorf("%d left while cold", e)
 		}
 	}
-	v.tell(116, append(some, entries(60)[30:]...))
+	v.setBoth(116, append(some, entries(60)[30:]...))
 	if len(v.held) != 8 {
 		t.Errorf("%d are held once all are warm", len(v.held))
 	}
 }
 
-// TestOddLists: weights that are none, a database listed twice and a list that halves are each said once, and lose nothing.
-func TestOddLists(t *testing.T) {
-	v := newViewed(t, operator.Subset{Size: 8, Room: new(float64)})
+// TestUnusableListEntries: weights that are none, a database listed twice and a list that halves are each said once, and lose nothing.
+func TestUnusableListEntries(t *testing.T) {
+	v := newTestView(t, operator.Subset{Size: 8, Room: new(float64)})
 	list := entries(100)
 	list[0].Weight, list[1].Weight = 0, 1e308
 	list = append(list, list[2])
-	v.tell(0, list)
-	v.tell(1, list)
-	if n := v.lines("weight that can't be used"); n != 1 || len(v.held) != 8 {
+	v.setBoth(0, list)
+	v.setBoth(1, list)
+	if n := v.countLogLines("weight that can't be used"); n != 1 || len(v.held) != 8 {
 		t.Errorf("%d held, %d lines", len(v.held), n)
 	}
-	before := numbers(v.held)
-	v.tell(2, list[:40])
+	before := serverIDs(v.held)
+	v.setBoth(2, list[:40])
 	for _, e := range before {
-		if e <= 40 && !slices.Contains(numbers(v.held), e) {
+		if e <= 40 && !slices.Contains(serverIDs(v.held), e) {
 			t.Errorf("%d left as others went", e)
 		}
 	}
-	if n := v.lines("has halved"); n != 1 || len(v.held) != 8 {
+	if n := v.countLogLines("has halved"); n != 1 || len(v.held) != 8 {
 		t.Errorf("%d held, %d lines", len(v.held), n)
 	}
 }
 
 // TestReadyOfSubset: a router whose subset has no ready server has none to send to, whatever else the list has.
 func TestReadyOfSubset(t *testing.T) {
-	v := newViewed(t, operator.Subset{Size: 4})
+	v := newTestView(t, operator.Subset{Size: 4})
 	list := entries(40)
-	v.tell(0, list)
-	if got, held := v.ready(), len(v.held); got != held || held >= len(list) {
+	v.setBoth(0, list)
+	if got, held := v.readyHeld(), len(v.held); got != held || held >= len(list) {
 		t.Fatalf("%d ready of %d held of %d", got, held, len(list))
 	}
-	held := numbers(v.held)
+	held := serverIDs(v.held)
 	for k := range list {
 		if slices.Contains(held, list[k].Engine) {
 			list[k].State = admission.Draining
 		}
 	}
-	v.tell(1, list)
-	if got := v.ready(); got != 0 {
+	v.setBoth(1, list)
+	if got := v.readyHeld(); got != 0 {
 		t.Errorf("%d ready servers in a subset that drains", got)
 	}
 }
--- a/internal/router/token_test.go
+++ b/internal/router/token_test.go
@@ -8,12 +8,12 @@
 	"dunereach/internal/fake"
 )
 
-// serveNext has the next attempt answered, as the owner of all that comes meanwhile, and gives it.
-func (h *hall) serveNext() fake.Said {
+// answerNext has the next attempt answered, as the owner of all that comes meanwhile, and gives it.
+func (h *harness) answerNext() fake.Said {
 	h.t.Helper()
 	for late := time.After(fake.Patience); ; {
 		select {
-		case s := <-h.heard:
+		case s := <-h.received:
 			s.Answer("served", "count=1", "x\t\t\n")
 			return s
 		case e := <-h.inbox:
@@ -30,55 +30,55 @@
 // the first was cut, and the client's own retry under a new id and on a new connection.
 func TestOneToken(t *testing.T) {
 	const token = "tok-17"
-	h := newHall(t, 100, 2)
-	h.ready(0)
+	h := newHarness(t, 100, 2)
+	h.listServer(0)
 	go h.accept(h.listener)
 	ask := func(c *fake.Client, ref string) {
 		c.Call("UPDATE sales_3.x", "service", "once", "project", "acme", "allow", "20000", "replay", token, "ref", ref+strings.Repeat("0", 15))
 		h.deliver(1)
 	}
 	c := h.client()
-	h.arrive(<-h.arrivals, false)
+	h.acceptClient(<-h.arrivals, false)
 	ask(c, "a")
 	h.deliver(1) // the connection is up
-	first := <-h.heard
-	h.ready(1)
+	first := <-h.received
+	h.listServer(1)
 	first.Die()
-	again := h.serveNext()
+	retry := h.answerNext()
 	h.deliver(1)
-	h.expect(c, "2/1 call{ 0={ 1=\"x\\t\\t\\n\" 2=[ ] 3=1 } }")
+	h.expectReply(c, "2/1 call{ 0={ 1=\"x\\t\\t\\n\" 2=[ ] 3=1 } }")
 	other := h.client()
-	h.arrive(<-h.arrivals, false)
+	h.acceptClient(<-h.arrivals, false)
 	ask(other, "b")
-	own := h.serveNext()
-	if again.Engine == first.Engine || again.Words[1] != first.Words[1] || own.Words[1] == first.Words[1] {
-		t.Errorf("sent %q, then %q, then %q", first.Words, again.Words, own.Words)
+	clientRetry := h.answerNext()
+	if retry.Engine == first.Engine || retry.Words[1] != first.Words[1] || clientRetry.Words[1] == first.Words[1] {
+		t.Errorf("sent %q, then %q, then %q", first.Words, retry.Words, clientRetry.Words)
 	}
-	for _, s := range []fake.Said{first, again, own} {
+	for _, s := range []fake.Said{first, retry, clientRetry} {
 		if !strings.Contains(s.Words[2], ",token="+token) {
 			t.Errorf("sent without its token: %q", s.Words)
 		}
 	}
 	h.deliver(1)
-	h.expect(other, "2/1 call{ 0={ 1=\"x\\t\\t\\n\" 2=[ ] 3=1 } }")
-	h.silent()
+	h.expectReply(other, "2/1 call{ 0={ 1=\"x\\t\\t\\n\" 2=[ ] 3=1 } }")
+	h.expectNothingSent()
 }
 
 // TestResetBehindInput: a server resets an idle connection behind input that is still unread, and a non-idempotent request is written to it.
 // Nothing has left, so it runs on another connection.
 func TestResetBehindInput(t *testing.T) {
-	h, c, s := running(t)
+	h, c, s := newRunningRequest(t)
 	s.Answer("served", "count=1", "x\t\t\n")
 	h.deliver(1)
 	c.Next()
 	s.Raw(strings.Repeat("f", 16) + " nobody - 0\r\n\r\n") // late, under no id of ours
 	input := <-h.inbox
 	s.Die()
-	h.ask(c, "never", "b")
+	h.callProfile(c, "never", "b")
 	h.deliver(1)
 	time.Sleep(20 * time.Millisecond) // in which a writer that may write has written
 	h.Deliver(h.clock.now(), input)
-	h.serveNext()
+	h.answerNext()
 	h.deliver(1)
-	h.expect(c, "2/2 call{ 0={ 1=\"x\\t\\t\\n\" 2=[ ] 3=1 } }")
+	h.expectReply(c, "2/2 call{ 0={ 1=\"x\\t\\t\\n\" 2=[ ] 3=1 } }")
 }
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -26,15 +26,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			core, lines := observer.New(c.level)
-			s := newStage(9)
+			s := newTestRouter(9)
 			s.log = zap.New(core)
-			s.take(1, 29, "SELECT 1")
+			s.call(1, 29, "SELECT 1")
 			for range 2 {
-				s.pool.GiveUp(&s.cmds[1].job, admission.TurnedAway)
+				s.pool.GiveUp(&s.requests[1].attempt, admission.TurnedAway)
 				s.pool.Settle()
 				s.Tick(s.now + 0.2)
 			}
-			s.pool.GiveUp(&s.cmds[1].job, admission.TurnedAway)
+			s.pool.GiveUp(&s.requests[1].attempt, admission.TurnedAway)
 			s.pool.Settle()
 			s.Tick(s.now + 30)
 			s.ServerChanged(1, admission.Ready, admission.Draining, 1, 2)
