--- a/internal/router/arrivals.go
+++ b/internal/router/arrivals.go
@@ -12,36 +12,37 @@
 	"go.uber.org/zap"
 )
 
-// This file takes clients' connections in, and decides what becomes of them where descriptors are scarce: which connection is closed to
-// make room, and whether an arrival waits for room, is turned away with an answer, or is closed. docs/design.md has the argument.
+// This file accepts client connections. When file descriptors are scarce it decides which idle connection is closed to free one, and
+// whether a new connection waits, has its first request rejected, or is closed unread. docs/design.md gives the reasons.
 
 const (
-	// maxArrivalWait bounds the time for which an arrival waits for room, in seconds: what gives room without asking does so in 2 s.
+	// maxArrivalWait bounds how long a new connection waits for a descriptor, in seconds. A connection that sends no request frees its
+	// descriptor within 2 s.
 	maxArrivalWait = 2.5
-	// queuedArrivalWindow is how long after an arrival had to wait others may have waited behind it, in seconds.
+	// queuedArrivalWindow is for how long, in seconds after a connection had to wait, others may have queued behind it in the kernel.
 	queuedArrivalWindow = 10
 )
 
-// arrivalState is what the owner knows of clients' connections that arrive.
+// arrivalState is the owner's state of arriving client connections.
 type arrivalState struct {
-	pending      net.Conn // waits for room, nil: none does. Others wait behind it with the system
+	pending      net.Conn // waits for a descriptor; nil: none does. Later connections queue in the kernel
 	pendingSince float64  // seconds
-	lastWaitAt   float64  // when an arrival last began to wait, in seconds
-	recheck      bool     // a connection has ended since
+	lastWaitAt   float64  // when a connection last began to wait, in seconds
+	recheck      bool     // a connection has ended or timers have run since the last check for room
 	counts       clientCounts
-	loggedCounts clientCounts // the counts that the log has
+	loggedCounts clientCounts // the counts as last logged
 }
 
-// clientCounts counts clients' connections since the start.
+// clientCounts counts client connections since the start.
 type clientCounts struct {
 	arrived      uint64
-	pending      uint64 // waited for room
-	rejected     uint64 // had their first request refused for lack of room
-	closedUnread uint64 // closed with nothing read, as no descriptor was left
+	pending      uint64 // had to wait for a descriptor
+	rejected     uint64 // had their first request rejected for lack of a descriptor
+	closedUnread uint64 // closed without reading anything, as no descriptor was left
 	closed       [frontend.CloseReasons]uint64
 }
 
-// nextArrival is where clients' connections arrive, nil while one that arrived before them waits for room.
+// nextArrival is the channel of new client connections. It is nil while an earlier connection waits for a descriptor.
 func (s *service) nextArrival() <-chan net.Conn {
 	if s.clientArrivals.pending != nil {
 		return nil
@@ -49,36 +50,36 @@
 	return s.arrivals
 }
 
-// acceptClient takes a client's connection in. Where there is no room for it, it waits for a connection that gives room soon; where none does,
-// it is turned away.
+// acceptClient takes a new client connection. If there is no descriptor for it, it waits when another connection will free one soon;
+// otherwise it is rejected.
 func (s *service) acceptClient(nc net.Conn, closing bool) {
-	w := &s.clientArrivals
-	w.counts.arrived++
+	a := &s.clientArrivals
+	a.counts.arrived++
 	if s.admit(nc, closing, true) {
 		return
 	}
-	w.pending, w.pendingSince, w.lastWaitAt = nc, s.clock.now(), s.clock.now()
-	w.counts.pending++
+	a.pending, a.pendingSince, a.lastWaitAt = nc, s.clock.now(), s.clock.now()
+	a.counts.pending++
 }
 
-// admitPending looks again for room for the connection that waits.
+// admitPending checks again whether there is a descriptor for the connection that waits.
 func (s *service) admitPending(closing bool) {
-	w := &s.clientArrivals
-	w.recheck = false
-	if w.pending != nil && s.admit(w.pending, closing, s.clock.now()-w.pendingSince < maxArrivalWait) {
-		w.pending = nil
+	a := &s.clientArrivals
+	a.recheck = false
+	if a.pending != nil && s.admit(a.pending, closing, s.clock.now()-a.pendingSince < maxArrivalWait) {
+		a.pending = nil
 	}
 }
 
-// closePending closes the connection that waits, as the router ends at once.
+// closePending closes the connection that waits when the router stops immediately.
 func (s *service) closePending() {
 	if s.clientArrivals.pending != nil {
 		s.clientArrivals.pending.Close()
 	}
 }
 
-// admit finds a admit for a connection, turns it away or closes it. It does none of these, and returns false, where the connection may
-// wait and room will come.
+// admit starts a session for a connection, rejects it or closes it. It returns false and does nothing if the connection may wait and a
+// descriptor is expected to become free.
 func (s *service) admit(nc net.Conn, closing, mayWait bool) (done bool) {
 	limits := s.descriptorLimits()
 	inUse, notClosing := s.connectionCounts()
@@ -94,9 +95,9 @@
 	if !room {
 		s.log.Warn("too many clients", zap.Int("connections", inUse))
 	}
-	if full { // none is left even to turn it away by
+	if full { // no descriptor is left even for rejecting it
 		s.clientArrivals.counts.closedUnread++
-		s.log.Warn("client closed unread", zap.Int("connections", inUse))
+		s.log.Warn("client connection closed unread", zap.Int("connections", inUse))
 		nc.Close()
 		return true
 	}
@@ -111,9 +112,9 @@
 	return true
 }
 
-// startSession starts a client's session. Where arrivals had to wait, the connection may have been silent for a while.
+// startSession starts a client's session. mayHaveWaited means that the connection may have queued in the kernel for a while.
 func (s *service) startSession(nc net.Conn, mayHaveWaited bool) *frontend.Session {
-	// 32 open calls have 1.5 MB of results at most.
+	// The results of 32 open requests take at most 1.5 MB.
 	const maxOutput = 2 << 20
 	c := frontend.NewSession(s, &s.scratch)
 	conn := s.net.New(c, maxOutput)
@@ -130,7 +131,7 @@
 	return c
 }
 
-// connectionCounts is how many clients' connections there are, without those in a lingering close, and how many of them stay.
+// connectionCounts counts the client connections without those in a lingering close, and how many of them are not closing.
 func (s *service) connectionCounts() (inUse, notClosing int) {
 	limits := s.descriptorLimits()
 	inUse = len(s.sessions) - min(s.net.Lingering(), limits.lingering)
@@ -145,7 +146,7 @@
 	return inUse, notClosing
 }
 
-// roomExpected tells whether a client's connection gives room in bounded time unless its request comes.
+// roomExpected reports whether some client connection will free its descriptor in bounded time unless it sends a request.
 func (s *service) roomExpected() bool {
 	for c := range s.sessions {
 		if c.GivesRoom() {
@@ -155,13 +156,13 @@
 	return false
 }
 
-// closeCandidate is a connection that can be closed to make room.
+// closeCandidate is a connection that can be closed to free its descriptor.
 type closeCandidate struct {
 	session *frontend.Session
 	rank    int
 }
 
-// makeRoom closes the connection that can best be spared, if one can, and nothing is on its way there.
+// makeRoom closes the highest-ranked idle connection with no bytes in transit, and reports whether there was one.
 func (s *service) makeRoom() bool {
 	var candidates []closeCandidate
 	for c := range s.sessions {
@@ -181,33 +182,33 @@
 	return false
 }
 
-// Closed notes that a client's connection has ended.
+// SessionClosed removes the session of a client connection that has ended.
 func (s *service) Closed(c *frontend.Session) {
 	delete(s.sessions, c)
 	s.clientArrivals.recheck = true
 }
 
-// ClientClosing counts and logs why the router closes a client's connection.
+// ClientClosing counts and logs why the router closes a client connection.
 func (s *service) ClientClosing(c *frontend.Session, reason frontend.CloseReason) {
 	s.clientArrivals.counts.closed[reason]++
 	s.Router.ClientClosing(c, reason)
 }
 
-// acceptBacklog empties the system's queue of accepted connections behind a listener's deadline: what is in it when the listener is closed
-// is reset.
+// acceptBacklog drains the kernel's queue of accepted connections after the listener's deadline. Connections that are still queued when
+// the listener is closed would be reset.
 type acceptBacklog struct {
-	deadline time.Time // it is given up then, zero: it was not begun
-	accepted bool      // a connection, since the last deadline
+	deadline time.Time // when draining is given up; zero: it has not begun
+	accepted bool      // a connection was accepted since the last deadline
 }
 
 const (
-	// backlogQuietPeriod is how long the system's queue has to stay empty.
+	// backlogQuietPeriod is how long the kernel's queue must stay empty to count as drained.
 	backlogQuietPeriod = 5 * time.Millisecond
-	// maxBacklogDrain bounds the time in which clients that keep on coming hold up the router's end.
+	// maxBacklogDrain bounds how long clients that keep connecting can delay the shutdown.
 	maxBacklogDrain = time.Second
 )
 
-// drained is called where the listener's deadline has passed. It tells whether the queue is drained, or sets another deadline.
+// drained is called when the listener's deadline has passed. It reports whether the queue is drained, and sets another deadline if not.
 func (b *acceptBacklog) drained(l *net.TCPListener) bool {
 	now := time.Now()
 	first := b.deadline.IsZero()
@@ -222,11 +223,11 @@
 	return false
 }
 
-// logCounts writes a line on clients' connections where any of them had to wait or to go for lack of room since the last line. The log
-// keeps only some lines of a kind each second, so lines on single connections can't be counted.
+// logCounts logs the connection counts if any connection had to wait, was rejected or was closed for lack of descriptors since the last
+// such line. The log samples repeated messages each second, so counting the lines of single connections would give wrong totals.
 func (s *service) logCounts() {
-	w := &s.clientArrivals
-	current, logged := &w.counts, &w.loggedCounts
+	a := &s.clientArrivals
+	current, logged := &a.counts, &a.loggedCounts
 	if current.pending == logged.pending && current.rejected == logged.rejected && current.closedUnread == logged.closedUnread &&
 		current.closed[frontend.RoomNeeded] == logged.closed[frontend.RoomNeeded] {
 		return
@@ -239,5 +240,5 @@
 		}
 	}
 	s.log.Info("clients' connections since the start", fields...)
-	w.loggedCounts = *current
+	a.loggedCounts = *current
 }
--- a/internal/router/descriptors.go
+++ b/internal/router/descriptors.go
@@ -5,31 +5,31 @@
 	"syscall"
 )
 
-// descriptorLimits is how the descriptors of the process are divided. What clients and servers take together leaves the reserve free.
+// descriptorLimits divides the file descriptors of the process. Clients and servers together leave the reserved ones free.
 type descriptorLimits struct {
-	clients   int // connections of clients, past which resting ones are closed to make room
-	rejecting int // further ones that are closing, or are only told to come again
+	clients   int // client connections; beyond that, idle ones are closed to make room
+	rejecting int // client connections beyond that which are closing or have their first request rejected
 	servers   int // connections to servers
-	lingering int // clients' connections in a lingering close, beside the others
+	lingering int // client connections in a lingering close, not counted in the others
 }
 
-// reservedDescriptors is what neither clients nor servers may take: standard streams (3), the runtime's poller (2), the listener (1), sockets to the
-// name server (the one in use, the one before it, and a new one), the configuration (1), and accepted connections that wait for a place:
-// the owner's and the listener's (2).
+// reservedDescriptors are not available to clients or servers: standard streams (3), the runtime's poller (2), the listener (1), sockets
+// to the name server (the current one, the previous one and a new one), the configuration (1), and accepted connections that wait for a
+// descriptor, one with the owner and one with the listener (2).
 const reservedDescriptors = 12
 
-// divideDescriptors splits a number of descriptors. Usual clients keep to a third of them, so a third is theirs however few there are.
+// divideDescriptors divides a number of descriptors. Normal clients use up to a third, so they always get a third, however few there are.
 func divideDescriptors(descriptors int) descriptorLimits {
 	free := max(descriptors-reservedDescriptors, 0)
-	var s descriptorLimits
-	s.clients = max(free/2, descriptors/3, 1)
-	s.rejecting = s.clients / 8
-	s.lingering = max(descriptors/16, 1)
-	s.servers = max(min(free/3, free-s.clients-s.rejecting-s.lingering), 1)
-	return s
+	var limits descriptorLimits
+	limits.clients = max(free/2, descriptors/3, 1)
+	limits.rejecting = limits.clients / 8
+	limits.lingering = max(descriptors/16, 1)
+	limits.servers = max(min(free/3, free-limits.clients-limits.rejecting-limits.lingering), 1)
+	return limits
 }
 
-// descriptorLimits is how this process's descriptors are divided.
+// descriptorLimits returns the division of this process's descriptors, computed on first use.
 func (s *service) descriptorLimits() descriptorLimits {
 	if s.limits.clients == 0 {
 		s.limits = divideDescriptors(s.maxDescriptors())
@@ -37,9 +37,9 @@
 	return s.limits
 }
 
-// maxDescriptors is how many the router may hold: the settings' number, or fewer where the system gives fewer.
+// maxDescriptors is how many descriptors the router may use: the number in the settings, or the system's limit if that is lower.
 func (s *service) maxDescriptors() int {
-	const defaultMax = 16384 // where the settings name no number
+	const defaultMax = 16384 // used when the settings give no number
 	count := defaultMax
 	if n := s.cfg.Limits.Sockets; n > 0 {
 		count = n
--- a/internal/router/nameserver.go
+++ b/internal/router/nameserver.go
@@ -12,24 +12,24 @@
 	"go.uber.org/zap"
 )
 
-// This file asks the name server for the list of servers and takes its answers in.
+// This file queries the name server for the list of servers and handles its answers.
 
-// datagram is what came from a name server, and on which socket.
+// datagram is a message from a name server and the socket that it came on.
 type datagram struct {
 	from    *net.UDPConn
 	payload []byte
 }
 
-// readAnswers hands on datagrams of a name server until its socket is closed.
+// readAnswers passes datagrams of a name server to the owner until the socket is closed.
 func (s *service) readAnswers(socket *net.UDPConn) error {
 	for {
-		buf := make([]byte, 9000) // answers hold 8,000 at most
+		buf := make([]byte, 9000) // answers have at most 8,000 bytes
 		n, err := socket.Read(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			select { // an unreachable server shows here; asking goes on
+			select { // an unreachable name server gives an error here; queries continue
 			case <-time.After(20 * time.Millisecond):
 				continue
 			case <-s.ctx.Done():
@@ -44,7 +44,7 @@
 	}
 }
 
-// openQuerySocket opens a socket for questions to a name server.
+// openQuerySocket opens a socket for queries to a name server.
 func (s *service) openQuerySocket(addr netip.AddrPort) error {
 	querySocket, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
 	if err == nil {
@@ -54,10 +54,11 @@
 	return err
 }
 
-// reopenIfSilent asks on a new socket where nothing has come for some questions: what is lost on the way of one may be lost for good.
-// The one before stays for answers that are slow.
+// reopenIfSilent opens a new query socket when several queries in a row had no answer: the network may drop all packets of a flow for
+// good. The previous socket stays open for slow answers.
 func (s *service) reopenIfSilent() {
-	const maxSilence = 1.0 // seconds, ten questions: not all by chance, and short against the time in which news counts as told
+	// Seconds, ten queries: too many to be lost by chance, and shorter than the time after which an event counts as known.
+	const maxSilence = 1.0
 	now := s.clock.now()
 	if now-max(s.lastAnswerAt, s.querySocketOpenedAt) < maxSilence {
 		return
@@ -71,7 +72,7 @@
 
 func (s *service) closeQuerySockets() { closeSockets(s.querySocket, s.previousSocket) }
 
-// closeSockets closes sockets, those that are there.
+// closeSockets closes the sockets that are not nil.
 func closeSockets(sockets ...*net.UDPConn) {
 	for _, c := range sockets {
 		if c != nil {
@@ -80,19 +81,19 @@
 	}
 }
 
-// sendQuestion asks for the list of engines.
+// sendQuestion queries the list of servers.
 func (s *service) sendQuestion() {
 	s.answerPending = true
 	s.querySocket.Write(s.list.Question(nil))
 }
 
-// repeatedFault is answers of the name server in a row with the same fault.
+// repeatedFault counts consecutive answers of the name server with the same fault.
 type repeatedFault struct {
 	text  string
 	count int
 }
 
-// logAnswerFault writes a line where answers begin to be odd, or odd in another way, and one where they are good again.
+// logAnswerFault logs when answers begin to be invalid or have another fault than before, and when they are valid again.
 func (s *service) logAnswerFault(err error) {
 	previous := s.answerFault
 	switch {
@@ -108,6 +109,7 @@
 	}
 }
 
+// handleAnswer processes an answer of the name server and publishes the list if it has changed.
 func (s *service) handleAnswer(msg []byte) {
 	previousRev := s.list.Rev()
 	updated, err := s.list.Answer(msg)
--- a/internal/router/ownerdelay.go
+++ b/internal/router/ownerdelay.go
@@ -2,35 +2,35 @@
 
 import "dunereach/internal/transport"
 
-// This file keeps attempts back while the owner's goroutine is behind its connections. A client that has closed its connection or
-// cancelled its request may have done so in input that is still unread, and no attempt may begin for it then.
+// This file holds attempts back while the owner's goroutine is delayed and input is unread. That input may say that a client has closed
+// its connection or cancelled its request, and then no attempt may begin for it.
 
 const (
-	// delayThreshold is the age of unread input, in seconds, from which the owner counts as behind. The module wakes it every 0.05 s,
-	// and an attempt may begin up to 0.1 s after its client has gone.
+	// delayThreshold is the age of unread input, in seconds, from which the owner counts as delayed. The admission controller wakes the
+	// owner every 0.05 s, and an attempt may begin up to 0.1 s after its client has gone.
 	delayThreshold = 0.07
-	// settlePeriod is how long attempts are held after the last sign of being behind, in seconds: readers hand over what lay unread
-	// piece by piece within milliseconds.
+	// settlePeriod is how long attempts are held after the last delay, in seconds. Readers pass on the unread input in pieces, within
+	// milliseconds.
 	settlePeriod = 0.02
-	// maxHold bounds the time for which attempts are held, in seconds, where the owner stays behind.
+	// maxHold bounds how long attempts are held, in seconds, if the owner stays delayed.
 	maxHold = 0.06
 )
 
-// ownerDelay is what the owner knows of its own delay. Times are the owner's, in seconds.
+// ownerDelay is the state of delay detection. Times are the owner's clock, in seconds.
 type ownerDelay struct {
-	enabled      bool    // delays are looked for
-	holding      bool    // attempts are held
-	holdingSince float64 // when they began to be held
-	lastDelayAt  float64 // the last sign of being behind
+	enabled      bool    // delays are detected
+	holding      bool    // attempts are held back
+	holdingSince float64 // when holding began
+	lastDelayAt  float64 // when the owner was last found delayed
 }
 
-// Behind tells whether the owner is behind its connections: input may have lain unread for a while.
+// OwnerDelayed reports whether the owner is delayed, so that input may have been unread for a while.
 func (r *Router) Behind() bool { return r.ownerDelay.holding }
 
-// WatchBacklog has the router hold attempts whenever its owner has been delayed. The owner has to call Tick at least every 0.05 s.
+// DetectOwnerDelay makes the router hold attempts whenever its owner has been delayed. The owner must call Tick at least every 0.05 s.
 func (r *Router) WatchBacklog() { r.ownerDelay.enabled = true }
 
-// noteDelay notes that input has waited for so many seconds.
+// noteDelay records that input has waited unread for the given seconds.
 func (r *Router) noteDelay(now, seconds float64) {
 	d := &r.ownerDelay
 	if !d.enabled || seconds < delayThreshold {
@@ -43,11 +43,11 @@
 	}
 }
 
-// noteEntryDelay notes how long an entry has waited for the owner.
+// noteEntryDelay records how long an inbox entry has waited for the owner.
 func (r *Router) noteEntryDelay(e transport.Entry) { r.noteDelay(r.now, e.Age().Seconds()) }
 
-// releaseHeld releases the held attempts once the owner has caught up, or after a bounded time. It returns when it has to be called
-// again, where that is before next.
+// releaseHeld releases the held attempts once the owner has caught up, or after maxHold. It returns the time of its next call if that is
+// before next, else next.
 func (r *Router) releaseHeld(next float64) float64 {
 	d := &r.ownerDelay
 	if !d.holding {
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -23,7 +23,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// clock gives Unix seconds that only advance: engines' starts are told in them.
+// clock gives Unix time in seconds that never goes back. The start times of servers are reported in Unix seconds too.
 type clock struct {
 	start time.Time
 	unix  float64
@@ -36,18 +36,18 @@
 
 func (c clock) now() float64 { return c.unix + time.Since(c.start).Seconds() }
 
-// Fleet is this router's part in the fleet (internal/agentdriver has one). All but News is called by the owner's goroutine and waits
-// for nothing.
+// Fleet connects the router to the fleet (internal/agentdriver implements it). Its methods don't block. They are called by the owner's
+// goroutine, or before that starts.
 type Fleet interface {
 	admission.Fleet
-	Plan() admission.Plan                           // nil: there is none
-	Run(ctx context.Context, group *errgroup.Group) // its goroutines end with the context
-	News() <-chan func()                            // to be called by the owner's goroutine
-	Tick(now float64, mind *admission.Brain)        // some ten times a second
-	End(now float64)                                // the works are given back at once
+	Plan() admission.Plan                           // nil: there is no plan
+	Run(ctx context.Context, group *errgroup.Group) // starts goroutines that end with the context
+	News() <-chan func()                            // functions that the owner's goroutine must call
+	Tick(now float64, controller *admission.Brain)  // called about ten times a second
+	End(now float64)                                // releases the tasks immediately
 }
 
-// service is the router with its sockets.
+// service is a Router with its sockets.
 type service struct {
 	*Router
 	cfg                 config.Config
@@ -57,31 +57,31 @@
 	net                 *transport.Net
 	inbox               transport.Inbox
 	arrivals            chan net.Conn
-	acceptDone          chan struct{} // closed: no more arrive
+	acceptDone          chan struct{} // closed when no more connections will arrive
 	answers             chan datagram
-	querySocket         *net.UDPConn // to the name server of now
-	previousSocket      *net.UDPConn // the one before it, to the same: its answers may be on their way
-	querySocketOpenedAt float64      // when ask was opened
+	querySocket         *net.UDPConn // to the current name server
+	previousSocket      *net.UDPConn // the previous socket to the same name server: answers may still arrive on it
+	querySocketOpenedAt float64      // when querySocket was opened
 	group               *errgroup.Group
 	ctx                 context.Context
 	sessions            map[*frontend.Session]struct{}
-	lastSerial          uint64 // connections of clients that were taken in so far
+	lastSerial          uint64 // number of client connections so far
 	clientArrivals      arrivalState
-	limits              descriptorLimits // of the descriptors
-	scratch             []byte           // answers are put together here
+	limits              descriptorLimits // computed once, by the method descriptorLimits
+	scratch             []byte           // buffer for building answers
 	ticks               int
-	seconds             int           // seconds
-	answerPending       bool          // the last question has no answer yet
-	lastAnswerAt        float64       // the name server's last answer
-	nameServerSilent    bool          // it is missing, and the log says so
-	answerFault         repeatedFault // its last answers
+	seconds             int           // seconds since the start
+	answerPending       bool          // the last query has no answer yet
+	lastAnswerAt        float64       // time of the name server's last answer
+	nameServerSilent    bool          // it does not answer, which has been logged
+	answerFault         repeatedFault // of its last answers
 	fleet               Fleet         // nil: none
 	state               State         // nil: none
-	subset              *subsetView   // nil: the module sees the whole list
+	subset              *subsetView   // nil: the controller sees the whole list
 }
 
-// Serve runs a router until the context ends it at once, or a stop ends it once all is answered. What of a
-// renewed configuration can change while it runs is taken over.
+// Serve runs a router until the context is cancelled, which stops it immediately, or stop is closed, which stops it once all requests are
+// answered. It applies those parts of a reloaded configuration that can change at run time.
 func Serve(ctx context.Context, stop <-chan struct{}, reloaded <-chan config.Config, cfg config.Config, fleet Fleet, state State, log *zap.Logger) error {
 	s := &service{fleet: fleet, state: state, cfg: cfg, clock: newClock(), log: log, list: discovery.New(cfg.Settings.Zones, cfg.Settings.Kinds),
 		inbox: make(transport.Inbox, 256), arrivals: make(chan net.Conn), acceptDone: make(chan struct{}), answers: make(chan datagram),
@@ -102,8 +102,8 @@
 	if memory == 0 {
 		memory = 4 << 30
 	}
-	// A quarter of the memory for answers on their way out, and one for statements in hand; half of that for messages
-	// that are not whole yet.
+	// A quarter of the memory is for outgoing answers and a quarter for statements of requests in progress. Incomplete messages get
+	// half as much as statements.
 	s.net = transport.NewNet(ctx, group, s.inbox, memory/4, int64(s.descriptorLimits().lingering))
 	s.Router = New(cfg.Settings, int(memory/4), log, s.list.Name)
 	if len(cfg.Budgets.Nodes) > 0 {
@@ -143,8 +143,8 @@
 	return group.Wait()
 }
 
-// accept hands on connections of clients until the listener's deadline, and then those that the system has accepted by then. It survives
-// a lack of descriptors.
+// accept passes client connections to the owner until the listener's deadline, and then those that the kernel had accepted by then. When
+// descriptors run out it waits and tries again.
 func (s *service) accept(l *net.TCPListener) error {
 	defer close(s.acceptDone)
 	defer l.Close()
@@ -169,7 +169,7 @@
 		default:
 			s.log.Warn("accept", zap.Error(err))
 			select {
-			case <-time.After(20 * time.Millisecond): // until some connection ends
+			case <-time.After(20 * time.Millisecond): // until some connection has ended
 			case <-s.ctx.Done():
 				return nil
 			}
@@ -177,11 +177,11 @@
 	}
 }
 
-// reload takes over what can change while the router runs: the name server, and news of the list. The rest is said
-// in the log and kept as it was.
+// reload applies the parts of a new configuration that can change at run time: the name server, the list of servers and parts of the
+// operator's file. It logs which other parts have changed; those keep their old values until a restart.
 func (s *service) reload(c config.Config) {
 	settings := c.Settings
-	settings.Brain.Seed = s.cfg.Settings.Brain.Seed // new each time they are told, which is no change
+	settings.Brain.Seed = s.cfg.Settings.Brain.Seed // the seed is drawn anew on each load, which is no change
 	var kept []string
 	for _, setting := range [...]struct {
 		name string
@@ -194,14 +194,14 @@
 	}
 	kept = append(kept, s.reloadOperatorFile(c)...)
 	if updated, err := s.list.Start(c.Known); err != nil {
-		s.log.Error("list of engines in the new configuration", zap.Error(err))
+		s.log.Error("list of servers in the new configuration is invalid", zap.Error(err))
 	} else if updated {
 		s.publishList(admission.Full)
 	}
 	if c.NameServer != s.cfg.NameServer {
-		previous := [...]*net.UDPConn{s.querySocket, s.previousSocket} // their answers count no more
+		previous := [...]*net.UDPConn{s.querySocket, s.previousSocket} // answers on these are ignored from now on
 		if err := s.openQuerySocket(c.NameServer); err != nil {
-			s.log.Error("name server", zap.Error(err))
+			s.log.Error("can't open a socket to the new name server", zap.Error(err))
 			return
 		}
 		closeSockets(previous[:]...)
@@ -211,15 +211,15 @@
 	s.log.Info("new configuration", zap.Stringer("nameserver", c.NameServer), zap.Strings("kept until a restart", kept))
 }
 
-// reloadOperatorFile takes over what can change of the reloadOperatorFile' file, and names what can't.
+// reloadOperatorFile applies the parts of the operator's file that can change at run time, and returns the names of the others.
 func (s *service) reloadOperatorFile(c config.Config) (kept []string) {
 	previous, current := s.cfg.Operator, c.Operator
 	switch {
 	case (len(c.Budgets.Nodes) == 0) != (s.teams == nil):
-		kept = append(kept, "teams") // commands in hand were taken with them, or without
+		kept = append(kept, "teams") // requests in progress were admitted with teams, or without
 	case s.teams != nil:
 		if err := s.teams.Reconfigure(c.Budgets); err != nil {
-			s.log.Error("teams of the new configuration", zap.Error(err))
+			s.log.Error("teams of the new configuration are invalid", zap.Error(err))
 			return append(kept, "teams")
 		}
 		if c.Budgets.Ageing != s.cfg.Budgets.Ageing {
@@ -247,7 +247,7 @@
 func (s *service) runOwner(stop <-chan struct{}, reloaded <-chan config.Config, listener *net.TCPListener) error {
 	pool := backends.New(s.Router, backends.Limits{Streams: max(s.cfg.Settings.Streams, 1), Conns: s.descriptorLimits().servers,
 		Idle: s.cfg.Settings.ConnIdle,
-		// An engine sends an answer in one go: a pause longer than a connection takes to come up is its end.
+		// A server sends an answer in one go: if it pauses for longer than a connect takes, the answer will not be completed.
 		Stall: s.cfg.Settings.ConnectTimeout}, s.dial)
 	s.lastAnswerAt = s.clock.now()
 	s.Router.Start(s.lastAnswerAt, pool)
@@ -260,11 +260,11 @@
 	s.log.Info("serving", zap.String("name", s.cfg.Name), zap.Stringer("listen", s.cfg.Listen),
 		zap.Int("engines", len(s.list.List())))
 
-	// An event counts as told 1.5 s after it happened, heard or not. A question every third tickInterval hears of it well
-	// before; while one has no answer every tickInterval asks, so that a dozen may be lost.
+	// Routers count as informed of an event 1.5 s after it happened, even if they had no answer. A query every third tick learns of it
+	// well before; while a query is unanswered each tick sends another, so that a dozen may be lost.
 	const tickInterval, queryEvery = backends.UnstickEvery * 1000 * time.Millisecond, 3
-	tickTicker := time.NewTicker(tickInterval)
-	defer tickTicker.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	secondTicker := time.NewTicker(time.Second)
 	defer secondTicker.Stop()
 	timer := time.NewTimer(0)
@@ -286,7 +286,7 @@
 			s.acceptClient(nc, closing)
 		case <-acceptDone:
 			acceptDone = nil
-		case <-tickTicker.C:
+		case <-ticker.C:
 			s.at(s.clock.now())
 			if s.fleet != nil {
 				s.fleet.Tick(s.now, s.controller)
@@ -321,7 +321,7 @@
 				s.fleet.End(s.clock.now())
 			}
 			s.log.Info("asked to end", zap.Int("owed", s.Owed()))
-			// Clients still come for 0.6 s after the signal; what comes up to 0.7 s after it is answered.
+			// Clients still connect for 0.6 s after the signal. Requests that arrive up to 0.7 s after it are served.
 			graceOver = time.After(700 * time.Millisecond)
 		case <-graceOver:
 			graceOver, closing = nil, true
@@ -340,10 +340,10 @@
 	}
 }
 
-// closeFrontend takes no more commands, but for those that came in time and are ready in the same instant.
+// closeFrontend stops taking requests, after those that have already arrived.
 func (s *service) closeFrontend(listener *net.TCPListener) {
 	s.drainInbox()
-	// What the kernel has accepted by now is taken and turned away: closed with the listener, it would be reset.
+	// Connections that the kernel has accepted by now are taken and rejected: they would be reset if the listener were closed.
 	const acceptTimeout = 20 * time.Millisecond
 	listener.SetDeadline(time.Now().Add(acceptTimeout))
 	for c := range s.sessions {
@@ -351,7 +351,7 @@
 	}
 }
 
-// drainInbox takes what has come in so far, and no more than readers can have under way.
+// drainInbox processes the input that has arrived so far, and no more than the inbox can hold.
 func (s *service) drainInbox() {
 	for range cap(s.inbox) {
 		select {
@@ -365,9 +365,9 @@
 	}
 }
 
-const auditEvery = 30 // seconds: some hundred promises of a busy team
+const auditEvery = 30 // seconds, in which a busy team gets some hundred estimates
 
-// everySecond closes connections to engines that were idle for long, and says when the name server is missing.
+// everySecond closes idle connections to servers, writes the periodic log lines and detects a name server that does not answer.
 func (s *service) everySecond() {
 	s.at(s.clock.now())
 	s.pool.Tidy()
@@ -376,18 +376,19 @@
 	if s.seconds++; s.seconds%auditEvery == 0 {
 		s.Audit()
 	}
-	const maxSilence = 3 // seconds: thirty questions with no answer are no chance
+	const maxSilence = 3 // seconds: thirty queries without an answer are no chance
 	if now := s.clock.now(); !s.nameServerSilent && now-s.lastAnswerAt > maxSilence {
 		s.nameServerSilent = true
 		s.log.Warn("the name server does not answer", zap.Uint32("rev", s.list.Rev()))
 	}
 }
 
+// dial starts a connection to a server.
 func (s *service) dial(addr netip.AddrPort, sink transport.Sink) backends.Line {
-	// A hundred statements; an engine that takes nothing for longer is as good as silent.
+	// A hundred statements. A server that reads none of them is as good as silent.
 	const maxOutput = 4 << 20
 	conn := s.net.New(sink, maxOutput)
-	conn.Whole() // an engine that closes its side reads nothing any more
+	conn.Whole() // a server that closes its sending side does not read any more either
 	conn.Dial(addr.String(), time.Duration(s.cfg.Settings.ConnectTimeout*1e9))
 	return conn
 }
--- a/internal/router/stalled_test.go
+++ b/internal/router/stalled_test.go
@@ -36,7 +36,7 @@
 	}{{"nothing is sent", 1, true, 1}, {"no server is ready", 0, true, 0}, {"an attempt is out", 1, false, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			s, lines := watchStallFor20s(c.servers, c.noServerKnown)
-			if n := lines.FilterMessage("clients wait and nothing is sent").Len(); n != c.lines {
+			if n := lines.FilterMessage("no attempts begin while clients wait").Len(); n != c.lines {
 				t.Errorf("%d lines, want %d", n, c.lines)
 			}
 			if !c.noServerKnown || c.servers == 0 {
@@ -46,7 +46,7 @@
 			s.at(21)
 			s.detectStall(c.servers)
 			s.detectStall(c.servers)
-			if n := lines.FilterMessage("attempts are begun again").Len(); n != 1 {
+			if n := lines.FilterMessage("attempts begin again").Len(); n != 1 {
 				t.Errorf("that it sends again is said %d times", n)
 			}
 		})
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -10,19 +10,19 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// This file gathers what the router has learned, for a process that comes after it, and hands it what an earlier one knew. It decides
-// nothing: package memory says what of it is believed.
+// This file exports what the router has learned, for the process that runs after it, and restores what an earlier process saved. Package
+// warmstart decides how much of the saved state is trusted.
 
-// State keeps what is learned (internal/state has one). All of it is called by the owner's goroutine or before that begins, and waits for
-// no disk, but for Recall, which waits for a bounded time.
+// State saves the learned state (internal/state implements it). Its methods are called by the owner's goroutine, or before that starts.
+// They don't wait for the disk, except Recall, which waits for a bounded time.
 type State interface {
-	Recall(r *Router)                               // before the start
-	Run(ctx context.Context, group *errgroup.Group) // its goroutines end with the context, after a last snapshot
-	Tick(now float64, r *Router)                    // some ten times a second
-	End(r *Router)                                  // nothing more will be learned
+	Recall(r *Router)                               // restores saved state before the start
+	Run(ctx context.Context, group *errgroup.Group) // starts goroutines that end with the context, after a last snapshot
+	Tick(now float64, r *Router)                    // called about ten times a second
+	End(r *Router)                                  // called last: nothing more will be learned
 }
 
-// Quick is what changes fast, and Slow the rest.
+// FastState returns the learned state that changes fast. SlowState returns the rest.
 func (r *Router) Quick() (record warmstart.Record) {
 	record.Known = r.controller.Knows()
 	record.Known.Profiles = nil
@@ -35,7 +35,7 @@
 	return record
 }
 
-// Slow gives what is saved seldom, since it changes slowly: the profiles and the distributions of their waits.
+// SlowState returns the learned state that changes slowly and is saved rarely: the profiles and the distributions of their waits.
 func (r *Router) Slow() (profiles []warmstart.Profile, all []warmstart.Wait) {
 	profiles = r.controller.Knows().Profiles
 	estimator := r.set.Brain.Waits
@@ -46,7 +46,7 @@
 		w := warmstart.Wait{Profile: l.Profile}
 		if l.Team >= 0 {
 			if r.teams == nil {
-				continue // it would stand for all teams
+				continue // without its team's name it would apply to all teams
 			}
 			w.Team = r.teams.Name(l.Team)
 		}
@@ -58,12 +58,12 @@
 	return profiles, all
 }
 
-// Prints of profiles and tenants as they are.
+// Fingerprints returns the fingerprints of the current profile settings and the tenants' rates.
 func (r *Router) Prints() (settings []uint64, rates []float64) {
 	return admission.Fingerprints(r.set.Brain.Profiles), r.set.Brain.Rates()
 }
 
-// Recall has the router start with what is believed.
+// Restore sets the state that the router starts with.
 func (r *Router) Recall(restored warmstart.Restored) {
 	r.set.Brain.Memory = &restored.Beliefs
 	if r.teams != nil {
--- a/internal/router/subset.go
+++ b/internal/router/subset.go
@@ -13,32 +13,32 @@
 	"go.uber.org/zap"
 )
 
-// subsetView limits what the module and the connections see of the list of databases to this router's subset. It is the owner's
-// goroutine's, and nothing without a section subset in the operators' file.
+// subsetView limits the list of databases that the controller and the connections see to this router's subset. Only the owner's goroutine
+// uses it. It exists only if the operator's file has a subset section.
 type subsetView struct {
 	setup      *subsets.Setup
 	chooser    subsets.Chooser
 	set        *settings.Settings
-	serverName func(engine uint32) string
+	serverName func(id uint32) string
 	log        *zap.Logger
 
-	list          []admission.Entry // the whole, as last told
-	ranking       *subset.Ranking   // of the list
-	unusable      int               // entries of it with a weight that can't be used or a name that stands twice
-	servable      []bool            // by profile: a database of the list may run it
-	plannedWeight float64
+	list          []admission.Entry // the whole list, as last received
+	ranking       *subset.Ranking   // of the whole list
+	unusable      int               // entries of the list with an unusable weight or a repeated name
+	servable      []bool            // by profile: whether some database of the list may run it
+	plannedWeight float64           // effective weight, see subset.Plan
 	width         subset.Width
-	spread        float64 // of this router's times of calm, from 0 to 1
+	spread        float64 // from 0 to 1, varies the calm time before narrowing between routers
 	nextReview    float64
 	leaving       subset.Leaving
 
-	held        []admission.Entry // what the module sees
-	connected   []admission.Entry // what has connections: the same and what is leaving
+	held        []admission.Entry // the controller's list
+	connected   []admission.Entry // the list of the connections: held, and the databases that are leaving
 	heldServers map[uint32]bool
 	partial     bool // held is not the whole list
 }
 
-// newSubsetView gives nil where the operators' file names no subset.
+// newSubsetView returns nil if the operator's file configures no subset.
 func newSubsetView(cfg *config.Config, serverName func(uint32) string, log *zap.Logger) (*subsetView, error) {
 	if cfg.Operator.Subset == nil {
 		return nil, nil
@@ -50,12 +50,12 @@
 	}
 	v.spread = subset.Spread(cfg.Name)
 	if v.chooser.Router.Place < 0 {
-		log.Warn("the subset goes by the router's name: databases are held unevenly until it has a place")
+		log.Warn("the subset is chosen by the router's name: databases are held unevenly until the router has a place")
 	}
 	return v, nil
 }
 
-// setList is told of the whole list and chooses from it. A pool that is no larger than the subset is handed on as it is.
+// setList takes the whole list and chooses the subset. If the pool is no larger than the subset, the list is passed on as it is.
 func (v *subsetView) setList(now float64, list []admission.Entry) {
 	before := len(v.list)
 	if len(list) > 0 && 2*len(list) <= before {
@@ -63,7 +63,7 @@
 	}
 	ranking, err := v.rank(list)
 	if err != nil { // the options were checked at the start
-		v.log.Error("subset: the last one stays", zap.Error(err))
+		v.log.Error("subset: ranking failed; the previous subset stays", zap.Error(err))
 		return
 	}
 	v.list, v.ranking = list, ranking
@@ -71,7 +71,7 @@
 	v.choose(now)
 }
 
-// rank orders the list, anew with even sizes where the pool has changed by much.
+// rank ranks the databases of the list. If the pool's weight has changed much, it plans for the new weight and ranks again.
 func (v *subsetView) rank(list []admission.Entry) (*subset.Ranking, error) {
 	databases := v.setup.Databases(list, v.serverName)
 	pool := subset.NewPool(databases)
@@ -82,7 +82,7 @@
 		}
 	}
 	if unusable != v.unusable && unusable > 0 {
-		v.log.Warn("databases with a weight that can't be used count as 1, those listed twice once", zap.Int("databases", unusable))
+		v.log.Warn("databases with an unusable weight count as 1, those listed twice count once", zap.Int("databases", unusable))
 	}
 	v.unusable = unusable
 	v.chooser.Router.Planned = v.plannedWeight
@@ -98,7 +98,7 @@
 	return pool.Rank(&v.chooser.Options, v.chooser.Router)
 }
 
-// markServable notes which profiles some database of the list may run.
+// markServable records which profiles some database of the list may run.
 func (v *subsetView) markServable() {
 	profiles := v.set.Brain.Profiles
 	v.servable = make([]bool, len(profiles))
@@ -107,7 +107,7 @@
 	}
 }
 
-// choose takes the subset of the width and says where databases enter or leave.
+// choose takes the subset for the current width and logs the change.
 func (v *subsetView) choose(now float64) {
 	choice := v.ranking.Take(v.width.Factor())
 	if choice.Whole {
@@ -129,7 +129,7 @@
 		if !v.heldServers[e.Engine] || heldServers[e.Engine] {
 			continue
 		}
-		// A cold one stays until it is warm: on a return its allowance would begin anew.
+		// A cold database stays until it is warm: if it left and came back, its allowance would begin anew.
 		if e.ReadyAt > 0 && now < e.ReadyAt+v.set.Brain.WarmUp {
 			heldServers[e.Engine] = true
 			continue
@@ -143,7 +143,7 @@
 		zap.Int("grown", choice.Grown), zap.Int("leaving", v.leaving.Len()))
 }
 
-// build puts together what the module and the connections see.
+// build assembles the lists for the controller and for the connections.
 func (v *subsetView) build() {
 	stillListed := make(map[string]bool, v.leaving.Len())
 	v.held, v.connected = make([]admission.Entry, 0, len(v.heldServers)), make([]admission.Entry, 0, len(v.heldServers)+v.leaving.Len())
@@ -160,7 +160,7 @@
 	v.leaving.Remove(func(name string) bool { return !stillListed[name] })
 }
 
-// heldShare is what of the pool's cores is held, of all and by zone.
+// heldShare is the share of the pool's cores that is held, in total and by zone.
 func (v *subsetView) heldShare() admission.Held {
 	if !v.partial {
 		return admission.Held{}
@@ -189,10 +189,10 @@
 	return admission.Held{Part: held[zones], Zones: held[:zones]}
 }
 
-// reviewInterval is the time between two looks at whether the subset does, in seconds.
+// reviewInterval is the time between two checks of whether the subset is wide enough, in seconds.
 const reviewInterval = 0.5
 
-// review tells whether the subset has changed, by need or calm, or databases have left it for good.
+// review widens or narrows the subset as needed, and drops connections to databases that have left. It reports whether a list changed.
 func (v *subsetView) review(now float64, controller *admission.Brain) (changed bool) {
 	if !v.partial && v.width.Factor() == 1 || now < v.nextReview {
 		return false
@@ -216,7 +216,7 @@
 	return changed
 }
 
-// summary is how the databases of a width are.
+// summary summarises the condition of the databases in the subset of a width.
 func (v *subsetView) summary(now float64, controller *admission.Brain, width int) (s subset.Summary) {
 	profiles := v.set.Brain.Profiles
 	rooms := make([]subset.Room, len(profiles))
@@ -237,19 +237,19 @@
 		}
 	}
 	for k, servable := range v.servable {
-		if servable { // what no database of the list may run, a larger subset would not mend
+		if servable { // a larger subset would not help a profile that no database of the list may run
 			s.Classes = append(s.Classes, rooms[k])
 		}
 	}
 	return s
 }
 
-// allows tells whether a database is among those that a profile allows.
+// allows reports whether a profile may run on a database.
 func allows(p *admission.Profile, e *admission.Entry) bool {
 	return (p.Zones == nil || slices.Contains(p.Zones, e.Zone)) && (p.Kinds == nil || slices.Contains(p.Kinds, e.Kind))
 }
 
-// publishList hands the list on, or this router's subset of it.
+// publishList passes the list, or this router's subset of it, to the controller and the connections.
 func (s *service) publishList(scope admission.Scope) {
 	s.listSerial = s.list.Rev()
 	if s.subset == nil {
@@ -260,13 +260,13 @@
 	s.publishSubset(scope)
 }
 
-// publishSubset hands on what the subset has become.
+// publishSubset passes the current subset to the controller and the connections.
 func (s *service) publishSubset(scope admission.Scope) {
 	s.controller.Hold(s.subset.heldShare())
 	s.Members(s.clock.now(), scope, s.subset.held, func() { s.pool.Members(s.subset.connected, s.list.Addr) })
 }
 
-// reviewSubset is called some ten times a second.
+// reviewSubset is called about ten times a second.
 func (s *service) reviewSubset() {
 	if s.subset != nil && s.subset.review(s.clock.now(), s.controller) {
 		s.publishSubset(admission.Full)
@@ -281,7 +281,7 @@
 	return s.subset.readyHeld()
 }
 
-// readyHeld counts the readyHeld servers that are held.
+// readyHeld counts the ready servers in the subset.
 func (v *subsetView) readyHeld() (n int) {
 	for _, e := range v.held {
 		if e.State == admission.Ready {
--- a/internal/router/subset_test.go
+++ b/internal/router/subset_test.go
@@ -186,7 +186,7 @@
 	list = append(list, list[2])
 	v.setBoth(0, list)
 	v.setBoth(1, list)
-	if n := v.countLogLines("weight that can't be used"); n != 1 || len(v.held) != 8 {
+	if n := v.countLogLines("unusable weight"); n != 1 || len(v.held) != 8 {
 		t.Errorf("%d held, %d lines", len(v.held), n)
 	}
 	before := serverIDs(v.held)
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -9,47 +9,47 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// This file writes the log lines that follow a request by its id through the router, and those on the state of servers and their
-// connections. Lines on what ends otherwise than well are at level info; those on every attempt are at level debug, and cost nothing
-// while that is off.
+// This file writes the log lines that trace a request by its id through the router, and those on the state of servers and their
+// connections. Failures, rejections and retries are logged at level info; lines on every attempt are at level debug and cost nothing
+// while that level is off.
 
-// ServerChanged logs a server's new state and what became of the attempts there.
-func (r *Router) ServerChanged(engine uint32, from, to admission.State, withdrawn, running int) {
-	r.log.Info("server changed", zap.String("server", r.serverName(engine)), zap.Stringer("from", from), zap.Stringer("to", to),
+// ServerChanged logs a server's new state, and how many attempts there were withdrawn and how many still run.
+func (r *Router) ServerChanged(server uint32, from, to admission.State, withdrawn, running int) {
+	r.log.Info("server changed", zap.String("server", r.serverName(server)), zap.Stringer("from", from), zap.Stringer("to", to),
 		zap.Int("withdrawn", withdrawn), zap.Int("running", running))
 }
 
 // Closing logs why the router closes a connection to a server.
-func (r *Router) Closing(engine uint32, reason backends.CloseReason, attempts int) {
+func (r *Router) Closing(server uint32, reason backends.CloseReason, attempts int) {
 	if entry := r.log.Check(zap.InfoLevel, "connection closing"); entry != nil {
-		entry.Write(zap.String("server", r.serverName(engine)), zap.Stringer("why", reason), zap.Int("attempts", attempts))
+		entry.Write(zap.String("server", r.serverName(server)), zap.Stringer("why", reason), zap.Int("attempts", attempts))
 	}
 }
 
-// ClientClosing logs why the router closes a client's connection.
+// ClientClosing logs why the router closes a client connection.
 func (r *Router) ClientClosing(c *frontend.Session, reason frontend.CloseReason) {
 	if entry := r.log.Check(zap.InfoLevel, "client closing"); entry != nil {
 		entry.Write(zap.Uint64("client", c.Serial), zap.Stringer("why", reason))
 	}
 }
 
-// clientArrived logs that a client's connection was taken in.
+// clientArrived logs a new client connection.
 func (r *Router) clientArrived(c *frontend.Session, connections int) {
 	if entry := r.log.Check(zap.DebugLevel, "client arrived"); entry != nil {
 		entry.Write(zap.Uint64("client", c.Serial), zap.Int("connections", connections))
 	}
 }
 
-// Writing logs that an attempt leaves.
+// Writing logs that an attempt is being written to its connection.
 func (r *Router) Writing(j *backends.Job) {
 	if entry := r.log.Check(zap.DebugLevel, "attempt written"); entry != nil {
 		r.writeAttempt(entry, j, zap.Float64("waited", r.now-j.At))
 	}
 }
 
-// attemptBegun logs an attempt as the module decided it; one that follows another is a retry.
-func (r *Router) attemptBegun(c *request) {
-	j := &c.attempt
+// attemptBegun logs an attempt when the controller has decided on it. An attempt after the first is a retry.
+func (r *Router) attemptBegun(req *request) {
+	j := &req.attempt
 	if entry := r.log.Check(zap.DebugLevel, "attempt begun"); entry != nil {
 		r.writeAttempt(entry, j)
 	}
@@ -57,48 +57,48 @@
 		return
 	}
 	if entry := r.log.Check(zap.InfoLevel, "request retried"); entry != nil {
-		r.writeAttempt(entry, j, zap.Stringer("after", c.lastEnd), zap.Float64("age", r.now-c.arrivedAt))
+		r.writeAttempt(entry, j, zap.Stringer("after", req.lastEnd), zap.Float64("age", r.now-req.arrivedAt))
 	}
 }
 
-// attemptEnded logs how an attempt ended, where it brought no result.
-func (r *Router) attemptEnded(c *request, end admission.End) {
+// attemptEnded logs how an attempt ended, at level info if it brought no result.
+func (r *Router) attemptEnded(req *request, end admission.End) {
 	level := zap.InfoLevel
 	if end == admission.Answered {
 		level = zap.DebugLevel
 	}
 	if entry := r.log.Check(level, "attempt ended"); entry != nil {
-		j := &c.attempt
+		j := &req.attempt
 		r.writeAttempt(entry, j, zap.Stringer("how", end), zap.Bool("unsent", j.Unsent), zap.Float64("after", r.now-j.At))
 	}
 }
 
-// writeAttempt writes a line on an attempt.
+// writeAttempt writes a log line on an attempt.
 func (r *Router) writeAttempt(entry *zapcore.CheckedEntry, j *backends.Job, extra ...zap.Field) {
 	fields := append([]zap.Field{zap.ByteString("request", j.Ref[:]), zap.Int("attempt", j.Number),
 		zap.String("server", r.serverName(j.Engine))}, extra...)
 	entry.Write(fields...)
 }
 
-// logNotServed logs that a request got no result, and where it stood.
-func (r *Router) logNotServed(c *request, message string) {
+// logNotServed logs that a request got no result, and why.
+func (r *Router) logNotServed(req *request, message string) {
 	entry := r.log.Check(zap.InfoLevel, message)
 	if entry == nil {
 		return
 	}
-	entry.Write(zap.ByteString("request", c.attempt.Ref[:]), zap.String("profile", c.attempt.Profile), zap.String("why", r.notServedReason(c)),
-		zap.Int("attempts", c.attempt.Number+1), zap.Float64("age", r.now-c.arrivedAt), zap.Float64("left", c.deadline-r.now))
+	entry.Write(zap.ByteString("request", req.attempt.Ref[:]), zap.String("profile", req.attempt.Profile), zap.String("why", r.notServedReason(req)),
+		zap.Int("attempts", req.attempt.Number+1), zap.Float64("age", r.now-req.arrivedAt), zap.Float64("left", req.deadline-r.now))
 }
 
-// notServedReason is the stage at which the module gave a request up.
-func (r *Router) notServedReason(c *request) string {
+// notServedReason describes the stage at which the controller gave a request up.
+func (r *Router) notServedReason(req *request) string {
 	switch {
-	case c.attempt.Out():
-		return "its attempt has not ended in time"
-	case c.attempt.Number >= 0:
-		return "its last attempt: " + c.lastEnd.String()
-	case r.now > c.arrivedAt:
-		return "no server in time"
+	case req.attempt.Out():
+		return "attempt did not end in time"
+	case req.attempt.Number >= 0:
+		return "last attempt: " + req.lastEnd.String()
+	case r.now > req.arrivedAt:
+		return "no server available in time"
 	}
-	return "refused on arrival"
+	return "rejected on arrival"
 }
