--- a/internal/frontend/idle.go
+++ b/internal/frontend/idle.go
@@ -6,30 +6,32 @@
 	"dunereach/internal/transport"
 )
 
-// This file judges connections that ask nothing: when they are closed, and which can be closed to make room for others. One whose request
-// is on its way is never closed: new, with input that has not been read, with half a message that may become whole, or with requests open.
+// This file decides when connections that send no requests are closed, and which of them can be closed to free a descriptor. A connection
+// is not closed if a request may be on its way: if it is new, has unread input, has an incomplete message that may still be completed, or
+// has open requests.
 
 // TickEvery is the time between two calls of Tick.
 const TickEvery = 100 * time.Millisecond
 
-// All are counted in ticks.
+// Times are in ticks.
 const (
-	messageTicks      = 20 // a client sends a message in one go; one that sends half of it, or none at all, is owed a close in 3 s
-	extraPartialTicks = 5  // further ticks for a message that has begun and still comes
-	firstRequestTicks = 3  // a new connection is opened for a call, which comes with it: the network's delay and some
-	idleTicks         = 50 // clients close idle connections after 4 s; what stays longer was forgotten
-	neverAskedRank    = 1 << 20
+	// Clients send a message in one go. A connection that stays silent or sends only part of a message must be closed within 3 s.
+	messageTicks      = 20
+	extraPartialTicks = 5       // further time for a message that has begun and whose bytes still arrive
+	firstRequestTicks = 3       // clients open a connection for a request and send it at once: the network's delay and a margin
+	idleTicks         = 50      // clients close idle connections after 4 s; one that stays longer was forgotten
+	neverAskedRank    = 1 << 20 // added to the rank of a connection that never sent a message
 )
 
-// Waited counts, before anything is fed, what the connection has brought before the router took it in, and for how long it has been silent.
+// SetArrival records how many bytes arrived before the session began and how long the connection has been silent. It precedes any Feed.
 func (s *Session) Waited(arrival transport.Arrival) {
 	s.quietTicks = int(min(arrival.Silent/TickEvery, messageTicks))
 	s.partialTicks = s.quietTicks
 	s.earlyBytes, s.earlyAge = arrival.Bytes, arrival.Silent
 }
 
-// messageAge is for how long a message that is read now has been here at least: with the system before the connection was taken in, or
-// while the owner was behind.
+// messageAge is the minimum time for which the message read now has been unread: in the kernel before the session began, or while the
+// handler was delayed.
 func (s *Session) messageAge() time.Duration {
 	switch {
 	case s.earlyBytes > 0:
@@ -40,7 +42,7 @@
 	return 0
 }
 
-// Tick closes the connection of one that doesn't ask, or no more.
+// Tick closes a connection that has sent no request for too long.
 func (s *Session) Tick() {
 	if s.quietTicks++; s.partialBytes > 0 {
 		s.partialTicks++
@@ -57,7 +59,7 @@
 	}
 }
 
-// messageOverdue tells whether a whole message should have come by now. Input that was not fed yet may be the rest of it.
+// messageOverdue reports whether a complete message should have arrived by now. Input that was not fed yet may be the rest of it.
 func (s *Session) messageOverdue() bool {
 	partial := s.partialBytes > 0 && s.partialTicks >= messageTicks
 	if !partial && (s.messageReceived || s.quietTicks < messageTicks) {
@@ -66,8 +68,8 @@
 	return partial && s.partialTicks >= messageTicks+extraPartialTicks || !s.Line.InputPending()
 }
 
-// Spare tells whether the connection can be closed to make room for another, and how well: those that never asked, though they had time
-// to, go first, then those that have been quiet for longest. InTransit has the last word.
+// CloseRank reports whether the connection can be closed to free its descriptor, and its rank. Connections that had time to send a message
+// but never did rank highest, then those that have been quiet for longest. The caller must check InTransit before it closes one.
 func (s *Session) Spare() (rank int, ok bool) {
 	if rank = s.quietTicks; !s.messageReceived {
 		rank += neverAskedRank
@@ -76,14 +78,14 @@
 	return rank, s.idle() && !requestExpected
 }
 
-// InTransit tells whether bytes are on their way, in either direction. It costs system calls.
+// InTransit reports whether bytes are in transit in either direction. It makes system calls.
 func (s *Session) InTransit() bool { return s.Line.InputPending() || s.Line.OutputPending() }
 
-// GivesRoom tells whether the connection is closing, or becomes one that can be spared within wholeBy unless its request comes.
+// MayFreeDescriptor reports whether the connection is closing, or can be closed within messageTicks unless it sends a request.
 func (s *Session) GivesRoom() bool { return s.closing || s.idle() }
 
-// Closing tells whether the connection is on its way to its end.
+// Closing reports whether the connection is closing.
 func (s *Session) Closing() bool { return s.closing }
 
-// idle tells whether no request is open, and none is owed an answer.
+// idle reports whether no request is open and the connection is not closing.
 func (s *Session) idle() bool { return len(s.open) == 0 && !s.closeWhenIdle && !s.closing }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -1,5 +1,5 @@
-// Package frontend is the service that clients call: it reads calls off one connection's bytes, hands commands to
-// the desk and writes the answers. It knows no socket but what takes its bytes.
+// Package frontend implements the client protocol. A Session decodes the messages of one client connection, passes requests to a
+// RequestHandler and encodes the answers. It does no I/O: bytes go through the interface Conn.
 package frontend
 
 import (
@@ -15,19 +15,19 @@
 	"dunereach/internal/transport"
 )
 
-// Ask is what a client wants, as it came. Its bytes are good for the call that gets it only.
+// Request is a client's request as received. Its byte slices are valid only during the call that it is passed to.
 type Ask struct {
 	Ref                   [16]byte
-	Profile, Tenant, Team []byte  // Team: as the call has it, where the operators' file lets it say so
-	Allow, Effort, Memory float64 // seconds, seconds, MB
+	Profile, Tenant, Team []byte  // Team: as the request names it, if the operator's file allows that
+	Allow, Effort, Memory float64 // in seconds, seconds and MB
 	Statement             []byte
-	Key                   []byte  // commands of ordered profiles with the same run one after the other
-	Token                 []byte  // of a uniqued command: by it engines know a repeat
-	Waited                float64 // seconds for which it has been here unread: its client has waited as long
-	seenFields            uint    // fields that came, by their place in the table
+	Key                   []byte  // requests of ordered profiles with the same key run one after the other
+	Token                 []byte  // of a request that is idempotent by key: servers recognise a repeat by it
+	Waited                float64 // seconds for which it was unread; its client has waited as long
+	seenFields            uint    // fields received so far, as bits by their index in the table fields
 }
 
-// Caller is who asked, by the number that its protocol gives the call. A command that it holds gets one answer.
+// Caller is the client of a request. seq is the sequence number of the request on its connection. Each registered request gets one answer.
 type Caller interface {
 	Hold(seq int32, id uint32)
 	Answered(seq int32, pages [][]byte, waitInfo *Told)
@@ -35,64 +35,64 @@
 	Failed(seq int32)
 }
 
-// Told is what goes along with an answer or a refusal where the operators' file says so; seconds.
+// WaitInfo is sent with an answer or a rejection if the operator's file enables it. All values are in seconds.
 type Told struct {
-	P50, P90 float64 // until the answer, as told on arrival; of a refusal, until it would be let in
-	Waited   float64 // before the first send
+	P50, P90 float64 // estimated time until the answer, as of the arrival; with a rejection, until the request would be admitted
+	Waited   float64 // time before the first attempt
 }
 
-// Desk takes what clients want. A command that a caller holds gets one of its answers, unless it has Left.
+// RequestHandler handles the requests of clients. A request that a caller has registered gets one answer, unless ClientLeft is called for it.
 type Desk interface {
 	Take(c Caller, seq int32, a *Ask)
 	Left(id uint32)
-	HalfClosed(id uint32) // its client has said its last, and may have left or still read
+	HalfClosed(id uint32) // its client has closed its sending side: it may have left or may still read
 	Ready() bool
-	Behind() bool        // what is fed may have been here for a while
-	Room(bytes int) bool // takes memory for what is not whole yet, or gives it back; false: there is no more
+	Behind() bool        // input may have been unread for a while
+	Room(bytes int) bool // reserves memory for incomplete messages, or frees it; false: the limit is exceeded
 	Bad(how string)
-	ClientClosing(s *Session, reason CloseReason) // a connection takes no more calls, and closes
+	ClientClosing(s *Session, reason CloseReason) // a connection takes no more requests, and closes
 	Closed(s *Session)
 }
 
-// Line is where a session's bytes go.
+// Conn is the connection that a session writes to.
 type Line interface {
 	Append(b []byte) int64
 	Finish()
-	InputPending() bool      // bytes have come that were not fed yet
-	InputAge() time.Duration // of the newest bytes
-	OutputPending() bool     // bytes that were appended have not all arrived
+	InputPending() bool      // bytes have arrived that were not fed yet
+	InputAge() time.Duration // age of the newest bytes
+	OutputPending() bool     // some of the appended bytes have not reached the peer
 }
 
-// Session is one client's connection.
+// Session is the protocol state of one client connection.
 type Session struct {
 	Line            Line
-	Serial          uint64 // of its arrival: an older connection has a lower one
+	Serial          uint64 // arrival number: an older connection has a lower one
 	handler         Desk
 	frames          thrift.Frames
 	scratch         *[]byte
-	open            map[int32]uint32 // commands by the sequence number of their call
-	partialBytes    int              // bytes of an unfinished frame
-	partialTicks    int              // ticks that the frame has been unfinished for; of the first one, with those before the session
-	quietTicks      int              // ticks since the last whole message or answer
-	messageReceived bool             // a whole message has come
-	halfClosed      bool             // the client has said its last
-	closeWhenIdle   bool             // takes no more commands, and closes once nothing is open
-	earlyBytes      int              // bytes that came before the session began and are yet to be fed, and for how long the last of them had been here
-	earlyAge        time.Duration
-	rejectFirst     bool        // was turned away on arrival: its first message is still owed an answer
-	closing         bool        // what comes now crosses the close, and is nobody's
-	reason          CloseReason // the first reason to close it
+	open            map[int32]uint32 // ids of the open requests by sequence number
+	partialBytes    int              // bytes of an incomplete frame
+	partialTicks    int              // ticks for which the frame has been incomplete; for the first frame, including those before the session
+	quietTicks      int              // ticks since the last complete message or answer
+	messageReceived bool             // a complete message has been received
+	halfClosed      bool             // the client has closed its sending side
+	closeWhenIdle   bool             // takes no more requests, and closes once none is open
+	earlyBytes      int              // bytes that arrived before the session began and are yet to be fed
+	earlyAge        time.Duration    // how long the last of the early bytes had been unread
+	rejectFirst     bool             // the first request, still expected, is to be rejected
+	closing         bool             // later input has crossed the close and is discarded
+	reason          CloseReason      // the first reason for closing it
 }
 
-// NewSession is a session at a desk. The scratch is where answers are put together, one after the other.
+// NewSession creates a session. Answers are built in scratch, one at a time; sessions may share it.
 func NewSession(handler Desk, scratch *[]byte) *Session {
 	return &Session{handler: handler, scratch: scratch, open: map[int32]uint32{}}
 }
 
-// Up is called once the connection is established. Nothing is to be done then.
+// Up is called when the connection is established. There is nothing to do.
 func (s *Session) Up() {}
 
-// Feed takes bytes as they come. Once the close is decided nothing more is taken: its answer would never leave.
+// Feed processes received bytes. Once the session is closing it discards them, as an answer could not be sent any more.
 func (s *Session) Feed(b []byte) {
 	if s.closing {
 		return
@@ -103,7 +103,7 @@
 	if s.partialBytes = s.frames.Kept(); !s.handler.Room(s.partialBytes-before) && err == nil {
 		err = errPartialLimit
 	}
-	if err != nil && !s.closing { // nothing behind it can be read; what was answered before still goes out
+	if err != nil && !s.closing { // nothing after it can be read; earlier answers are still sent
 		s.handler.Bad(err.Error())
 		s.abandonRequests()
 		s.noteReason(Unreadable)
@@ -111,24 +111,25 @@
 	}
 }
 
-// abandonRequests: nobody waits for what is open here.
+// abandonRequests reports for all open requests that the client no longer waits.
 func (s *Session) abandonRequests() {
 	s.handler.Room(-s.partialBytes)
 	s.partialBytes, s.frames = 0, thrift.Frames{}
-	for _, seq := range slices.Sorted(maps.Keys(s.open)) { // in order: equal input must act alike
+	for _, seq := range slices.Sorted(maps.Keys(s.open)) { // sorted, so that equal input has the same effect
 		id := s.open[seq]
 		delete(s.open, seq)
 		s.handler.Left(id)
 	}
 }
 
-// noteReason keeps the first reason to close the connection.
+// noteReason records the reason for closing the connection, if it is the first.
 func (s *Session) noteReason(reason CloseReason) {
 	if s.reason == Kept {
 		s.reason = reason
 	}
 }
 
+// finish closes the connection after the answers written so far.
 func (s *Session) finish() {
 	if !s.closing {
 		s.closing = true
@@ -137,7 +138,7 @@
 	}
 }
 
-// Ended takes the end of a connection: a client that has closed its side may still read, one whose connection is gone has left.
+// Ended handles the end of a connection. A client that has closed its side may still read; one whose connection is gone has left.
 func (s *Session) Ended(how transport.Ending) {
 	if how == transport.Finished {
 		s.halfClosed = true
@@ -155,30 +156,31 @@
 	s.handler.Closed(s)
 }
 
-// Last closes the connection as soon as nothing is open on it. What a client asks until then is shed: it would keep the
-// connection open for as long as it likes.
+// CloseWhenIdle closes the connection as soon as no request is open on it. Requests that arrive until then are rejected: otherwise a client
+// could keep the connection open for as long as it likes.
 func (s *Session) Last(reason CloseReason) {
 	s.closeWhenIdle = true
 	s.noteReason(reason)
 	s.closeIfIdle()
 }
 
-// TurnAway sheds the first that comes, and closes the connection. Closed at once, it would be reset under a call that
-// is on its way.
+// RejectFirst rejects the first request that arrives and closes the connection. If it were closed immediately, a request on its way would
+// cause a reset.
 func (s *Session) TurnAway(reason CloseReason) {
 	s.closeWhenIdle, s.rejectFirst = true, true
 	s.noteReason(reason)
 }
 
+// closeIfIdle closes the connection if that is due and no request is open.
 func (s *Session) closeIfIdle() {
 	if (s.halfClosed || s.closeWhenIdle && !s.rejectFirst) && len(s.open) == 0 {
 		s.finish()
 	}
 }
 
-const maxOpen = 32 // calls on one connection, the protocol's
+const maxOpen = 32 // open requests on one connection, as the protocol specifies
 
-// Hold notes that a call's command is in hand.
+// Register records the id of an open request.
 func (s *Session) Hold(seq int32, id uint32) { s.open[seq] = id }
 
 var (
@@ -187,13 +189,14 @@
 	errPartialLimit = errors.New("too many unfinished messages")
 )
 
+// frame handles one message.
 func (s *Session) frame(frame []byte) error {
 	r := thrift.NewReader(frame)
 	kind, name, seq := r.Message()
 	if r.Bad || kind != thrift.Call && kind != thrift.Oneway {
 		return errProtocol
 	}
-	if s.closing { // by the message before it
+	if s.closing { // by the previous message
 		return nil
 	}
 	s.messageReceived, s.rejectFirst, s.quietTicks, s.partialTicks = true, false, 0, 0
@@ -236,6 +239,7 @@
 	return nil
 }
 
+// readCancel reads the arguments of a cancel message: the sequence number of the request to cancel.
 func readCancel(r *thrift.Reader) (seq int32, ok bool) {
 	for {
 		t, id := r.Field()
@@ -250,7 +254,7 @@
 	}
 }
 
-// read takes the arguments of a call; bad says what is wrong with them.
+// read reads the arguments of a request; fault describes what is wrong with them.
 func (a *Ask) read(r *thrift.Reader) (fault string) {
 	var present struct{ fields, body bool }
 	for {
@@ -287,9 +291,9 @@
 	return ""
 }
 
-const maxToken = 128 // bytes: four times what clients send
+const maxToken = 128 // bytes; four times what clients send
 
-// setField takes one in; none can stand there twice.
+// setField sets one field; a repeated field is an error.
 func (a *Ask) setField(name string, value []byte) (ok bool) {
 	ok = true
 	if k := slices.Index(fields[:], name); k >= 0 {
@@ -307,7 +311,7 @@
 		a.Team = value
 	case "ref":
 		ok = len(value) == len(a.Ref)
-		for _, c := range value { // it goes on to engines as a word of a line
+		for _, c := range value { // servers get it as a word of a line
 			ok = ok && (c >= '0' && c <= '9' || c|0x20 >= 'a' && c|0x20 <= 'f')
 		}
 		copy(a.Ref[:], value)
@@ -315,14 +319,14 @@
 		a.Allow, ok = parseNumber(value, 1000)
 	case "replay":
 		a.Token, ok = value, len(value) <= maxToken
-		for _, c := range value { // it goes on to engines as the value of a field
+		for _, c := range value { // servers get it as the value of a field
 			ok = ok && c > ' ' && c < 0x7f && c != ',' && c != '='
 		}
 	case "lookup":
 		a.Key = value
 	case "effort":
 		a.Effort, ok = parseNumber(value, 1000)
-		ok = ok && a.Effort < 1e6 // work of days on one core is no estimate
+		ok = ok && a.Effort < 1e6 // days of work on one core are no credible estimate
 	case "memory":
 		a.Memory, ok = parseNumber(value, 1)
 	}
@@ -331,7 +335,7 @@
 
 var fields = [...]string{"service", "project", "ref", "allow", "effort", "memory", "replay", "lookup"}
 
-// parseNumber reads a plain decimal figure: no sign before it, no infinity, nothing that only some readers take.
+// parseNumber parses a plain decimal number without a sign. It rejects infinities and forms that only some parsers accept.
 func parseNumber(b []byte, unit float64) (float64, bool) {
 	for k, c := range b {
 		if c < '0' && c != '.' && (k == 0 || b[k-1]|0x20 != 'e') || c > '9' && (c|0x20 != 'e' || k == 0) {
@@ -342,13 +346,14 @@
 	return v / unit, err == nil && v >= 0 && v < 1e12
 }
 
-// Answered passes a whole result on: the pages as they came.
+// Complete sends a complete result: the pages as received from the server.
 func (s *Session) Answered(seq int32, pages [][]byte, waitInfo *Told) {
 	delete(s.open, seq)
 	s.reply("call", seq, pages, true, waitInfo.pairs()...)
 	s.closeIfIdle()
 }
 
+// reply writes the answer to a call or health message.
 func (s *Session) reply(name string, seq int32, pages [][]byte, good bool, pairs ...string) {
 	size := 0
 	for _, p := range pages {
@@ -365,7 +370,7 @@
 	s.write(thrift.End(append(b, byte(thrift.Stop))))
 }
 
-// Shed refuses: a retry is harmless, best after the pause.
+// Reject rejects a request: the client may retry it safely, best after the pause.
 func (s *Session) Shed(seq int32, pause float64, waitInfo *Told) {
 	pairs := waitInfo.pairs()
 	if pause > 0 {
@@ -374,9 +379,10 @@
 	s.replyException(seq, 1, pairs...)
 }
 
+// millis formats seconds as whole milliseconds.
 func millis(seconds float64) string { return strconv.Itoa(int(seconds*1000 + 0.5)) }
 
-// pairs as they stand in a message; nil has none.
+// pairs returns the fields of the message as names and values; nil has none.
 func (t *Told) pairs() []string {
 	if t == nil {
 		return nil
@@ -384,9 +390,10 @@
 	return []string{"wait_p50", millis(t.P50), "wait_p90", millis(t.P90), "waited", millis(t.Waited)}
 }
 
-// Failed promises nothing.
+// Fail reports a failure: whether the request has run is not known.
 func (s *Session) Failed(seq int32) { s.replyException(seq, 2) }
 
+// replyException writes one of the exceptions that the protocol declares: field 1 for a rejection, 2 for a failure.
 func (s *Session) replyException(seq int32, field uint16, pairs ...string) {
 	delete(s.open, seq)
 	b := thrift.Begin(*s.scratch, thrift.Reply, "call", seq)
@@ -396,6 +403,7 @@
 	s.closeIfIdle()
 }
 
+// writeException writes an exception of the RPC layer, for a message that can't be handled.
 func (s *Session) writeException(name string, seq int32, kind int32, text string) {
 	s.write(thrift.Except(*s.scratch, name, seq, kind, text))
 }
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -14,7 +14,7 @@
 	"dunereach/internal/transport"
 )
 
-// testHandler takes every command, numbered from 1, and is the connection too.
+// testHandler accepts every request, numbered from 1, and is the session's connection too.
 type testHandler struct {
 	say          script.Say
 	s            *Session
@@ -46,6 +46,7 @@
 	return 0
 }
 
+// start returns a player of scripts that feeds frames in one piece, or byte by byte if pieces is set.
 func start(pieces bool) func(*testing.T, script.Say) func([]string) {
 	return func(t *testing.T, say script.Say) func([]string) {
 		d := &testHandler{say: say, ready: true}
@@ -56,6 +57,7 @@
 	}
 }
 
+// step plays one line of a script.
 func (d *testHandler) step(t *testing.T, w []string, pieces bool) {
 	number := int32(0)
 	if len(w) > 1 {
@@ -64,13 +66,13 @@
 	}
 	var frame []byte
 	switch w[0] {
-	case "call": // seq name=value... "body" last; a word with # is a field nobody knows
+	case "call": // seq name=value... body; a word # stands for an unknown field
 		body, err := url.PathUnescape(w[len(w)-1])
 		if err != nil {
 			t.Fatal(err)
 		}
 		frame = thrift.Begin(nil, thrift.Call, "call", number)
-		frame = thrift.AppendBytes(thrift.AppendField(frame, thrift.String, 2), body) // fields in any order
+		frame = thrift.AppendBytes(thrift.AppendField(frame, thrift.String, 2), body) // the statement before the fields: their order is free
 		var pairs []string
 		for _, p := range w[2 : len(w)-1] {
 			if p == "#" {
@@ -93,7 +95,7 @@
 			t.Fatal(err)
 		}
 		frame = b
-	case "again": // on another connection
+	case "again": // a new connection
 		d.s = NewSession(d, d.s.scratch)
 		d.s.Line = d
 	case "ready":
@@ -132,10 +134,10 @@
 	}
 }
 
-// TestScripts plays each script with frames in one piece, and byte by byte.
+// TestScripts plays each script with frames fed in one piece, and byte by byte.
 func TestScripts(t *testing.T) { script.Play(t, start(false), start(true)) }
 
-// FuzzFeed: nothing that comes may panic, or be taken for more than it is.
+// FuzzFeed guards against input that makes a session panic or read beyond the input.
 func FuzzFeed(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x10\x80\x01\x00\x01\x00\x00\x00\x04call\x00\x00\x00\x01\x00"))
 	f.Add([]byte("\x00\x00\x00\x1b\x80\x01\x00\x01\x00\x00\x00\x04call\x00\x00\x00\x01\x0f\x00\x01\x0f\xff\xff\xff\xff\x0f\x00\x00"))
--- a/internal/router/arrivals_test.go
+++ b/internal/router/arrivals_test.go
@@ -7,7 +7,7 @@
 	"dunereach/internal/fake"
 )
 
-// tickSessions makes time go on for all clients' connections, by so many ticks.
+// tickSessions advances the timers of all client connections by the given number of ticks.
 func (h *harness) tickSessions(ticks int) {
 	for range ticks {
 		for s := range h.sessions {
@@ -16,7 +16,7 @@
 	}
 }
 
-// openSerials is which connections are there.
+// openSerials returns the serial numbers of the connections, with false for those that are closing.
 func (h *harness) openSerials() map[uint64]bool {
 	open := map[uint64]bool{}
 	for s := range h.sessions {
@@ -25,8 +25,8 @@
 	return open
 }
 
-// TestArrivalWaits guards against a client that is closed unread, or a new one closed to make room, where room comes within moments: an
-// arrival waits until others have had their time to ask, and those behind it wait with the system.
+// TestArrivalWaits guards against closing a client unread, or closing a new client to free a descriptor, when a descriptor is about to
+// become free. A new connection waits until others have had time to send a request; later ones queue in the kernel.
 func TestArrivalWaits(t *testing.T) {
 	const maxClients = 18
 	h := newHarness(t, 48, 0)
@@ -40,21 +40,21 @@
 	h.acceptClient(<-h.nextArrival(), false)
 	h.admitPending(false)
 	if len(h.sessions) != maxClients || h.nextArrival() != nil {
-		t.Fatalf("%d connections are there, want %d and an arrival that waits", len(h.sessions), maxClients)
+		t.Fatalf("%d connections, want %d and one that waits", len(h.sessions), maxClients)
 	}
 	h.tickSessions(3)
 	h.admitPending(false)
 	if open := h.openSerials(); open[1] || !open[2] || !open[maxClients+1] || h.nextArrival() == nil {
-		t.Errorf("connections %v are there, want all but the oldest", open)
+		t.Errorf("open connections are %v, want all but the oldest", open)
 	}
-	h.deliver(1) // the call, or the end of the one that made room
+	h.deliver(1) // the request, or the end of the connection that was closed
 	h.deliver(1)
 	if h.Owed() != 1 {
-		t.Errorf("%d requests are in hand, want 1", h.Owed())
+		t.Errorf("%d requests are in progress, want 1", h.Owed())
 	}
 }
 
-// TestArrivalWaitsInVain: where a connection gives no room though it might have, an arrival waits for a bounded time.
+// TestArrivalWaitsInVain guards against waiting forever: a new connection is rejected once no other can free a descriptor.
 func TestArrivalWaitsInVain(t *testing.T) {
 	const maxClients = 18
 	h := newHarness(t, 48, 0)
@@ -66,20 +66,20 @@
 	}
 	late := h.client()
 	h.acceptClient(<-h.nextArrival(), false)
-	for k, c := range clients { // each asks after all
+	for k, c := range clients { // each sends a request after all
 		c.Call("SELECT 1", "service", "lookup", "project", "acme", "allow", "20000", "ref", fmt.Sprintf("%016x", k+1))
 		h.deliver(1)
 	}
 	h.admitPending(false)
 	if h.nextArrival() == nil {
-		t.Fatal("it waits though no connection gives room")
+		t.Fatal("the connection waits though no other can free a descriptor")
 	}
 	h.call(late, "f")
 	h.deliver(1)
 	h.expectReply(late, rejectedReply)
 }
 
-// TestUnreadStays guards against a resting connection that is closed over a request which was not read: the next one makes room.
+// TestUnreadStays guards against closing an idle connection that has an unread request: the next oldest is closed instead.
 func TestUnreadStays(t *testing.T) {
 	const maxClients = 18
 	h := newHarness(t, 48, 0)
@@ -99,10 +99,10 @@
 	h.client()
 	h.acceptClient(<-h.nextArrival(), false)
 	if open := h.openSerials(); !open[1] || open[2] {
-		t.Errorf("connections %v are there, want the oldest, and not the next", open)
+		t.Errorf("open connections are %v, want the oldest, and not the next", open)
 	}
 	h.deliver(2)
 	if h.Owed() != 1 {
-		t.Errorf("%d requests are in hand, want 1", h.Owed())
+		t.Errorf("%d requests are in progress, want 1", h.Owed())
 	}
 }
--- a/internal/router/close_test.go
+++ b/internal/router/close_test.go
@@ -20,7 +20,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// harness is a service on real sockets whose owner is the test: nothing happens between two lines but what the test has happen.
+// harness is a service on real sockets. The test takes the place of the owner's goroutine, so that it controls the order of events.
 type harness struct {
 	*service
 	t        *testing.T
@@ -31,7 +31,7 @@
 	list     []admission.Entry
 }
 
-// newHarness has so many engines, of which none is listed yet.
+// newHarness creates a harness with the given number of servers, none of which is listed yet.
 func newHarness(t *testing.T, descriptors, serverCount int) *harness {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
@@ -60,7 +60,7 @@
 	return h
 }
 
-// listServer lists an engine, by its place.
+// listServer adds a server to the list, by its index.
 func (h *harness) listServer(k int) {
 	h.list = append(h.list, admission.Entry{Engine: uint32(k + 1), State: admission.Ready})
 	h.Members(h.clock.now(), admission.Full, h.list, func() {
@@ -68,15 +68,18 @@
 	})
 }
 
+// client connects a new client.
 func (h *harness) client() *fake.Client { return fake.NewClient(h.t, h.listener.Addr().String()) }
 
+// call sends a request of profile lookup.
 func (h *harness) call(c *fake.Client, ref string) int32 { return h.callProfile(c, "lookup", ref) }
 
+// callProfile sends a request of a profile; the id is ref and zeros.
 func (h *harness) callProfile(c *fake.Client, profile, ref string) int32 {
 	return c.Call("SELECT 1", "service", profile, "project", "acme", "allow", "20000", "ref", ref+strings.Repeat("0", 15))
 }
 
-// deliver makes what comes off connections known, so many times.
+// deliver delivers the next n inputs of connections.
 func (h *harness) deliver(n int) {
 	h.t.Helper()
 	for range n {
@@ -89,6 +92,7 @@
 	}
 }
 
+// expectReply checks the next reply that a client gets.
 func (h *harness) expectReply(c *fake.Client, want string) {
 	h.t.Helper()
 	if got := c.Next(); got != want {
@@ -96,7 +100,7 @@
 	}
 }
 
-// waitForInput waits until so much is ready for the owner.
+// waitForInput waits until the inbox holds the given number of entries.
 func (h *harness) waitForInput(entries int) {
 	h.t.Helper()
 	for end := time.Now().Add(fake.Patience); len(h.inbox) < entries; time.Sleep(time.Millisecond) {
@@ -106,12 +110,13 @@
 	}
 }
 
-const dedupWindow = 0.2 // seconds in which engines drop a repeat
+const dedupWindow = 0.2 // seconds in which servers drop a repeat
 
+// rejectedReply is a rejection, after which a retry is safe.
 const rejectedReply = "2/1 call{ 1={ 1=[ ] } }"
 
-// TestCrosses: a call that its reader has read when the close is decided is not taken: its answer would never leave. The
-// client sees a clean end.
+// TestCrosses guards against taking a request that was read but not delivered when the session began to close: its answer could not be
+// sent. The client sees a clean close.
 func TestCrosses(t *testing.T) {
 	h := newHarness(t, 100, 0)
 	go h.accept(h.listener)
@@ -124,13 +129,13 @@
 	}
 	h.deliver(1)
 	if h.Owed() != 0 {
-		t.Error("it was taken")
+		t.Error("the request was taken")
 	}
 	h.expectReply(c, "closed")
 }
 
-// TestInTime: what has come and is ready in the instant in which the grace ends is taken, on an open connection as on a
-// new one; what comes after it is shed while the connection is still owed something.
+// TestInTime guards against losing input that is ready when the shutdown grace ends. It is taken, on an open connection and on a new one;
+// later requests are rejected while the connection still has an open request.
 func TestInTime(t *testing.T) {
 	h := newHarness(t, 100, 0)
 	go h.accept(h.listener)
@@ -139,14 +144,14 @@
 	h.call(open, "a")
 	h.waitForInput(1)
 	fresh := h.client()
-	for end := time.Now().Add(fake.Patience); h.Owed() < 1 || len(h.sessions) < 2; { // the accepting goroutine holds it out
+	for end := time.Now().Add(fake.Patience); h.Owed() < 1 || len(h.sessions) < 2; { // until the accepting goroutine has passed it on
 		h.closeFrontend(h.listener)
 		if time.Now().After(end) {
-			t.Fatal("what was ready was not taken")
+			t.Fatal("the input that was ready was not taken")
 		}
 	}
 	if h.Owed() != 1 || len(h.sessions) != 2 {
-		t.Errorf("%d commands are in hand, of %d clients", h.Owed(), len(h.sessions))
+		t.Errorf("%d requests are in progress, of %d clients", h.Owed(), len(h.sessions))
 	}
 	h.call(open, "b")
 	h.deliver(1)
@@ -154,8 +159,8 @@
 	h.expectReply(fresh, "closed")
 }
 
-// TestAcceptQueue: connections that the kernel has accepted when the router ends are turned away with an answer, and none
-// is reset with the listener.
+// TestAcceptQueue guards against resets of connections that the kernel has accepted when the listener is closed. Their first requests are
+// rejected.
 func TestAcceptQueue(t *testing.T) {
 	h := newHarness(t, 100, 0)
 	var late []*fake.Client
@@ -179,14 +184,14 @@
 		h.expectReply(c, "closed")
 	}
 	if h.Owed() != 0 {
-		t.Error("one was taken")
+		t.Error("a request was taken")
 	}
 }
 
-// TestTurnedAway: a client for whom there is no room has its call shed and a clean end; where not even that can be held,
-// its connection is closed.
+// TestTurnedAway: a client without a descriptor has its first request rejected and sees a clean close. If no descriptor is left even for
+// that, its connection is closed.
 func TestTurnedAway(t *testing.T) {
-	h := newHarness(t, 24, 0) // 8 for clients, and one beyond to turn away by
+	h := newHarness(t, 24, 0) // 8 for clients, and one more for rejecting
 	go h.accept(h.listener)
 	for k := range 8 {
 		h.call(h.client(), string(rune('1'+k)))
@@ -202,6 +207,6 @@
 	h.expectReply(c, rejectedReply)
 	h.expectReply(c, "closed")
 	if h.Owed() != 8 {
-		t.Errorf("%d commands are in hand", h.Owed())
+		t.Errorf("%d requests are in progress", h.Owed())
 	}
 }
--- a/internal/router/descriptors_test.go
+++ b/internal/router/descriptors_test.go
@@ -6,13 +6,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestDivide: clients, lingering ones, servers and the reserve never pass the descriptors that there are, and usual clients have their third.
+// TestDivide: clients, lingering connections, servers and the reserve never exceed the descriptors, and clients get at least a third.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3*reservedDescriptors, 1<<20).Draw(t, "descriptors")
 		s := divideDescriptors(n)
 		if taken := s.clients + s.rejecting + s.lingering + s.servers + reservedDescriptors; taken > n {
-			t.Errorf("%d of %d are taken: %+v", taken, n, s)
+			t.Errorf("%d of %d are assigned: %+v", taken, n, s)
 		}
 		if s.clients < n/3 || s.servers < 1 || s.lingering < 1 {
 			t.Errorf("%d: %+v", n, s)
@@ -20,8 +20,8 @@
 	})
 }
 
-// TestOldestRestGoes: where resting clients fill the descriptors, the one that has rested longest makes room; a connection that has
-// just come in stays, as its call is on its way.
+// TestOldestRestGoes: when idle clients use all descriptors, the one that was idle for longest is closed. A new connection stays, as its
+// request is on its way.
 func TestOldestRestGoes(t *testing.T) {
 	h := newHarness(t, 48, 0) // 18 for clients
 	go h.accept(h.listener)
@@ -30,7 +30,7 @@
 		h.acceptClient(<-h.arrivals, false)
 		c.AskHealth()
 		h.deliver(1)
-		for s := range h.sessions { // time goes on
+		for s := range h.sessions { // time advances
 			s.Tick()
 		}
 	}
@@ -40,7 +40,7 @@
 	h.acceptClient(<-h.arrivals, false)
 	closed := map[uint64]bool{}
 	for range 2 {
-		h.deliver(1) // the end of one that made room
+		h.deliver(1) // the end of a connection that was closed
 	}
 	for serial := uint64(1); serial <= 20; serial++ {
 		closed[serial] = true
@@ -49,12 +49,12 @@
 		delete(closed, s.Serial)
 	}
 	if len(closed) != 2 || !closed[1] || !closed[2] {
-		t.Errorf("connections %v made room, want the two oldest", closed)
+		t.Errorf("connections %v were closed, want the two oldest", closed)
 	}
 	h.call(fresh, "a")
 	h.call(second, "b")
 	h.deliver(2)
 	if h.Owed() != 2 {
-		t.Errorf("%d requests of new clients are in hand, want 2", h.Owed())
+		t.Errorf("%d requests of new clients are in progress, want 2", h.Owed())
 	}
 }
--- a/internal/router/eventorder_test.go
+++ b/internal/router/eventorder_test.go
@@ -11,34 +11,34 @@
 	"dunereach/internal/transport"
 )
 
-// connectionRun is one client's connection with the test as its owner: what a reader has read waits here until it is taken.
+// connectionRun is one client connection, whose owner is the test. Input that a reader has read is kept here until the test takes it.
 type connectionRun struct {
 	*harness
 	c            *fake.Client
-	events       []string         // what has happened, for the report
-	calls        int              // sent
-	clientEnd    string           // how the client ended its side
-	closeDecided bool             // the close is decided
-	callUnread   bool             // a call lies unread behind what is read
-	clientInput  *transport.Entry // read off the client's connection, and yet to be taken
-	inputIsEnd   bool             // what is read is the connection's end
-	serverInput  *transport.Entry // the same of the engine's
-	running      []fake.Said      // what runs
+	events       []string         // the events so far, for messages
+	calls        int              // requests sent
+	clientEnd    string           // how the client ended its side: half-close, reset or not yet
+	closeDecided bool             // the router has decided to close the connection
+	callUnread   bool             // a request is unread behind the input that was read
+	clientInput  *transport.Entry // read from the client's connection, not yet taken
+	inputIsEnd   bool             // that input is the end of the connection
+	serverInput  *transport.Entry // read from the server's connection, not yet taken
+	running      []fake.Said      // the attempts that run
 	taken        int
-	open         int      // taken with no answer yet
-	finished     bool     // the router has said its last there
-	sessionEnded bool     // nothing more comes
-	got          []string // by the client
+	open         int      // requests taken that have no answer yet
+	finished     bool     // the router has closed its side
+	sessionEnded bool     // the session has ended
+	got          []string // replies that the client got
 }
 
-// newConnectionRun is a connection that nothing has come on yet.
+// newConnectionRun creates a connection on which nothing has arrived yet.
 func newConnectionRun(t *testing.T) *connectionRun {
 	h := newHarness(t, 100, 1)
 	h.listServer(0)
 	go h.accept(h.listener)
 	warmUp := h.client()
 	h.acceptClient(<-h.arrivals, false)
-	for _, ref := range []string{"e", "f"} { // as many connections to the engine as there are calls to come
+	for _, ref := range []string{"e", "f"} { // opens as many connections to the server as there will be requests
 		h.call(warmUp, ref)
 		h.deliver(2)
 	}
@@ -54,7 +54,7 @@
 	return &connectionRun{harness: h, c: c}
 }
 
-// nextInput is what comes off the one connection that something has just been done to.
+// nextInput waits for the input that follows from the last event.
 func (l *connectionRun) nextInput() *transport.Entry {
 	l.t.Helper()
 	select {
@@ -66,8 +66,8 @@
 	}
 }
 
-// possibleEvents is what can happen next. A reset comes while its reader reads: a write that met it first would make two ends of it, at a
-// time of their own.
+// possibleEvents returns the events that can happen next. A reset happens only while the reader reads: if a write met the reset first, two
+// ends would be reported, at uncontrolled times.
 func (l *connectionRun) possibleEvents() (events []string) {
 	for name, can := range map[string]bool{
 		"call": l.calls < 2 && l.clientEnd == "", "take": l.clientInput != nil, "half-close": l.calls > 0 && l.clientEnd == "",
@@ -82,6 +82,7 @@
 	return events
 }
 
+// apply makes an event happen.
 func (l *connectionRun) apply(event string) {
 	l.t.Helper()
 	l.events = append(l.events, event)
@@ -115,7 +116,7 @@
 	case "pass":
 		l.Deliver(l.clock.now(), *l.serverInput)
 		l.serverInput = nil
-		if l.open--; l.clientEnd != "reset" { // what is on its way must not meet the reset
+		if l.open--; l.clientEnd != "reset" { // after a reset nothing more is received
 			l.got = append(l.got, l.c.Next())
 		}
 	}
@@ -127,13 +128,14 @@
 	}
 }
 
-// readEnd: the reader comes to the connection's readEnd.
+// readEnd waits until the reader has read the end of the connection.
 func (l *connectionRun) readEnd() {
 	if l.clientInput, l.inputIsEnd = l.nextInput(), true; l.finished {
 		l.takeInput()
 	}
 }
 
+// takeInput delivers the client's input to the router.
 func (l *connectionRun) takeInput() {
 	e, before := *l.clientInput, l.Owed()
 	l.clientInput = nil
@@ -142,7 +144,7 @@
 		l.sessionEnded = len(l.sessions) == 0
 		return
 	}
-	if l.closeDecided && l.open > 0 && l.clientEnd != "reset" { // shed
+	if l.closeDecided && l.open > 0 && l.clientEnd != "reset" { // rejected
 		l.got = append(l.got, l.c.Next())
 	}
 	for range l.Owed() - before {
@@ -161,14 +163,14 @@
 	}
 }
 
-// TestOrders: a connection's life in all orders in which calls, its end by either side and answers can come and be taken.
-// What was taken has one whole answer, unless its client reset the connection; what was not was not sent on.
+// TestOrders runs a connection through all orders in which requests, the end by either side and answers can arrive and be taken. Each
+// request that was taken has one complete answer, unless its client reset the connection. Others were not sent to a server.
 func TestOrders(t *testing.T) {
 	runs := 0
 	for pending := [][]string{nil}; len(pending) > 0; runs++ {
 		events := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		t.Run("life", func(t *testing.T) { // what it opens is closed with it
+		t.Run("life", func(t *testing.T) { // a subtest, so that what it opens is closed at its end
 			l := newConnectionRun(t)
 			for _, event := range events {
 				l.apply(event)
@@ -188,10 +190,11 @@
 	t.Log(runs, "lives")
 }
 
+// check checks the result of a run.
 func (l *connectionRun) check(order string) {
 	l.t.Helper()
 	if l.Owed() != 0 || len(l.requests) != 0 || len(l.received) != 0 && !strings.Contains(order, "reset") {
-		l.t.Errorf("%s: %d are owed, %d in hand, %d things said to engines", order, l.Owed(), len(l.requests), len(l.received))
+		l.t.Errorf("%s: %d requests unanswered, %d in progress, %d messages sent to servers", order, l.Owed(), len(l.requests), len(l.received))
 	}
 	if l.clientEnd == "reset" {
 		return
@@ -203,6 +206,6 @@
 		}
 	}
 	if served != l.taken || len(l.got)-1 > l.calls || last != "closed" {
-		l.t.Errorf("%s: %d calls, %d taken, the client got %q", order, l.calls, l.taken, l.got)
+		l.t.Errorf("%s: %d requests sent, %d taken, the client got %q", order, l.calls, l.taken, l.got)
 	}
 }
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -7,14 +7,14 @@
 	"dunereach/internal/fake"
 )
 
-// expectNothingSent checks that no engine is sent anything, up to well past the 0.3 s that are allowed after a client has left.
+// expectNothingSent checks that no server is sent anything, until well after the 0.3 s that are allowed after a client has left.
 func (h *harness) expectNothingSent() {
 	h.t.Helper()
 	late := time.After(400 * time.Millisecond)
 	for {
 		select {
 		case s := <-h.received:
-			h.t.Fatalf("an engine was sent %q", s.Words)
+			h.t.Fatalf("a server was sent %q", s.Words)
 		case e := <-h.inbox:
 			h.Deliver(h.clock.now(), e)
 		case <-late:
@@ -25,7 +25,7 @@
 	}
 }
 
-// leaveWhile has a client ask and leave: while its request is held for want of a server, or while it waits for a connection.
+// leaveWhile makes a client send a request and leave, while the request is queued for lack of a server, or while it waits for a connection.
 func (h *harness) leaveWhile(held bool, leave func(c *fake.Client)) *fake.Client {
 	h.t.Helper()
 	go h.accept(h.listener)
@@ -37,7 +37,7 @@
 	h.call(c, "a")
 	h.deliver(1)
 	if h.Owed() != 1 {
-		h.t.Fatal("it is not in hand")
+		h.t.Fatal("the request is not in progress")
 	}
 	if held {
 		leave(c)
@@ -45,15 +45,15 @@
 		h.listServer(0)
 		return c
 	}
-	connected := <-h.inbox // the connection is there, and its owner yet to know
+	connected := <-h.inbox // the connection is established, which the owner does not know yet
 	leave(c)
 	h.deliver(1)
 	h.Deliver(h.clock.now(), connected)
 	return c
 }
 
-// TestLeft: a command whose client has left, by whichever way, is not sent on: neither from the line nor when the connection
-// that it waits for is up. The order is forced: the owner hears of the end first.
+// TestLeft guards against sending a request whose client has left: neither from the queue nor when the connection that it waits for is
+// established. The test forces the order: the owner learns of the departure first.
 func TestLeft(t *testing.T) {
 	departures := map[string]func(c *fake.Client){
 		"closes":      func(c *fake.Client) { c.Leave() },
@@ -61,13 +61,13 @@
 		"cancels":     func(c *fake.Client) { c.Cancel(1) },
 	}
 	for name, leave := range departures {
-		for state, held := range map[string]bool{"in the line": true, "waiting for its connection": false} {
+		for state, held := range map[string]bool{"in the queue": true, "waiting for its connection": false} {
 			t.Run(name+" "+state, func(t *testing.T) {
 				h := newHarness(t, 100, 1)
 				c := h.leaveWhile(held, leave)
 				h.expectNothingSent()
 				if h.Owed() != 0 || len(h.requests) != 0 {
-					t.Error("it is still in hand")
+					t.Error("the request is still in progress")
 				}
 				if name == "half-closes" {
 					h.expectReply(c, rejectedReply)
@@ -78,7 +78,7 @@
 	}
 }
 
-// newRunningRequest has one command at an engine.
+// newRunningRequest creates a harness with one request that runs at a server.
 func newRunningRequest(t *testing.T) (h *harness, c *fake.Client, s fake.Said) {
 	h = newHarness(t, 100, 1)
 	h.listServer(0)
@@ -86,11 +86,11 @@
 	c = h.client()
 	h.acceptClient(<-h.arrivals, false)
 	h.call(c, "a")
-	h.deliver(2) // its call, and the engine's connection
+	h.deliver(2) // the request, and the server's connection
 	return h, c, <-h.received
 }
 
-// TestRunsOn: what runs when its client closes its side goes on, and a client that still reads has its answer.
+// TestRunsOn: a running request goes on when its client half-closes the connection, and the client gets the answer if it still reads.
 func TestRunsOn(t *testing.T) {
 	h, c, s := newRunningRequest(t)
 	c.HalfClose()
@@ -101,8 +101,8 @@
 	h.expectReply(c, "closed")
 }
 
-// TestRepeatTooLate: a repeat whose connection comes up after the window in which engines drop it never leaves, and what may
-// have run is not told to be harmless.
+// TestRepeatTooLate guards against running a request twice: a retry is not sent if its connection is established only after the window in
+// which servers drop repeats. As the request may have run, the client gets a failure and not a rejection.
 func TestRepeatTooLate(t *testing.T) {
 	h := newHarness(t, 100, 2)
 	h.listServer(0)
@@ -115,8 +115,8 @@
 	s := <-h.received
 	h.listServer(1)
 	s.Die()
-	h.deliver(1)           // the repeat waits for a connection to the other engine
-	connected := <-h.inbox // which is there, and its owner yet to know
+	h.deliver(1)           // the retry waits for a connection to the other server
+	connected := <-h.inbox // which is established, but the owner does not know it yet
 	for h.clock.now() < first+dedupWindow {
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -125,18 +125,18 @@
 	h.expectReply(c, "2/1 call{ 2={ 1=[ ] } }")
 }
 
-// TestClosedIdle: an engine closes an idle connection in the instant in which a non-replayable command is sent on it. Nothing
-// leaves on a connection whose end has been read, so it has run nowhere and goes out again on another.
+// TestClosedIdle: a server closes an idle connection at the moment when a non-idempotent request is sent on it. Nothing is written to a
+// connection whose end has been read, so the request has not run and is sent again on another connection.
 func TestClosedIdle(t *testing.T) {
 	h, c, s := newRunningRequest(t)
 	s.Answer("served", "count=1", "x\t\t\n")
 	h.deliver(1)
 	c.Next()
 	s.Leave()
-	end := <-h.inbox // read, and its owner yet to know
+	end := <-h.inbox // read, but the owner does not know it yet
 	h.callProfile(c, "never", "b")
 	h.deliver(1)
-	time.Sleep(20 * time.Millisecond) // in which a writer that may write has written
+	time.Sleep(20 * time.Millisecond) // enough for a writer to write what it may
 	h.Deliver(h.clock.now(), end)
 	for sent := false; !sent; {
 		select {
--- a/internal/router/ownerdelay_test.go
+++ b/internal/router/ownerdelay_test.go
@@ -12,7 +12,7 @@
 	"dunereach/internal/frontend"
 )
 
-// busyHarness is a hall whose owner has been kept from its connections for 0.2 s when its test goes on: what came meanwhile has waited.
+// busyHarness is a harness for tests in which the owner is blocked for 0.2 s, so that input has been unread for that time.
 type busyHarness struct {
 	*harness
 	client *fake.Client
@@ -20,7 +20,7 @@
 
 const ownerBlockedFor = 200 * time.Millisecond
 
-// newBusyHarness has a server with two connections that are up, and one client.
+// newBusyHarness creates one with a server that has two established connections, and one client.
 func newBusyHarness(t *testing.T) *busyHarness {
 	h := newHarness(t, 100, 2)
 	h.listServer(0)
@@ -44,12 +44,12 @@
 	if err := h.openQuerySocket(h.cfg.NameServer); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(h.closeQuerySockets) // before the goroutines are waited for
+	t.Cleanup(h.closeQuerySockets) // runs before the harness waits for its goroutines
 	h.WatchBacklog()
 	return b
 }
 
-// runAttempt has one request of the client at the server.
+// runAttempt sends a request of the client and returns its attempt at the server.
 func (b *busyHarness) runAttempt(ref string) fake.Said {
 	b.t.Helper()
 	b.call(b.client, ref)
@@ -66,17 +66,17 @@
 	}
 }
 
-// requestStates are where a request can be when its client goes. Each leaves the owner with what makes an attempt begin, ahead of the
-// client's end, and the client's end somewhere behind it.
+// requestStates are the states that a request can be in when its client leaves. Each function prepares a state and returns a function that
+// delivers the event that would make an attempt begin, ahead of the input that tells of the client's departure.
 var requestStates = map[string]func(b *busyHarness, leave func(c *fake.Client)) (begin func()){
-	// The call is read; the client's end lies unread behind it.
+	// The request is read; the client's departure is unread behind it.
 	"unread behind its call": func(b *busyHarness, leave func(*fake.Client)) func() {
 		b.call(b.client, "a")
 		b.waitForInput(1)
 		leave(b.client)
 		return func() { b.deliver(1) }
 	},
-	// The server has turned the first attempt away; the retry goes there again after a pause.
+	// The server has rejected the first attempt; the retry goes there again after a pause.
 	"in the pause before a retry": func(b *busyHarness, leave func(*fake.Client)) func() {
 		b.runAttempt("a").Answer("overload", "-", "")
 		b.deliver(1)
@@ -84,7 +84,7 @@
 		b.waitForInput(1)
 		return func() { b.Tick(b.clock.now()) }
 	},
-	// The first attempt's connection has been reset, and the client has gone after that.
+	// The first attempt's connection has been reset, then the client has left.
 	"between two attempts": func(b *busyHarness, leave func(*fake.Client)) func() {
 		b.runAttempt("a").Die()
 		b.waitForInput(1)
@@ -92,7 +92,7 @@
 		b.waitForInput(2)
 		return func() { b.deliver(1) }
 	},
-	// The connection that the attempt waits for is up, and the client has gone after that.
+	// The connection that the attempt waits for is established, then the client has left.
 	"waiting for its connection": func(b *busyHarness, leave func(*fake.Client)) func() {
 		b.list = b.list[:0]
 		b.listServer(1)
@@ -104,11 +104,11 @@
 		b.waitForInput(2)
 		return func() { b.deliver(1) }
 	},
-	// The list that names a server is read before the client's end; the attempt needs a connection, which takes longer.
+	// The list that names a server is read before the client's departure; the attempt needs a connection, which takes longer.
 	"held for want of a server": func(b *busyHarness, leave func(*fake.Client)) func() {
 		b.list = b.list[:0]
 		b.Members(b.clock.now(), admission.Full, nil, func() { b.pool.Members(nil, nil) })
-		b.deliver(2) // its connections end
+		b.deliver(2) // the server's connections end
 		b.call(b.client, "a")
 		b.deliver(1)
 		leave(b.client)
@@ -117,8 +117,9 @@
 	},
 }
 
-// TestGoneWhileBusy: a client has gone while the owner was busy for 0.2 s, and the owner comes to something else first that makes an
-// attempt begin: nothing is sent to a server, wherever the request was, also when a new configuration or the end comes just then.
+// TestGoneWhileBusy guards against attempts for clients that have left. A client leaves while the owner is blocked for 0.2 s, and the owner
+// then first processes an event that makes an attempt begin. Nothing may be sent to a server, whatever the state of the request, also if a
+// reload or the shutdown happens just then.
 func TestGoneWhileBusy(t *testing.T) {
 	departures := map[string]func(c *fake.Client){
 		"closes":      func(c *fake.Client) { c.Leave() },
@@ -145,11 +146,11 @@
 					time.Sleep(ownerBlockedFor)
 					trigger(b)
 					begin()
-					time.Sleep(20 * time.Millisecond) // in which a writer that may write has written
-					b.waitForInput(1)                 // the client's end
+					time.Sleep(20 * time.Millisecond) // enough for a writer to write what it may
+					b.waitForInput(1)                 // the client's departure
 					b.expectNothingSent()
 					if b.Owed() != 0 || len(b.requests) != 0 {
-						t.Errorf("%d are owed, %d in hand", b.Owed(), len(b.requests))
+						t.Errorf("%d requests are unanswered, %d in progress", b.Owed(), len(b.requests))
 					}
 				})
 			}
@@ -157,7 +158,7 @@
 	}
 }
 
-// TestBehindForLong: an owner that stays behind its connections holds attempts for a bounded time only, and all are served.
+// TestBehindForLong guards against attempts that are held forever: if the owner stays delayed they are held for a bounded time, then served.
 func TestBehindForLong(t *testing.T) {
 	b := newBusyHarness(t)
 	b.call(b.client, "a")
@@ -167,15 +168,15 @@
 	start := b.clock.now()
 	for len(b.received) == 0 {
 		now := b.clock.now()
-		b.noteDelay(now, 1) // a sign of it at each turn
+		b.noteDelay(now, 1) // a delay in each round
 		b.Tick(now)
 		if now > start+fake.Patience.Seconds() {
-			t.Fatal("it is never sent")
+			t.Fatal("the attempt is never sent")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	if took := b.clock.now() - start; took < maxHold/2 {
-		t.Errorf("it was sent after %.3f s: it was not held", took)
+		t.Errorf("the attempt was sent after %.3f s: it was not held", took)
 	}
 	(<-b.received).Answer("served", "count=1", "x\t\t\n")
 	b.deliver(1)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-// fakeConn stands in for connections on both sides, and keeps what was written last.
+// fakeConn is a fake connection for both sides that keeps the last bytes written.
 type fakeConn struct{ last []byte }
 
 func (w *fakeConn) Append(b []byte) int64        { w.last = append(w.last[:0], b...); return 0 }
@@ -35,6 +35,7 @@
 func (w *fakeConn) Drop()                   {}
 func (w *fakeConn) Bad()                    {}
 
+// testRouter is a router with one server and one client on fake connections.
 type testRouter struct {
 	*Router
 	client  *frontend.Session
@@ -65,7 +66,7 @@
 	return s
 }
 
-// call has the client call; the session is told by hand, as frames are the front's business.
+// call makes the client send a request and returns the reply. It bypasses the decoding of frames, which package frontend tests.
 func (s *testRouter) call(seq int32, allow float64, statement string) string {
 	s.lastRef++
 	s.request = frontend.Ask{Profile: []byte("lookup"), Allow: allow, Statement: []byte(statement)}
@@ -76,6 +77,7 @@
 	return s.reply()
 }
 
+// reply returns what the client was sent last.
 func (s *testRouter) reply() string {
 	if len(s.answers.last) == 0 {
 		return "nothing"
@@ -83,8 +85,8 @@
 	return fake.Show(s.answers.last[4:])
 }
 
-// TestBounds: what passes the settings' bound or the memory for statements is shed before the module has it; a
-// command that ends makes room; none is kept for longer than any client waits.
+// TestBounds: a request beyond the settings' limit or the memory for statements is rejected before it reaches the controller. A request
+// that ends makes room for another. None is kept for longer than any client waits.
 func TestBounds(t *testing.T) {
 	s := newTestRouter(2)
 	rejected := func(seq int) string { return fmt.Sprintf("2/%d call{ 1={ 1=[ cooldown=500 ] } }", seq) }
@@ -96,11 +98,11 @@
 	}
 	s.Tick(31)
 	if s.Owed() != 0 || len(s.requests) != 0 || s.statementBytes != 0 {
-		t.Errorf("%d owed, %d in hand with %d bytes after the longest wait", s.Owed(), len(s.requests), s.statementBytes)
+		t.Errorf("%d unanswered, %d in progress with %d bytes after the longest wait", s.Owed(), len(s.requests), s.statementBytes)
 	}
 }
 
-// TestDuplicateID: while a client waits under an id, nobody else's command has it; once it has left, it may come again.
+// TestDuplicateID: while a client waits for a request, another request with the same id fails. Once the client has left, the id is free.
 func TestDuplicateID(t *testing.T) {
 	s := newTestRouter(9)
 	callWithSameID := func(seq int32) string {
@@ -115,7 +117,7 @@
 	}
 }
 
-// TestResultForDepartedClient: an answer for a client that has left goes nowhere, and the module hears that it came.
+// TestResultForDepartedClient: a result for a client that has left is dropped, and the controller learns of the outcome.
 func TestResultForDepartedClient(t *testing.T) {
 	s := newTestRouter(9)
 	s.call(1, 9, "SELECT 1")
@@ -123,12 +125,12 @@
 	s.Left(1)
 	s.sink.Feed([]byte("0000000000000001 served count=1,ticks=5 5\r\na\tb\t\n\r\n"))
 	if got := s.reply(); got != "nothing" || len(s.requests) != 0 {
-		t.Errorf("the client that left got %s; %d in hand", got, len(s.requests))
+		t.Errorf("the client that left got %s; %d in progress", got, len(s.requests))
 	}
 }
 
-// TestCancelledAttemptEndsFirst: a send that the module takes back as its client leaves is told to have ended before its place is
-// another command's.
+// TestCancelledAttemptEndsFirst: the end of an attempt that the controller cancels when its client leaves is reported before the request is
+// recycled for another.
 func TestCancelledAttemptEndsFirst(t *testing.T) {
 	s := newTestRouter(9)
 	s.set.Brain.Cancels = true
@@ -138,14 +140,14 @@
 	s.sink.Up()
 	s.Left(1)
 	if len(s.requests) != 1 || string(s.server.last) != "abort 0000000000000001\r\n" {
-		t.Errorf("%d in hand, the engine was sent %q", len(s.requests), s.server.last)
+		t.Errorf("%d in progress, the server was sent %q", len(s.requests), s.server.last)
 	}
 	if s.pool.Settle(); len(s.requests) != 0 {
-		t.Error("still in hand")
+		t.Error("still in progress")
 	}
 }
 
-// TestNoGarbage: a command that runs its ordinary course allocates nothing once places are there.
+// TestNoGarbage: a request that is served normally allocates nothing, once recycled requests are available.
 func TestNoGarbage(t *testing.T) {
 	s := newTestRouter(9)
 	s.call(1, 9, "SELECT 1")
@@ -162,11 +164,11 @@
 		cycle()
 	}
 	if n := testing.AllocsPerRun(1000, cycle); n > 0 {
-		t.Errorf("%v allocations a command", n)
+		t.Errorf("%v allocations per request", n)
 	}
 }
 
-// TestTimers: they run in order of time, whatever order they came in.
+// TestTimers: timers run in order of time, whatever the order in which they were set.
 func TestTimers(t *testing.T) {
 	var h timers
 	var want, got []float64
--- a/internal/router/stalled_test.go
+++ b/internal/router/stalled_test.go
@@ -9,12 +9,12 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// watchStallFor20s is a router with one client's request, watched each second for 20 s, and what it has logged.
+// watchStallFor20s runs stall detection every second for 20 s on a router with one client's request, and returns it with its log.
 func watchStallFor20s(servers int, noServerKnown bool) (*testRouter, *observer.ObservedLogs) {
 	core, lines := observer.New(zap.InfoLevel)
 	s := newTestRouter(9)
 	s.log = zap.New(core)
-	if noServerKnown { // the module knows of no server that is ready, whatever the list says
+	if noServerKnown { // the controller knows no ready server, whatever the list says
 		s.Members(0, admission.Full, nil, func() {})
 	}
 	s.call(1, 60, "SELECT 1")
@@ -25,8 +25,8 @@
 	return s, lines
 }
 
-// TestStallIsSaid: a router that is ready and has servers and a waiting client, and sends nothing, says so once; none does for whose
-// requests there is no server, or whose attempt is out.
+// TestStallIsSaid: a router that is ready, has servers and a waiting client and sends nothing logs it once. It logs nothing if no server is
+// ready or an attempt is out.
 func TestStallIsSaid(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -47,7 +47,7 @@
 			s.detectStall(c.servers)
 			s.detectStall(c.servers)
 			if n := lines.FilterMessage("attempts begin again").Len(); n != 1 {
-				t.Errorf("that it sends again is said %d times", n)
+				t.Errorf("the end of the stall was logged %d times", n)
 			}
 		})
 	}
--- a/internal/router/subset_test.go
+++ b/internal/router/subset_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// noopHost is a host that does nothing of what it is asked for.
+// noopHost is a host that does nothing.
 type noopHost struct{}
 
 func (noopHost) Send(id, engine uint32, limit, by float64)            {}
@@ -34,7 +34,7 @@
 func (noopHost) Log(text string)                                      {}
 func (noopHost) Told(id uint32, k waittime.Kind, e waittime.Estimate) {}
 
-// testView is a view with the module that it is for, and its log.
+// testView is a subset view with its controller and its log.
 type testView struct {
 	*subsetView
 	controller *admission.Brain
@@ -42,6 +42,7 @@
 	t          *testing.T
 }
 
+// newTestView creates a view with a section subset of the operator's file.
 func newTestView(t *testing.T, section operator.Subset) *testView {
 	cfg := config.Config{Name: "r1", Operator: operator.File{Subset: &section}, Settings: settings.Settings{Zones: []string{"a", "b"},
 		Kinds: []string{"std"}, Profiles: []string{"any"}, Brain: admission.Settings{Me: 3, Routers: 8, Tick: 0.005, WarmUp: 15, FallWindow: 1,
@@ -54,12 +55,13 @@
 	return &testView{v, admission.New(cfg.Settings.Brain, 0, noopHost{}), said, t}
 }
 
-// setBoth has the view and the module take a list.
+// setBoth passes a list to the view and the controller.
 func (v *testView) setBoth(now float64, list []admission.Entry) {
 	v.setList(now, list)
 	v.controller.Members(now, admission.Full, v.held)
 }
 
+// countLogLines counts the log messages that contain a text.
 func (v *testView) countLogLines(part string) (n int) {
 	for _, e := range v.logs.All() {
 		if strings.Contains(e.Message, part) {
@@ -83,7 +85,7 @@
 	return all
 }
 
-// TestSmallPoolIsHandedOn: the very list comes out, and the module's shares are untouched, where the pool is no larger than the subset.
+// TestSmallPoolIsHandedOn: if the pool is no larger than the subset, the same list is passed on and the controller's shares don't change.
 func TestSmallPoolIsHandedOn(t *testing.T) {
 	v := newTestView(t, operator.Subset{Size: 8})
 	list := entries(8)
@@ -92,7 +94,7 @@
 		t.Error("the list is not the one that was given")
 	}
 	if heldShare := v.heldShare(); heldShare.Part != 0 || heldShare.Zones != nil {
-		t.Errorf("the part of the pool is %v", heldShare)
+		t.Errorf("the held share of the pool is %v", heldShare)
 	}
 	if v.review(10, v.controller) {
 		t.Error("a whole pool was reviewed")
@@ -103,17 +105,17 @@
 	}
 }
 
-// TestHeldShare: the module knows what part of the pool its list is.
+// TestHeldShare: the controller knows which share of the pool its list is.
 func TestHeldShare(t *testing.T) {
 	v := newTestView(t, operator.Subset{Size: 8, Room: new(float64)})
 	v.setBoth(0, entries(80))
 	if heldShare := v.heldShare(); len(v.held) != 8 || heldShare.Part != 0.1 || heldShare.Zones[0]+heldShare.Zones[1] != 0.2 {
-		t.Errorf("%d held, part %v", len(v.held), heldShare)
+		t.Errorf("%d held, share %v", len(v.held), heldShare)
 	}
 }
 
-// TestNeedWidensAndCalmNarrows: what is cold can't be used, so the subset doubles; when it is warm again the subset returns, and
-// what left it keeps its connections for the grace and then goes at the stated rate.
+// TestNeedWidensAndCalmNarrows: cold databases can't be used, so the subset doubles. When they are warm again it narrows to the first one.
+// Databases that left keep their connections for the grace time, and are then dropped at the stated rate.
 func TestNeedWidensAndCalmNarrows(t *testing.T) {
 	v := newTestView(t, operator.Subset{Size: 8, Room: new(float64)})
 	list := entries(200)
@@ -127,10 +129,10 @@
 	}
 	v.setBoth(restarted, list)
 	if !slices.Equal(serverIDs(v.held), first) {
-		t.Fatal("a restart under the same names moves places")
+		t.Fatal("a restart under the same names changes the subset")
 	}
 	if !v.review(restarted, v.controller) || len(v.held) != 16 {
-		t.Fatalf("%d held after a need", len(v.held))
+		t.Fatalf("%d held when databases are needed", len(v.held))
 	}
 	v.controller.Members(restarted, admission.Full, v.held)
 	now, most := restarted, len(v.held)
@@ -153,11 +155,11 @@
 		}
 	}
 	if took := now - narrowed; took < subset.LeaveGrace+1/subset.LeaveRate || len(v.connected) != 8 {
-		t.Errorf("%d are linked %.1f s later", len(v.connected), took)
+		t.Errorf("%d are connected %.1f s later", len(v.connected), took)
 	}
 }
 
-// TestColdStays: a database that better ones displace stays while it is cold.
+// TestColdStays: a database that is displaced by better ones stays in the subset while it is cold.
 func TestColdStays(t *testing.T) {
 	v := newTestView(t, operator.Subset{Size: 8, Room: new(float64), Least: new(int)})
 	some := entries(60)[:30]
@@ -178,7 +180,7 @@
 	}
 }
 
-// TestUnusableListEntries: weights that are none, a database listed twice and a list that halves are each said once, and lose nothing.
+// TestUnusableListEntries: unusable weights, a database listed twice and a list that halves are each logged once and lose no database.
 func TestUnusableListEntries(t *testing.T) {
 	v := newTestView(t, operator.Subset{Size: 8, Room: new(float64)})
 	list := entries(100)
@@ -193,7 +195,7 @@
 	v.setBoth(2, list[:40])
 	for _, e := range before {
 		if e <= 40 && !slices.Contains(serverIDs(v.held), e) {
-			t.Errorf("%d left as others went", e)
+			t.Errorf("%d left when others were removed", e)
 		}
 	}
 	if n := v.countLogLines("has halved"); n != 1 || len(v.held) != 8 {
@@ -201,7 +203,7 @@
 	}
 }
 
-// TestReadyOfSubset: a router whose subset has no ready server has none to send to, whatever else the list has.
+// TestReadyOfSubset: a router whose subset has no ready server has none to send to, even if the list has others.
 func TestReadyOfSubset(t *testing.T) {
 	v := newTestView(t, operator.Subset{Size: 4})
 	list := entries(40)
--- a/internal/router/token_test.go
+++ b/internal/router/token_test.go
@@ -8,7 +8,7 @@
 	"dunereach/internal/fake"
 )
 
-// answerNext has the next attempt answered, as the owner of all that comes meanwhile, and gives it.
+// answerNext answers the next attempt and returns it. Until then it delivers other input and runs the timers.
 func (h *harness) answerNext() fake.Said {
 	h.t.Helper()
 	for late := time.After(fake.Patience); ; {
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestOneToken: all tries of a keyed request go out under the client's token and, each, as one attempt: a retry on another server after
-// the first was cut, and the client's own retry under a new id and on a new connection.
+// TestOneToken: all attempts of a request that is idempotent by key carry the client's token: the router's retry at another server after
+// the first connection was cut, and the client's own retry, which has a new id and a new connection. Each makes one attempt.
 func TestOneToken(t *testing.T) {
 	const token = "tok-17"
 	h := newHarness(t, 100, 2)
@@ -40,7 +40,7 @@
 	c := h.client()
 	h.acceptClient(<-h.arrivals, false)
 	ask(c, "a")
-	h.deliver(1) // the connection is up
+	h.deliver(1) // the connection is established
 	first := <-h.received
 	h.listServer(1)
 	first.Die()
@@ -64,19 +64,19 @@
 	h.expectNothingSent()
 }
 
-// TestResetBehindInput: a server resets an idle connection behind input that is still unread, and a non-idempotent request is written to it.
-// Nothing has left, so it runs on another connection.
+// TestResetBehindInput: a server resets an idle connection while input before the reset is still unread, and a non-idempotent request is
+// assigned to it. Nothing of the request has been sent, so it runs on another connection.
 func TestResetBehindInput(t *testing.T) {
 	h, c, s := newRunningRequest(t)
 	s.Answer("served", "count=1", "x\t\t\n")
 	h.deliver(1)
 	c.Next()
-	s.Raw(strings.Repeat("f", 16) + " nobody - 0\r\n\r\n") // late, under no id of ours
+	s.Raw(strings.Repeat("f", 16) + " nobody - 0\r\n\r\n") // a late answer with an unknown id
 	input := <-h.inbox
 	s.Die()
 	h.callProfile(c, "never", "b")
 	h.deliver(1)
-	time.Sleep(20 * time.Millisecond) // in which a writer that may write has written
+	time.Sleep(20 * time.Millisecond) // enough for a writer to write what it may
 	h.Deliver(h.clock.now(), input)
 	h.answerNext()
 	h.deliver(1)
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// TestTrace: a request can be followed through the log by its id: how each attempt ended, its retry, and why it was rejected. So can a
-// server's change of state and the closing of a connection.
+// TestTrace: the log traces a request by its id: how each attempt ended, its retries, and that it was rejected. A server's change of state is
+// logged too.
 func TestTrace(t *testing.T) {
 	for name, c := range map[string]struct {
 		level zapcore.Level
@@ -46,7 +46,7 @@
 	}
 }
 
-// messages are those of the lines on a request or on servers' states. It checks that no line names another request.
+// messages returns the log messages on a request or on servers' states. It checks that no line names another request.
 func messages(t *testing.T, lines *observer.ObservedLogs, id string) (all []string) {
 	t.Helper()
 	for _, l := range lines.All() {
@@ -66,7 +66,7 @@
 	seen := map[string]bool{}
 	for why := backends.ServerLeft; why <= backends.ServerClosed; why++ {
 		if seen[why.String()] {
-			t.Errorf("%q stands for two reasons", why)
+			t.Errorf("two reasons have the text %q", why)
 		}
 		seen[why.String()] = true
 	}
