--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -24,7 +24,7 @@
 	Key                   []byte  // requests of ordered profiles with the same key run one after the other
 	Token                 []byte  // of a request that is idempotent by key: servers recognise a repeat by it
 	Waited                float64 // seconds for which it was unread; its client has waited as long
-	seenFields            uint    // fields received so far, as bits by their index in the table fields
+	seenFields            uint    // fields received so far, as bits by their index in fields
 }
 
 // Caller is the client of a request. seq is the sequence number of the request on its connection. Each registered request gets one answer.
@@ -49,7 +49,7 @@
 	Ready() bool
 	Behind() bool        // input may have been unread for a while
 	Room(bytes int) bool // reserves memory for incomplete messages, or frees it; false: the limit is exceeded
-	Bad(how string)
+	Bad(reason string)
 	ClientClosing(s *Session, reason CloseReason) // a connection takes no more requests, and closes
 	Closed(s *Session)
 }
@@ -293,7 +293,7 @@
 
 const maxToken = 128 // bytes; four times what clients send
 
-// setField sets one field; a repeated field is an error.
+// setField sets one field. It returns false if the value is invalid or a field of the table fields is repeated.
 func (a *Ask) setField(name string, value []byte) (ok bool) {
 	ok = true
 	if k := slices.Index(fields[:], name); k >= 0 {
@@ -333,6 +333,7 @@
 	return ok
 }
 
+// fields are the names of the fields that may not be repeated.
 var fields = [...]string{"service", "project", "ref", "allow", "effort", "memory", "replay", "lookup"}
 
 // parseNumber parses a plain decimal number without a sign. It rejects infinities and forms that only some parsers accept.
@@ -390,7 +391,7 @@
 	return []string{"wait_p50", millis(t.P50), "wait_p90", millis(t.P90), "waited", millis(t.Waited)}
 }
 
-// Fail reports a failure: whether the request has run is not known.
+// Fail reports a failure. It says nothing about whether the request has run.
 func (s *Session) Failed(seq int32) { s.replyException(seq, 2) }
 
 // replyException writes one of the exceptions that the protocol declares: field 1 for a rejection, 2 for a failure.
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -23,42 +23,42 @@
 	partialBytes int
 }
 
-func (d *testHandler) Take(s Caller, seq int32, request *Ask) {
-	d.lastID++
-	s.Hold(seq, d.lastID)
-	d.say("takes %d: call %d ref %s profile %s tenant %s allow %g effort %g memory %g, %q", d.lastID, seq, request.Ref, request.Profile,
+func (h *testHandler) Take(s Caller, seq int32, request *Ask) {
+	h.lastID++
+	s.Hold(seq, h.lastID)
+	h.say("takes %d: call %d ref %s profile %s tenant %s allow %g effort %g memory %g, %q", h.lastID, seq, request.Ref, request.Profile,
 		request.Tenant, request.Allow, request.Effort, request.Memory, request.Statement)
 }
-func (d *testHandler) Left(id uint32)                               { d.say("%d left", id) }
-func (d *testHandler) HalfClosed(id uint32)                         { d.say("%d half-closed", id) }
-func (d *testHandler) Ready() bool                                  { return d.ready }
-func (d *testHandler) Room(n int) bool                              { d.partialBytes += n; return d.partialBytes < 200 }
-func (d *testHandler) Bad(text string)                              { d.say("bad: %s", text) }
-func (d *testHandler) Closed(*Session)                              { d.say("closed") }
-func (d *testHandler) ClientClosing(_ *Session, reason CloseReason) { d.say("closing: %v", reason) }
-func (d *testHandler) Finish()                                      { d.say("finishes") }
-func (d *testHandler) InputPending() bool                           { return false }
-func (d *testHandler) InputAge() time.Duration                      { return 0 }
-func (d *testHandler) Behind() bool                                 { return false }
-func (d *testHandler) OutputPending() bool                          { return false }
-func (d *testHandler) Append(b []byte) int64 {
-	d.say("answers %s", fake.Show(b[4:]))
+func (h *testHandler) Left(id uint32)                               { h.say("%d left", id) }
+func (h *testHandler) HalfClosed(id uint32)                         { h.say("%d half-closed", id) }
+func (h *testHandler) Ready() bool                                  { return h.ready }
+func (h *testHandler) Room(n int) bool                              { h.partialBytes += n; return h.partialBytes < 200 }
+func (h *testHandler) Bad(text string)                              { h.say("bad: %s", text) }
+func (h *testHandler) Closed(*Session)                              { h.say("closed") }
+func (h *testHandler) ClientClosing(_ *Session, reason CloseReason) { h.say("closing: %v", reason) }
+func (h *testHandler) Finish()                                      { h.say("finishes") }
+func (h *testHandler) InputPending() bool                           { return false }
+func (h *testHandler) InputAge() time.Duration                      { return 0 }
+func (h *testHandler) Behind() bool                                 { return false }
+func (h *testHandler) OutputPending() bool                          { return false }
+func (h *testHandler) Append(b []byte) int64 {
+	h.say("answers %s", fake.Show(b[4:]))
 	return 0
 }
 
 // start returns a player of scripts that feeds frames in one piece, or byte by byte if pieces is set.
 func start(pieces bool) func(*testing.T, script.Say) func([]string) {
 	return func(t *testing.T, say script.Say) func([]string) {
-		d := &testHandler{say: say, ready: true}
+		h := &testHandler{say: say, ready: true}
 		var scratch []byte
-		d.s = NewSession(d, &scratch)
-		d.s.Line = d
-		return func(w []string) { d.step(t, w, pieces) }
+		h.s = NewSession(h, &scratch)
+		h.s.Line = h
+		return func(w []string) { h.step(t, w, pieces) }
 	}
 }
 
 // step plays one line of a script.
-func (d *testHandler) step(t *testing.T, w []string, pieces bool) {
+func (h *testHandler) step(t *testing.T, w []string, pieces bool) {
 	number := int32(0)
 	if len(w) > 1 {
 		n, _ := strconv.Atoi(w[1])
@@ -96,33 +96,33 @@
 		}
 		frame = b
 	case "again": // a new connection
-		d.s = NewSession(d, d.s.scratch)
-		d.s.Line = d
+		h.s = NewSession(h, h.s.scratch)
+		h.s.Line = h
 	case "ready":
-		d.ready = w[1] == "yes"
+		h.ready = w[1] == "yes"
 	case "answered":
-		d.s.Answered(number, [][]byte{[]byte("a\tb\n"), []byte("c\td\n")}, nil)
+		h.s.Answered(number, [][]byte{[]byte("a\tb\n"), []byte("c\td\n")}, nil)
 	case "shed":
-		d.s.Shed(number, 0.25, nil)
+		h.s.Shed(number, 0.25, nil)
 	case "shed-now":
-		d.s.Shed(number, 0, nil)
+		h.s.Shed(number, 0, nil)
 	case "failed":
-		d.s.Failed(number)
+		h.s.Failed(number)
 	case "idle":
 		for range number {
-			d.s.Tick()
+			h.s.Tick()
 		}
 	case "spare":
-		rank, ok := d.s.Spare()
-		d.say("can be spared: %v, %d", ok, rank)
+		rank, ok := h.s.Spare()
+		h.say("can be spared: %v, %d", ok, rank)
 	case "waited": // milliseconds
-		d.s.Waited(transport.Arrival{Silent: time.Duration(number) * time.Millisecond})
+		h.s.Waited(transport.Arrival{Silent: time.Duration(number) * time.Millisecond})
 	case "last":
-		d.s.Last(RouterEnds)
+		h.s.Last(RouterEnds)
 	case "turn-away":
-		d.s.TurnAway(NoRoom)
+		h.s.TurnAway(NoRoom)
 	case "ends":
-		d.s.Ended(map[string]transport.Ending{"finished": transport.Finished, "reset": transport.Reset, "closed": transport.Closed}[w[1]])
+		h.s.Ended(map[string]transport.Ending{"finished": transport.Finished, "reset": transport.Reset, "closed": transport.Closed}[w[1]])
 	default:
 		t.Fatalf("%q", w)
 	}
@@ -130,7 +130,7 @@
 		if pieces {
 			size = 1
 		}
-		d.s.Feed(frame[:size])
+		h.s.Feed(frame[:size])
 	}
 }
 
@@ -142,10 +142,10 @@
 	f.Add([]byte("\x00\x00\x00\x10\x80\x01\x00\x01\x00\x00\x00\x04call\x00\x00\x00\x01\x00"))
 	f.Add([]byte("\x00\x00\x00\x1b\x80\x01\x00\x01\x00\x00\x00\x04call\x00\x00\x00\x01\x0f\x00\x01\x0f\xff\xff\xff\xff\x0f\x00\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		d := &testHandler{say: func(string, ...any) {}}
+		h := &testHandler{say: func(string, ...any) {}}
 		var scratch []byte
-		d.s = NewSession(d, &scratch)
-		d.s.Line = d
-		d.s.Feed(b)
+		h.s = NewSession(h, &scratch)
+		h.s.Line = h
+		h.s.Feed(b)
 	})
 }
--- a/internal/router/eventorder_test.go
+++ b/internal/router/eventorder_test.go
@@ -55,24 +55,24 @@
 }
 
 // nextInput waits for the input that follows from the last event.
-func (l *connectionRun) nextInput() *transport.Entry {
-	l.t.Helper()
+func (r *connectionRun) nextInput() *transport.Entry {
+	r.t.Helper()
 	select {
-	case e := <-l.inbox:
+	case e := <-r.inbox:
 		return &e
 	case <-time.After(fake.Patience):
-		l.t.Fatalf("nothing came, after %q", l.events)
+		r.t.Fatalf("nothing came, after %q", r.events)
 		return nil
 	}
 }
 
 // possibleEvents returns the events that can happen next. A reset happens only while the reader reads: if a write met the reset first, two
 // ends would be reported, at uncontrolled times.
-func (l *connectionRun) possibleEvents() (events []string) {
+func (r *connectionRun) possibleEvents() (events []string) {
 	for name, can := range map[string]bool{
-		"call": l.calls < 2 && l.clientEnd == "", "take": l.clientInput != nil, "half-close": l.calls > 0 && l.clientEnd == "",
-		"reset": l.calls > 0 && l.clientEnd == "" && l.clientInput == nil, "decide": !l.closeDecided, "answer": len(l.running) > 0 && l.serverInput == nil,
-		"pass": l.serverInput != nil,
+		"call": r.calls < 2 && r.clientEnd == "", "take": r.clientInput != nil, "half-close": r.calls > 0 && r.clientEnd == "",
+		"reset": r.calls > 0 && r.clientEnd == "" && r.clientInput == nil, "decide": !r.closeDecided, "answer": len(r.running) > 0 && r.serverInput == nil,
+		"pass": r.serverInput != nil,
 	} {
 		if can {
 			events = append(events, name)
@@ -83,83 +83,83 @@
 }
 
 // apply makes an event happen.
-func (l *connectionRun) apply(event string) {
-	l.t.Helper()
-	l.events = append(l.events, event)
+func (r *connectionRun) apply(event string) {
+	r.t.Helper()
+	r.events = append(r.events, event)
 	switch event {
 	case "call":
-		l.calls++
-		if l.call(l.c, string(rune('0'+l.calls))); l.clientInput != nil {
-			l.callUnread = true
-		} else if !l.finished {
-			l.clientInput = l.nextInput()
+		r.calls++
+		if r.call(r.c, string(rune('0'+r.calls))); r.clientInput != nil {
+			r.callUnread = true
+		} else if !r.finished {
+			r.clientInput = r.nextInput()
 		}
 	case "half-close", "reset":
-		if l.clientEnd = event; event == "reset" {
-			l.c.Reset()
+		if r.clientEnd = event; event == "reset" {
+			r.c.Reset()
 		} else {
-			l.c.HalfClose()
+			r.c.HalfClose()
 		}
-		if l.clientInput == nil {
-			l.readEnd()
+		if r.clientInput == nil {
+			r.readEnd()
 		}
 	case "decide":
-		l.closeDecided = true
-		for s := range l.sessions {
+		r.closeDecided = true
+		for s := range r.sessions {
 			s.Last(frontend.RouterEnds)
 		}
 	case "take":
-		l.takeInput()
+		r.takeInput()
 	case "answer":
-		l.running[0].Answer("served", "count=1", "x\t\t\n")
-		l.running, l.serverInput = l.running[1:], l.nextInput()
+		r.running[0].Answer("served", "count=1", "x\t\t\n")
+		r.running, r.serverInput = r.running[1:], r.nextInput()
 	case "pass":
-		l.Deliver(l.clock.now(), *l.serverInput)
-		l.serverInput = nil
-		if l.open--; l.clientEnd != "reset" { // after a reset nothing more is received
-			l.got = append(l.got, l.c.Next())
+		r.Deliver(r.clock.now(), *r.serverInput)
+		r.serverInput = nil
+		if r.open--; r.clientEnd != "reset" { // after a reset nothing more is received
+			r.got = append(r.got, r.c.Next())
 		}
 	}
-	if !l.sessionEnded && !l.finished && l.open == 0 && (l.closeDecided || l.clientEnd == "half-close" && l.inputIsEnd && l.clientInput == nil) {
-		l.finished = true
-		for l.clientEnd != "reset" && (len(l.got) == 0 || strings.HasPrefix(l.got[len(l.got)-1], "2/")) {
-			l.got = append(l.got, l.c.Next())
+	if !r.sessionEnded && !r.finished && r.open == 0 && (r.closeDecided || r.clientEnd == "half-close" && r.inputIsEnd && r.clientInput == nil) {
+		r.finished = true
+		for r.clientEnd != "reset" && (len(r.got) == 0 || strings.HasPrefix(r.got[len(r.got)-1], "2/")) {
+			r.got = append(r.got, r.c.Next())
 		}
 	}
 }
 
 // readEnd waits until the reader has read the end of the connection.
-func (l *connectionRun) readEnd() {
-	if l.clientInput, l.inputIsEnd = l.nextInput(), true; l.finished {
-		l.takeInput()
+func (r *connectionRun) readEnd() {
+	if r.clientInput, r.inputIsEnd = r.nextInput(), true; r.finished {
+		r.takeInput()
 	}
 }
 
 // takeInput delivers the client's input to the router.
-func (l *connectionRun) takeInput() {
-	e, before := *l.clientInput, l.Owed()
-	l.clientInput = nil
-	l.Deliver(l.clock.now(), e)
-	if l.inputIsEnd {
-		l.sessionEnded = len(l.sessions) == 0
+func (r *connectionRun) takeInput() {
+	e, before := *r.clientInput, r.Owed()
+	r.clientInput = nil
+	r.Deliver(r.clock.now(), e)
+	if r.inputIsEnd {
+		r.sessionEnded = len(r.sessions) == 0
 		return
 	}
-	if l.closeDecided && l.open > 0 && l.clientEnd != "reset" { // rejected
-		l.got = append(l.got, l.c.Next())
+	if r.closeDecided && r.open > 0 && r.clientEnd != "reset" { // rejected
+		r.got = append(r.got, r.c.Next())
 	}
-	for range l.Owed() - before {
-		l.taken++
-		l.open++
-		l.running = append(l.running, <-l.received)
+	for range r.Owed() - before {
+		r.taken++
+		r.open++
+		r.running = append(r.running, <-r.received)
 	}
-	if l.callUnread {
-		if l.callUnread = false; !l.finished {
-			l.clientInput = l.nextInput()
+	if r.callUnread {
+		if r.callUnread = false; !r.finished {
+			r.clientInput = r.nextInput()
 			return
 		}
 	}
-	if l.clientEnd != "" {
-		l.readEnd()
+	if r.clientEnd != "" {
+		r.readEnd()
 	}
 }
 
@@ -171,17 +171,17 @@
 		events := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		t.Run("life", func(t *testing.T) { // a subtest, so that what it opens is closed at its end
-			l := newConnectionRun(t)
+			r := newConnectionRun(t)
 			for _, event := range events {
-				l.apply(event)
+				r.apply(event)
 			}
-			for possibleEvents := l.possibleEvents(); len(possibleEvents) > 0; possibleEvents = l.possibleEvents() {
+			for possibleEvents := r.possibleEvents(); len(possibleEvents) > 0; possibleEvents = r.possibleEvents() {
 				for _, other := range possibleEvents[1:] {
-					pending = append(pending, append(slices.Clone(l.events), other))
+					pending = append(pending, append(slices.Clone(r.events), other))
 				}
-				l.apply(possibleEvents[0])
+				r.apply(possibleEvents[0])
 			}
-			l.check(strings.Join(l.events, ", "))
+			r.check(strings.Join(r.events, ", "))
 		})
 		if t.Failed() {
 			break
@@ -191,21 +191,21 @@
 }
 
 // check checks the result of a run.
-func (l *connectionRun) check(order string) {
-	l.t.Helper()
-	if l.Owed() != 0 || len(l.requests) != 0 || len(l.received) != 0 && !strings.Contains(order, "reset") {
-		l.t.Errorf("%s: %d requests unanswered, %d in progress, %d messages sent to servers", order, l.Owed(), len(l.requests), len(l.received))
+func (r *connectionRun) check(order string) {
+	r.t.Helper()
+	if r.Owed() != 0 || len(r.requests) != 0 || len(r.received) != 0 && !strings.Contains(order, "reset") {
+		r.t.Errorf("%s: %d requests unanswered, %d in progress, %d messages sent to servers", order, r.Owed(), len(r.requests), len(r.received))
 	}
-	if l.clientEnd == "reset" {
+	if r.clientEnd == "reset" {
 		return
 	}
-	served, last := 0, l.got[len(l.got)-1]
-	for _, got := range l.got {
+	served, last := 0, r.got[len(r.got)-1]
+	for _, got := range r.got {
 		if strings.Contains(got, " 0={") {
 			served++
 		}
 	}
-	if served != l.taken || len(l.got)-1 > l.calls || last != "closed" {
-		l.t.Errorf("%s: %d requests sent, %d taken, the client got %q", order, l.calls, l.taken, l.got)
+	if served != r.taken || len(r.got)-1 > r.calls || last != "closed" {
+		r.t.Errorf("%s: %d requests sent, %d taken, the client got %q", order, r.calls, r.taken, r.got)
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -277,8 +277,8 @@
 }
 
 // BadMessage logs that a client sent an unreadable message; its connection is being closed.
-func (r *Router) Bad(how string) {
-	r.log.Warn("unreadable message from client", zap.String("why", how))
+func (r *Router) Bad(reason string) {
+	r.log.Warn("unreadable message from client", zap.String("why", reason))
 }
 
 // done records that a request's client needs no answer any more.
