--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -1,5 +1,5 @@
 // Package frontend implements the client protocol. A Session decodes the messages of one client connection, passes requests to a
-// RequestHandler and encodes the answers. It does no I/O: bytes go through the interface Conn.
+// RequestHandler and encodes the answers. It does no I/O: bytes go through the interface Connection.
 package frontend
 
 import (
@@ -41,20 +41,20 @@
 	Waited   float64 // time before the first attempt
 }
 
-// RequestHandler handles the requests of clients. A request that a caller has registered gets one answer, unless ClientLeft is called for it.
+// RequestHandler handles the requests of clients. A request that a caller has registered gets one answer, unless Left is called for it.
 type Desk interface {
 	Take(c Caller, seq int32, a *Ask)
-	Left(id uint32)
+	Left(id uint32)       // its client no longer waits
 	HalfClosed(id uint32) // its client has closed its sending side: it may have left or may still read
 	Ready() bool
 	Behind() bool        // input may have been unread for a while
 	Room(bytes int) bool // reserves memory for incomplete messages, or frees it; false: the limit is exceeded
-	Bad(reason string)
+	Bad(text string)
 	ClientClosing(s *Session, reason CloseReason) // a connection takes no more requests, and closes
 	Closed(s *Session)
 }
 
-// Conn is the connection that a session writes to.
+// Connection is the connection that a session writes to.
 type Line interface {
 	Append(b []byte) int64
 	Finish()
@@ -347,7 +347,7 @@
 	return v / unit, err == nil && v >= 0 && v < 1e12
 }
 
-// Complete sends a complete result: the pages as received from the server.
+// Completed sends a complete result: the pages as received from the server.
 func (s *Session) Answered(seq int32, pages [][]byte, waitInfo *Told) {
 	delete(s.open, seq)
 	s.reply("call", seq, pages, true, waitInfo.pairs()...)
@@ -371,7 +371,7 @@
 	s.write(thrift.End(append(b, byte(thrift.Stop))))
 }
 
-// Reject rejects a request: the client may retry it safely, best after the pause.
+// Rejected rejects a request: the client may retry it safely, best after the pause.
 func (s *Session) Shed(seq int32, pause float64, waitInfo *Told) {
 	pairs := waitInfo.pairs()
 	if pause > 0 {
@@ -391,7 +391,7 @@
 	return []string{"wait_p50", millis(t.P50), "wait_p90", millis(t.P90), "waited", millis(t.Waited)}
 }
 
-// Fail reports a failure. It says nothing about whether the request has run.
+// Failed reports a failure. It says nothing about whether the request has run.
 func (s *Session) Failed(seq int32) { s.replyException(seq, 2) }
 
 // replyException writes one of the exceptions that the protocol declares: field 1 for a rejection, 2 for a failure.
--- a/internal/router/ownerdelay.go
+++ b/internal/router/ownerdelay.go
@@ -24,7 +24,7 @@
 	lastDelayAt  float64 // when the owner was last found delayed
 }
 
-// OwnerDelayed reports whether the owner is delayed, so that input may have been unread for a while.
+// InputDelayed reports whether the owner is delayed, so that input may have been unread for a while.
 func (r *Router) Behind() bool { return r.ownerDelay.holding }
 
 // DetectOwnerDelay makes the router hold attempts whenever its owner has been delayed. The owner must call Tick at least every 0.05 s.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -254,7 +254,7 @@
 	return h | 1 // 0 means no fingerprint
 }
 
-// ClientLeft ends a request whose client no longer waits for it.
+// Left ends a request whose client no longer waits for it.
 func (r *Router) Left(id uint32) {
 	if req := r.requests[id]; req != nil && !req.done() {
 		r.done(req)
@@ -263,7 +263,7 @@
 	}
 }
 
-// ClientHalfClosed records that a client has closed its sending side: it may be gone or may still read.
+// HalfClosed records that a client has closed its sending side: it may be gone or may still read.
 func (r *Router) HalfClosed(id uint32) {
 	if req := r.requests[id]; req != nil && !req.done() {
 		r.controller.HalfClosed(r.now, id)
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -58,12 +58,12 @@
 	return profiles, all
 }
 
-// Fingerprints returns the fingerprints of the current profile settings and the tenants' rates.
+// ConfigFingerprints returns the fingerprints of the current profile settings and the tenants' rates.
 func (r *Router) Prints() (settings []uint64, rates []float64) {
 	return admission.Fingerprints(r.set.Brain.Profiles), r.set.Brain.Rates()
 }
 
-// Restore sets the state that the router starts with.
+// RestoreState sets the state that the router starts with.
 func (r *Router) Recall(restored warmstart.Restored) {
 	r.set.Brain.Memory = &restored.Beliefs
 	if r.teams != nil {
