--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -1,5 +1,5 @@
 // Package frontend implements the client protocol. A Session decodes the messages of one client connection, passes requests to a
-// RequestHandler and encodes the answers. It does no I/O: bytes go through the interface Connection.
+// RequestHandler and encodes the answers. It does no I/O: bytes go through the interface Conn.
 package frontend
 
 import (
@@ -54,7 +54,7 @@
 	Closed(s *Session)
 }
 
-// Connection is the connection that a session writes to.
+// Conn is the connection that a session writes to.
 type Line interface {
 	Append(b []byte) int64
 	Finish()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -92,8 +92,8 @@
 	r.teams, r.set.Brain.Teams, r.set.Brain.Ageing = t, t, ageing
 }
 
-// SetWaits makes the router estimate waits. If tell is set it reports them to clients, else it only uses and audits them itself.
-func (r *Router) Waits(e *waittime.Estimator, tell bool) { r.set.Brain.Waits, r.reportWaits = e, tell }
+// SetWaits makes the router estimate waits. If on is set it reports them to clients, else it only uses and audits them itself.
+func (r *Router) Waits(e *waittime.Estimator, on bool) { r.set.Brain.Waits, r.reportWaits = e, on }
 
 // SetFleet connects the router to the fleet and its plan.
 func (r *Router) Fleet(f admission.Fleet, p admission.Plan) {
