--- /dev/null
+++ b/internal/frontend/session.go
@@ -0,0 +1,416 @@
+// Package frontend implements the client protocol. A Session decodes the messages of one client connection, passes requests to a
+// RequestHandler and encodes the answers. It does no I/O: bytes go through the interface Conn.
+package frontend
+
+import (
+	"bytes"
+	"errors"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+	"unicode/utf8"
+
+	"dunereach/internal/thrift"
+	"dunereach/internal/transport"
+)
+
+// Request is a client's request as received. Its byte slices are valid only during the call that it is passed to.
+type Ask struct {
+	Ref                   [16]byte
+	Profile, Tenant, Team []byte  // Team: as the request names it, if the operator's file allows that
+	Allow, Effort, Memory float64 // in seconds, seconds and MB
+	Statement             []byte
+	Key                   []byte  // requests of ordered profiles with the same key run one after the other
+	Token                 []byte  // of a request that is idempotent by key: servers recognise a repeat by it
+	Waited                float64 // seconds for which it was unread; its client has waited as long
+	seenFields            uint    // fields received so far, as bits by their index in fields
+}
+
+// Caller is the client of a request. seq is the sequence number of the request on its connection. Each registered request gets one answer.
+type Caller interface {
+	Hold(seq int32, id uint32)
+	Answered(seq int32, pages [][]byte, waitInfo *Told)
+	Shed(seq int32, pause float64, waitInfo *Told)
+	Failed(seq int32)
+}
+
+// WaitInfo is sent with an answer or a rejection if the operator's file enables it. All values are in seconds.
+type Told struct {
+	P50, P90 float64 // estimated time until the answer, as of the arrival; with a rejection, until the request would be admitted
+	Waited   float64 // time before the first attempt
+}
+
+// RequestHandler handles the requests of clients. A request that a caller has registered gets one answer, unless Left is called for it.
+type Desk interface {
+	Take(c Caller, seq int32, a *Ask)
+	Left(id uint32)       // its client no longer waits
+	HalfClosed(id uint32) // its client has closed its sending side: it may have left or may still read
+	Ready() bool
+	Behind() bool        // input may have been unread for a while
+	Room(bytes int) bool // reserves memory for incomplete messages, or frees it; false: the limit is exceeded
+	Bad(text string)
+	ClientClosing(s *Session, reason CloseReason) // a connection takes no more requests, and closes
+	Closed(s *Session)
+}
+
+// Conn is the connection that a session writes to.
+type Line interface {
+	Append(b []byte) int64
+	Finish()
+	InputPending() bool      // bytes have arrived that were not fed yet
+	InputAge() time.Duration // age of the newest bytes
+	OutputPending() bool     // some of the appended bytes have not reached the peer
+}
+
+// Session is the protocol state of one client connection.
+type Session struct {
+	Line            Line
+	Serial          uint64 // arrival number: an older connection has a lower one
+	handler         Desk
+	frames          thrift.Frames
+	scratch         *[]byte
+	open            map[int32]uint32 // ids of the open requests by sequence number
+	partialBytes    int              // bytes of an incomplete frame
+	partialTicks    int              // ticks for which the frame has been incomplete; for the first frame, including those before the session
+	quietTicks      int              // ticks since the last complete message or answer
+	messageReceived bool             // a complete message has been received
+	halfClosed      bool             // the client has closed its sending side
+	closeWhenIdle   bool             // takes no more requests, and closes once none is open
+	earlyBytes      int              // bytes that arrived before the session began and are yet to be fed
+	earlyAge        time.Duration    // how long the last of the early bytes had been unread
+	rejectFirst     bool             // the first request, still expected, is to be rejected
+	closing         bool             // later input has crossed the close and is discarded
+	reason          CloseReason      // the first reason for closing it
+}
+
+// NewSession creates a session. Answers are built in scratch, one at a time; sessions may share it.
+func NewSession(handler Desk, scratch *[]byte) *Session {
+	return &Session{handler: handler, scratch: scratch, open: map[int32]uint32{}}
+}
+
+// Up is called when the connection is established. There is nothing to do.
+func (s *Session) Up() {}
+
+// Feed processes received bytes. Once the session is closing it discards them, as an answer could not be sent any more.
+func (s *Session) Feed(b []byte) {
+	if s.closing {
+		return
+	}
+	err := s.frames.Feed(b, s.frame)
+	s.earlyBytes = max(s.earlyBytes-len(b), 0)
+	before := s.partialBytes
+	if s.partialBytes = s.frames.Kept(); !s.handler.Room(s.partialBytes-before) && err == nil {
+		err = errPartialLimit
+	}
+	if err != nil && !s.closing { // nothing after it can be read; earlier answers are still sent
+		s.handler.Bad(err.Error())
+		s.abandonRequests()
+		s.noteReason(Unreadable)
+		s.finish()
+	}
+}
+
+// abandonRequests reports for all open requests that the client no longer waits.
+func (s *Session) abandonRequests() {
+	s.handler.Room(-s.partialBytes)
+	s.partialBytes, s.frames = 0, thrift.Frames{}
+	for _, seq := range slices.Sorted(maps.Keys(s.open)) { // sorted, so that equal input has the same effect
+		id := s.open[seq]
+		delete(s.open, seq)
+		s.handler.Left(id)
+	}
+}
+
+// noteReason records the reason for closing the connection, if it is the first.
+func (s *Session) noteReason(reason CloseReason) {
+	if s.reason == Kept {
+		s.reason = reason
+	}
+}
+
+// finish closes the connection after the answers written so far.
+func (s *Session) finish() {
+	if !s.closing {
+		s.closing = true
+		s.handler.ClientClosing(s, s.reason)
+		s.Line.Finish()
+	}
+}
+
+// Ended handles the end of a connection. A client that has closed its side may still read; one whose connection is gone has left.
+func (s *Session) Ended(how transport.Ending) {
+	if how == transport.Finished {
+		s.halfClosed = true
+		s.noteReason(ClientClosed)
+		for _, seq := range slices.Sorted(maps.Keys(s.open)) {
+			if id, open := s.open[seq]; open {
+				s.handler.HalfClosed(id)
+			}
+		}
+		s.closeIfIdle()
+		return
+	}
+	s.closing = true
+	s.abandonRequests()
+	s.handler.Closed(s)
+}
+
+// CloseWhenIdle closes the connection as soon as no request is open on it. Requests that arrive until then are rejected: otherwise a client
+// could keep the connection open for as long as it likes.
+func (s *Session) Last(reason CloseReason) {
+	s.closeWhenIdle = true
+	s.noteReason(reason)
+	s.closeIfIdle()
+}
+
+// RejectFirst rejects the first request that arrives and closes the connection. If it were closed immediately, a request on its way would
+// cause a reset.
+func (s *Session) TurnAway(reason CloseReason) {
+	s.closeWhenIdle, s.rejectFirst = true, true
+	s.noteReason(reason)
+}
+
+// closeIfIdle closes the connection if that is due and no request is open.
+func (s *Session) closeIfIdle() {
+	if (s.halfClosed || s.closeWhenIdle && !s.rejectFirst) && len(s.open) == 0 {
+		s.finish()
+	}
+}
+
+const maxOpen = 32 // open requests on one connection, as the protocol specifies
+
+// Register records the id of an open request.
+func (s *Session) Hold(seq int32, id uint32) { s.open[seq] = id }
+
+var (
+	errProtocol     = errors.New("message is not of the strict binary protocol")
+	errDuplicateSeq = errors.New("sequence number is open already")
+	errPartialLimit = errors.New("too many unfinished messages")
+)
+
+// frame handles one message.
+func (s *Session) frame(frame []byte) error {
+	r := thrift.NewReader(frame)
+	kind, name, seq := r.Message()
+	if r.Bad || kind != thrift.Call && kind != thrift.Oneway {
+		return errProtocol
+	}
+	if s.closing { // by the previous message
+		return nil
+	}
+	s.messageReceived, s.rejectFirst, s.quietTicks, s.partialTicks = true, false, 0, 0
+	switch string(name) {
+	case "call":
+		if _, duplicate := s.open[seq]; duplicate {
+			return errDuplicateSeq
+		}
+		if s.closeWhenIdle {
+			s.Shed(seq, 0, nil)
+			return nil
+		}
+		if len(s.open) >= maxOpen {
+			s.writeException(string(name), seq, thrift.ProtocolError, "too many open calls")
+			return nil
+		}
+		var a Ask
+		if fault := a.read(&r); fault != "" {
+			s.writeException(string(name), seq, thrift.ProtocolError, fault)
+			return nil
+		}
+		a.Waited = s.messageAge().Seconds()
+		s.handler.Take(s, seq, &a)
+	case "cancel":
+		if target, ok := readCancel(&r); ok {
+			if id, ok := s.open[target]; ok {
+				delete(s.open, target)
+				s.handler.Left(id)
+				s.closeIfIdle()
+			}
+		}
+	case "health":
+		s.reply("health", seq, nil, s.handler.Ready())
+	default:
+		if kind == thrift.Call {
+			s.writeException(string(name), seq, thrift.UnknownMethod, "unknown method")
+		}
+	}
+	s.closeIfIdle()
+	return nil
+}
+
+// readCancel reads the arguments of a cancel message: the sequence number of the request to cancel.
+func readCancel(r *thrift.Reader) (seq int32, ok bool) {
+	for {
+		t, id := r.Field()
+		switch {
+		case t == thrift.Stop:
+			return seq, ok && !r.Bad
+		case t == thrift.I32 && id == 1:
+			seq, ok = r.I32(), true
+		default:
+			r.Skip(t)
+		}
+	}
+}
+
+// read reads the arguments of a request; fault describes what is wrong with them.
+func (a *Ask) read(r *thrift.Reader) (fault string) {
+	var present struct{ fields, body bool }
+	for {
+		t, id := r.Field()
+		if t == thrift.Stop {
+			break
+		}
+		switch {
+		case t == thrift.Map && id == 1:
+			present.fields = true
+			k, v, n := r.Pairs()
+			if n > 0 && (k != thrift.String || v != thrift.String) {
+				return "fields are no map of strings"
+			}
+			for ; n > 0; n-- {
+				if name, value := r.Bytes(), r.Bytes(); !r.Bad && !a.setField(string(name), value) {
+					return "field " + string(name) + " can't be used"
+				}
+			}
+		case t == thrift.String && id == 2:
+			present.body, a.Statement = true, r.Bytes()
+		default:
+			r.Skip(t)
+		}
+	}
+	switch {
+	case r.Bad:
+		return "arguments can't be read"
+	case !present.body || !present.fields || a.Ref == [16]byte{} || a.Allow == 0 || a.Profile == nil:
+		return "a field is missing"
+	case len(bytes.TrimSpace(a.Statement)) == 0 || bytes.IndexByte(a.Statement, 0) >= 0 || !utf8.Valid(a.Statement):
+		return "the statement is no text"
+	}
+	return ""
+}
+
+const maxToken = 128 // bytes; four times what clients send
+
+// setField sets one field. It returns false if the value is invalid or a field of the table fields is repeated.
+func (a *Ask) setField(name string, value []byte) (ok bool) {
+	ok = true
+	if k := slices.Index(fields[:], name); k >= 0 {
+		if a.seenFields&(1<<k) != 0 {
+			return false
+		}
+		a.seenFields |= 1 << k
+	}
+	switch name {
+	case "service":
+		a.Profile = value
+	case "project":
+		a.Tenant = value
+	case "team":
+		a.Team = value
+	case "ref":
+		ok = len(value) == len(a.Ref)
+		for _, c := range value { // servers get it as a word of a line
+			ok = ok && (c >= '0' && c <= '9' || c|0x20 >= 'a' && c|0x20 <= 'f')
+		}
+		copy(a.Ref[:], value)
+	case "allow":
+		a.Allow, ok = parseNumber(value, 1000)
+	case "replay":
+		a.Token, ok = value, len(value) <= maxToken
+		for _, c := range value { // servers get it as the value of a field
+			ok = ok && c > ' ' && c < 0x7f && c != ',' && c != '='
+		}
+	case "lookup":
+		a.Key = value
+	case "effort":
+		a.Effort, ok = parseNumber(value, 1000)
+		ok = ok && a.Effort < 1e6 // days of work on one core are no credible estimate
+	case "memory":
+		a.Memory, ok = parseNumber(value, 1)
+	}
+	return ok
+}
+
+// fields are the names of the fields that may not be repeated.
+var fields = [...]string{"service", "project", "ref", "allow", "effort", "memory", "replay", "lookup"}
+
+// parseNumber parses a plain decimal number without a sign. It rejects infinities and forms that only some parsers accept.
+func parseNumber(b []byte, unit float64) (float64, bool) {
+	for k, c := range b {
+		if c < '0' && c != '.' && (k == 0 || b[k-1]|0x20 != 'e') || c > '9' && (c|0x20 != 'e' || k == 0) {
+			return 0, false
+		}
+	}
+	v, err := strconv.ParseFloat(string(b), 64)
+	return v / unit, err == nil && v >= 0 && v < 1e12
+}
+
+// Completed sends a complete result: the pages as received from the server.
+func (s *Session) Answered(seq int32, pages [][]byte, waitInfo *Told) {
+	delete(s.open, seq)
+	s.reply("call", seq, pages, true, waitInfo.pairs()...)
+	s.closeIfIdle()
+}
+
+// reply writes the answer to a call or health message.
+func (s *Session) reply(name string, seq int32, pages [][]byte, good bool, pairs ...string) {
+	size := 0
+	for _, p := range pages {
+		size += len(p)
+	}
+	b := thrift.Begin(*s.scratch, thrift.Reply, name, seq)
+	b = thrift.AppendField(b, thrift.Struct, 0)
+	b = thrift.AppendSize(thrift.AppendField(b, thrift.String, 1), size)
+	for _, p := range pages {
+		b = append(b, p...)
+	}
+	b = thrift.AppendPairs(thrift.AppendField(b, thrift.Map, 2), pairs...)
+	b = thrift.AppendBool(thrift.AppendField(b, thrift.Bool, 3), good)
+	s.write(thrift.End(append(b, byte(thrift.Stop))))
+}
+
+// Rejected rejects a request: the client may retry it safely, best after the pause.
+func (s *Session) Shed(seq int32, pause float64, waitInfo *Told) {
+	pairs := waitInfo.pairs()
+	if pause > 0 {
+		pairs = append(pairs, "cooldown", millis(pause))
+	}
+	s.replyException(seq, 1, pairs...)
+}
+
+// millis formats seconds as whole milliseconds.
+func millis(seconds float64) string { return strconv.Itoa(int(seconds*1000 + 0.5)) }
+
+// pairs returns the fields of the message as names and values; nil has none.
+func (t *Told) pairs() []string {
+	if t == nil {
+		return nil
+	}
+	return []string{"wait_p50", millis(t.P50), "wait_p90", millis(t.P90), "waited", millis(t.Waited)}
+}
+
+// Failed reports a failure. It says nothing about whether the request has run.
+func (s *Session) Failed(seq int32) { s.replyException(seq, 2) }
+
+// replyException writes one of the exceptions that the protocol declares: field 1 for a rejection, 2 for a failure.
+func (s *Session) replyException(seq int32, field uint16, pairs ...string) {
+	delete(s.open, seq)
+	b := thrift.Begin(*s.scratch, thrift.Reply, "call", seq)
+	b = thrift.AppendField(b, thrift.Struct, field)
+	b = thrift.AppendPairs(thrift.AppendField(b, thrift.Map, 1), pairs...)
+	s.write(thrift.End(append(b, byte(thrift.Stop))))
+	s.closeIfIdle()
+}
+
+// writeException writes an exception of the RPC layer, for a message that can't be handled.
+func (s *Session) writeException(name string, seq int32, kind int32, text string) {
+	s.write(thrift.Except(*s.scratch, name, seq, kind, text))
+}
+
+func (s *Session) write(b []byte) {
+	*s.scratch = b
+	s.quietTicks = 0
+	s.Line.Append(b)
+}
--- a/internal/router/arrivals.go
+++ b/internal/router/arrivals.go
@@ -12,141 +12,142 @@
 	"go.uber.org/zap"
 )
 
-// This file takes clients' connections in, and decides what becomes of them where descriptors are scarce: which connection is closed to
-// make room, and whether an arrival waits for room, is turned away with an answer, or is closed. docs/design.md has the argument.
+// This file accepts client connections. When file descriptors are scarce it decides which idle connection is closed to free one, and
+// whether a new connection waits, has its first request rejected, or is closed unread. docs/design.md gives the reasons.
 
 const (
-	// holdAtMost bounds the time for which an arrival waits for room, in seconds: what gives room without asking does so in 2 s.
-	holdAtMost = 2.5
-	// crowdedFor is how long after an arrival had to wait others may have waited behind it, in seconds.
-	crowdedFor = 10
+	// maxArrivalWait bounds how long a new connection waits for a descriptor, in seconds. A connection that sends no request frees its
+	// descriptor within 2 s.
+	maxArrivalWait = 2.5
+	// queuedArrivalWindow is for how long, in seconds after a connection had to wait, others may have queued behind it in the kernel.
+	queuedArrivalWindow = 10
 )
 
-// arrivalState is what the owner knows of clients' connections that arrive.
+// arrivalState is the owner's state of arriving client connections.
 type arrivalState struct {
-	held      net.Conn // waits for room, nil: none does. Others wait behind it with the system
-	heldSince float64  // seconds
-	heldAt    float64  // when an arrival last began to wait, in seconds
-	retry     bool     // a connection has ended since
-	counts    clientCounts
-	told      clientCounts // the counts that the log has
+	pending      net.Conn // waits for a descriptor; nil: none does. Later connections queue in the kernel
+	pendingSince float64  // seconds
+	lastWaitAt   float64  // when a connection last began to wait, in seconds
+	recheck      bool     // a connection has ended or timers have run since the last check for room
+	counts       clientCounts
+	loggedCounts clientCounts // the counts as last logged
 }
 
-// clientCounts counts clients' connections since the start.
+// clientCounts counts client connections since the start.
 type clientCounts struct {
 	arrived      uint64
-	held         uint64 // waited for room
-	turnedAway   uint64 // had their first request refused for lack of room
-	closedUnread uint64 // closed with nothing read, as no descriptor was left
+	pending      uint64 // had to wait for a descriptor
+	rejected     uint64 // had their first request rejected for lack of a descriptor
+	closedUnread uint64 // closed without reading anything, as no descriptor was left
 	closed       [frontend.CloseReasons]uint64
 }
 
-// accepting is where clients' connections arrive, nil while one that arrived before them waits for room.
-func (s *service) accepting() <-chan net.Conn {
-	if s.waiting.held != nil {
+// nextArrival is the channel of new client connections. It is nil while an earlier connection waits for a descriptor.
+func (s *service) nextArrival() <-chan net.Conn {
+	if s.clientArrivals.pending != nil {
 		return nil
 	}
 	return s.arrivals
 }
 
-// arrive takes a client's connection in. Where there is no room for it, it waits for a connection that gives room soon; where none does,
-// it is turned away.
-func (s *service) arrive(nc net.Conn, closing bool) {
-	w := &s.waiting
-	w.counts.arrived++
-	if s.place(nc, closing, true) {
+// acceptClient takes a new client connection. If there is no descriptor for it, it waits when another connection will free one soon;
+// otherwise it is rejected.
+func (s *service) acceptClient(nc net.Conn, closing bool) {
+	a := &s.clientArrivals
+	a.counts.arrived++
+	if s.admit(nc, closing, true) {
 		return
 	}
-	w.held, w.heldSince, w.heldAt = nc, s.clock.now(), s.clock.now()
-	w.counts.held++
+	a.pending, a.pendingSince, a.lastWaitAt = nc, s.clock.now(), s.clock.now()
+	a.counts.pending++
 }
 
-// arriveHeld looks again for room for the connection that waits.
-func (s *service) arriveHeld(closing bool) {
-	w := &s.waiting
-	w.retry = false
-	if w.held != nil && s.place(w.held, closing, s.clock.now()-w.heldSince < holdAtMost) {
-		w.held = nil
+// admitPending checks again whether there is a descriptor for the connection that waits.
+func (s *service) admitPending(closing bool) {
+	a := &s.clientArrivals
+	a.recheck = false
+	if a.pending != nil && s.admit(a.pending, closing, s.clock.now()-a.pendingSince < maxArrivalWait) {
+		a.pending = nil
 	}
 }
 
-// dropHeld closes the connection that waits, as the router ends at once.
-func (s *service) dropHeld() {
-	if s.waiting.held != nil {
-		s.waiting.held.Close()
+// closePending closes the connection that waits when the router stops immediately.
+func (s *service) closePending() {
+	if s.clientArrivals.pending != nil {
+		s.clientArrivals.pending.Close()
 	}
 }
 
-// place finds a place for a connection, turns it away or closes it. It does none of these, and returns false, where the connection may
-// wait and room will come.
-func (s *service) place(nc net.Conn, closing, mayWait bool) (done bool) {
-	most := s.split()
-	taken, staying := s.occupied()
-	crowded := taken >= most.clients
-	room := staying < most.clients
-	if !room && taken < most.clients+most.turnedOff {
+// admit starts a session for a connection, rejects it or closes it. It returns false and does nothing if the connection may wait and a
+// descriptor is expected to become free.
+func (s *service) admit(nc net.Conn, closing, mayWait bool) (done bool) {
+	limits := s.descriptorLimits()
+	inUse, notClosing := s.connectionCounts()
+	crowded := inUse >= limits.clients
+	room := notClosing < limits.clients
+	if !room && inUse < limits.clients+limits.rejecting {
 		room = s.makeRoom()
 	}
-	full := taken >= most.clients+most.turnedOff
-	if (full || !room) && mayWait && s.roomSoon() {
+	full := inUse >= limits.clients+limits.rejecting
+	if (full || !room) && mayWait && s.roomExpected() {
 		return false
 	}
 	if !room {
-		s.log.Warn("too many clients", zap.Int("connections", taken))
+		s.log.Warn("too many clients", zap.Int("connections", inUse))
 	}
-	if full { // none is left even to turn it away by
-		s.waiting.counts.closedUnread++
-		s.log.Warn("client closed unread", zap.Int("connections", taken))
+	if full { // no descriptor is left even for rejecting it
+		s.clientArrivals.counts.closedUnread++
+		s.log.Warn("client connection closed unread", zap.Int("connections", inUse))
 		nc.Close()
 		return true
 	}
-	c := s.open(nc, crowded || s.clock.now()-s.waiting.heldAt < crowdedFor)
+	c := s.startSession(nc, crowded || s.clock.now()-s.clientArrivals.lastWaitAt < queuedArrivalWindow)
 	switch {
 	case closing:
 		c.TurnAway(frontend.RouterEnds)
 	case !room:
-		s.waiting.counts.turnedAway++
+		s.clientArrivals.counts.rejected++
 		c.TurnAway(frontend.NoRoom)
 	}
 	return true
 }
 
-// open starts a client's session. Where arrivals had to wait, the connection may have been silent for a while.
-func (s *service) open(nc net.Conn, mayHaveWaited bool) *frontend.Session {
-	// 32 open calls have 1.5 MB of results at most.
-	const limit = 2 << 20
+// startSession starts a client's session. mayHaveWaited means that the connection may have queued in the kernel for a while.
+func (s *service) startSession(nc net.Conn, mayHaveWaited bool) *frontend.Session {
+	// The results of 32 open requests take at most 1.5 MB.
+	const maxOutput = 2 << 20
 	c := frontend.NewSession(s, &s.scratch)
-	line := s.net.New(c, limit)
-	line.Patience(max(transport.UsualPatience, time.Duration(s.cfg.Settings.Longest*1e9)))
-	c.Line = line
-	s.arrived++
-	c.Serial = s.arrived
+	conn := s.net.New(c, maxOutput)
+	conn.Patience(max(transport.UsualPatience, time.Duration(s.cfg.Settings.Longest*1e9)))
+	c.Line = conn
+	s.lastSerial++
+	c.Serial = s.lastSerial
 	if mayHaveWaited {
 		c.Waited(transport.ArrivalOf(nc))
 	}
 	s.sessions[c] = struct{}{}
 	s.clientArrived(c, len(s.sessions))
-	line.Start(nc)
+	conn.Start(nc)
 	return c
 }
 
-// occupied is how many clients' connections there are, without those in a lingering close, and how many of them stay.
-func (s *service) occupied() (taken, staying int) {
-	most := s.split()
-	taken = len(s.sessions) - min(s.net.Lingering(), most.lingering)
-	if taken < most.clients {
-		return taken, taken
+// connectionCounts counts the client connections without those in a lingering close, and how many of them are not closing.
+func (s *service) connectionCounts() (inUse, notClosing int) {
+	limits := s.descriptorLimits()
+	inUse = len(s.sessions) - min(s.net.Lingering(), limits.lingering)
+	if inUse < limits.clients {
+		return inUse, inUse
 	}
 	for c := range s.sessions {
 		if !c.Closing() {
-			staying++
+			notClosing++
 		}
 	}
-	return taken, staying
+	return inUse, notClosing
 }
 
-// roomSoon tells whether a client's connection gives room in bounded time unless its request comes.
-func (s *service) roomSoon() bool {
+// roomExpected reports whether some client connection will free its descriptor in bounded time unless it sends a request.
+func (s *service) roomExpected() bool {
 	for c := range s.sessions {
 		if c.GivesRoom() {
 			return true
@@ -155,24 +156,24 @@
 	return false
 }
 
-// spare is a connection that can be closed to make room.
-type spare struct {
+// closeCandidate is a connection that can be closed to free its descriptor.
+type closeCandidate struct {
 	session *frontend.Session
 	rank    int
 }
 
-// makeRoom closes the connection that can best be spared, if one can, and nothing is on its way there.
+// makeRoom closes the highest-ranked idle connection with no bytes in transit, and reports whether there was one.
 func (s *service) makeRoom() bool {
-	var spares []spare
+	var candidates []closeCandidate
 	for c := range s.sessions {
 		if rank, ok := c.Spare(); ok {
-			spares = append(spares, spare{c, rank})
+			candidates = append(candidates, closeCandidate{c, rank})
 		}
 	}
-	slices.SortFunc(spares, func(a, b spare) int {
+	slices.SortFunc(candidates, func(a, b closeCandidate) int {
 		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.session.Serial, b.session.Serial))
 	})
-	for _, best := range spares {
+	for _, best := range candidates {
 		if !best.session.InTransit() {
 			best.session.Last(frontend.RoomNeeded)
 			return true
@@ -181,63 +182,63 @@
 	return false
 }
 
-// Closed notes that a client's connection has ended.
+// SessionClosed removes the session of a client connection that has ended.
 func (s *service) Closed(c *frontend.Session) {
 	delete(s.sessions, c)
-	s.waiting.retry = true
+	s.clientArrivals.recheck = true
 }
 
-// ClientClosing counts and logs why the router closes a client's connection.
-func (s *service) ClientClosing(c *frontend.Session, why frontend.CloseReason) {
-	s.waiting.counts.closed[why]++
-	s.Router.ClientClosing(c, why)
+// ClientClosing counts and logs why the router closes a client connection.
+func (s *service) ClientClosing(c *frontend.Session, reason frontend.CloseReason) {
+	s.clientArrivals.counts.closed[reason]++
+	s.Router.ClientClosing(c, reason)
 }
 
-// acceptBacklog empties the system's queue of accepted connections behind a listener's deadline: what is in it when the listener is closed
-// is reset.
+// acceptBacklog drains the kernel's queue of accepted connections after the listener's deadline. Connections that are still queued when
+// the listener is closed would be reset.
 type acceptBacklog struct {
-	until time.Time // it is given up then, zero: it was not begun
-	came  bool      // a connection, since the last deadline
+	deadline time.Time // when draining is given up; zero: it has not begun
+	accepted bool      // a connection was accepted since the last deadline
 }
 
 const (
-	// backlogStep is how long the system's queue has to stay empty.
-	backlogStep = 5 * time.Millisecond
-	// backlogAtMost bounds the time in which clients that keep on coming hold up the router's end.
-	backlogAtMost = time.Second
+	// backlogQuietPeriod is how long the kernel's queue must stay empty to count as drained.
+	backlogQuietPeriod = 5 * time.Millisecond
+	// maxBacklogDrain bounds how long clients that keep connecting can delay the shutdown.
+	maxBacklogDrain = time.Second
 )
 
-// empty is called where the listener's deadline has passed. It tells whether the queue is empty, or sets another deadline.
-func (b *acceptBacklog) empty(l *net.TCPListener) bool {
+// drained is called when the listener's deadline has passed. It reports whether the queue is drained, and sets another deadline if not.
+func (b *acceptBacklog) drained(l *net.TCPListener) bool {
 	now := time.Now()
-	begins := b.until.IsZero()
-	if begins {
-		b.until = now.Add(backlogAtMost)
+	first := b.deadline.IsZero()
+	if first {
+		b.deadline = now.Add(maxBacklogDrain)
 	}
-	if !begins && !b.came || now.After(b.until) {
+	if !first && !b.accepted || now.After(b.deadline) {
 		return true
 	}
-	b.came = false
-	l.SetDeadline(now.Add(backlogStep))
+	b.accepted = false
+	l.SetDeadline(now.Add(backlogQuietPeriod))
 	return false
 }
 
-// logCounts writes a line on clients' connections where any of them had to wait or to go for lack of room since the last line. The log
-// keeps only some lines of a kind each second, so lines on single connections can't be counted.
+// logCounts logs the connection counts if any connection had to wait, was rejected or was closed for lack of descriptors since the last
+// such line. The log samples repeated messages each second, so counting the lines of single connections would give wrong totals.
 func (s *service) logCounts() {
-	w := &s.waiting
-	is, was := &w.counts, &w.told
-	if is.held == was.held && is.turnedAway == was.turnedAway && is.closedUnread == was.closedUnread &&
-		is.closed[frontend.RoomNeeded] == was.closed[frontend.RoomNeeded] {
+	a := &s.clientArrivals
+	current, logged := &a.counts, &a.loggedCounts
+	if current.pending == logged.pending && current.rejected == logged.rejected && current.closedUnread == logged.closedUnread &&
+		current.closed[frontend.RoomNeeded] == logged.closed[frontend.RoomNeeded] {
 		return
 	}
-	fields := []zap.Field{zap.Uint64("arrived", is.arrived), zap.Uint64("waited", is.held), zap.Uint64("turned away", is.turnedAway),
-		zap.Uint64("closed unread", is.closedUnread), zap.Int("connections", len(s.sessions))}
-	for why, n := range is.closed {
+	fields := []zap.Field{zap.Uint64("arrived", current.arrived), zap.Uint64("waited", current.pending), zap.Uint64("turned away", current.rejected),
+		zap.Uint64("closed unread", current.closedUnread), zap.Int("connections", len(s.sessions))}
+	for reason, n := range current.closed {
 		if n > 0 {
-			fields = append(fields, zap.Uint64(frontend.CloseReason(why).String(), n))
+			fields = append(fields, zap.Uint64(frontend.CloseReason(reason).String(), n))
 		}
 	}
 	s.log.Info("clients' connections since the start", fields...)
-	w.told = *is
+	a.loggedCounts = *current
 }
--- a/internal/router/descriptors.go
+++ b/internal/router/descriptors.go
@@ -5,48 +5,48 @@
 	"syscall"
 )
 
-// split is how the descriptors of the process are divided. What clients and servers take together leaves the reserve free.
-type split struct {
-	clients   int // connections of clients, past which resting ones are closed to make room
-	turnedOff int // further ones that are closing, or are only told to come again
+// descriptorLimits divides the file descriptors of the process. Clients and servers together leave the reserved ones free.
+type descriptorLimits struct {
+	clients   int // client connections; beyond that, idle ones are closed to make room
+	rejecting int // client connections beyond that which are closing or have their first request rejected
 	servers   int // connections to servers
-	lingering int // clients' connections in a lingering close, beside the others
+	lingering int // client connections in a lingering close, not counted in the others
 }
 
-// reserve is what neither clients nor servers may take: standard streams (3), the runtime's poller (2), the listener (1), sockets to the
-// name server (the one in use, the one before it, and a new one), the configuration (1), and accepted connections that wait for a place:
-// the owner's and the listener's (2).
-const reserve = 12
+// reservedDescriptors are not available to clients or servers: standard streams (3), the runtime's poller (2), the listener (1), sockets
+// to the name server (the current one, the previous one and a new one), the configuration (1), and accepted connections that wait for a
+// descriptor, one with the owner and one with the listener (2).
+const reservedDescriptors = 12
 
-// divide splits a number of descriptors. Usual clients keep to a third of them, so a third is theirs however few there are.
-func divide(descriptors int) split {
-	free := max(descriptors-reserve, 0)
-	var s split
-	s.clients = max(free/2, descriptors/3, 1)
-	s.turnedOff = s.clients / 8
-	s.lingering = max(descriptors/16, 1)
-	s.servers = max(min(free/3, free-s.clients-s.turnedOff-s.lingering), 1)
-	return s
+// divideDescriptors divides a number of descriptors. Normal clients use up to a third, so they always get a third, however few there are.
+func divideDescriptors(descriptors int) descriptorLimits {
+	free := max(descriptors-reservedDescriptors, 0)
+	var limits descriptorLimits
+	limits.clients = max(free/2, descriptors/3, 1)
+	limits.rejecting = limits.clients / 8
+	limits.lingering = max(descriptors/16, 1)
+	limits.servers = max(min(free/3, free-limits.clients-limits.rejecting-limits.lingering), 1)
+	return limits
 }
 
-// split is how this process's descriptors are divided.
-func (s *service) split() split {
-	if s.parts.clients == 0 {
-		s.parts = divide(s.descriptors())
+// descriptorLimits returns the division of this process's descriptors, computed on first use.
+func (s *service) descriptorLimits() descriptorLimits {
+	if s.limits.clients == 0 {
+		s.limits = divideDescriptors(s.maxDescriptors())
 	}
-	return s.parts
+	return s.limits
 }
 
-// descriptors is how many the router may hold: the settings' number, or fewer where the system gives fewer.
-func (s *service) descriptors() int {
-	const unnamed = 16384 // where the settings name no number
-	most := unnamed
+// maxDescriptors is how many descriptors the router may use: the number in the settings, or the system's limit if that is lower.
+func (s *service) maxDescriptors() int {
+	const defaultMax = 16384 // used when the settings give no number
+	count := defaultMax
 	if n := s.cfg.Limits.Sockets; n > 0 {
-		most = n
+		count = n
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < math.MaxInt32 {
-		most = min(most, int(limit.Cur))
+		count = min(count, int(limit.Cur))
 	}
-	return most
+	return count
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -23,7 +23,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// clock gives Unix seconds that only advance: engines' starts are told in them.
+// clock gives Unix time in seconds that never goes back. The start times of servers are reported in Unix seconds too.
 type clock struct {
 	start time.Time
 	unix  float64
@@ -36,55 +36,55 @@
 
 func (c clock) now() float64 { return c.unix + time.Since(c.start).Seconds() }
 
-// Fleet is this router's part in the fleet (internal/agentdriver has one). All but News is called by the owner's goroutine and waits
-// for nothing.
+// Fleet connects the router to the fleet (internal/agentdriver implements it). Its methods don't block. They are called by the owner's
+// goroutine, or before that starts.
 type Fleet interface {
 	admission.Fleet
-	Plan() admission.Plan                           // nil: there is none
-	Run(ctx context.Context, group *errgroup.Group) // its goroutines end with the context
-	News() <-chan func()                            // to be called by the owner's goroutine
-	Tick(now float64, mind *admission.Brain)        // some ten times a second
-	End(now float64)                                // the works are given back at once
+	Plan() admission.Plan                           // nil: there is no plan
+	Run(ctx context.Context, group *errgroup.Group) // starts goroutines that end with the context
+	News() <-chan func()                            // functions that the owner's goroutine must call
+	Tick(now float64, controller *admission.Brain)  // called about ten times a second
+	End(now float64)                                // releases the tasks immediately
 }
 
-// service is the router with its sockets.
+// service is a Router with its sockets.
 type service struct {
 	*Router
-	cfg      config.Config
-	clock    clock
-	log      *zap.Logger
-	list     *discovery.Follower
-	net      *transport.Net
-	inbox    transport.Inbox
-	arrivals chan net.Conn
-	accepted chan struct{} // closed: no more arrive
-	answers  chan datagram
-	ask      *net.UDPConn // to the name server of now
-	askedBy  *net.UDPConn // the one before it, to the same: its answers may be on their way
-	askedAt  float64      // when ask was opened
-	group    *errgroup.Group
-	ctx      context.Context
-	sessions map[*frontend.Session]struct{}
-	arrived  uint64 // connections of clients that were taken in so far
-	waiting  arrivalState
-	parts    split  // of the descriptors
-	scratch  []byte // answers are put together here
-	ticks    int
-	tidied   int         // seconds
-	waits    bool        // the last question has no answer yet
-	heardAt  float64     // the name server's last answer
-	deaf     bool        // it is missing, and the log says so
-	odd      oddAnswers  // its last answers
-	fleet    Fleet       // nil: none
-	state    State       // nil: none
-	subset   *subsetView // nil: the module sees the whole list
+	cfg                 config.Config
+	clock               clock
+	log                 *zap.Logger
+	list                *discovery.Follower
+	net                 *transport.Net
+	inbox               transport.Inbox
+	arrivals            chan net.Conn
+	acceptDone          chan struct{} // closed when no more connections will arrive
+	answers             chan datagram
+	querySocket         *net.UDPConn // to the current name server
+	previousSocket      *net.UDPConn // the previous socket to the same name server: answers may still arrive on it
+	querySocketOpenedAt float64      // when querySocket was opened
+	group               *errgroup.Group
+	ctx                 context.Context
+	sessions            map[*frontend.Session]struct{}
+	lastSerial          uint64 // number of client connections so far
+	clientArrivals      arrivalState
+	limits              descriptorLimits // computed once, by the method descriptorLimits
+	scratch             []byte           // buffer for building answers
+	ticks               int
+	seconds             int           // seconds since the start
+	answerPending       bool          // the last query has no answer yet
+	lastAnswerAt        float64       // time of the name server's last answer
+	nameServerSilent    bool          // it does not answer, which has been logged
+	answerFault         repeatedFault // of its last answers
+	fleet               Fleet         // nil: none
+	state               State         // nil: none
+	subset              *subsetView   // nil: the controller sees the whole list
 }
 
-// Serve runs a router until the context ends it at once, or a stop ends it once all is answered. What of a
-// renewed configuration can change while it runs is taken over.
-func Serve(ctx context.Context, stop <-chan struct{}, renewed <-chan config.Config, cfg config.Config, fleet Fleet, state State, log *zap.Logger) error {
+// Serve runs a router until the context is cancelled, which stops it immediately, or stop is closed, which stops it once all requests are
+// answered. It applies those parts of a reloaded configuration that can change at run time.
+func Serve(ctx context.Context, stop <-chan struct{}, reloaded <-chan config.Config, cfg config.Config, fleet Fleet, state State, log *zap.Logger) error {
 	s := &service{fleet: fleet, state: state, cfg: cfg, clock: newClock(), log: log, list: discovery.New(cfg.Settings.Zones, cfg.Settings.Kinds),
-		inbox: make(transport.Inbox, 256), arrivals: make(chan net.Conn), accepted: make(chan struct{}), answers: make(chan datagram),
+		inbox: make(transport.Inbox, 256), arrivals: make(chan net.Conn), acceptDone: make(chan struct{}), answers: make(chan datagram),
 		sessions: map[*frontend.Session]struct{}{}}
 	if _, err := s.list.Start(cfg.Known); err != nil {
 		return err
@@ -102,9 +102,9 @@
 	if memory == 0 {
 		memory = 4 << 30
 	}
-	// A quarter of the memory for answers on their way out, and one for statements in hand; half of that for messages
-	// that are not whole yet.
-	s.net = transport.NewNet(ctx, group, s.inbox, memory/4, int64(s.split().lingering))
+	// A quarter of the memory is for outgoing answers and a quarter for statements of requests in progress. Incomplete messages get
+	// half as much as statements.
+	s.net = transport.NewNet(ctx, group, s.inbox, memory/4, int64(s.descriptorLimits().lingering))
 	s.Router = New(cfg.Settings, int(memory/4), log, s.list.Name)
 	if len(cfg.Budgets.Nodes) > 0 {
 		teams, err := fairshare.New(cfg.Budgets, s.clock.now())
@@ -128,7 +128,7 @@
 		state.Run(ctx, group)
 	}
 	group.Go(func() error { return s.accept(listener) })
-	if err := s.askBy(cfg.NameServer); err != nil {
+	if err := s.openQuerySocket(cfg.NameServer); err != nil {
 		cancel()
 		listener.Close()
 		group.Wait()
@@ -136,24 +136,24 @@
 	}
 	group.Go(func() error {
 		defer cancel()
-		defer s.hushAll()
+		defer s.closeQuerySockets()
 		defer listener.Close()
-		return s.own(stop, renewed, listener)
+		return s.runOwner(stop, reloaded, listener)
 	})
 	return group.Wait()
 }
 
-// accept hands on connections of clients until the listener's deadline, and then those that the system has accepted by then. It survives
-// a lack of descriptors.
+// accept passes client connections to the owner until the listener's deadline, and then those that the kernel had accepted by then. When
+// descriptors run out it waits and tries again.
 func (s *service) accept(l *net.TCPListener) error {
-	defer close(s.accepted)
+	defer close(s.acceptDone)
 	defer l.Close()
 	var backlog acceptBacklog
 	for {
 		nc, err := l.Accept()
 		switch {
 		case err == nil:
-			backlog.came = true
+			backlog.accepted = true
 			select {
 			case s.arrivals <- nc:
 			case <-s.ctx.Done():
@@ -163,13 +163,13 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if backlog.empty(l) {
+			if backlog.drained(l) {
 				return nil
 			}
 		default:
 			s.log.Warn("accept", zap.Error(err))
 			select {
-			case <-time.After(20 * time.Millisecond): // until some connection ends
+			case <-time.After(20 * time.Millisecond): // until some connection has ended
 			case <-s.ctx.Done():
 				return nil
 			}
@@ -177,119 +177,119 @@
 	}
 }
 
-// renew takes over what can change while the router runs: the name server, and news of the list. The rest is said
-// in the log and kept as it was.
-func (s *service) renew(c config.Config) {
+// reload applies the parts of a new configuration that can change at run time: the name server, the list of servers and parts of the
+// operator's file. It logs which other parts have changed; those keep their old values until a restart.
+func (s *service) reload(c config.Config) {
 	settings := c.Settings
-	settings.Brain.Seed = s.cfg.Settings.Brain.Seed // new each time they are told, which is no change
+	settings.Brain.Seed = s.cfg.Settings.Brain.Seed // the seed is drawn anew on each load, which is no change
 	var kept []string
-	for _, k := range [...]struct {
+	for _, setting := range [...]struct {
 		name string
 		same bool
 	}{{"name", c.Name == s.cfg.Name}, {"listen", c.Listen == s.cfg.Listen}, {"limits", c.Limits == s.cfg.Limits},
 		{"settings", reflect.DeepEqual(settings, s.cfg.Settings)}} {
-		if !k.same {
-			kept = append(kept, k.name)
+		if !setting.same {
+			kept = append(kept, setting.name)
 		}
 	}
-	kept = append(kept, s.operators(c)...)
-	if fresh, err := s.list.Start(c.Known); err != nil {
-		s.log.Error("list of engines in the new configuration", zap.Error(err))
-	} else if fresh {
-		s.members(admission.Full)
+	kept = append(kept, s.reloadOperatorFile(c)...)
+	if updated, err := s.list.Start(c.Known); err != nil {
+		s.log.Error("list of servers in the new configuration is invalid", zap.Error(err))
+	} else if updated {
+		s.publishList(admission.Full)
 	}
 	if c.NameServer != s.cfg.NameServer {
-		was := [...]*net.UDPConn{s.ask, s.askedBy} // their answers count no more
-		if err := s.askBy(c.NameServer); err != nil {
-			s.log.Error("name server", zap.Error(err))
+		previous := [...]*net.UDPConn{s.querySocket, s.previousSocket} // answers on these are ignored from now on
+		if err := s.openQuerySocket(c.NameServer); err != nil {
+			s.log.Error("can't open a socket to the new name server", zap.Error(err))
 			return
 		}
-		hush(was[:]...)
-		s.cfg.NameServer, s.askedBy = c.NameServer, nil
+		closeSockets(previous[:]...)
+		s.cfg.NameServer, s.previousSocket = c.NameServer, nil
 	}
-	s.question()
+	s.sendQuestion()
 	s.log.Info("new configuration", zap.Stringer("nameserver", c.NameServer), zap.Strings("kept until a restart", kept))
 }
 
-// operators takes over what can change of the operators' file, and names what can't.
-func (s *service) operators(c config.Config) (kept []string) {
-	was, is := s.cfg.Operator, c.Operator
+// reloadOperatorFile applies the parts of the operator's file that can change at run time, and returns the names of the others.
+func (s *service) reloadOperatorFile(c config.Config) (kept []string) {
+	previous, current := s.cfg.Operator, c.Operator
 	switch {
 	case (len(c.Budgets.Nodes) == 0) != (s.teams == nil):
-		kept = append(kept, "teams") // commands in hand were taken with them, or without
+		kept = append(kept, "teams") // requests in progress were admitted with teams, or without
 	case s.teams != nil:
 		if err := s.teams.Reconfigure(c.Budgets); err != nil {
-			s.log.Error("teams of the new configuration", zap.Error(err))
+			s.log.Error("teams of the new configuration are invalid", zap.Error(err))
 			return append(kept, "teams")
 		}
 		if c.Budgets.Ageing != s.cfg.Budgets.Ageing {
 			kept = append(kept, "budgets/ageing")
 		}
 	}
-	if !reflect.DeepEqual(is.Fleet, was.Fleet) {
+	if !reflect.DeepEqual(current.Fleet, previous.Fleet) {
 		kept = append(kept, "fleet")
 	}
-	if !reflect.DeepEqual(is.State, was.State) {
+	if !reflect.DeepEqual(current.State, previous.State) {
 		kept = append(kept, "state")
 	}
-	if !reflect.DeepEqual(is.Subset, was.Subset) {
+	if !reflect.DeepEqual(current.Subset, previous.Subset) {
 		kept = append(kept, "subset")
 	}
-	if (is.Waits == nil) != (was.Waits == nil) {
+	if (current.Waits == nil) != (previous.Waits == nil) {
 		kept = append(kept, "waits")
-	} else if is.Waits != nil {
-		s.tells = is.Waits.Fields
+	} else if current.Waits != nil {
+		s.reportWaits = current.Waits.Fields
 	}
 	return kept
 }
 
-// own is the owner's goroutine.
-func (s *service) own(stop <-chan struct{}, renewed <-chan config.Config, listener *net.TCPListener) error {
-	pool := backends.New(s.Router, backends.Limits{Streams: max(s.cfg.Settings.Streams, 1), Conns: s.split().servers,
+// runOwner is the owner's goroutine.
+func (s *service) runOwner(stop <-chan struct{}, reloaded <-chan config.Config, listener *net.TCPListener) error {
+	pool := backends.New(s.Router, backends.Limits{Streams: max(s.cfg.Settings.Streams, 1), Conns: s.descriptorLimits().servers,
 		Idle: s.cfg.Settings.ConnIdle,
-		// An engine sends an answer in one go: a pause longer than a connection takes to come up is its end.
+		// A server sends an answer in one go: if it pauses for longer than a connect takes, the answer will not be completed.
 		Stall: s.cfg.Settings.ConnectTimeout}, s.dial)
-	s.heardAt = s.clock.now()
-	s.Router.Start(s.heardAt, pool)
+	s.lastAnswerAt = s.clock.now()
+	s.Router.Start(s.lastAnswerAt, pool)
 	s.WatchBacklog()
-	s.members(admission.Cached)
+	s.publishList(admission.Cached)
 	if s.state != nil {
 		defer s.state.End(s.Router)
 	}
-	defer s.dropHeld()
+	defer s.closePending()
 	s.log.Info("serving", zap.String("name", s.cfg.Name), zap.Stringer("listen", s.cfg.Listen),
 		zap.Int("engines", len(s.list.List())))
 
-	// An event counts as told 1.5 s after it happened, heard or not. A question every third tick hears of it well
-	// before; while one has no answer every tick asks, so that a dozen may be lost.
-	const tick, askEvery = backends.UnstickEvery * 1000 * time.Millisecond, 3
-	asking := time.NewTicker(tick)
-	defer asking.Stop()
-	tidying := time.NewTicker(time.Second)
-	defer tidying.Stop()
+	// Routers count as informed of an event 1.5 s after it happened, even if they had no answer. A query every third tick learns of it
+	// well before; while a query is unanswered each tick sends another, so that a dozen may be lost.
+	const tickInterval, queryEvery = backends.UnstickEvery * 1000 * time.Millisecond, 3
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	secondTicker := time.NewTicker(time.Second)
+	defer secondTicker.Stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var ended <-chan time.Time
-	closing, accepted := false, s.accepted
-	var news <-chan func()
+	var graceOver <-chan time.Time
+	closing, acceptDone := false, s.acceptDone
+	var fleetUpdates <-chan func()
 	if s.fleet != nil {
-		news = s.fleet.News()
+		fleetUpdates = s.fleet.News()
 	}
 	for {
 		select {
-		case take := <-news:
+		case update := <-fleetUpdates:
 			s.at(s.clock.now())
-			take()
+			update()
 		case e := <-s.inbox:
 			s.Deliver(s.clock.now(), e)
-		case nc := <-s.accepting():
-			s.arrive(nc, closing)
-		case <-accepted:
-			accepted = nil
-		case <-asking.C:
+		case nc := <-s.nextArrival():
+			s.acceptClient(nc, closing)
+		case <-acceptDone:
+			acceptDone = nil
+		case <-ticker.C:
 			s.at(s.clock.now())
 			if s.fleet != nil {
-				s.fleet.Tick(s.now, s.mind)
+				s.fleet.Tick(s.now, s.controller)
 			}
 			if s.state != nil {
 				s.state.Tick(s.clock.now(), s.Router)
@@ -300,19 +300,19 @@
 			for c := range s.sessions {
 				c.Tick()
 			}
-			s.waiting.retry = true
-			if s.ticks++; s.waits || s.ticks%askEvery == 0 {
-				s.askAnew()
-				s.question()
+			s.clientArrivals.recheck = true
+			if s.ticks++; s.answerPending || s.ticks%queryEvery == 0 {
+				s.reopenIfSilent()
+				s.sendQuestion()
 			}
-		case <-tidying.C:
-			s.tidy()
+		case <-secondTicker.C:
+			s.everySecond()
 		case msg := <-s.answers:
-			if msg.from == s.ask || msg.from == s.askedBy {
-				s.answer(msg.text)
+			if msg.from == s.querySocket || msg.from == s.previousSocket {
+				s.handleAnswer(msg.payload)
 			}
-		case c := <-renewed:
-			s.renew(c)
+		case c := <-reloaded:
+			s.reload(c)
 		case <-timer.C:
 		case <-stop:
 			stop = nil
@@ -321,73 +321,74 @@
 				s.fleet.End(s.clock.now())
 			}
 			s.log.Info("asked to end", zap.Int("owed", s.Owed()))
-			// Clients still come for 0.6 s after the signal; what comes up to 0.7 s after it is answered.
-			ended = time.After(700 * time.Millisecond)
-		case <-ended:
-			ended, closing = nil, true
-			s.closeFront(listener)
+			// Clients still connect for 0.6 s after the signal. Requests that arrive up to 0.7 s after it are served.
+			graceOver = time.After(700 * time.Millisecond)
+		case <-graceOver:
+			graceOver, closing = nil, true
+			s.closeFrontend(listener)
 		case <-s.ctx.Done():
 			return nil
 		}
-		if s.waiting.retry {
-			s.arriveHeld(closing)
+		if s.clientArrivals.recheck {
+			s.admitPending(closing)
 		}
 		next := s.Tick(s.clock.now())
 		timer.Reset(time.Duration(max(next-s.clock.now(), 0) * 1e9))
-		if closing && accepted == nil && len(s.sessions) == 0 && s.waiting.held == nil {
+		if closing && acceptDone == nil && len(s.sessions) == 0 && s.clientArrivals.pending == nil {
 			return nil
 		}
 	}
 }
 
-// closeFront takes no more commands, but for those that came in time and are ready in the same instant.
-func (s *service) closeFront(listener *net.TCPListener) {
-	s.readOut()
-	// What the kernel has accepted by now is taken and turned away: closed with the listener, it would be reset.
-	const queued = 20 * time.Millisecond
-	listener.SetDeadline(time.Now().Add(queued))
+// closeFrontend stops taking requests, after those that have already arrived.
+func (s *service) closeFrontend(listener *net.TCPListener) {
+	s.drainInbox()
+	// Connections that the kernel has accepted by now are taken and rejected: they would be reset if the listener were closed.
+	const acceptTimeout = 20 * time.Millisecond
+	listener.SetDeadline(time.Now().Add(acceptTimeout))
 	for c := range s.sessions {
 		c.Last(frontend.RouterEnds)
 	}
 }
 
-// readOut takes what has come in so far, and no more than readers can have under way.
-func (s *service) readOut() {
+// drainInbox processes the input that has arrived so far, and no more than the inbox can hold.
+func (s *service) drainInbox() {
 	for range cap(s.inbox) {
 		select {
 		case e := <-s.inbox:
 			s.Deliver(s.clock.now(), e)
-		case nc := <-s.accepting():
-			s.arrive(nc, false)
+		case nc := <-s.nextArrival():
+			s.acceptClient(nc, false)
 		default:
 			return
 		}
 	}
 }
 
-const auditEvery = 30 // seconds: some hundred promises of a busy team
+const auditEvery = 30 // seconds, in which a busy team gets some hundred estimates
 
-// tidy closes connections to engines that were idle for long, and says when the name server is missing.
-func (s *service) tidy() {
+// everySecond closes idle connections to servers, writes the periodic log lines and detects a name server that does not answer.
+func (s *service) everySecond() {
 	s.at(s.clock.now())
 	s.pool.Tidy()
 	s.logCounts()
-	s.watchStall(s.readyServers())
-	if s.tidied++; s.tidied%auditEvery == 0 {
+	s.detectStall(s.readyServers())
+	if s.seconds++; s.seconds%auditEvery == 0 {
 		s.Audit()
 	}
-	const silent = 3 // seconds: thirty questions with no answer are no chance
-	if now := s.clock.now(); !s.deaf && now-s.heardAt > silent {
-		s.deaf = true
+	const maxSilence = 3 // seconds: thirty queries without an answer are no chance
+	if now := s.clock.now(); !s.nameServerSilent && now-s.lastAnswerAt > maxSilence {
+		s.nameServerSilent = true
 		s.log.Warn("the name server does not answer", zap.Uint32("rev", s.list.Rev()))
 	}
 }
 
+// dial starts a connection to a server.
 func (s *service) dial(addr netip.AddrPort, sink transport.Sink) backends.Line {
-	// A hundred statements; an engine that takes nothing for longer is as good as silent.
-	const limit = 4 << 20
-	line := s.net.New(sink, limit)
-	line.Whole() // an engine that closes its side reads nothing any more
-	line.Dial(addr.String(), time.Duration(s.cfg.Settings.ConnectTimeout*1e9))
-	return line
+	// A hundred statements. A server that reads none of them is as good as silent.
+	const maxOutput = 4 << 20
+	conn := s.net.New(sink, maxOutput)
+	conn.Whole() // a server that closes its sending side does not read any more either
+	conn.Dial(addr.String(), time.Duration(s.cfg.Settings.ConnectTimeout*1e9))
+	return conn
 }
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// TestTrace: a request can be followed through the log by its id: how each attempt ended, its retry, and why it was rejected. So can a
-// server's change of state and the closing of a connection.
+// TestTrace: the log traces a request by its id: how each attempt ended, its retries, and that it was rejected. A server's change of state is
+// logged too.
 func TestTrace(t *testing.T) {
 	for name, c := range map[string]struct {
 		level zapcore.Level
@@ -26,15 +26,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			core, lines := observer.New(c.level)
-			s := newStage(9)
+			s := newTestRouter(9)
 			s.log = zap.New(core)
-			s.take(1, 29, "SELECT 1")
+			s.call(1, 29, "SELECT 1")
 			for range 2 {
-				s.pool.GiveUp(&s.cmds[1].job, admission.TurnedAway)
+				s.pool.GiveUp(&s.requests[1].attempt, admission.TurnedAway)
 				s.pool.Settle()
 				s.Tick(s.now + 0.2)
 			}
-			s.pool.GiveUp(&s.cmds[1].job, admission.TurnedAway)
+			s.pool.GiveUp(&s.requests[1].attempt, admission.TurnedAway)
 			s.pool.Settle()
 			s.Tick(s.now + 30)
 			s.ServerChanged(1, admission.Ready, admission.Draining, 1, 2)
@@ -46,7 +46,7 @@
 	}
 }
 
-// messages are those of the lines on a request or on servers' states. It checks that no line names another request.
+// messages returns the log messages on a request or on servers' states. It checks that no line names another request.
 func messages(t *testing.T, lines *observer.ObservedLogs, id string) (all []string) {
 	t.Helper()
 	for _, l := range lines.All() {
@@ -66,7 +66,7 @@
 	seen := map[string]bool{}
 	for why := backends.ServerLeft; why <= backends.ServerClosed; why++ {
 		if seen[why.String()] {
-			t.Errorf("%q stands for two reasons", why)
+			t.Errorf("two reasons have the text %q", why)
 		}
 		seen[why.String()] = true
 	}
