--- a/admission/cold_budget_test.go
+++ b/admission/cold_budget_test.go
@@ -8,14 +8,14 @@
 
 // coldFleet is routers that send one cold server all that their budgets let them, on virtual time.
 type coldFleet struct {
-	brain   *Brain
-	draw    *rand.Rand
-	servers []engine  // the server as each router knows it
-	told    []float64 // when each hears of the server
-	began   []float64 // when each router's process started
-	least   float64   // work of a request
-	most    float64
-	sent    []coldAttempt
+	brain     *Brain
+	draw      *rand.Rand
+	servers   []server  // the server as each router knows it
+	told      []float64 // when each hears of the server
+	startedAt []float64 // when each router's process started
+	least     float64   // work of a request
+	most      float64
+	sent      []coldAttempt
 }
 
 type coldAttempt struct{ at, work float64 }
@@ -25,15 +25,15 @@
 // newColdFleet draws a deployment. A router's requests are of any size up to the lane's mark.
 func newColdFleet(draw *rand.Rand, routers int) *coldFleet {
 	between := func(least, most float64) float64 { return least + (most-least)*draw.Float64() }
-	set := Settings{Routers: routers, Tick: 0.005, KindCores: []float64{8}, ColdFrom: between(0.1, 0.6), WarmUp: between(4, 30),
+	settings := Settings{Routers: routers, Tick: 0.005, KindCores: []float64{8}, ColdFrom: between(0.1, 0.6), WarmUp: between(4, 30),
 		FallMultiple: between(1.2, 3), FallWindow: between(0.5, 2), Profiles: []Profile{{Target: math.Pow(10, between(-1.5, 0.7)), Benefit: 1, Threads: 1}}}
-	f := &coldFleet{brain: New(set, 0, &deafHost{}), draw: draw}
-	f.most = f.brain.mark
+	f := &coldFleet{brain: New(settings, 0, &deafHost{}), draw: draw}
+	f.most = f.brain.fastPathLimit
 	f.least = f.most * math.Pow(10, between(-3, 0))
 	cores := float64(4 + draw.IntN(61))
 	for range routers {
-		f.servers = append(f.servers, engine{Entry: Entry{Engine: uint32(draw.IntN(9999)), ReadyAt: 1, State: Ready}, cores: cores})
-		f.told, f.began = append(f.told, 1+between(0, 0.2)), append(f.began, 0)
+		f.servers = append(f.servers, server{Entry: Entry{Engine: uint32(draw.IntN(9999)), ReadyAt: 1, State: Ready}, cores: cores})
+		f.told, f.startedAt = append(f.told, 1+between(0, 0.2)), append(f.startedAt, 0)
 	}
 	for k := range f.servers {
 		f.servers[k].Engine = f.servers[0].Engine
@@ -46,8 +46,8 @@
 
 // restart has a router forget what it has sent.
 func (f *coldFleet) restart(router int, now float64) {
-	f.began[router] = now
-	f.servers[router].cold = newWindow(f.brain.set.FallWindow, 10)
+	f.startedAt[router] = now
+	f.servers[router].coldWork = newWindow(f.brain.settings.FallWindow, 10)
 }
 
 // send has each router send all that it may.
@@ -59,15 +59,15 @@
 		if now < f.told[k] {
 			continue
 		}
-		b.set.Me, b.began = k, f.began[k]
+		b.settings.Me, b.startedAt = k, f.startedAt[k]
 		for refused := 0; refused < 4; { // some size that fits
 			work := f.work()
-			if e.cold.most(now)+work > b.coldBudget(e) {
+			if e.coldWork.most(now)+work > b.coldBudget(e) {
 				refused++
 				continue
 			}
-			e.cold.add(now, work)
-			e.outs++
+			e.coldWork.add(now, work)
+			e.openAttempts++
 			f.sent = append(f.sent, coldAttempt{now, work})
 		}
 	}
@@ -75,17 +75,17 @@
 
 // worst is the most work in a window, as a part of what the rule allows then.
 func (f *coldFleet) worst() (part float64) {
-	set, sum, first, total := f.brain.set, 0.0, 0, 0.0
+	settings, sum, first, total := f.brain.settings, 0.0, 0, 0.0
 	for _, a := range f.sent {
 		total += a.work
 	}
 	mean := total / float64(max(len(f.sent), 1))
 	for _, a := range f.sent {
-		for sum += a.work; f.sent[first].at <= a.at-set.FallWindow+coldStep/2; first++ {
+		for sum += a.work; f.sent[first].at <= a.at-settings.FallWindow+coldStep/2; first++ {
 			sum -= f.sent[first].work
 		}
-		age := (a.at - 1) / set.WarmUp
-		n := set.FallMultiple * f.servers[0].cores * (set.ColdFrom + (1-set.ColdFrom)*age*age) * set.FallWindow / mean
+		age := (a.at - 1) / settings.WarmUp
+		n := settings.FallMultiple * f.servers[0].cores * (settings.ColdFrom + (1-settings.ColdFrom)*age*age) * settings.FallWindow / mean
 		allowed := n + 2*math.Sqrt(n) + 2
 		if n < 30 {
 			allowed = n + 3*math.Sqrt(n) + 3
@@ -105,7 +105,7 @@
 		f := newColdFleet(draw, 1+draw.IntN(most))
 		restarts := draw.IntN(len(f.servers)/3 + 1)
 		restartAt := 1 + 3*draw.Float64()
-		end := 1 + min(longest, f.brain.set.WarmUp)
+		end := 1 + min(longest, f.brain.settings.WarmUp)
 		for now := 1.0; now < end; now += coldStep {
 			if now >= restartAt {
 				for range restarts {
@@ -126,7 +126,7 @@
 // served is how many routers have sent something.
 func (f *coldFleet) served() (n int) {
 	for k := range f.servers {
-		if f.servers[k].outs > 0 {
+		if f.servers[k].openAttempts > 0 {
 			n++
 		}
 	}
@@ -139,9 +139,9 @@
 	const cases, routers, watched = 20, 1600, 4.0
 	for seed := range uint64(cases) {
 		f := newColdFleet(rand.New(rand.NewPCG(seed, 3)), routers)
-		set := f.brain.set
-		f.least = min(f.least, set.FallMultiple*f.servers[0].cores*coldMargin*set.ColdFrom*set.FallWindow/routers/10)
-		for now := 1.0; now < 1+set.WarmUp && (now < 1+watched || f.served() < routers); now += coldStep {
+		settings := f.brain.settings
+		f.least = min(f.least, settings.FallMultiple*f.servers[0].cores*coldMargin*settings.ColdFrom*settings.FallWindow/routers/10)
+		for now := 1.0; now < 1+settings.WarmUp && (now < 1+watched || f.served() < routers); now += coldStep {
 			f.send(now)
 		}
 		if part := f.worst(); part > 1 {
--- a/admission/brain_test.go
+++ b/admission/controller_test.go
@@ -21,8 +21,8 @@
 		b.Command(now, Command{ID: id, TimeLeft: 4, Cost: 0.1})
 		b.Outcome(now, Outcome{ID: id, Engine: h.engine, End: Answered, Lag: 0.1, Work: 0.1, Over: true})
 	}
-	if len(b.engines) > 2 || len(b.index) > 2 || len(b.cmds.rec) > 1 || len(b.cmds.at) > 0 {
-		t.Errorf("%d engines under %d ids, %d commands", len(b.engines), len(b.index), len(b.cmds.rec))
+	if len(b.servers) > 2 || len(b.index) > 2 || len(b.requests.states) > 1 || len(b.requests.at) > 0 {
+		t.Errorf("%d engines under %d ids, %d commands", len(b.servers), len(b.index), len(b.requests.states))
 	}
 }
 
--- a/admission/histogram.go
+++ b/admission/histogram.go
@@ -52,13 +52,13 @@
 
 // window sums amounts over a sliding span, kept in steps.
 type window struct {
-	step  float64
-	sums  []float64
-	first int64 // step number of the newest bucket
+	step   float64
+	sums   []float64
+	newest int64 // step number of the newest bucket
 }
 
 func newWindow(span float64, steps int) window {
-	return window{step: span / float64(steps), sums: make([]float64, steps+1), first: math.MinInt64}
+	return window{step: span / float64(steps), sums: make([]float64, steps+1), newest: math.MinInt64}
 }
 
 // bucket holds step i; one step on from the newest stands the oldest.
@@ -69,15 +69,15 @@
 
 func (w *window) advance(now float64) {
 	k, n := int64(math.Floor(now/w.step)), int64(len(w.sums))
-	for i := max(w.first+1, k-n+1); i <= k; i++ {
+	for i := max(w.newest+1, k-n+1); i <= k; i++ {
 		*w.bucket(i) = 0
 	}
-	w.first = max(w.first, k)
+	w.newest = max(w.newest, k)
 }
 
 func (w *window) add(now, v float64) {
 	w.advance(now)
-	*w.bucket(w.first) += v
+	*w.bucket(w.newest) += v
 }
 
 // most sums everything in the span and the whole of the step that its start cuts.
@@ -92,5 +92,5 @@
 // least sums only the steps that lie wholly inside the span.
 func (w *window) least(now float64) float64 {
 	sum := w.most(now)
-	return sum - *w.bucket(w.first + 1)
+	return sum - *w.bucket(w.newest + 1)
 }
--- a/admission/members_test.go
+++ b/admission/merge_test.go
@@ -24,14 +24,14 @@
 		list[k] = Entry{Engine: uint32(k + 1), State: Ready}
 	}
 	p := newPool(1)
-	p.merge(Full, list, func(*engine) {})
+	p.merge(Full, list, func(*server) {})
 	shortest := time.Hour
 	for range 9 {
 		began := time.Now()
-		p.merge(Full, list[1:], func(*engine) {})
+		p.merge(Full, list[1:], func(*server) {})
 		shortest = min(shortest, time.Since(began))
 	}
-	if first := p.engines[p.index[1]]; first.State != Gone {
+	if first := p.servers[p.index[1]]; first.State != Gone {
 		return 0
 	}
 	return shortest
@@ -47,7 +47,7 @@
 		p := newPool(routers)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		p.merge(Full, list, func(*engine) {})
+		p.merge(Full, list, func(*server) {})
 		runtime.ReadMemStats(&after)
 		return after.TotalAlloc - before.TotalAlloc
 	}
--- a/admission/subset.go
+++ b/admission/subset.go
@@ -10,30 +10,30 @@
 }
 
 // Hold tells what part of the pool the list is from now on, and counts from the next tick. Without it the list is the whole pool.
-func (b *Brain) Hold(h Held) { b.held = h }
+func (b *Brain) Hold(h Held) { b.coverage = h }
 
 // equalShare is of each engine for this router where all have the same traffic. The pool is shared out among all routers, and each
 // holds a part of it: as many routers share an engine as there are, times that part.
 func (p *pool) equalShare() float64 {
-	share := 1 / float64(len(p.heard))
-	if p.held.Part > 0 && p.held.Part < 1 {
-		share = min(share/p.held.Part, 1)
+	share := 1 / float64(len(p.peerHeardAt))
+	if p.coverage.Part > 0 && p.coverage.Part < 1 {
+		share = min(share/p.coverage.Part, 1)
 	}
 	return share
 }
 
-// ofPool turns a share of each held engine into one of the whole pool, an equal one at least.
-func (p *pool) ofPool(share float64) float64 {
-	if p.held.Part > 0 && p.held.Part < 1 {
-		return max(share*p.held.Part, 1/float64(len(p.heard)))
+// shareOfPool turns a share of each held engine into one of the whole pool, an equal one at least.
+func (p *pool) shareOfPool(share float64) float64 {
+	if p.coverage.Part > 0 && p.coverage.Part < 1 {
+		return max(share*p.coverage.Part, 1/float64(len(p.peerHeardAt)))
 	}
 	return share
 }
 
-// heldOf is the part of a zone's cores that is held, 1 where that is not known.
-func (p *pool) heldOf(zone int) float64 {
-	if zone < len(p.held.Zones) && p.held.Zones[zone] > 0 {
-		return p.held.Zones[zone]
+// zoneCoverage is the part of a zone's cores that is held, 1 where that is not known.
+func (p *pool) zoneCoverage(zone int) float64 {
+	if zone < len(p.coverage.Zones) && p.coverage.Zones[zone] > 0 {
+		return p.coverage.Zones[zone]
 	}
 	return 1
 }
@@ -50,23 +50,23 @@
 	Crowded             // it turned a request away just now, or is slow by as much as after that
 )
 
-// crowdedAt is the slowdown that a turned-away request is taken for.
-const crowdedAt = 2
+// crowdedSlowdown is the slowdown that a turned-away request is taken for.
+const crowdedSlowdown = 2
 
 // Condition tells how an engine is now.
 func (b *Brain) Condition(now float64, engine uint32) Condition {
 	b.now = now
 	k, ok := b.index[engine]
-	if !ok || b.engines[k].State != Ready {
+	if !ok || b.servers[k].State != Ready {
 		return Unlisted
 	}
-	e := &b.engines[k]
+	e := &b.servers[k]
 	switch {
-	case e.ill:
+	case e.unhealthy:
 		return Unhealthy
 	case b.isCold(e):
 		return Warming
-	case now < e.fullTo || b.slowOf(e) >= crowdedAt:
+	case now < e.fullUntil || b.slowdownOf(e) >= crowdedSlowdown:
 		return Crowded
 	}
 	return Usable
--- a/admission/subset_test.go
+++ b/admission/subset_test.go
@@ -44,8 +44,8 @@
 		b.Hold(c.held)
 		b.Woken(0.005, 0)
 		near := func(a, b float64) bool { return math.Abs(a-b) < 1e-12 }
-		if !near(b.share, c.share) || !near(b.quotaPart(0), c.quota) {
-			t.Errorf("%s: share %v, of a quota %v; want %v and %v", c.name, b.share, b.quotaPart(0), c.share, c.quota)
+		if !near(b.share, c.share) || !near(b.quotaShare(0), c.quota) {
+			t.Errorf("%s: share %v, of a quota %v; want %v and %v", c.name, b.share, b.quotaShare(0), c.share, c.quota)
 		}
 		r := b.Report(1, 2)
 		for z, ready := range c.ready {
@@ -65,11 +65,11 @@
 			t.Errorf("engine %d: condition %d, want %d", engine, got, want)
 		}
 	}
-	b.engines[b.index[1]].fullTo = 101
+	b.servers[b.index[1]].fullUntil = 101
 	if got := b.Condition(100, 1); got != Crowded {
 		t.Errorf("an engine that turned a request away: condition %d", got)
 	}
-	b.engines[b.index[1]].ill = true
+	b.servers[b.index[1]].unhealthy = true
 	if got := b.Condition(100, 1); got != Unhealthy {
 		t.Errorf("an engine that gets probes only: condition %d", got)
 	}
--- a/admission/memory_test.go
+++ b/admission/warmstart_test.go
@@ -12,11 +12,11 @@
 	b := New(set, 100, &deafHost{})
 	b.Members(100, Full, []Entry{{Engine: 1, ReadyAt: 50, State: Ready}, {Engine: 2, State: Ready}})
 	for range 30 {
-		b.prof[0].meet(0.3)
-		b.prof[0].read.add(0.4)
+		b.profiles[0].observeWork(0.3)
+		b.profiles[0].current.add(0.4)
 	}
-	b.tenants[0].left = -5
-	b.doubt(&b.engines[0], "is silent")
+	b.tenants[0].tokens = -5
+	b.suspect(&b.servers[0], "is silent")
 	k := b.Knows()
 	if len(k.Engines) != 1 || k.Engines[0].ID != 1 || k.Profiles[0].Seen != 30 || k.Tenants[0].Left != -5 {
 		t.Fatalf("it knows %+v", k)
@@ -24,16 +24,16 @@
 	beliefs := warmstart.Believe(k, 2, true, Fingerprints(set.Profiles), set.Rates())
 	set.Memory = &beliefs
 	for _, c := range []struct {
-		start float64
-		ill   bool
+		start     float64
+		unhealthy bool
 	}{{50, true}, {60, false}} {
 		n := New(set, 102, &deafHost{})
 		n.Members(102, Full, []Entry{{Engine: 1, ReadyAt: c.start, State: Ready}, {Engine: 2, State: Ready}})
-		if got := n.engines[n.index[1]].ill; got != c.ill || n.engines[n.index[2]].ill {
+		if got := n.servers[n.index[1]].unhealthy; got != c.unhealthy || n.servers[n.index[2]].unhealthy {
 			t.Errorf("started at %v: doubted %v", c.start, got)
 		}
-		if p := &n.prof[0]; p.seen < 9.9 || p.seen > 10 || p.read.n < 25 || p.work < 0.29 || p.work > 0.31 || n.tenants[0].left != 15 {
-			t.Errorf("%v answers, %v times, work %v, tenant %v", p.seen, p.read.n, p.work, n.tenants[0].left)
+		if p := &n.profiles[0]; p.samples < 9.9 || p.samples > 10 || p.current.n < 25 || p.work < 0.29 || p.work > 0.31 || n.tenants[0].tokens != 15 {
+			t.Errorf("%v answers, %v times, work %v, tenant %v", p.samples, p.current.n, p.work, n.tenants[0].tokens)
 		}
 	}
 	if a := Fingerprints([]Profile{{Target: 1}, {Target: 1, Zones: []int{0}}, {Target: 1, Kinds: []int{0}}}); a[0] == a[1] || a[1] == a[2] {
