--- a/admission/api.go
+++ b/admission/api.go
@@ -1,8 +1,8 @@
-// Package admission decides, for one router, what happens to every command: shed, held, or sent to an engine.
+// Package admission decides, for one router, whether each request is rejected, queued or sent to a server.
 //
-// This file is the interface and holds no decision. A host makes one Brain per router with New, calls its
-// methods as things happen, each with the current time, and carries out what comes back through Host. Nothing
-// here knows a wire. Times are seconds on any clock that only advances; ids come back unaltered.
+// This file is the interface and holds no decision. A host makes one Controller per router with New, calls its methods
+// as events happen, each with the current time, and carries out the actions that come back through Host. Nothing here
+// depends on a wire protocol. Times are seconds on any clock that only advances; ids are returned unaltered.
 package admission
 
 import (
@@ -11,70 +11,70 @@
 	"dunereach/warmstart"
 )
 
-// Host is what the module asks of its surroundings. Calls are carried out in the order made.
+// Host carries out the actions of a Controller. Calls are carried out in the order made.
 type Host interface {
-	Send(id, engine uint32, limit, by float64)            // a send that ends by itself after limit, and leaves before by, 0: any time
-	Shed(id uint32, pause float64)                        // final: a retry is harmless, best after pause (0: any time)
-	Fail(id uint32)                                       // final: nothing is promised
-	Cancel(id uint32, send int)                           // stop waiting for that send
-	Withdraw(id uint32, send int)                         // end that send as Moot if nothing of it has left yet
-	Probe(engine uint32)                                  // ask an engine how it is; Probed answers
-	Priority(id uint32, level int, grant float64)         // 0 to 3, at once; memory of later sends, 0: engine's choice
-	Wake(after float64, token uint64)                     // Woken with that token, not before
-	Tell(peer int, data []byte)                           // a short message to another router, -1 for all
-	Watch(on bool)                                        // follow the list of engines, where it must be asked for
-	Log(text string)                                      // a line for the people on call
-	Told(id uint32, k waittime.Kind, e waittime.Estimate) // how long it will be; before a Shed, until it would be let in
+	Send(id, server uint32, timeout, sendBefore float64)  // starts an attempt that ends by itself after timeout and leaves before sendBefore (0: any time)
+	Shed(id uint32, pause float64)                        // final answer: retrying is harmless, best after pause (0: at any time)
+	Fail(id uint32)                                       // final answer: the request may or may not have run
+	Cancel(id uint32, attempt int)                        // stops waiting for that attempt
+	Withdraw(id uint32, attempt int)                      // ends that attempt as Moot if nothing of it has been sent yet
+	Probe(server uint32)                                  // asks a server for its load; Probed receives the answer
+	Priority(id uint32, level int, grant float64)         // level 0 to 3, takes effect at once; grant: memory for later attempts, 0: the server chooses
+	Wake(after float64, token uint64)                     // calls Woken with that token, not before
+	Tell(peer int, data []byte)                           // sends a short message to another router, -1: to all
+	Watch(on bool)                                        // follows the list of servers, where it must be requested
+	Log(text string)                                      // writes a line for the operators
+	Told(id uint32, k waittime.Kind, e waittime.Estimate) // reports an estimated time; before a rejection: until the request would be admitted
 }
 
-// Effect says what running a command twice does.
+// Effect says whether a request may run twice.
 type Effect uint8
 
 // The effects.
 const (
 	Replayable    Effect = iota // may run again
-	Uniqued                     // a repeat is known by its mark, within Group and Window
+	Uniqued                     // the servers drop a repeat with the same key, within Group and Window
 	NonReplayable               // must never run twice
 )
 
-// Group says which engines drop the repeats of a uniqued command.
+// Group says which servers drop the repeats of a request that is idempotent by key.
 type Group uint8
 
-// Those of the whole deployment, of a zone or of a cell.
+// The servers of the whole deployment, of a zone or of a cell.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupCell
 )
 
-// Profile is the settings of one kind of command.
+// Profile holds the settings of one kind of request.
 type Profile struct {
-	Target, Stretch float64 // latency target, and what it grows by per second of work on each thread
+	Target, Stretch float64 // latency target, and its increase per second of work on each thread
 	Benefit         float64 // of an answer in time
 	Effect          Effect
 	Group           Group
 	Window          float64 // how long repeats are dropped
 	Ordered         bool
-	Zones, Kinds    []int // the only places allowed; nil: any
+	Zones, Kinds    []int // the only zones and kinds of machine allowed; nil: any
 	Threads         int
 }
 
-// Tenant has a share of the service.
+// Tenant has a quota of requests per second.
 type Tenant struct{ QuotaPerS float64 }
 
-// Settings are fixed for the life of a Brain. A zero figure means that the rule or liberty does not exist.
+// Settings are fixed while a Controller exists. With a zero value the rule or the option is off.
 type Settings struct {
 	Seed              uint64
 	Me, Routers, Zone int
 	Tick              float64
 	Profiles          []Profile
 	Tenants           []Tenant
-	OverShareBenefit  float64   // benefit of a command beyond its tenant's quota, as a share
+	OverShareBenefit  float64   // factor on the benefit of a request beyond its tenant's quota
 	KindCores         []float64 // cores by kind of machine; empty: not known
-	Ask               bool      // the list comes only when watched
+	Ask               bool      // the list of servers comes only when watched
 
 	Cancels, Peers, Priorities bool
-	ProbeLoads                 bool // a probe tells how many commands an engine holds
+	ProbeLoads                 bool // a probe reports how many requests a server holds
 	MaxSends                   int
 	MaxPause                   float64 // longest pause that clients honour, 0: none
 
@@ -82,62 +82,65 @@
 	KeyRest                                    float64
 	BudgetFree, BudgetShare, BudgetWindow      float64
 
-	Memory *warmstart.Beliefs // of what an earlier process knew, engines' starts by this one's clock; nil: nothing
+	Memory *warmstart.Beliefs // beliefs taken over from an earlier process, with start times of servers on this process's clock; nil: none
 
-	Fleet  Fleet               // nil: nothing is heard of what other routers agree on
-	Plan   Plan                // nil: zones have a price of the module's own
-	Teams  Teams               // nil: commands are of no team
-	Waits  *waittime.Estimator // nil: no waits are told
-	Ageing float64             // with teams: seconds of work per benefit that a second of waiting makes up for
+	Fleet  Fleet               // nil: no shares agreed between routers
+	Plan   Plan                // nil: the controller sets its own price for crossing zones
+	Teams  Teams               // nil: requests belong to no team
+	Waits  *waittime.Estimator // nil: no estimates are reported
+	Ageing float64             // with teams: seconds of work per benefit that one second of waiting makes up for
 }
 
-// Teams decides between the commands of teams that compete: which of the held goes next, who may use the short lane, whose
-// running sends step back. A command is known by its place. Package budgets has one. Work is in core seconds.
+// Teams decides between the requests of competing teams: which queued request goes next, which may use the fast path,
+// and which running attempts are lowered in priority. A request is identified by its index. Package fairshare has an
+// implementation. Work is in core seconds.
 type Teams interface {
 	Enqueue(now float64, at int32, team int, rank, work, threads, due float64) // due: latest time to send it
 	Dequeue(at int32)
-	StartWalk(now float64) // a walk over the held commands, in the order that holds now
-	Next() int32           // the next, -1: none; the same until it is sent or skipped
+	StartWalk(now float64) // starts a walk over the queued requests, in the current order
+	Next() int32           // the next one, -1: none; the same until it is sent or skipped
 	Skip(at int32)
-	MarkUnplaceable(at int32)                      // no engine would take it whatever the places
-	GaveUp(now float64, team int, price float64)   // a held command was; price is work per benefit
-	Cut(now float64, team int) float64             // price from which the line gave up of late
-	ShareOf(team int) float64                      // part of the pool among the teams in use
-	Ahead(team int, rank float64) float64          // held work that leaves before a command of that rank would
-	MayStart(now float64, at int32, team int) bool // take a place now
-	Lane(team int) bool                            // go past full places with a short command
-	AttemptStarted(now float64, at int32, team int, work, threads float64, bends bool)
-	AttemptEnded(now float64, at int32, work float64)      // that it took; negative: not known, what was expected stays charged
+	MarkUnplaceable(at int32)                      // no server would take it even with free slots
+	GaveUp(now float64, team int, price float64)   // a queued request was given up; price is work per benefit
+	Cut(now float64, team int) float64             // price from which queued requests were given up recently
+	ShareOf(team int) float64                      // share of the pool among the active teams
+	Ahead(team int, rank float64) float64          // queued work that leaves before a request of that rank
+	MayStart(now float64, at int32, team int) bool // whether it may take a slot now
+	Lane(team int) bool                            // whether short requests may exceed the full slots
+	AttemptStarted(now float64, at int32, team int, work, threads float64, mayBeLowered bool)
+	AttemptEnded(now float64, at int32, work float64)      // work: what it took; negative: not known, the expected work stays charged
 	Noted(at int32, share float64, spills bool)            // share done
-	Tick(now, capacity float64) []fairshare.PriorityChange // levels to change now; core seconds a second of this router's part
+	Tick(now, capacity float64) []fairshare.PriorityChange // priorities to change now; capacity: this router's share in core seconds per second
 }
 
-// Fleet is what this router has heard of work done on behalf of all. Package member has one. Parts are shares of a whole.
+// Fleet provides what this router has received of the shares that are agreed between all routers. Package agent has an
+// implementation. Shares are fractions of a total.
 type Fleet interface {
-	Part(now float64, engine uint32, start float64) (part float64, ok bool) // of a cold engine's allowance; not ok: the equal part
-	Quota(now float64, tenant int) (part float64, ok bool)                  // of a tenant's quota; not ok: as without a fleet
-	TrialAt(now float64, engine uint32, start, own float64) float64         // when to try a doubted engine, instead of own
-	Tried(now float64, engine uint32, start float64, well bool)             // how a trial went
+	Part(now float64, server uint32, start float64) (share float64, ok bool) // of a cold server's allowance; not ok: use the equal share
+	Quota(now float64, tenant int) (share float64, ok bool)                  // of a tenant's quota; not ok: as without a fleet
+	TrialAt(now float64, server uint32, start, own float64) float64          // when to probe a suspected server, in place of own
+	Tried(now float64, server uint32, start float64, succeeded bool)         // reports the result of a probe
 }
 
-// Plan is the fleet's agreed shares of work by zone, as this router follows them. Package failover has one.
+// Plan provides the fleet's agreed shares of work by zone, as this router follows them. Package failover has an
+// implementation.
 type Plan interface {
-	Price(now float64, zone int, work float64) (price float64, ok bool) // of a zone, in load of an engine; not ok: nothing was heard
-	Sent(now float64, zone int, work float64)                           // work went there
-	Keeps(now, price, work float64) bool                                // let a command in, where a part of all fits nowhere
+	Price(now float64, zone int, work float64) (price float64, ok bool) // of a zone, as a load of a server; not ok: nothing was received
+	Sent(now float64, zone int, work float64)                           // counts work sent to the zone
+	Keeps(now, price, work float64) bool                                // whether to admit a request where the demand exceeds the capacity of all zones
 }
 
-// Use is what this router would have of the fleet's wholes, and what it knows of engines.
+// Use receives the shares of the fleet's totals that this router needs, and the servers that it suspects.
 type Use struct {
-	Cold    func(engine uint32, zone int, start, need, least float64) // a cold engine; parts of its allowance
-	Doubted func(engine uint32, zone int, start float64)              // an engine that gets trials only
-	Tenant  func(tenant int, need float64)                            // part of its quota
+	Cold    func(server uint32, zone int, start, need, least float64) // a cold server; need and least are shares of its allowance
+	Doubted func(server uint32, zone int, start float64)              // a server that receives probes only
+	Tenant  func(tenant int, need float64)                            // share of its quota
 }
 
-// State of an engine as the list has it.
+// State of a server in the list.
 type State uint8
 
-// A server may be gone from the list, finish what it has, or take new attempts.
+// A server may have gone from the list, be completing its open attempts, or accept new ones.
 const (
 	Gone State = iota
 	Draining
@@ -146,41 +149,41 @@
 
 func (s State) String() string { return [...]string{"gone", "draining", "ready"}[s] }
 
-// Scope of a list event.
+// Scope says how complete a list event is.
 type Scope uint8
 
-// What a list event says of the servers that it does not name.
+// The scopes.
 const (
 	Delta     Scope = iota // changed entries only
 	Cached                 // the whole list, possibly out of date
 	Full                   // the whole list
-	FailedAsk              // no entries: asking failed or the subscription broke
+	FailedAsk              // no entries: the query failed or the subscription broke
 )
 
-// Entry is one engine of the list.
+// Entry is one server of the list.
 type Entry struct {
 	Engine           uint32
 	Kind, Zone, Cell int
 	Weight           float64
-	ReadyAt          float64 // latest start, 0: long past
+	ReadyAt          float64 // latest start, 0: long ago
 	State            State
 }
 
-// Command is one try of a client.
+// Request is one request of a client. A client's retry is a new one.
 type Command struct {
 	ID              uint32
 	Profile, Tenant int
 	Key             uint64  // order key, 0: none
-	TimeLeft        float64 // before the client gives this try up
+	TimeLeft        float64 // until the client timeout
 	Cost            float64 // estimate of the work over all threads, 0: none
 	Memory          float64 // estimate in MB, 0: none
 	Area            uint32  // subject area that it reads
-	Retry           bool    // known to be a client's repeat
-	Team            int     // as Settings.Teams numbers them
-	Mark            uint64  // the same for all tries of one command, 0: not known
+	Retry           bool    // known to be a client's retry
+	Team            int     // index as in Settings.Teams
+	Mark            uint64  // the same for all retries of one request by its client, 0: not known
 }
 
-// End is how a send ended.
+// End is how an attempt ended.
 type End uint8
 
 // The ends of an attempt.
@@ -199,36 +202,36 @@
 	return [...]string{"answered", "error", "turned away", "timed out", "unreachable", "cut off", "cancelled", "moot"}[e]
 }
 
-// NeverRan tells whether the end proves that the engine did nothing.
+// NeverRan reports whether the end proves that the server did nothing.
 func (e End) NeverRan() bool { return e == TurnedAway || e == Unreachable || e == Moot }
 
-// Load is an engine's own word on itself. Fields that are not reported are negative.
+// Load is a server's report on its own load. Fields that are not reported are negative.
 type Load struct{ Held, Waiting, Cores, Memory, Disks float64 }
 
-// Outcome of one send.
+// Outcome of one attempt.
 type Outcome struct {
 	ID, Engine uint32
 	Send       int
 	End        End
-	Unsent     bool    // nothing of it had left when it ended
-	Lag        float64 // since the send
-	Over       bool    // the command has had its final answer
-	Work       float64 // true work, 0: not told
-	Memory     float64 // true need in MB
-	Load       *Load   // nil: none came along
+	Unsent     bool    // nothing of it had been sent when it ended
+	Lag        float64 // since the attempt was sent
+	Over       bool    // the request has had its final answer
+	Work       float64 // measured work, 0: not reported
+	Memory     float64 // measured need in MB
+	Load       *Load   // nil: none was attached
 }
 
-// NoteKind is what a note tells of a send that is out.
+// ProgressKind says which progress an attempt reports.
 type NoteKind uint8
 
-// The kinds of notes.
+// The kinds of progress.
 const (
 	Progressed NoteKind = iota + 1 // Value: share done
 	Spilling                       // Value: MB missing
 	Waiting                        // Value: 1 for memory, 2 for a load
 )
 
-// Note tells of a send that is out.
+// Progress is a report on an attempt in flight.
 type Note struct {
 	ID, Engine uint32
 	Send       int
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -9,32 +9,32 @@
 )
 
 // play is one command after another through a module: taken, admitted, sent, answered.
-func commands(b *testing.B, set Settings, engines int, command func(k int) Command) {
-	h := &deafHost{}
+func runRequests(b *testing.B, set Settings, servers int, request func(k int) Command) {
+	h := &nopHost{}
 	m := New(set, 0, h)
 	var list []Entry
-	for k := range engines {
+	for k := range servers {
 		list = append(list, Entry{Engine: uint32(k + 1), State: Ready})
 	}
 	m.Members(0, Full, list)
 	now := 0.0
-	one := func(k int) {
+	serveOne := func(k int) {
 		now += 0.001
-		c := command(k)
+		c := request(k)
 		c.ID, c.TimeLeft = uint32(k+1), 4
 		m.Command(now, c)
-		m.Outcome(now+0.0005, Outcome{ID: c.ID, Engine: h.engine, End: Answered, Lag: 0.0005, Work: c.Cost, Over: true})
+		m.Outcome(now+0.0005, Outcome{ID: c.ID, Engine: h.server, End: Answered, Lag: 0.0005, Work: c.Cost, Over: true})
 		if k%50 == 0 {
 			m.Woken(now, 0)
 		}
 	}
 	for k := range 1000 {
-		one(k)
+		serveOne(k)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for k := range b.N {
-		one(1000 + k)
+		serveOne(1000 + k)
 	}
 }
 
@@ -42,7 +42,7 @@
 func BenchmarkEngines(b *testing.B) {
 	for _, n := range []int{8, 72, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			commands(b, defaults(), n, func(int) Command { return Command{Cost: 0.1} })
+			runRequests(b, defaults(), n, func(int) Command { return Command{Cost: 0.1} })
 		})
 	}
 }
@@ -53,9 +53,9 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			set := defaults()
 			if n > 0 {
-				set.Teams = tree(b, n)
+				set.Teams = teamTree(b, n)
 			}
-			commands(b, set, 8, func(k int) Command { return Command{Cost: 0.1, Team: k % min(max(n, 1), 100)} })
+			runRequests(b, set, 8, func(k int) Command { return Command{Cost: 0.1, Team: k % min(max(n, 1), 100)} })
 		})
 	}
 }
@@ -63,11 +63,11 @@
 // BenchmarkWaits: with waits told.
 func BenchmarkWaits(b *testing.B) {
 	set := defaults()
-	set.Teams, set.Waits = tree(b, 100), waittime.New(len(set.Profiles), 1)
-	commands(b, set, 8, func(k int) Command { return Command{Cost: 0.1, Team: k % 100, Mark: uint64(k) + 1} })
+	set.Teams, set.Waits = teamTree(b, 100), waittime.New(len(set.Profiles), 1)
+	runRequests(b, set, 8, func(k int) Command { return Command{Cost: 0.1, Team: k % 100, Mark: uint64(k) + 1} })
 }
 
-func tree(t testing.TB, n int) *fairshare.Tree {
+func teamTree(t testing.TB, n int) *fairshare.Tree {
 	s := fairshare.Spec{Default: "t0", Ageing: 0.1, Turns: true, Changes: 20}
 	for k := range n {
 		s.Nodes = append(s.Nodes, fairshare.Node{Name: fmt.Sprint("t", k), Weight: 1 + float64(k%3)})
--- a/admission/cold_budget_test.go
+++ b/admission/cold_budget_test.go
@@ -8,14 +8,14 @@
 
 // coldFleet is routers that send one cold server all that their budgets let them, on virtual time.
 type coldFleet struct {
-	brain     *Brain
-	draw      *rand.Rand
-	servers   []server  // the server as each router knows it
-	told      []float64 // when each hears of the server
-	startedAt []float64 // when each router's process started
-	least     float64   // work of a request
-	most      float64
-	sent      []coldAttempt
+	controller *Brain
+	random     *rand.Rand
+	servers    []server  // the server as each router knows it
+	learnedAt  []float64 // when each hears of the server
+	startedAt  []float64 // when each router's process started
+	least      float64   // work of a request
+	most       float64
+	sent       []coldAttempt
 }
 
 type coldAttempt struct{ at, work float64 }
@@ -23,17 +23,17 @@
 const coldStep = 0.05 // seconds
 
 // newColdFleet draws a deployment. A router's requests are of any size up to the lane's mark.
-func newColdFleet(draw *rand.Rand, routers int) *coldFleet {
-	between := func(least, most float64) float64 { return least + (most-least)*draw.Float64() }
+func newColdFleet(random *rand.Rand, routers int) *coldFleet {
+	between := func(least, most float64) float64 { return least + (most-least)*random.Float64() }
 	settings := Settings{Routers: routers, Tick: 0.005, KindCores: []float64{8}, ColdFrom: between(0.1, 0.6), WarmUp: between(4, 30),
 		FallMultiple: between(1.2, 3), FallWindow: between(0.5, 2), Profiles: []Profile{{Target: math.Pow(10, between(-1.5, 0.7)), Benefit: 1, Threads: 1}}}
-	f := &coldFleet{brain: New(settings, 0, &deafHost{}), draw: draw}
-	f.most = f.brain.fastPathLimit
+	f := &coldFleet{controller: New(settings, 0, &nopHost{}), random: random}
+	f.most = f.controller.fastPathLimit
 	f.least = f.most * math.Pow(10, between(-3, 0))
-	cores := float64(4 + draw.IntN(61))
+	cores := float64(4 + random.IntN(61))
 	for range routers {
-		f.servers = append(f.servers, server{Entry: Entry{Engine: uint32(draw.IntN(9999)), ReadyAt: 1, State: Ready}, cores: cores})
-		f.told, f.startedAt = append(f.told, 1+between(0, 0.2)), append(f.startedAt, 0)
+		f.servers = append(f.servers, server{Entry: Entry{Engine: uint32(random.IntN(9999)), ReadyAt: 1, State: Ready}, cores: cores})
+		f.learnedAt, f.startedAt = append(f.learnedAt, 1+between(0, 0.2)), append(f.startedAt, 0)
 	}
 	for k := range f.servers {
 		f.servers[k].Engine = f.servers[0].Engine
@@ -42,21 +42,21 @@
 	return f
 }
 
-func (f *coldFleet) work() float64 { return f.least * math.Pow(f.most/f.least, f.draw.Float64()) }
+func (f *coldFleet) work() float64 { return f.least * math.Pow(f.most/f.least, f.random.Float64()) }
 
 // restart has a router forget what it has sent.
 func (f *coldFleet) restart(router int, now float64) {
 	f.startedAt[router] = now
-	f.servers[router].coldWork = newWindow(f.brain.settings.FallWindow, 10)
+	f.servers[router].coldWork = newWindow(f.controller.settings.FallWindow, 10)
 }
 
 // send has each router send all that it may.
 func (f *coldFleet) send(now float64) {
-	b := f.brain
+	b := f.controller
 	b.now = now
 	for k := range f.servers {
 		e := &f.servers[k]
-		if now < f.told[k] {
+		if now < f.learnedAt[k] {
 			continue
 		}
 		b.settings.Me, b.startedAt = k, f.startedAt[k]
@@ -73,9 +73,9 @@
 	}
 }
 
-// worst is the most work in a window, as a part of what the rule allows then.
-func (f *coldFleet) worst() (part float64) {
-	settings, sum, first, total := f.brain.settings, 0.0, 0, 0.0
+// worstUse is the most work in a window, as a part of what the rule allows then.
+func (f *coldFleet) worstUse() (use float64) {
+	settings, sum, first, total := f.controller.settings, 0.0, 0, 0.0
 	for _, a := range f.sent {
 		total += a.work
 	}
@@ -90,37 +90,37 @@
 		if n < 30 {
 			allowed = n + 3*math.Sqrt(n) + 3
 		}
-		part = max(part, sum/mean/allowed)
+		use = max(use, sum/mean/allowed)
 	}
-	return part
+	return use
 }
 
 // TestColdBudgets guards against routers that send a cold server more than it bears, all together and all that they may: the rule's bound holds
 // in each window, with up to a third of the routers restarted within one, and some told later than others.
 func TestColdBudgets(t *testing.T) {
 	const cases, longest, most = 10000, 4.0, 60
-	worst := 0.0
+	worstUse := 0.0
 	for seed := range uint64(cases) {
-		draw := rand.New(rand.NewPCG(seed, 2))
-		f := newColdFleet(draw, 1+draw.IntN(most))
-		restarts := draw.IntN(len(f.servers)/3 + 1)
-		restartAt := 1 + 3*draw.Float64()
-		end := 1 + min(longest, f.brain.settings.WarmUp)
+		random := rand.New(rand.NewPCG(seed, 2))
+		f := newColdFleet(random, 1+random.IntN(most))
+		restarts := random.IntN(len(f.servers)/3 + 1)
+		restartAt := 1 + 3*random.Float64()
+		end := 1 + min(longest, f.controller.settings.WarmUp)
 		for now := 1.0; now < end; now += coldStep {
 			if now >= restartAt {
 				for range restarts {
-					f.restart(draw.IntN(len(f.servers)), now)
+					f.restart(random.IntN(len(f.servers)), now)
 				}
 				restarts = 0
 			}
 			f.send(now)
 		}
-		part := f.worst()
-		if worst = max(worst, part); part > 1 {
-			t.Fatalf("seed %d: %d routers send %.2f of what the rule allows", seed, len(f.servers), part)
+		use := f.worstUse()
+		if worstUse = max(worstUse, use); use > 1 {
+			t.Fatalf("seed %d: %d routers send %.2f of what the rule allows", seed, len(f.servers), use)
 		}
 	}
-	t.Logf("%.2f of what the rule allows at most", worst)
+	t.Logf("%.2f of what the rule allows at most", worstUse)
 }
 
 // served is how many routers have sent something.
@@ -139,13 +139,13 @@
 	const cases, routers, watched = 20, 1600, 4.0
 	for seed := range uint64(cases) {
 		f := newColdFleet(rand.New(rand.NewPCG(seed, 3)), routers)
-		settings := f.brain.settings
+		settings := f.controller.settings
 		f.least = min(f.least, settings.FallMultiple*f.servers[0].cores*coldMargin*settings.ColdFrom*settings.FallWindow/routers/10)
 		for now := 1.0; now < 1+settings.WarmUp && (now < 1+watched || f.served() < routers); now += coldStep {
 			f.send(now)
 		}
-		if part := f.worst(); part > 1 {
-			t.Errorf("seed %d: %.2f of what the rule allows", seed, part)
+		if use := f.worstUse(); use > 1 {
+			t.Errorf("seed %d: %.2f of what the rule allows", seed, use)
 		}
 		if n := f.served(); n < routers {
 			t.Errorf("seed %d: %d of %d routers send something before it is warm", seed, n, routers)
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -1,6 +1,7 @@
-// This file holds every decision of dunereach. A host makes one Brain per router (api.go has the interface)
-// and tells it what happens. A command runs down the chain take, admit, order, place; each stage passes it on,
-// keeps it (in the held line) or ends it; what comes back runs up. Bouncer's rule decides the ordinary path.
+// This file holds every decision on a request. A host makes one Controller per router (api.go has the interface) and
+// reports events to it. A request passes the stages register, admit, order and place in that order; each stage passes
+// it on, keeps it queued or ends it. The outcome of an attempt passes the stages in reverse. The Bouncer policy decides
+// the ordinary path.
 package admission
 
 import (
@@ -11,7 +12,7 @@
 	"dunereach/fleet/failover"
 )
 
-// Brain is the mind of one router.
+// Controller decides for one router.
 type Brain struct {
 	settings Settings
 	host     Host
@@ -20,58 +21,60 @@
 	requests requestSet
 	profiles []profileState
 	tenants  []tenantState
-	pool     // engines, and what other routers have there
+	pool     // servers, and the load that other routers have on them
 
-	requestsTaken, retries            window  // commands taken, and sends beyond each one's first
-	share, fastPathLimit, cutoffPrice float64 // of each engine for this router; cost mark of the lane; price the line gave up
-	total                             server  // what this router has on the engines that count, and their cores
+	requestsTaken, retries            window  // requests taken, and attempts beyond each request's first
+	share, fastPathLimit, cutoffPrice float64 // share of each server; longest best time on the fast path; price from which queued requests were given up
+	total                             server  // this router's load on all healthy servers, and their cores
 	outcome                           Outcome
 	message                           []byte
-	averageSlowdown                   float64            // usual slowdown over all profiles, by work
-	worstSlowdown                     float64            // slowdown of the profile that has the most: a rare one's own news is old
-	admittedWork, admittedSeconds     float64            // work of the commands let in, fading, and the seconds it stands for
-	othersPerCore                     float64            // others' threads a core, averaged over reports
-	meanAttemptTime                   float64            // mean time of a send, where waits are told
-	trackedRejections                 []trackedRejection // refused commands that are looked at again, where waits are told
-	rejections                        int
-	zoneSights                        []failover.Sight // of zones since the last report, where the fleet has a plan
-	rejectedSinceLog, nextLoadProbe   int              // sheds since the last line in the log; engine to probe next
+	averageSlowdown                   float64            // usual slowdown over all profiles, weighted by work
+	worstSlowdown                     float64            // highest slowdown of any profile, since a rare profile's own value may be out of date
+	admittedWork, admittedSeconds     float64            // decaying sums of the admitted work and of the seconds that it stands for
+	othersPerCore                     float64            // other routers' threads per core, averaged over load reports
+	meanAttemptTime                   float64            // mean duration of an attempt, where estimates are reported
+	trackedRejections                 []trackedRejection // rejected requests that are evaluated again, where estimates are reported
+	rejections                        int                // counts rejections on arrival, to track every trackEvery-th
+	zoneSights                        []failover.Sight   // outcomes by zone since the last report, where the fleet has a plan
+	rejectedSinceLog, nextLoadProbe   int                // rejections since the last log line; server to probe for its load next
 
 	startedAt, swapAt, logAt, announceAt, loadProbeAt, watchAt float64
 }
 
-// profileState is a row of the table.
+// profileState holds the settings of a profile and what was learned about it.
 type profileState struct {
 	Profile
-	current, filling            histogram // processing times: one is read while the other fills
-	received, admitted          window
-	estimatedWork, measuredWork float64 // recent sums of estimates and of the true work they stood for
-	work, samples               float64 // usual work of all threads, and how many answers or estimates stand behind it
-	slowdown                    float64 // usual slowdown: processing time over work per thread
+	current, filling            histogram // processing times: current is read while filling collects
+	received, admitted          window    // requests that arrived and requests that were admitted, by Bouncer's sliding window
+	estimatedWork, measuredWork float64   // decaying sums of the clients' estimates and of the measured work of the same requests
+	work, samples               float64   // usual work over all threads, and the number of answers or estimates behind it
+	slowdown                    float64   // usual slowdown: processing time over work per thread
 }
 
+// tenantState is the token bucket of a tenant's quota. Requests beyond the quota are served last.
 type tenantState struct {
-	tokens, refilledAt float64 // a bucket of what its quota allows; the excess goes last
-	demand             window  // commands, where the fleet deals quotas
+	tokens, refilledAt float64
+	demand             window // requests received, where the fleet grants quotas
 }
 
-const tenantDemandSpan = 5.0 // seconds: some commands of a small tenant, and short against its surges
+const tenantDemandSpan = 5.0 // seconds: long enough for some requests of a small tenant, short compared with its surges
 
-const allowanceSpan = 10.0 // the allowance's window: some tens of a rare profile's commands
+const allowanceSpan = 10.0 // seconds of the allowance's window: some tens of requests of a rare profile
 
+// New returns the controller of one router.
 func New(settings Settings, now float64, host Host) *Brain {
 	settings.Routers = max(settings.Routers, 1)
 	if settings.Teams == nil {
-		settings.Ageing = 0.05 // seconds of work per benefit and second: 0.02 was within 0.02 of it
+		settings.Ageing = 0.05 // seconds of work per benefit and second of waiting
 	}
 	b := &Brain{settings: settings, host: host, now: now, random: newPCG(settings.Seed), requests: newSet(),
 		pool: newPool(settings.Routers), share: 1 / float64(settings.Routers), fastPathLimit: math.Inf(1), cutoffPrice: math.Inf(1),
 		swapAt: now, startedAt: now, watchAt: math.Inf(1), othersPerCore: lowThreadsPerCore, averageSlowdown: 1}
-	const fastPathShare = 0.5 // the short lane leaves half the tightest target for crowding
+	const fastPathShare = 0.5 // the fast path leaves half of the tightest target for contention
 	for _, p := range settings.Profiles {
 		p.Threads = max(p.Threads, 1)
-		// Buckets from 1 ms to 5 min, each 15% wider: finer than the estimates that they are compared with.
-		// Before anything is known the work is what would leave half the target for crowding.
+		// Buckets from 1 ms to 5 min, each 15% wider: finer than the estimates that they are compared with. Until
+		// something is known, the assumed work leaves half of the target for contention.
 		b.profiles = append(b.profiles, profileState{Profile: p, current: newHistogram(0.001, 300, 1.15), slowdown: 1,
 			filling: newHistogram(0.001, 300, 1.15), received: newWindow(allowanceSpan, 20), admitted: newWindow(allowanceSpan, 20),
 			work: p.Target / 2 * float64(p.Threads)})
@@ -90,26 +93,27 @@
 
 var chain []stage
 
-func init() { // not a literal: the stages call each other through it (chain.go walks it)
+func init() { // not a literal: the stages call each other through it (chain.go runs it)
 	chain = []stage{{(*Brain).register, (*Brain).finishUnresolved}, {(*Brain).admit, (*Brain).retry},
 		{(*Brain).order, (*Brain).restKeyAfterOpenEnd}, {(*Brain).place, (*Brain).recordOutcome}}
 }
 
-// Command takes one try of a client. From here on it is owed one answer.
+// Request accepts one request of a client. From here on the client is owed exactly one answer.
 func (b *Brain) Command(now float64, c Command) {
 	b.now = now
 	b.forward(b.requests.add(c), 0)
 }
 
+// Outcome reports the end of an attempt.
 func (b *Brain) Outcome(now float64, o Outcome) {
-	b.now, b.outcome = now, o // kept here, since a pointer into the chain would put it on the heap
+	b.now, b.outcome = now, o // copied here, since a pointer to the parameter would escape to the heap
 	i, ok := b.requests.at[o.ID]
 	for s := len(chain) - 1; ok && s >= 0 && chain[s].back(b, i, &b.outcome); s-- {
 	}
 	b.dispatchQueued()
 }
 
-// ---- take: one answer for each command, before its client timeout (rule 1)
+// ---- register: one answer for each request, before its client timeout (rule 1)
 
 func (b *Brain) register(i int32) bool {
 	r := &b.requests.states[i]
@@ -118,7 +122,7 @@
 	b.requestsTaken.add(b.now, 1)
 	if r.Tenant < len(b.tenants) {
 		t, rate := &b.tenants[r.Tenant], b.settings.Tenants[r.Tenant].QuotaPerS*b.quotaShare(r.Tenant)
-		const depth = 5 // commands: a small share's ordinary chance clusters are no excess; else one second's quota
+		const depth = 5 // requests: chance clusters of a small share are no excess; for larger quotas one second's worth
 		t.tokens, t.refilledAt = min(t.tokens+(b.now-t.refilledAt)*rate, max(rate, depth)), b.now
 		if b.settings.Fleet != nil {
 			t.demand.add(b.now, 1)
@@ -130,17 +134,18 @@
 		}
 	}
 	if b.estimate(r, p); r.Cost > 0 && p.estimatedWork == 0 {
-		p.observeWork(r.Cost) // no answer yet: a cold engine's budget needs some measure
+		p.observeWork(r.Cost) // no answer yet: the budget of a cold server needs some estimate
 	}
 	if b.isOrdered(r) {
 		b.requests.enqueueKey(i)
 	}
 	r.reserved = b.settings.Waits != nil && b.settings.Waits.Booked(b.now, r.Mark)
-	b.host.Wake(max(r.TimeLeft-2*b.settings.Tick, 0), uint64(r.ID)|1<<32) // two ticks: a wake may come one late
+	b.host.Wake(max(r.TimeLeft-2*b.settings.Tick, 0), uint64(r.ID)|1<<32) // two ticks early: a wake may come one tick late
 	return pass
 }
 
-// estimate sets what a command should cost and by when: the estimate with the profile's bias taken out, else what is usual.
+// estimate sets the expected work and the target time: the client's estimate corrected by the profile's bias, else the
+// usual work.
 func (b *Brain) estimate(r *requestState, p *profileState) {
 	if r.cost = r.Cost; r.Cost <= 0 {
 		r.cost = p.work
@@ -151,10 +156,10 @@
 	r.target = r.takenAt + p.Target + p.Stretch*r.bestTime
 	r.short = r.bestTime <= b.fastPathLimit && r.benefit == p.Benefit && (b.settings.Teams == nil || b.settings.Teams.Lane(r.Team))
 	r.price = r.cost / max(r.benefit, 1e-9)
-	r.rank = r.price + b.settings.Ageing*r.takenAt // cheapest per benefit first; a second of waiting makes up for some of it
+	r.rank = r.price + b.settings.Ageing*r.takenAt // lowest work per benefit first; waiting time lowers the rank
 }
 
-// finishUnresolved ends what neither an engine nor a further send has ended.
+// finishUnresolved ends a request that has no attempt in flight and no retry ahead.
 func (b *Brain) finishUnresolved(i int32, o *Outcome) bool {
 	if r := &b.requests.states[i]; !r.done && r.inFlight.server < 0 {
 		b.finishUnserved(i)
@@ -164,7 +169,7 @@
 	return ended
 }
 
-// finishUnserved gives the final answer at once: shed where a retry is harmless (rule 2), else fail.
+// finishUnserved gives the final answer at once: a rejection where a retry is harmless (rule 2), else a failure.
 func (b *Brain) finishUnserved(i int32) {
 	r := &b.requests.states[i]
 	p := &b.profiles[r.Profile]
@@ -178,6 +183,7 @@
 	b.complete(i)
 }
 
+// complete ends a request: it leaves the queue, and its attempt is cancelled.
 func (b *Brain) complete(i int32) {
 	b.requests.states[i].done = true
 	b.dequeue(i)
@@ -194,12 +200,13 @@
 	case b.settings.Cancels:
 		r.inFlight.cancelRequested = true
 		b.host.Cancel(r.ID, r.inFlight.number)
-	default: // what still waits for its connection has run nowhere
+	default: // an attempt that still waits for its connection has run nowhere
 		b.host.Withdraw(r.ID, r.inFlight.number)
 	}
 }
 
-// releaseIfDone frees the place of a command that has its answer and no send out; its key's line moves on.
+// releaseIfDone frees the state of a request that has its final answer and no attempt in flight. The next request of
+// its order key may start.
 func (b *Brain) releaseIfDone(i int32) {
 	switch r := &b.requests.states[i]; {
 	case !r.done || r.inFlight.server >= 0:
@@ -210,6 +217,7 @@
 	}
 }
 
+// ClientLeft reports that the client no longer waits for an answer.
 func (b *Brain) Left(now float64, id uint32) {
 	b.now = now
 	if i, ok := b.requests.at[id]; ok && !b.requests.states[i].done {
@@ -218,8 +226,9 @@
 	}
 }
 
-// HalfClosed tells that the client has closed its side: it has left, or still reads. A final answer serves both: at once where
-// nothing is out, else by the send that is, and no further one. Harm: a client that still reads is shed where it was held.
+// HalfClosed reports that the client has closed its sending side. Either it has left, or it still reads. A final answer
+// serves both cases: at once if no attempt is in flight, otherwise by that attempt, without a retry. Drawback: a client
+// that still reads is rejected if its request was queued.
 func (b *Brain) HalfClosed(now float64, id uint32) {
 	b.now = now
 	if i, ok := b.requests.at[id]; ok && !b.requests.states[i].done {
@@ -233,7 +242,7 @@
 	}
 }
 
-// Started tells that a stream has begun: it is the client's now, and no timeout applies.
+// StreamStarted reports that the answer is being streamed to the client. From now on no timeout applies.
 func (b *Brain) Started(now float64, id uint32, _ int) {
 	b.now = now
 	if i, ok := b.requests.at[id]; ok {
@@ -241,12 +250,12 @@
 	}
 }
 
-// ---- admit: Bouncer's arrival estimate with its acceptance allowance
+// ---- admit: Bouncer's estimate on arrival, with its acceptance allowance
 
 func (b *Brain) admit(i int32) bool {
 	r := &b.requests.states[i]
 	p := &b.profiles[r.Profile]
-	const allowance = 0.03 // A, the paper's upper value
+	const allowance = 0.03 // A of the Bouncer paper, at the paper's upper value
 	arrivals, admitted := p.received.most(b.now), p.admitted.most(b.now)
 	ok := arrivals == 0 || admitted/arrivals < allowance || b.planAdmits(r) && b.estimatesMeetTargets(r, p) || b.random.float() < allowance
 	p.received.add(b.now, 1)
@@ -259,20 +268,23 @@
 	return pass
 }
 
-// estimatesMeetTargets compares both estimates with both targets, and the wait with the moment of giving up.
+// estimatesMeetTargets compares the p50 and p90 estimates with the latency target and the client timeout, and the wait
+// with the time at which the request would be given up.
 func (b *Brain) estimatesMeetTargets(r *requestState, p *profileState) bool {
-	if p.current.n < 20 { // the design page's
+	if p.current.n < 20 { // samples, as in the design document
 		return true
 	}
 	wait, k := 0.0, b.chooseServer(r)
 	if k >= 0 && !b.pressed(p, &b.servers[k]) {
-		// Exception: with an engine to spare a refusal protects nobody, so p90 alone does not bind (thin
-		// histograms, clients in a hurry). It ends as soon as the engines are pressed.
+		// Exception: while a server has spare capacity, a rejection protects no other request, so p90 alone does not
+		// reject (histograms with few samples, clients with short timeouts). The exception ends as soon as the servers
+		// are pressed.
 		return r.bestTime <= r.TimeLeft || p.current.quantile(0.9) <= r.TimeLeft
 	}
 	target := r.target - b.now
 	if !r.short && k < 0 {
-		// Exception: what would only be given up in the line is refused now, by its wait or what it just gave up.
+		// Exception: a request that would only be given up in the queue is rejected now, judged by its wait or by the
+		// price of requests that were just given up.
 		if wait = b.queueWait(r) + b.reservedWait(r); wait+r.bestTime > target || r.price >= b.cutoffPriceFor(r) {
 			return false
 		}
@@ -280,16 +292,16 @@
 	return wait+p.current.quantile(0.5) <= max(target, r.TimeLeft/2) && wait+p.current.quantile(0.9) <= r.TimeLeft
 }
 
-// timeUntilAdmitted is how long until a command that is refused now would be let in, if nothing else came.
+// timeUntilAdmitted is the time until a request that is rejected now would be admitted if no other arrived.
 func (b *Brain) timeUntilAdmitted(r *requestState, p *profileState) float64 {
-	const doublingTime = 1.75 // seconds in which the price that the line gave up doubles
+	const doublingTime = 1.75 // seconds in which the cutoff price doubles
 	wait, target := b.queueWait(r), r.target-r.takenAt
 	excess := max(wait+r.bestTime-target, wait+p.current.quantile(0.5)-max(target, r.TimeLeft/2), wait+p.current.quantile(0.9)-r.TimeLeft, 0)
 	return max(excess, doublingTime*math.Log2(max(r.price/b.cutoffPriceFor(r), 1)))
 }
 
-// cutoffPriceFor is the price from which a command is refused as the line gave up such, of its team where there are teams: none for
-// one that comes when it was told.
+// cutoffPriceFor is the price from which a request is rejected because queued requests of that price were given up, in
+// its own team where there are teams. A request that arrives at its reserved time has none.
 func (b *Brain) cutoffPriceFor(r *requestState) float64 {
 	switch {
 	case r.reserved:
@@ -300,7 +312,7 @@
 	return b.cutoffPrice
 }
 
-// queueWait is the wait for the held work that leaves before a command would, over this router's places.
+// queueWait is the wait for the queued work that leaves before a request, over this router's slots.
 func (b *Brain) queueWait(request *requestState) float64 {
 	work := 0.0
 	if b.settings.Teams != nil {
@@ -317,24 +329,25 @@
 	return work / max(b.slots(&b.total), 1)
 }
 
+// learnWork updates the usual work and slowdown by a completed request.
 func (b *Brain) learnWork(p *profileState, r *requestState, o *Outcome, work, slowdown float64) {
-	if o.Work > 0 && r.Cost > 0 { // sums fade over some hundred answers: the bias is the profile's and steady
+	if o.Work > 0 && r.Cost > 0 { // the sums decay over some hundred answers: the bias belongs to the profile and is steady
 		p.estimatedWork, p.measuredWork = p.estimatedWork*0.99+r.Cost, p.measuredWork*0.99+work
 	}
 	p.observeWork(work)
 	b.averageSlowdown += 0.05 * min(work/max(p.work, 0.001), 3) * min(work, 1) * (slowdown - b.averageSlowdown)
-	p.slowdown += 0.05 * min(work/max(p.work, 0.001), 3) * (slowdown - p.slowdown) // by work: tiny ones are mostly delay
+	p.slowdown += 0.05 * min(work/max(p.work, 0.001), 3) * (slowdown - p.slowdown) // weighted by work: the time of tiny requests is mostly overhead
 }
 
 func (p *profileState) observeWork(work float64) {
-	p.samples = min(p.samples+1, 100) // an average over some hundred at the most
+	p.samples = min(p.samples+1, 100) // averaged over about a hundred values at most
 	p.work += (work - p.work) / p.samples
 }
 
-// retry holds a command for a further send, where rules and time allow one.
+// retry queues a request for another attempt, where the rules and the time left allow one.
 func (b *Brain) retry(i int32, o *Outcome) bool {
 	r := &b.requests.states[i]
-	const errors = 2 // as many engines don't err by chance: more sends would only spread what none can use
+	const errors = 2 // two servers do not fail by chance: more attempts would only spread a request that no server can execute
 	if r.done || r.halfClosed || r.inFlight.server >= 0 || b.now+r.bestTime > r.deadline || r.errors >= errors ||
 		b.settings.MaxSends > 0 && r.attempts >= b.settings.MaxSends || !b.mayRunAgain(r, &b.profiles[r.Profile]) {
 		return pass
@@ -343,12 +356,13 @@
 	return keep
 }
 
-// mayRunAgain: what may have run runs again only where that does no harm (rule 2); allowed adds where.
+// mayRunAgain reports whether another attempt is harmless: a request that may have run runs again only if it is
+// idempotent (rule 2). placementAllowed restricts where.
 func (b *Brain) mayRunAgain(r *requestState, p *profileState) bool {
 	return !r.mayHaveRun || p.Effect == Replayable || p.Effect == Uniqued && b.now < r.firstRunAt+p.Window
 }
 
-// ---- order: one at a time per key, in the order taken (rule 5)
+// ---- order: one request at a time per key, in the order of arrival (rule 5)
 
 func (b *Brain) isOrdered(r *requestState) bool { return b.profiles[r.Profile].Ordered && r.Key != 0 }
 
@@ -362,7 +376,7 @@
 	return pass
 }
 
-// restKeyAfterOpenEnd starts the rest of a key after an end that may still be running.
+// restKeyAfterOpenEnd delays the next request of a key after an attempt that may still be running.
 func (b *Brain) restKeyAfterOpenEnd(i int32, o *Outcome) bool {
 	r := &b.requests.states[i]
 	if b.isOrdered(r) && (o.End == TimedOut || o.End == Cut || o.End == Cancelled) {
@@ -371,7 +385,7 @@
 	return pass
 }
 
-// ---- place: the engine with the fewest of our threads per core, within every rule
+// ---- place: the server with the fewest threads per core that no rule excludes
 
 func (b *Brain) place(i int32) bool {
 	if k := b.chooseServer(&b.requests.states[i]); k >= 0 {
@@ -383,11 +397,12 @@
 	return keep
 }
 
-const recentSpan = 3.0 // seconds that an answer or a report counts: 1.5 was no better
+const recentSpan = 3.0 // seconds for which an answer or a load report counts as recent
 
+// chooseServer returns the index of the server for the next attempt of a request, or -1.
 func (b *Brain) chooseServer(r *requestState) int32 {
 	p := &b.profiles[r.Profile]
-	// Rules 2 and 7; and one send at a time, whether or not copies are barred.
+	// Rules 2 and 7, and one attempt at a time, whether or not concurrent copies are allowed.
 	if r.inFlight.server >= 0 || !b.mayRunAgain(r, p) || r.attempts > 0 && b.settings.BudgetWindow > 0 &&
 		b.retries.most(b.now)+1 > b.settings.BudgetFree+b.settings.BudgetShare*b.requestsTaken.least(b.now) {
 		return -1
@@ -405,27 +420,28 @@
 		score := e.threads + e.otherThreads + float64(p.Threads)
 		unsure := !e.othersKnown || e.othersEstimated
 		if unsure {
-			// Chance stands for the others' threads, or all would send to the larger engines first. It is drawn
-			// once: a router keeps to engines that it knows, and many routers together follow the cores.
+			// A random number stands for the unknown threads of other routers; without it all routers would send to the
+			// larger servers first. It is drawn once per server: a router keeps to the servers that it knows, and many
+			// routers together distribute load by the cores.
 			score -= (1 - b.share) * float64(p.Threads)
-			if !b.isCold(e) { // its budget holds the others back, and a turn left out is lost
+			if !b.isCold(e) { // its budget limits the others, and an unused turn is lost
 				score += (1 - b.share) * e.randomThreads
 			}
 		}
 		score *= b.slowdownOf(e) / e.cores
-		if price, ok := b.zonePrice(e.Zone, r.cost); ok && !e.unhealthy { // trials find out when a zone is back
-			score += price // shares that the fleet agreed on, in place of a price of our own
-		} else if crossZonePrice := 0.2; e.Zone != b.settings.Zone { // elsewhere must be this much emptier: a small price and delay
+		if price, ok := b.zonePrice(e.Zone, r.cost); ok && !e.unhealthy { // probes find out when a zone is available again
+			score += price // the shares that the fleet agreed on, in place of the default price
+		} else if crossZonePrice := 0.2; e.Zone != b.settings.Zone { // a server in another zone must be this much emptier: a small price for the added delay
 			if unsure {
-				crossZonePrice *= min(max(3-2*b.worstSlowdown, 0), 1) // not while answers, mostly from here, are slow by half
+				crossZonePrice *= min(max(3-2*b.worstSlowdown, 0), 1) // not while answers, most of them from this zone, are slow by half
 			}
 			score += crossZonePrice
 		}
 		switch {
 		case int32(k) == r.avoidServer:
-			score += 1000 // any other engine first
+			score += 1000 // any other server first
 		case !r.short && (e.overdue > 0 || b.now-e.answeredAt > recentSpan):
-			score += 0.5 // a long command goes where something answered lately; short ones find out who is well
+			score += 0.5 // a long request goes to a server that answered recently; short ones find out which servers respond
 		}
 		if score < least {
 			best, least = int32(k), score
@@ -434,7 +450,7 @@
 	return best
 }
 
-// placementAllowed holds the rules on where a send may go (2, 3, 4 and 6).
+// placementAllowed applies the rules on where an attempt may run (2, 3, 4 and 6).
 func (b *Brain) placementAllowed(r *requestState, p *profileState, e *server) bool {
 	if e.State != Ready || !permitted(p.Zones, e.Zone) || !permitted(p.Kinds, e.Kind) ||
 		r.mayHaveRun && p.Effect == Uniqued && (p.Group == GroupZone && e.Zone != r.firstRunZone ||
@@ -444,26 +460,31 @@
 	return !b.isCold(e) || e.coldWork.most(b.now)+p.work <= b.coldBudget(e)
 }
 
+// coldMargin covers a slow server, routers that learn of a start late, and a burst at the start.
 const coldMargin = 0.5
 
 const (
-	// Where turns come too seldom, smaller requests go by shares of one part of the budget and all by turns of the other. Shares take
-	// their part of a window and turns one and a half of theirs: all together stay in one and a half, as with turns alone.
+	// Where turns come too seldom, smaller requests use equal shares of one part of the budget, and all requests take
+	// turns in the other part. In one window the shares use up their part and the turns one and a half times theirs.
+	// Both together stay within one and a half budgets, as with turns alone.
 	coldByShares = 0.5
 	coldByTurns  = 2.0 / 3
 )
 
-// coldWindow is what all routers together may send to a cold engine in one window.
+// coldWindow is the work that all routers together may send to a cold server in one window.
 func (b *Brain) coldWindow(e *server) float64 {
 	ramp := (b.now - e.ReadyAt) / b.settings.WarmUp
 	return b.settings.FallMultiple * e.cores * coldMargin * (b.settings.ColdFrom + (1-b.settings.ColdFrom)*ramp*ramp) * b.settings.FallWindow
 }
 
-// coldBudget is this router's share of what a cold engine takes in one window (rule 4). The ramp is not told;
-// a late one is assumed, by the square of the age. The margin covers a slow engine, routers not yet told and
-// a burst at the start. A share under one command of the lane comes in turns: the budget since its start is
-// cut into commands, each one router's for half a window: all together stay in one and a half of it. Where
-// the warm-up has no turn for each, which all routers know alike, a part of the budget comes in shares.
+// coldBudget is this router's share of the work that a cold server accepts in one window (rule 4). The server does not
+// report its ramp; a late one is assumed, by the square of the age. The margin covers a slow server, routers that have
+// not yet been notified and a burst at the start.
+//
+// A share that is too small for one request of the fast path is used in turns: the budget since the start is cut into
+// pieces of one request, and each piece belongs to one router for half a window. All routers together stay within one
+// and a half times the budget. Where the warm-up is too short for a turn for each router, which all routers compute
+// alike, a part of the budget is used in equal shares.
 func (b *Brain) coldBudget(e *server) float64 {
 	fullRate := b.settings.FallMultiple * e.cores * coldMargin
 	budget := func(age float64) float64 { // the budget up to an age
@@ -472,8 +493,8 @@
 	}
 	age, n := b.now-e.ReadyAt, float64(b.settings.Routers)
 	window := b.coldWindow(e)
-	if part, ok := b.coldShare(e); ok { // dealt by need on behalf of all: the sum of all parts is never over one
-		return window * part
+	if granted, ok := b.coldShare(e); ok { // granted by need for all routers: the sum of all shares is never over one
+		return window * granted
 	} else if share := window / n; share >= b.fastPathLimit {
 		return share
 	}
@@ -481,18 +502,19 @@
 	if budget(b.settings.WarmUp) < n*b.fastPathLimit {
 		turnPart, share = coldByTurns, coldByShares*window/n
 	}
-	first := float64((uint32(b.settings.Me) + e.Engine) % uint32(b.settings.Routers)) // another router at each engine
+	first := float64((uint32(b.settings.Me) + e.Engine) % uint32(b.settings.Routers)) // another router at each server
 	turns := func(age float64) float64 { return math.Floor((turnPart*budget(age)/b.fastPathLimit - first) / n) }
-	countedFrom := max(age-b.settings.FallWindow/2, b.startedAt-e.ReadyAt) // the turn at the start of this process may have been used by the one before it
+	countedFrom := max(age-b.settings.FallWindow/2, b.startedAt-e.ReadyAt) // the process before this one may have used the turn in which this one started
 	turn := (turns(age) - turns(countedFrom)) * b.fastPathLimit
-	if e.coldWork.most(b.now) > 0 { // a server may bear less in a window than a turn: one request then, or as many smaller ones
+	if e.coldWork.most(b.now) > 0 { // a server may accept less in a window than a turn: then one request, or as many smaller ones
 		turn = min(turn, window)
 	}
 	return max(share, turn)
 }
 
-// reportNeeds tells what this router would have of the fleet's wholes: of a cold engine the work that it lets in by the engine's part
-// of the pool, and at least its smallest usual command in a window; of a tenant's quota what it was asked for of late.
+// reportNeeds reports which shares of the fleet's totals this router needs. For a cold server it is the work that the
+// router admits, by the server's fraction of the pool, and at least the profile with the least usual work per window.
+// For a tenant it is the recent demand.
 func (b *Brain) reportNeeds(u Use) {
 	rate, least := 0.0, b.fastPathLimit
 	for k := range b.profiles {
@@ -518,22 +540,23 @@
 
 func (b *Brain) isCold(e *server) bool { return e.ReadyAt > 0 && b.now < e.ReadyAt+b.settings.WarmUp }
 
-// hasSlot holds the thread places, which bind only under pressure, and the trials of ill engines.
+// hasSlot limits the threads on a server, which binds only under pressure, and the probes of unhealthy servers.
 func (b *Brain) hasSlot(r *requestState, p *profileState, e *server) bool {
-	if e.unhealthy { // a trial is a short replayable command; where none comes for a second, any
+	if e.unhealthy { // a probe is a short idempotent request; if none comes for a second, any request
 		probeAt := b.nextProbeAt(e)
 		return !e.probing && b.now >= probeAt && (r.short && p.Effect == Replayable || b.now >= probeAt+1)
 	}
-	// The pool's places bind too, or hundreds of routers with one command each would fill every engine.
+	// The slots of the whole pool bind too. Otherwise hundreds of routers with one request each would fill every
+	// server.
 	return !b.pressed(p, e) || b.withinSlots(e, r.short, p.Threads) && b.withinSlots(&b.total, r.short, p.Threads)
 }
 
-// withinSlots: one command always fits, so that a share of less than a thread is of use.
+// withinSlots reports whether a request fits. One request always fits, so that a share of less than a thread is usable.
 func (b *Brain) withinSlots(e *server, short bool, threads int) bool {
 	need, slots := float64(threads), b.slots(e)
-	if short { // past full places, but not without end; long commands can't close its reserved threads
+	if short { // beyond the full slots, but bounded; long requests can't take the threads reserved for short ones
 		reserved := 0.6 * e.cores * b.share
-		if e == &b.total { // over the pool a full set: an engine's end binds before it where routers are few
+		if e == &b.total { // the whole set over the pool: where routers are few, a single server's limit binds first
 			reserved = slots
 		}
 		slots = max(1.5*slots, e.threads-e.fastPathThreads+max(need, reserved))
@@ -541,21 +564,22 @@
 	return e.threads == 0 || e.threads+need <= slots
 }
 
-// slots of this router on an engine.
+// slots is the number of threads that this router may use on a server.
 func (b *Brain) slots(e *server) float64 {
-	const slotsPerCore = 1.7 // one a core would leave cores idle while threads read from disk
+	const slotsPerCore = 1.7 // one per core would leave cores idle while threads read from disk
 	if e.otherThreads == 0 {
 		return e.cores * slotsPerCore * b.share
 	}
 	return max(e.cores*slotsPerCore-e.otherThreads, e.cores*slotsPerCore*b.share)
 }
 
-const pressedSlowdown = 2.2 // slowdown over best from which an engine is pressed: tiny commands run at 2 on quiet days
+const pressedSlowdown = 2.2 // slowdown over the best time from which a server is pressed: tiny requests run at 2 under light load
 
-// pressed: answers come well above best there, any profile's far above, or threads known of fill the cores.
+// pressed reports whether a server is under pressure: its answers take far longer than their best time, those of any
+// profile do, or the known threads fill the cores.
 func (b *Brain) pressed(p *profileState, e *server) bool {
-	threadsPerCore := 1.5 // threads a core
-	if !e.othersKnown {   // others' load: twice an equal share, or many routers fill an engine before answers show it
+	threadsPerCore := 1.5
+	if !e.othersKnown { // for the others' load: twice an equal share, or many routers would fill a server before answers show it
 		threadsPerCore *= min(1, 2*b.share)
 	}
 	return max(p.slowdown*b.slowdownOf(e), b.worstSlowdown) > pressedSlowdown ||
@@ -563,13 +587,15 @@
 		!e.othersKnown && b.total.threads+float64(p.Threads) > threadsPerCore*b.total.cores
 }
 
-// slowdownOf is the learned slowdown against other engines; it compares answers with their own profile's usual,
-// since priorities make profiles differ. Without news it fades, so that a shunned engine gets another chance.
+// slowdownOf is the learned slowdown of a server compared with others. Answers are compared with the usual slowdown of
+// their own profile, since priorities make profiles differ. Without new answers the value decays, so that an avoided
+// server is used again.
 func (b *Brain) slowdownOf(e *server) float64 {
-	const fade = 4.0 // seconds: a few reports long
+	const fade = 4.0 // seconds: a few report intervals
 	return 1 + (e.slowdown-1)*math.Exp(-(b.now-e.slowdownAt)/fade)
 }
 
+// attempt starts an attempt of a request on a server.
 func (b *Brain) attempt(i, k int32) {
 	r, e := &b.requests.states[i], &b.servers[k]
 	p := &b.profiles[r.Profile]
@@ -601,19 +627,19 @@
 		b.host.Priority(r.ID, priority, 0)
 	}
 	b.chargeTeam(i, b.settings.Priorities && priority == 1)
-	// A trial that can't be cancelled gives up while another engine can still answer in time.
+	// A probe that can't be cancelled times out while another server can still answer in time.
 	limit := r.deadline - b.now
 	if e.unhealthy && !b.settings.Cancels && p.Effect == Replayable {
 		limit = min(limit, 0.6*(r.target-r.takenAt))
 	}
 	sendBefore := 0.0
-	if r.mayHaveRun && p.Effect == Uniqued { // a repeat that arrives after the window runs again
+	if r.mayHaveRun && p.Effect == Uniqued { // a repeat that arrives after the deduplication window would run again
 		sendBefore = r.firstRunAt + p.Window
 	}
 	b.host.Send(r.ID, e.Engine, limit, sendBefore)
 }
 
-// recordOutcome settles the engine's account and takes the outcome as evidence of its health.
+// recordOutcome updates the server's load and takes the outcome as evidence of its health.
 func (b *Brain) recordOutcome(i int32, o *Outcome) bool {
 	r := &b.requests.states[i]
 	p := &b.profiles[r.Profile]
@@ -640,21 +666,22 @@
 			r.mayHaveRun, r.firstRunAt, r.firstRunZone, r.firstRunCell = true, a.at, e.Zone, e.Cell
 		}
 	}
-	// A time-out counts where answers come but slowly, or only the lucky would; else (a lost answer, a hang)
-	// refusing mends nothing. Ill and cold engines are left out.
+	// A timeout counts as a processing time where answers do arrive, but slowly; otherwise only the fast answers would
+	// count. In other cases (a lost answer, a hung server) rejecting requests does not help. Unhealthy and cold servers
+	// are left out.
 	countsAsSlow := o.End == TimedOut && !o.Unsent && p.slowdown*b.slowdownOf(e) > pressedSlowdown && b.now-e.answeredAt <= recentSpan
 	if (o.End == Answered || countsAsSlow) && !e.unhealthy && !b.isCold(e) {
 		p.filling.add(o.Lag)
 	}
 	switch o.End {
 	case Answered:
-		if r.erroredOn >= 0 && r.erroredOn != a.server { // so it was the engine, not the command
+		if r.erroredOn >= 0 && r.erroredOn != a.server { // the server was at fault, not the request
 			b.countFailure(&b.servers[r.erroredOn], false)
 		}
 		e.aliveAt, e.answeredAt = b.now, b.now
 		e.failureRate *= 1 - failWeight
 		work := cmp.Or(o.Work, r.cost)
-		slowdown := min(o.Lag*float64(p.Threads)/max(work, 0.001), 20) // capped: one odd answer is not twenty
+		slowdown := min(o.Lag*float64(p.Threads)/max(work, 0.001), 20) // capped: a single outlier must not count as twenty
 		b.learnWork(p, r, o, work, slowdown)
 		previous := b.slowdownOf(e)
 		e.slowdown, e.slowdownAt = previous+0.3*work/(work+0.5)*(slowdown/max(p.slowdown, 0.1)-previous), b.now
@@ -664,13 +691,13 @@
 				b.log("engine %d answers again", e.Engine)
 			}
 		}
-	case Errored: // of the engine or of a command that none can use: whether another answers it will tell
+	case Errored: // the server or a request that no server can execute: the outcome on another server will show which
 		if r.erroredOn, r.errors = a.server, r.errors+1; e.unhealthy || !b.mayRunAgain(r, p) {
 			b.countFailure(e, false)
 		}
-	case Unreachable, Cut: // one failed connect is enough; a drop may be the network's
+	case Unreachable, Cut: // one failed connection attempt is enough; a dropped connection may be the network's fault
 		b.countFailure(e, o.End == Unreachable)
-	case TurnedAway: // full: a short rest, or what it turns away comes straight back and the storm feeds itself
+	case TurnedAway: // the server is full: a short pause, or its rejected requests return at once and increase the overload
 		e.slowdown, e.slowdownAt, e.fullUntil = max(b.slowdownOf(e), 2), b.now, b.now+0.1
 	}
 	if o.End == TimedOut && !o.Unsent && a.at >= e.aliveAt && b.now-a.at > 3*a.expected+0.3 {
@@ -682,17 +709,22 @@
 	return pass
 }
 
-const failWeight = 0.15 // of one outcome: some seven in a row tell
+// failWeight is the weight of one outcome in the failure rate of a server, which reflects about the last seven
+// outcomes.
+const failWeight = 0.15
 
+// countFailure counts a failed attempt and suspects the server once its failure rate is high, or at once if the failure
+// is certain.
 func (b *Brain) countFailure(e *server, certain bool) {
 	if e.failureRate += failWeight * (1 - e.failureRate); e.failureRate > 0.25 || e.unhealthy || certain {
 		b.suspect(e, "fails what it is sent")
 	}
 }
 
+// suspect takes a server out of normal use; it receives one probe at a time.
 func (b *Brain) suspect(e *server, why string) {
-	const firstInterval, longestInterval = 0.5, 3.0                                // some round trips; short against the shortest troubles
-	if e.probeInterval = min(e.probeInterval*1.5, longestInterval); !e.unhealthy { // single trials find out when it is back
+	const firstInterval, longestInterval = 0.5, 3.0                                // seconds: some round trips, and short compared with the shortest outages
+	if e.probeInterval = min(e.probeInterval*1.5, longestInterval); !e.unhealthy { // single probes find out when it is available again
 		e.unhealthy, e.probeInterval = true, firstInterval
 		b.log("engine %d %s: one trial at a time", e.Engine, why)
 	}
@@ -701,18 +733,19 @@
 
 func (b *Brain) log(format string, args ...any) { b.host.Log(fmt.Sprintf(format, args...)) }
 
-// ---- upkeep
+// ---- maintenance
 
+// Woken handles a timer that was set with Host.Wake.
 func (b *Brain) Woken(now float64, token uint64) {
 	b.now = now
-	if token != 0 { // a command's last moment; else the upkeep tick
+	if token != 0 { // the time limit of a request; else the maintenance tick
 		if i, ok := b.requests.at[uint32(token)]; ok && !b.requests.states[i].done && !b.requests.states[i].streaming {
 			b.finishUnserved(i)
 			b.dispatchQueued()
 		}
 		return
 	}
-	b.host.Wake(0.05, 0) // short against every latency target, long against the cost of a scan
+	b.host.Wake(0.05, 0) // seconds: short compared with every latency target, long compared with the cost of a scan
 	if now >= b.swapAt {
 		b.rotateHistograms()
 	}
@@ -725,8 +758,8 @@
 	b.exchangeLoads()
 	for k := 0; k < len(b.requests.queued); {
 		i := b.requests.queued[k]
-		// A held command that can no longer be in time is given up, and told so now; late at the usual slowdown as
-		// far as that is the others' doing, since it will not go away when this router holds less.
+		// A queued request that can no longer meet its target is given up and answered now. The usual slowdown counts
+		// as far as other routers cause it, since that part does not shrink when this router queues less.
 		r := &b.requests.states[i]
 		if now+r.bestTime*(1+(1-b.share)*max(b.profiles[r.Profile].slowdown-1, 0)) > min(r.target, r.deadline) {
 			if b.cutoffPrice = min(b.cutoffPrice, r.price); b.settings.Teams != nil {
@@ -737,15 +770,16 @@
 		}
 		k++
 	}
-	b.cutoffPrice *= 1.02 // doubles in two seconds, so that the line is tried again soon
+	b.cutoffPrice *= 1.02 // doubles in about two seconds, so that the queue soon accepts requests again
 	b.dispatchQueued()
 }
 
-// rotateHistograms turns the buffers over. Part of the old is carried on, more where thin: one odd command moves p90.
+// rotateHistograms swaps the histograms. A part of the old counts is carried over, and more where there are few, since
+// one outlier would move p90.
 func (b *Brain) rotateHistograms() {
-	const carry, thin, carryThin = 0.5, 150, 0.9                                      // a common profile shows a change within two swaps
-	b.swapAt += 2                                                                     // seconds, the design page's
-	b.admittedWork, b.admittedSeconds = b.admittedWork*0.96, b.admittedSeconds*0.96+2 // fades over most of a minute
+	const carry, thin, carryThin = 0.5, 150, 0.9                                      // a frequent profile shows a change within two rotations
+	b.swapAt += 2                                                                     // seconds, as in the design document
+	b.admittedWork, b.admittedSeconds = b.admittedWork*0.96, b.admittedSeconds*0.96+2 // decays over most of a minute
 	for k := range b.profiles {
 		p := &b.profiles[k]
 		p.current, p.filling = p.filling, p.current
@@ -759,8 +793,8 @@
 	}
 }
 
-// suspectSilent finds engines that answer nothing: no answer or note for 0.6 s, and two sends far past what they
-// should take. Those that left before the last sign count after 3 s only.
+// suspectSilent finds servers that answer nothing: no answer or progress for 0.6 s, and two attempts far over their
+// expected time. Attempts sent before the last sign of life count after 3 s only.
 func (b *Brain) suspectSilent() {
 	for k := range b.servers {
 		b.servers[k].overdue, b.servers[k].short = 0, math.Inf(1)
@@ -772,7 +806,7 @@
 			if s.at >= e.aliveAt || b.now-e.aliveAt > 3 {
 				e.overdue, e.short = e.overdue+1, min(e.short, s.expected)
 			} else if !s.presumedLost && b.now-s.at > 6*s.expected+1 {
-				s.presumedLost = true // its answer is likely lost, as later ones came: it no longer takes a place
+				s.presumedLost = true // its answer is probably lost, as later ones arrived: it no longer takes a slot
 				e.addThreads(r.short, -r.threads)
 			}
 		}
@@ -789,26 +823,28 @@
 	}
 }
 
-// silentSinceTimeout tells whether the last attempt that an engine had to itself ran out of time, and no sign has come since it was sent: it
-// counts beside the next one, or a router with one attempt there at a time would never suspect it. Only with a fleet, where the probes
-// of a suspected engine are shared: alone, a router would suspect engines whose answers are lost now and then.
+// silentSinceTimeout reports whether the last attempt that was alone on a server timed out, without a sign of life
+// since it was sent. It then counts beside the next attempt; otherwise a router with one attempt at a time there would
+// never suspect the server. This applies only with a fleet, where the probes of a suspected server are shared: without
+// one, a router would suspect servers whose answers are lost now and then.
 func (b *Brain) silentSinceTimeout(e *server) bool {
 	return b.settings.Fleet != nil && e.State == Ready && e.silentTimeoutAt > e.aliveAt
 }
 
+// UpdateServers reports a change of the list of servers.
 func (b *Brain) Members(now float64, scope Scope, list []Entry) {
 	b.now = now
 	if scope == FailedAsk {
-		b.watchAt = now + 1 + b.random.float() // spread, since all routers ask one service
+		b.watchAt = now + 1 + b.random.float() // randomized, since all routers query the same service
 		return
 	}
 	b.merge(scope, list, func(e *server) {
-		// A new start: what was learned of the old process says nothing.
+		// After a new start, everything learned about the old process is void.
 		e.slowdown, e.slowdownAt, e.failureRate, e.unhealthy, e.probing, e.fullUntil, e.silentTimeoutAt = 1, now, 0, false, false, 0, 0
 		if e.cores = 1; e.Kind < len(b.settings.KindCores) && b.settings.KindCores[e.Kind] > 0 {
 			e.cores = b.settings.KindCores[e.Kind]
 		}
-		const meanOthers = 4 // threads: about what the number of others' on an engine varies by
+		const meanOthers = 4 // threads: about the variation in the number of other routers' threads on a server
 		e.randomThreads = -meanOthers * math.Log(1-b.random.float())
 		e.coldWork = newWindow(max(b.settings.FallWindow, 0.001), 10)
 		b.restoreServer(e)
@@ -816,8 +852,9 @@
 	b.dispatchQueued()
 }
 
-// Note tells of a send that is out. One far behind a fresh start and too late at its pace starts again
-// elsewhere, once: a bad plan, a slow engine, or spilling. Harm: where the estimate was the fault.
+// Progress reports on an attempt in flight. An attempt that is far slower than a new one would be, and too late at its
+// pace, is cancelled and retried elsewhere, once: its plan is bad, the server is slow, or it spills to disk. Drawback:
+// where only the estimate was wrong, the work done is lost.
 func (b *Brain) Note(now float64, n Note) {
 	b.now = now
 	if k, ok := b.index[n.Engine]; ok {
@@ -830,7 +867,7 @@
 	if !ok || n.Kind != Progressed || n.Value <= 0 || b.requests.states[i].attempts != 1 {
 		return
 	}
-	const restartFactor = 2.0 // twice a fresh start: the pace is rough, and what is done is lost
+	const restartFactor = 2.0 // at least twice the time of a new attempt: the pace is imprecise, and the work done is lost
 	r := &b.requests.states[i]
 	remaining := (now - r.inFlight.at) * (1 - n.Value) / n.Value
 	if !r.done && b.profiles[r.Profile].Effect == Replayable && remaining > restartFactor*r.inFlight.expected && now+remaining > r.target &&
@@ -839,14 +876,17 @@
 	}
 }
 
-const lowThreadsPerCore = 1.25 // threads a core, under those that press: 1 and 1.5 lose on one day or another
+// lowThreadsPerCore is the load below which sampled load reports stand for all servers. It is less than the load at
+// which servers are pressed; 1 and 1.5 each perform worse under some workloads.
+const lowThreadsPerCore = 1.25
 
+// Probed reports the answer to Host.Probe.
 func (b *Brain) Probed(now float64, id uint32, _ End, _ float64, load *Load) {
 	b.now = now
 	if k, ok := b.index[id]; ok && load != nil && load.Held >= 0 {
-		threads, openAttempts := b.totals() // others' commands are taken to be like ours
+		threads, openAttempts := b.totals() // the other routers' requests are assumed to have as many threads as ours
 		e := &b.servers[k]
-		// An average: all routers would rush to the engine that one old report shows emptiest.
+		// An average: otherwise all routers would send to the server that one old report shows as the emptiest.
 		reportedThreads := max(load.Held-float64(e.openAttempts), 0) * (threads + 1) / (openAttempts + 1)
 		e.reportedThreads += 0.3 * (reportedThreads - e.reportedThreads)
 		b.othersPerCore += 0.1 * (reportedThreads/e.cores - b.othersPerCore)
@@ -854,6 +894,7 @@
 	}
 }
 
+// PeerMessage reports a message of another router.
 func (b *Brain) Peer(now float64, from int, data []byte) {
 	b.now = now
 	if from >= 0 && from < len(b.peerHeardAt) && from != b.settings.Me {
@@ -862,13 +903,15 @@
 	}
 }
 
-// exchangeLoads tells the other routers our load, asks engines for theirs, and sums up what is known of the others.
-// A router that fell silent is taken to be gone: if only cut off, it can't reach our engines either.
+// exchangeLoads sends this router's load to the other routers, requests the load of servers, and sums up the known load
+// of others. A router that fell silent is taken to be gone: if it is only cut off from here, it can't reach our servers
+// either.
 func (b *Brain) exchangeLoads() {
-	const announceInterval, probeInterval = 0.2, 1.0 // each costs some tenths of a point a day, and loads live for seconds
-	const loadLifetime = 1.5                         // seconds that word of a load counts: some messages lost in a row
-	// Both follow this router's own commands, or their cost would grow with the square of the fleet: so many
-	// bytesPerRequest and probesPerRequest a command cost a quarter point. What can't be told or asked while fresh is left out.
+	const announceInterval, probeInterval = 0.2, 1.0 // seconds: each costs a few tenths of a point of the day's score, and a load report is valid for seconds only
+	const loadLifetime = 1.5                         // seconds for which another router's load is valid: some messages lost in a row
+	// Both rates follow this router's own requests, or their cost would grow with the square of the number of routers.
+	// These bytes and probes per request cost a quarter of a point. Loads that can't be sent or requested while they
+	// are valid are left out.
 	const bytesPerRequest, probesPerRequest = 64.0, 0.5
 	rate, n := 0.0, len(b.servers)
 	b.worstSlowdown = 0
@@ -882,21 +925,22 @@
 		b.host.Tell(-1, b.message)
 	}
 	b.share = b.equalShare()
-	// A router that can't ask all engines in time takes the average of a few for the rest, while that is low: it
-	// lags, and all would fill what it shows free.
+	// A router that can't query all servers in time uses the average of a few for the rest, while that average is low:
+	// it lags behind, and all routers would fill the servers that it shows as free.
 	if silentPeers, anyPeerHeard := b.sumOthers(b.now, loadLifetime, recentSpan, b.othersPerCore, lowThreadsPerCore); anyPeerHeard {
-		b.share = 1 / float64(max(len(b.peerHeardAt)-silentPeers, 2)) // never all: it may only be this router that hears nothing
+		b.share = 1 / float64(max(len(b.peerHeardAt)-silentPeers, 2)) // never all: it may be this router alone that receives nothing
 	}
 	if b.total = b.healthyTotal(); !(b.total.othersKnown && b.settings.Peers) && b.total.cores > 0 {
-		// Exception: an equal share holds back a router of more traffic than most. What it lets in in the long
-		// run, of what the pool can do, is its part; less an equal share, since overload raises it for all.
+		// Exception: an equal share holds back a router with more traffic than most. Its share is the work that it
+		// admits in the long run, as a part of the pool's capacity, less an equal share, since overload raises the
+		// value for all.
 		b.share = min(max(b.share, b.admittedWork/max(b.admittedSeconds, allowanceSpan)/b.total.cores-b.share), 1)
 	}
 	b.applyPriorityChanges()
 	b.checkTrackedRejections()
 	if b.settings.ProbeLoads && len(b.peerHeardAt) > 1 && b.now >= b.loadProbeAt && n > 0 &&
 		float64(min(n, 3)) <= recentSpan*probesPerRequest*rate {
-		b.loadProbeAt = b.now + max(probeInterval/float64(n), 1/(probesPerRequest*rate)) // one by one: news comes spread
+		b.loadProbeAt = b.now + max(probeInterval/float64(n), 1/(probesPerRequest*rate)) // one server at a time, so that new loads arrive spread out
 		b.nextLoadProbe = (b.nextLoadProbe + 1) % n
 		if e := &b.servers[b.nextLoadProbe]; e.State == Ready {
 			b.host.Probe(e.Engine)
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -9,64 +9,64 @@
 
 // TestTraces plays every script of testdata and compares what the module does with what is kept there. Equal
 // events must give equal actions, so each is played twice.
-func TestTraces(t *testing.T) { script.Compare(t, play, play) }
+func TestTraces(t *testing.T) { script.Compare(t, playScript, playScript) }
 
 // TestTurnover: places of engines that are gone are used again, and nothing of commands that are over stays.
 func TestTurnover(t *testing.T) {
-	h := &deafHost{}
+	h := &nopHost{}
 	b := New(defaults(), 0, h)
 	for k := range 1000 {
 		now, id := float64(k), uint32(k+1)
 		b.Members(now, Full, []Entry{{Engine: id, State: Ready}})
 		b.Command(now, Command{ID: id, TimeLeft: 4, Cost: 0.1})
-		b.Outcome(now, Outcome{ID: id, Engine: h.engine, End: Answered, Lag: 0.1, Work: 0.1, Over: true})
+		b.Outcome(now, Outcome{ID: id, Engine: h.server, End: Answered, Lag: 0.1, Work: 0.1, Over: true})
 	}
 	if len(b.servers) > 2 || len(b.index) > 2 || len(b.requests.states) > 1 || len(b.requests.at) > 0 {
 		t.Errorf("%d engines under %d ids, %d commands", len(b.servers), len(b.index), len(b.requests.states))
 	}
 }
 
-type deafHost struct{ engine uint32 }
+type nopHost struct{ server uint32 }
 
-func (h *deafHost) Send(_, engine uint32, _, _ float64)           { h.engine = engine }
-func (h *deafHost) Withdraw(uint32, int)                          {}
-func (h *deafHost) Shed(uint32, float64)                          {}
-func (h *deafHost) Fail(uint32)                                   {}
-func (h *deafHost) Cancel(uint32, int)                            {}
-func (h *deafHost) Probe(uint32)                                  {}
-func (h *deafHost) Priority(uint32, int, float64)                 {}
-func (h *deafHost) Wake(float64, uint64)                          {}
-func (h *deafHost) Tell(int, []byte)                              {}
-func (h *deafHost) Watch(bool)                                    {}
-func (h *deafHost) Log(string)                                    {}
-func (h *deafHost) Told(uint32, waittime.Kind, waittime.Estimate) {}
+func (h *nopHost) Send(_, server uint32, _, _ float64)           { h.server = server }
+func (h *nopHost) Withdraw(uint32, int)                          {}
+func (h *nopHost) Shed(uint32, float64)                          {}
+func (h *nopHost) Fail(uint32)                                   {}
+func (h *nopHost) Cancel(uint32, int)                            {}
+func (h *nopHost) Probe(uint32)                                  {}
+func (h *nopHost) Priority(uint32, int, float64)                 {}
+func (h *nopHost) Wake(float64, uint64)                          {}
+func (h *nopHost) Tell(int, []byte)                              {}
+func (h *nopHost) Watch(bool)                                    {}
+func (h *nopHost) Log(string)                                    {}
+func (h *nopHost) Told(uint32, waittime.Kind, waittime.Estimate) {}
 
 // TestOrdinaryPathAllocatesNothing plays commands that are taken, admitted, sent and answered, also with teams and waits.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		set := defaults()
 		if on {
-			set.Teams, set.Waits = tree(t, 10), waittime.New(len(set.Profiles), 1)
+			set.Teams, set.Waits = teamTree(t, 10), waittime.New(len(set.Profiles), 1)
 		}
-		allocatesNothing(t, set)
+		checkNoAllocations(t, set)
 	}
 }
 
-func allocatesNothing(t *testing.T, set Settings) {
+func checkNoAllocations(t *testing.T, set Settings) {
 	t.Helper()
-	h := &deafHost{}
+	h := &nopHost{}
 	b := New(set, 0, h)
 	b.Members(0, Full, []Entry{{Engine: 1, State: Ready}, {Engine: 2, State: Ready}})
 	now, id := 0.0, uint32(0)
-	one := func() {
+	serveOne := func() {
 		now, id = now+0.01, id+1
 		b.Command(now, Command{ID: id, TimeLeft: 4, Cost: 0.1, Team: int(id) % 10, Mark: 7})
-		b.Outcome(now+0.005, Outcome{ID: id, Engine: h.engine, End: Answered, Lag: 0.1, Work: 0.1, Over: true})
+		b.Outcome(now+0.005, Outcome{ID: id, Engine: h.server, End: Answered, Lag: 0.1, Work: 0.1, Over: true})
 	}
 	for range 100 {
-		one()
+		serveOne()
 	}
-	if n := testing.AllocsPerRun(1000, one); n != 0 {
+	if n := testing.AllocsPerRun(1000, serveOne); n != 0 {
 		t.Errorf("%v allocations for a command", n)
 	}
 }
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -21,19 +21,19 @@
 
 // Health is what is known of an engine: whether it gets trials only, and how long ago it answered here, negative: never. ok is
 // false where the list does not have it.
-func (b *Brain) Health(engine uint32) (start float64, unhealthy bool, heard float64, ok bool) {
-	k, ok := b.index[engine]
+func (b *Brain) Health(id uint32) (start float64, unhealthy bool, sinceAnswer float64, ok bool) {
+	k, ok := b.index[id]
 	if !ok || b.servers[k].State != Ready {
 		return 0, false, 0, false
 	}
 	e := &b.servers[k]
-	if heard = -1; e.answeredAt > 0 {
-		heard = b.now - e.answeredAt
+	if sinceAnswer = -1; e.answeredAt > 0 {
+		sinceAnswer = b.now - e.answeredAt
 	}
-	return e.ReadyAt, e.unhealthy, heard, true
+	return e.ReadyAt, e.unhealthy, sinceAnswer, true
 }
 
-func (b *Brain) coldShare(e *server) (part float64, ok bool) {
+func (b *Brain) coldShare(e *server) (granted float64, ok bool) {
 	if b.settings.Fleet == nil {
 		return 0, false
 	}
@@ -42,8 +42,8 @@
 
 func (b *Brain) quotaShare(tenant int) float64 {
 	if b.settings.Fleet != nil {
-		if part, ok := b.settings.Fleet.Quota(b.now, tenant); ok {
-			return part
+		if granted, ok := b.settings.Fleet.Quota(b.now, tenant); ok {
+			return granted
 		}
 	}
 	return b.shareOfPool(b.share)
--- a/admission/script_test.go
+++ b/admission/script_test.go
@@ -12,23 +12,23 @@
 	"dunereach/waittime"
 )
 
-// theatre plays a script against one Brain and prints what it does. A script's lines are settings (JSON over
+// scriptPlayer plays a script against one Brain and prints what it does. A script's lines are settings (JSON over
 // the defaults below) and events, each with its time; what the module does stands indented below the event,
 // or below "at" where a wake of its own brought it about.
-type theatre struct {
-	t     *testing.T
-	b     *Brain
-	now   float64
-	wakes []wake
-	out   strings.Builder
-	quiet bool
-	last  map[uint32]Outcome // the latest send of each command
-	sends map[uint32]int
-	sent  map[uint32]float64
-	load  Load
-
-	unsent    bool // of the send that ends nothing had left
-	withdrawn bool // withdrawals are printed
+type scriptPlayer struct {
+	t           *testing.T
+	b           *Brain
+	now         float64
+	wakes       []wake
+	out         strings.Builder
+	muted       bool
+	lastAttempt map[uint32]Outcome // the latest send of each command
+	attempts    map[uint32]int
+	sentAt      map[uint32]float64
+	load        Load
+
+	unsent           bool // of the send that ends nothing had left
+	printWithdrawals bool // withdrawals are printed
 }
 
 type wake struct {
@@ -36,42 +36,42 @@
 	token uint64
 }
 
-func (s *theatre) say(format string, a ...any) {
-	if !s.quiet {
+func (s *scriptPlayer) print(format string, a ...any) {
+	if !s.muted {
 		fmt.Fprintf(&s.out, "    "+format+"\n", a...)
 	}
 }
 
-func (s *theatre) Send(id, engine uint32, limit, by float64) {
-	s.last[id] = Outcome{ID: id, Engine: engine, Send: s.sends[id]}
-	s.sends[id]++
-	s.sent[id] = s.now
-	if s.say("send %d to %d for %.3f", id, engine, limit); by > 0 {
-		s.say("which leaves before %.3f", by)
+func (s *scriptPlayer) Send(id, server uint32, timeout, sendBefore float64) {
+	s.lastAttempt[id] = Outcome{ID: id, Engine: server, Send: s.attempts[id]}
+	s.attempts[id]++
+	s.sentAt[id] = s.now
+	if s.print("send %d to %d for %.3f", id, server, timeout); sendBefore > 0 {
+		s.print("which leaves before %.3f", sendBefore)
 	}
 }
-func (s *theatre) Shed(id uint32, pause float64) { s.say("shed %d, back in %.2f", id, pause) }
-func (s *theatre) Fail(id uint32)                { s.say("fail %d", id) }
-func (s *theatre) Cancel(id uint32, send int)    { s.say("cancel %d/%d", id, send) }
-func (s *theatre) Withdraw(id uint32, send int) {
-	if s.withdrawn {
-		s.say("withdraw %d/%d", id, send)
+func (s *scriptPlayer) Shed(id uint32, pause float64) { s.print("shed %d, back in %.2f", id, pause) }
+func (s *scriptPlayer) Fail(id uint32)                { s.print("fail %d", id) }
+func (s *scriptPlayer) Cancel(id uint32, attempt int) { s.print("cancel %d/%d", id, attempt) }
+func (s *scriptPlayer) Withdraw(id uint32, attempt int) {
+	if s.printWithdrawals {
+		s.print("withdraw %d/%d", id, attempt)
 	}
 }
-func (s *theatre) Probe(engine uint32)                  { s.say("probe %d", engine) }
-func (s *theatre) Priority(id uint32, l int, _ float64) { s.say("priority %d of %d", l, id) }
-func (s *theatre) Wake(after float64, token uint64) {
+func (s *scriptPlayer) Probe(server uint32)                  { s.print("probe %d", server) }
+func (s *scriptPlayer) Priority(id uint32, l int, _ float64) { s.print("priority %d of %d", l, id) }
+func (s *scriptPlayer) Wake(after float64, token uint64) {
 	s.wakes = append(s.wakes, wake{s.now + after, token})
 }
-func (s *theatre) Tell(peer int, data []byte) { s.say("tell %d: %x", peer, data) }
-func (s *theatre) Watch(on bool)              { s.say("watch %v", on) }
-func (s *theatre) Told(id uint32, k waittime.Kind, e waittime.Estimate) {
-	s.say("told %d: %s %.2f, %.2f", id, k, e.P50, e.P90)
+func (s *scriptPlayer) Tell(peer int, data []byte) { s.print("tell %d: %x", peer, data) }
+func (s *scriptPlayer) Watch(on bool)              { s.print("watch %v", on) }
+func (s *scriptPlayer) Told(id uint32, k waittime.Kind, e waittime.Estimate) {
+	s.print("told %d: %s %.2f, %.2f", id, k, e.P50, e.P90)
 }
-func (s *theatre) Log(text string) { s.say("log %s", text) }
+func (s *scriptPlayer) Log(text string) { s.print("log %s", text) }
 
-// upTo plays the module's own wakes until a time.
-func (s *theatre) upTo(t float64) {
+// runUntil plays the module's own wakes until a time.
+func (s *scriptPlayer) runUntil(t float64) {
 	for len(s.wakes) > 0 {
 		sort.SliceStable(s.wakes, func(i, j int) bool { return s.wakes[i].at < s.wakes[j].at })
 		w := s.wakes[0]
@@ -90,13 +90,13 @@
 	s.now = t
 }
 
-// quietFleet is one that has heard of nothing.
-type quietFleet struct{}
+// emptyFleet is one that has heard of nothing.
+type emptyFleet struct{}
 
-func (quietFleet) Part(float64, uint32, float64) (part float64, ok bool)       { return 0, false }
-func (quietFleet) Quota(float64, int) (part float64, ok bool)                  { return 0, false }
-func (quietFleet) TrialAt(_ float64, _ uint32, _ float64, own float64) float64 { return own }
-func (quietFleet) Tried(float64, uint32, float64, bool)                        {}
+func (emptyFleet) Part(float64, uint32, float64) (part float64, ok bool)       { return 0, false }
+func (emptyFleet) Quota(float64, int) (part float64, ok bool)                  { return 0, false }
+func (emptyFleet) TrialAt(_ float64, _ uint32, _ float64, own float64) float64 { return own }
+func (emptyFleet) Tried(float64, uint32, float64, bool)                        {}
 
 func defaults() Settings {
 	return Settings{Seed: 1, Routers: 1, Tick: 0.005, KindCores: []float64{8}, MaxSends: 6,
@@ -109,9 +109,9 @@
 	"timed-out":   TimedOut,
 	"unreachable": Unreachable, "cut": Cut, "cancelled": Cancelled, "moot": Moot}
 
-// play runs a script, less its indented lines, and gives it back with what the module did.
-func play(t *testing.T, script string) string {
-	s := &theatre{t: t, last: map[uint32]Outcome{}, sends: map[uint32]int{}, sent: map[uint32]float64{}}
+// playScript runs a script, less its indented lines, and gives it back with what the module did.
+func playScript(t *testing.T, script string) string {
+	s := &scriptPlayer{t: t, lastAttempt: map[uint32]Outcome{}, attempts: map[uint32]int{}, sentAt: map[uint32]float64{}}
 	set := defaults()
 	for _, line := range strings.Split(strings.TrimRight(script, "\n"), "\n") {
 		if strings.HasPrefix(line, " ") || strings.HasPrefix(line, "at ") {
@@ -126,23 +126,23 @@
 			s.must(err, line)
 			set.Teams, set.Ageing = tree, spec.Ageing
 		} else if line == "fleet" {
-			set.Fleet = quietFleet{}
+			set.Fleet = emptyFleet{}
 		} else if line == "withdrawals" {
-			s.withdrawn = true
+			s.printWithdrawals = true
 		} else if line == "waits" {
 			set.Waits = waittime.New(len(set.Profiles), set.MaxPause)
 		} else if line != "" && !strings.HasPrefix(line, "#") {
 			var at float64
-			var what string
-			_, err := fmt.Sscan(line, &at, &what)
+			var name string
+			_, err := fmt.Sscan(line, &at, &name)
 			s.must(err, line)
 			if s.b == nil {
 				s.now = at
 				s.b = New(set, at, s)
 			}
-			s.upTo(at)
+			s.runUntil(at)
 			fmt.Fprintln(&s.out, line)
-			s.event(what, strings.Fields(line)[2:], line)
+			s.event(name, strings.Fields(line)[2:], line)
 			continue
 		}
 		fmt.Fprintln(&s.out, line)
@@ -150,29 +150,29 @@
 	return s.out.String()
 }
 
-func (s *theatre) must(err error, line string) {
+func (s *scriptPlayer) must(err error, line string) {
 	if err != nil {
 		s.t.Fatalf("script line %q: %v", line, err)
 	}
 }
 
 // event plays one line: its words are the fields in the order below, with name=value for rarer ones.
-func (s *theatre) event(what string, words []string, line string) {
+func (s *scriptPlayer) event(name string, args []string, line string) {
 	num := func(k int) float64 {
 		v := 0.0
-		if k < len(words) {
-			_, err := fmt.Sscan(words[k], &v)
+		if k < len(args) {
+			_, err := fmt.Sscan(args[k], &v)
 			s.must(err, line)
 		}
 		return v
 	}
-	switch what {
+	switch name {
 	case "list", "delta": // entries as JSON
 		scope, list := Full, []Entry{}
-		if what == "delta" {
+		if name == "delta" {
 			scope = Delta
 		}
-		s.must(json.Unmarshal([]byte(strings.SplitN(line, what+" ", 2)[1]), &list), line)
+		s.must(json.Unmarshal([]byte(strings.SplitN(line, name+" ", 2)[1]), &list), line)
 		s.b.Members(s.now, scope, list)
 	case "no-list":
 		s.b.Members(s.now, FailedAsk, nil)
@@ -185,30 +185,30 @@
 				Cost: num(4), Team: int(num(5))})
 		}
 	case "spills": // id MB
-		o := s.last[uint32(num(0))]
+		o := s.lastAttempt[uint32(num(0))]
 		s.b.Note(s.now, Note{ID: o.ID, Engine: o.Engine, Send: o.Send, Kind: Spilling, Value: num(1)})
 	case "warm": // count profile cost lag: commands answered one after another, not printed
-		s.quiet = true
+		s.muted = true
 		for k := range int(num(0)) {
 			id := uint32(1e6 + s.now*1000 + float64(k))
 			s.b.Command(s.now, Command{ID: id, Profile: int(num(1)), TimeLeft: 100, Cost: num(2)})
 			s.end(id, Answered, num(3), num(2))
 		}
-		s.quiet = false
+		s.muted = false
 	case "left":
 		s.b.Left(s.now, uint32(num(0)))
 	case "half-closed":
 		s.b.HalfClosed(s.now, uint32(num(0)))
 	case "unsent": // a send timed out before any of it left
 		s.unsent = true
-		s.end(uint32(num(0)), TimedOut, math.Round((s.now-s.sent[uint32(num(0))])*1e6)/1e6, 0)
+		s.end(uint32(num(0)), TimedOut, math.Round((s.now-s.sentAt[uint32(num(0))])*1e6)/1e6, 0)
 		s.unsent = false
 	case "note": // id share-done
-		o := s.last[uint32(num(0))]
+		o := s.lastAttempt[uint32(num(0))]
 		s.b.Note(s.now, Note{ID: o.ID, Engine: o.Engine, Send: o.Send, Kind: Progressed, Value: num(1)})
 	case "peer": // from, then its message in hex
 		var data []byte
-		_, err := fmt.Sscanf(words[1], "%x", &data)
+		_, err := fmt.Sscanf(args[1], "%x", &data)
 		s.must(err, line)
 		s.b.Peer(s.now, int(num(0)), data)
 	case "probed": // engine commands-held
@@ -216,17 +216,17 @@
 		s.b.Probed(s.now, uint32(num(0)), Answered, 0.001, &s.load)
 	case "pass": // time only
 	default: // an end: id [true work]; of the latest send
-		end, ok := ends[what]
+		end, ok := ends[name]
 		if !ok {
 			s.t.Fatalf("script line %q: unknown event", line)
 		}
 		id := uint32(num(0))
-		s.end(id, end, math.Round((s.now-s.sent[id])*1e6)/1e6, num(1))
+		s.end(id, end, math.Round((s.now-s.sentAt[id])*1e6)/1e6, num(1))
 	}
 }
 
-func (s *theatre) end(id uint32, end End, lag, work float64) {
-	o, ok := s.last[id]
+func (s *scriptPlayer) end(id uint32, end End, lag, work float64) {
+	o, ok := s.lastAttempt[id]
 	if !ok {
 		s.t.Fatalf("command %d was not sent", id)
 	}
--- a/admission/subset.go
+++ b/admission/subset.go
@@ -54,9 +54,9 @@
 const crowdedSlowdown = 2
 
 // Condition tells how an engine is now.
-func (b *Brain) Condition(now float64, engine uint32) Condition {
+func (b *Brain) Condition(now float64, id uint32) Condition {
 	b.now = now
-	k, ok := b.index[engine]
+	k, ok := b.index[id]
 	if !ok || b.servers[k].State != Ready {
 		return Unlisted
 	}
--- a/admission/subset_test.go
+++ b/admission/subset_test.go
@@ -7,21 +7,21 @@
 	"dunereach/waittime"
 )
 
-// idle is a host that does nothing of what it is asked for.
-type idle struct{}
+// idleHost is a host that does nothing of what it is asked for.
+type idleHost struct{}
 
-func (idle) Send(id, engine uint32, limit, by float64)            {}
-func (idle) Shed(id uint32, pause float64)                        {}
-func (idle) Fail(id uint32)                                       {}
-func (idle) Cancel(id uint32, send int)                           {}
-func (idle) Withdraw(id uint32, send int)                         {}
-func (idle) Probe(engine uint32)                                  {}
-func (idle) Priority(id uint32, level int, grant float64)         {}
-func (idle) Wake(after float64, token uint64)                     {}
-func (idle) Tell(peer int, data []byte)                           {}
-func (idle) Watch(on bool)                                        {}
-func (idle) Log(text string)                                      {}
-func (idle) Told(id uint32, k waittime.Kind, e waittime.Estimate) {}
+func (idleHost) Send(id, server uint32, timeout, sendBefore float64)  {}
+func (idleHost) Shed(id uint32, pause float64)                        {}
+func (idleHost) Fail(id uint32)                                       {}
+func (idleHost) Cancel(id uint32, attempt int)                        {}
+func (idleHost) Withdraw(id uint32, attempt int)                      {}
+func (idleHost) Probe(server uint32)                                  {}
+func (idleHost) Priority(id uint32, level int, grant float64)         {}
+func (idleHost) Wake(after float64, token uint64)                     {}
+func (idleHost) Tell(peer int, data []byte)                           {}
+func (idleHost) Watch(on bool)                                        {}
+func (idleHost) Log(text string)                                      {}
+func (idleHost) Told(id uint32, k waittime.Kind, e waittime.Estimate) {}
 
 // TestHeldShares: of a held engine a router has a larger equal share, of the whole pool's quotas and cores none the larger.
 func TestHeldShares(t *testing.T) {
@@ -39,7 +39,7 @@
 		{"a twentieth", Held{Part: 0.05, Zones: []float64{0.25, 0.125}}, 0.2, 0.01, []float64{32, 64}},
 		{"fewer than routers", Held{Part: 0.001}, 1, 0.01, []float64{8, 8}},
 	} {
-		b := New(set, 0, idle{})
+		b := New(set, 0, idleHost{})
 		b.Members(0, Full, list)
 		b.Hold(c.held)
 		b.Woken(0.005, 0)
@@ -58,11 +58,11 @@
 
 // TestCondition tells a cold engine and one that drains from one that can be used.
 func TestCondition(t *testing.T) {
-	b := New(Settings{Routers: 4, Tick: 0.005, WarmUp: 15, Profiles: []Profile{{Target: 1, Benefit: 1, Threads: 1}}}, 100, idle{})
+	b := New(Settings{Routers: 4, Tick: 0.005, WarmUp: 15, Profiles: []Profile{{Target: 1, Benefit: 1, Threads: 1}}}, 100, idleHost{})
 	b.Members(100, Full, []Entry{{Engine: 1, State: Ready}, {Engine: 2, State: Draining}, {Engine: 3, State: Ready, ReadyAt: 95}})
-	for engine, want := range map[uint32]Condition{1: Usable, 2: Unlisted, 3: Warming, 4: Unlisted} {
-		if got := b.Condition(100, engine); got != want {
-			t.Errorf("engine %d: condition %d, want %d", engine, got, want)
+	for id, want := range map[uint32]Condition{1: Usable, 2: Unlisted, 3: Warming, 4: Unlisted} {
+		if got := b.Condition(100, id); got != want {
+			t.Errorf("engine %d: condition %d, want %d", id, got, want)
 		}
 	}
 	b.servers[b.index[1]].fullUntil = 101
--- a/admission/warmstart_test.go
+++ b/admission/warmstart_test.go
@@ -9,7 +9,7 @@
 // TestRecall: trouble is believed of the start that had it, and of no other; what was learned comes back as it was.
 func TestRecall(t *testing.T) {
 	set := Settings{Seed: 1, Tick: 0.005, Profiles: []Profile{{Target: 1, Benefit: 1, Threads: 1}}, Tenants: []Tenant{{QuotaPerS: 10}}}
-	b := New(set, 100, &deafHost{})
+	b := New(set, 100, &nopHost{})
 	b.Members(100, Full, []Entry{{Engine: 1, ReadyAt: 50, State: Ready}, {Engine: 2, State: Ready}})
 	for range 30 {
 		b.profiles[0].observeWork(0.3)
@@ -27,7 +27,7 @@
 		start     float64
 		unhealthy bool
 	}{{50, true}, {60, false}} {
-		n := New(set, 102, &deafHost{})
+		n := New(set, 102, &nopHost{})
 		n.Members(102, Full, []Entry{{Engine: 1, ReadyAt: c.start, State: Ready}, {Engine: 2, State: Ready}})
 		if got := n.servers[n.index[1]].unhealthy; got != c.unhealthy || n.servers[n.index[2]].unhealthy {
 			t.Errorf("started at %v: doubted %v", c.start, got)
