--- a/admission/chain.go
+++ b/admission/chain.go
@@ -1,23 +1,24 @@
 package admission
 
-// This file walks the chain and decides nothing; the stages and their order stand in brain.go.
+// This file runs the chain of stages and decides nothing; the stages and their order are in controller.go.
 
-const pass, keep, ended = true, false, false // a stage passes a command on, keeps it or ends it
+const pass, keep, ended = true, false, false // whether a stage passes a request on, keeps it or ends it
 
+// stage is one step of the chain: forward handles a request, and back the outcome of an attempt.
 type stage struct {
 	forward func(*Brain, int32) bool
 	back    func(*Brain, int32, *Outcome) bool
 }
 
-// forward passes a command on from a stage, until one keeps or ends it.
+// forward passes a request on from a stage until one keeps or ends it.
 func (b *Brain) forward(i int32, from int) {
 	for s := from; s < len(chain) && chain[s].forward(b, i); s++ {
 	}
 }
 
-// dispatchQueued sends on held commands that find a place now.
+// dispatchQueued starts attempts of queued requests that find a slot now.
 func (b *Brain) dispatchQueued() {
-	const orderStage = 2 // the stage below admit
+	const orderStage = 2 // index of the stage after admit
 	if t := b.settings.Teams; t != nil {
 		for t.StartWalk(b.now); ; {
 			i := t.Next()
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -2,10 +2,10 @@
 
 import "dunereach/fleet/failover"
 
-// This file asks the fleet for what it has heard and tells it what there is use for. It decides nothing; without a fleet it
+// This file exchanges shares, probe results and zone reports with the fleet. It decides nothing; without a fleet it
 // does nothing.
 
-// newDemandWindow makes a tenant's window where it is used.
+// newDemandWindow returns a tenant's window of requests, which only a fleet needs.
 func newDemandWindow(set Settings) (w window) {
 	if set.Fleet != nil {
 		w = newWindow(tenantDemandSpan, 10)
@@ -13,14 +13,14 @@
 	return w
 }
 
-// Needs tells what there is use for.
+// Needs reports which shares of the fleet's totals this router needs.
 func (b *Brain) Needs(now float64, u Use) {
 	b.now = now
 	b.reportNeeds(u)
 }
 
-// Health is what is known of an engine: whether it gets trials only, and how long ago it answered here, negative: never. ok is
-// false where the list does not have it.
+// Health returns a server's start, whether it receives probes only, and the seconds since its last answer here,
+// negative if there was none. ok is false if the list does not contain the server.
 func (b *Brain) Health(id uint32) (start float64, unhealthy bool, sinceAnswer float64, ok bool) {
 	k, ok := b.index[id]
 	if !ok || b.servers[k].State != Ready {
@@ -79,7 +79,8 @@
 	return b.settings.Plan == nil || b.settings.Plan.Keeps(b.now, r.price, r.cost)
 }
 
-// countZoneOutcome counts how a send ended, as evidence on its zone. What was given up by the router itself tells nothing.
+// countZoneOutcome counts the outcome of an attempt as evidence on its zone. Attempts that this router ended itself are
+// left out.
 func (b *Brain) countZoneOutcome(e *server, o *Outcome, r *requestState) {
 	if b.settings.Plan == nil || o.End == Cancelled || o.End == Moot || e.Zone < 0 || e.Zone >= failover.MostZones {
 		return
@@ -91,14 +92,16 @@
 	s.Sent++
 	switch o.End {
 	case Answered:
-		// What came late because it was lost elsewhere first says nothing against the zone that then answered it.
+		// An answer that is late because an earlier attempt elsewhere was lost is no evidence against the zone that
+		// gave it.
 		if b.now <= r.target {
 			s.Work += r.cost
 		} else if o.Lag > 0.5*(r.target-r.takenAt) {
 			s.Late++
 		}
-		// An average by work over the answers of the second: tiny commands are mostly delay. It is not against this router's own usual,
-		// which follows a zone that is slow for long within some dozens of answers.
+		// An average by work over the answers since the last report: the time of tiny requests is mostly overhead. The
+		// reference is not this router's own usual slowdown, which adapts to a zone that stays slow within some dozens
+		// of answers.
 		if r.bestTime > 0 && r.cost > 0 {
 			s.Did += r.cost
 			s.Slow += (o.Lag/r.bestTime - s.Slow) * r.cost / s.Did
@@ -110,7 +113,7 @@
 	}
 }
 
-// Report is what was seen of so many zones since the last one, with what is asked for here.
+// Report returns the outcomes by zone since the last report, and the demand at this router.
 func (b *Brain) Report(now float64, zones int) failover.Report {
 	b.now = now
 	r := failover.Report{Zone: b.settings.Zone, Sights: make([]failover.Sight, zones)}
@@ -132,12 +135,13 @@
 		switch e.State {
 		case Ready:
 			cores := e.cores
-			if b.isCold(e) { // what it bears by now
+			if b.isCold(e) { // the cores that it can use so far
 				cores *= b.coldWindow(e) / max(b.settings.FallMultiple*e.cores*coldMargin*b.settings.FallWindow, 1e-9)
 				r.Sights[e.Zone].Cold += e.cores - cores
 			}
-			// An engine that nothing has needed since its trial was due may be well again: that says nothing about its zone.
-			const probeOverdue = 4.0 // seconds past that: longer than the longest pause between two trials
+			// A server that no request has needed since its probe was due may have recovered: it is no evidence on its
+			// zone.
+			const probeOverdue = 4.0 // seconds after that time: longer than the longest interval between two probes
 			if r.Sights[e.Zone].Ready += cores; e.unhealthy && now < e.nextProbeAt+probeOverdue {
 				r.Sights[e.Zone].Doubt += cores
 			}
@@ -145,7 +149,7 @@
 			r.Sights[e.Zone].Drains += e.cores
 		}
 	}
-	for z := range r.Sights { // of the whole pool, where only some of it is held
+	for z := range r.Sights { // of the whole pool, where the list covers only a part of it
 		s, coverage := &r.Sights[z], b.zoneCoverage(z)
 		s.Ready, s.Cold, s.Doubt, s.Drains = s.Ready/coverage, s.Cold/coverage, s.Doubt/coverage, s.Drains/coverage
 	}
--- a/admission/histogram.go
+++ b/admission/histogram.go
@@ -24,7 +24,7 @@
 	h.sum += v
 }
 
-// copyScaled makes h hold what o holds, every count times f.
+// copyScaled replaces the counts of h by those of o times f.
 func (h *histogram) copyScaled(o *histogram, f float64) {
 	for i, c := range o.counts {
 		h.counts[i] = c * f
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// window sums amounts over a sliding span, kept in steps.
+// window sums amounts over a sliding time span, which is divided into steps.
 type window struct {
 	step   float64
 	sums   []float64
@@ -61,7 +61,7 @@
 	return window{step: span / float64(steps), sums: make([]float64, steps+1), newest: math.MinInt64}
 }
 
-// bucket holds step i; one step on from the newest stands the oldest.
+// bucket returns the bucket of step i. The step after the newest is the oldest.
 func (w *window) bucket(i int64) *float64 {
 	n := int64(len(w.sums))
 	return &w.sums[((i%n)+n)%n]
@@ -80,7 +80,7 @@
 	*w.bucket(w.newest) += v
 }
 
-// most sums everything in the span and the whole of the step that its start cuts.
+// most is an upper bound: it sums the whole span and all of the step in which the span begins.
 func (w *window) most(now float64) (sum float64) {
 	w.advance(now)
 	for _, v := range w.sums {
@@ -89,7 +89,7 @@
 	return sum
 }
 
-// least sums only the steps that lie wholly inside the span.
+// least is a lower bound: it sums only the steps that lie completely inside the span.
 func (w *window) least(now float64) float64 {
 	sum := w.most(now)
 	return sum - *w.bucket(w.newest + 1)
--- a/admission/pcg.go
+++ b/admission/pcg.go
@@ -17,5 +17,5 @@
 	return x>>r | x<<(-r&31)
 }
 
-// float is uniform in [0, 1).
+// float returns a uniform value in [0, 1).
 func (p *pcg) float() float64 { return float64(p.next()) / (1 << 32) }
--- a/admission/state.go
+++ b/admission/state.go
@@ -6,46 +6,46 @@
 	"sort"
 )
 
-// attempt is one attempt that is out.
+// attempt is an attempt in flight.
 type attempt struct {
-	server          int32   // index into the engines, -1: this place is free
-	number          int     // counting the command's sends from 0
-	at              float64 // when it left
-	expected        float64 // how long it should take
-	cancelRequested bool    // its cancel has been asked for
-	presumedLost    bool    // no place is counted for it any more
+	server          int32   // index of the server, -1: no attempt in flight
+	number          int     // counts the attempts of the request from 0
+	at              float64 // when it was sent
+	expected        float64 // expected duration
+	cancelRequested bool    // a cancellation was requested
+	presumedLost    bool    // it no longer takes a slot
 }
 
-// requestState is one command in hand: until it has its final answer and no send of it is out.
+// requestState is a request that has no final answer yet, or has an attempt in flight.
 type requestState struct {
 	Command
-	takenAt, deadline float64 // when taken, and when the client gives it up
-	cost              float64 // expected work of all threads, the profile's bias taken out
-	bestTime, target  float64 // time on a free engine, and until when an answer earns its whole benefit
-	price, rank       float64 // cost per benefit, and place in the line of held commands, least first
-	benefit           float64 // benefit, less where its tenant is over its quota
-	priority          int     // priority as last set
-	threads           float64 // threads that its send counts as
+	takenAt, deadline float64 // arrival, and the client timeout
+	cost              float64 // expected work over all threads, corrected by the profile's bias
+	bestTime, target  float64 // time on an idle server, and the time until which an answer has its full benefit
+	price, rank       float64 // work per benefit, and the position in the queue, lowest first
+	benefit           float64 // of its profile, less if its tenant exceeds its quota
+	priority          int     // as last set
+	threads           float64 // threads that its attempt counts as
 	inFlight          attempt
 	attempts          int
-	avoidServer       int32   // engine that last failed it, -1: none
-	erroredOn         int32   // engine that last answered it with an error, -1: none
-	errors            int     // how many such answers it had
-	mayHaveRun        bool    // an ended send may have run
-	firstRunAt        float64 // when the first of those left, and where to
+	avoidServer       int32   // server that last failed it, -1: none
+	erroredOn         int32   // server that last answered it with an error, -1: none
+	errors            int     // number of such answers
+	mayHaveRun        bool    // an ended attempt may have run
+	firstRunAt        float64 // start of the first such attempt, with its zone and cell
 	firstRunZone      int
 	firstRunCell      int
-	short             bool
+	short             bool // may use the fast path
 	queued            bool
-	estimateSent      bool // its client has been told how long it takes
-	reserved          bool // it comes at a time that a client of its team was told
-	done              bool
-	streaming         bool
-	halfClosed        bool  // its client has said its last, and may have left
-	nextOfKey         int32 // next of the same order key, -1: none
+	estimateSent      bool  // its client has received an estimate
+	reserved          bool  // it arrives at a time that was estimated for a client of its team
+	done              bool  // it has its final answer
+	streaming         bool  // its answer is being streamed; no timeout applies
+	halfClosed        bool  // its client has closed its sending side, and may have left
+	nextOfKey         int32 // next request of the same order key, -1: none
 }
 
-// earliestPossibleRun is when the earliest send left that may have run or may run yet.
+// earliestPossibleRun is the start of the earliest attempt that may have run or may still run.
 func (r *requestState) earliestPossibleRun() (at float64, risk bool) {
 	if r.mayHaveRun {
 		return r.firstRunAt, true
@@ -53,20 +53,20 @@
 	return r.inFlight.at, r.inFlight.server >= 0
 }
 
-// keyQueue is the commands of one order key, in the order taken.
+// keyQueue holds the requests of one order key, in the order of arrival.
 type keyQueue struct {
 	head, tail int32
-	restUntil  float64 // nothing is sent before
+	restUntil  float64 // no attempt starts before
 }
 
-// requestSet holds records in places that are reused, the line of held ones by rank, and the lines of order keys.
+// requestSet holds request states at indexes that are reused, the queue ordered by rank, and the queues of order keys.
 type requestSet struct {
 	states      []requestState
 	freeIndexes []int32
-	at          map[uint32]int32
-	queued      []int32
+	at          map[uint32]int32 // index by request id
+	queued      []int32          // indexes of the queued requests, lowest rank first
 	byKey       map[uint64]keyQueue
-	restingKeys []uint64 // keys with nothing in line that may still rest
+	restingKeys []uint64 // keys with an empty queue that may still have to rest
 }
 
 func newSet() requestSet { return requestSet{at: map[uint32]int32{}, byKey: map[uint64]keyQueue{}} }
@@ -89,7 +89,7 @@
 	s.freeIndexes = append(s.freeIndexes, i)
 }
 
-// enqueue puts a record into the held line, behind those of its rank.
+// enqueue inserts a request into the queue, behind those of the same rank.
 func (s *requestSet) enqueue(i int32) {
 	r := &s.states[i]
 	if r.queued {
@@ -115,7 +115,7 @@
 	}
 }
 
-// enqueueKey puts a record at the back of its key's line.
+// enqueueKey appends a request to the queue of its key.
 func (s *requestSet) enqueueKey(i int32) {
 	q, ok := s.byKey[s.states[i].Key]
 	if !ok || q.head < 0 {
@@ -127,14 +127,14 @@
 	s.byKey[s.states[i].Key] = q
 }
 
-// restKey keeps a key's line still until then.
+// restKey delays the queue of a key until restUntil.
 func (s *requestSet) restKey(key uint64, restUntil float64) {
 	q := s.byKey[key]
 	q.restUntil = max(q.restUntil, restUntil)
 	s.byKey[key] = q
 }
 
-// advanceKey releases what is over at the front of a key's line; those behind may be over already.
+// advanceKey releases the requests at the head of a key's queue that are done; the next ones may be done already.
 func (s *requestSet) advanceKey(key uint64) {
 	q := s.byKey[key]
 	for q.head >= 0 && s.states[q.head].done && s.states[q.head].inFlight.server < 0 {
@@ -148,7 +148,7 @@
 	}
 }
 
-// dropIdleKeys forgets keys whose line is empty and whose rest is over.
+// dropIdleKeys removes keys with an empty queue whose rest is over.
 func (s *requestSet) dropIdleKeys(now float64) {
 	kept := s.restingKeys[:0]
 	for _, key := range s.restingKeys {
@@ -161,34 +161,34 @@
 	s.restingKeys = kept
 }
 
-// server is what this router knows of one server.
+// server is what this router knows about one server.
 type server struct {
 	Entry
 	cores           float64
-	threads         float64 // ours that are out there, and those of the short lane
+	threads         float64 // this router's threads on it, and those of them on the fast path
 	fastPathThreads float64
-	openAttempts    int
-	slowdown        float64 // slowdown against the usual of each profile, and when it was last learned
+	openAttempts    int     // this router's attempts in flight
+	slowdown        float64 // compared with the usual slowdown of each profile, and when it was last updated
 	slowdownAt      float64
-	failureRate     float64 // recent share of sends that failed there
+	failureRate     float64 // recent share of failed attempts
 	aliveAt         float64 // last sign of life
 	answeredAt      float64 // last answer
-	silentTimeoutAt float64 // when an attempt last ran out of time with no sign of life since it was sent
-	overdue         int     // sends long past what they should take, and what the shortest of them should
+	silentTimeoutAt float64 // when an attempt last timed out without a sign of life since it was sent
+	overdue         int     // attempts far over their expected time, and the shortest expected time among them
 	short           float64
-	fullUntil       float64   // it turned us away: nothing before then
-	unhealthy       bool      // gets one trial send at a time
-	probing         bool      // and that is out
-	nextProbeAt     float64   // not before then
-	probeInterval   float64   // between trials
+	fullUntil       float64   // it rejected an attempt as full: no attempts before this time
+	unhealthy       bool      // receives one probe at a time
+	probing         bool      // a probe is in flight
+	nextProbeAt     float64   // no probe before this time
+	probeInterval   float64   // time between probes
 	coldWork        window    // usual work sent since its start
-	peerThreads     []float64 // threads of each other router, as last told by it; nil: none has told any
-	reportedThreads float64   // threads of all others, as the engine's load report implies, and when
+	peerThreads     []float64 // threads of each other router, as last received; nil: none received
+	reportedThreads float64   // threads of all other routers according to the server's load reports, and the time of the last one
 	reportedAt      float64
-	otherThreads    float64 // threads of all others, as far as that is known
+	otherThreads    float64 // threads of all other routers, as far as known
 	othersKnown     bool
-	othersEstimated bool    // from other engines' reports
-	randomThreads   float64 // stands for them where it is not
+	othersEstimated bool    // derived from the reports of other servers
+	randomThreads   float64 // stands for otherThreads while they are unknown
 }
 
 func (e *server) addThreads(short bool, threads float64) {
@@ -198,6 +198,7 @@
 	}
 }
 
+// permitted reports whether a list allows v; nil allows any.
 func permitted(list []int, v int) bool {
 	for _, x := range list {
 		if x == v {
@@ -207,12 +208,12 @@
 	return list == nil
 }
 
-// pool is the engines of the list. The place of one that is gone is reused once no send of ours is out there.
+// pool holds the servers of the list. The index of a server that is gone is reused once no attempt is in flight there.
 type pool struct {
 	servers     []server
 	index       map[uint32]int32
-	peerHeardAt []float64 // when each router last told its load
-	coverage    Held      // what part of the pool the engines are
+	peerHeardAt []float64 // when each router's last load message arrived
+	coverage    Held      // the part of the pool that the list covers
 }
 
 func newPool(routers int) pool {
@@ -223,7 +224,7 @@
 	return p
 }
 
-// totals of this router's threads and commands over all engines.
+// totals returns this router's threads and attempts over all servers.
 func (p *pool) totals() (threads, openAttempts float64) {
 	for k := range p.servers {
 		threads, openAttempts = threads+p.servers[k].threads, openAttempts+float64(p.servers[k].openAttempts)
@@ -231,7 +232,7 @@
 	return threads, openAttempts
 }
 
-// healthyTotal of what this router has and knows on the engines that count.
+// healthyTotal sums up this router's load and the known load of others over all servers that are ready and healthy.
 func (p *pool) healthyTotal() (a server) {
 	for k := range p.servers {
 		if e := &p.servers[k]; e.State == Ready && !e.unhealthy {
@@ -242,9 +243,9 @@
 	return a
 }
 
-// sumOthers adds what others have on each engine, from routers heard or reports that came lately, and counts the
-// routers that were heard once and are no longer. Where not all engines are known, dense threads a core stand for
-// the rest, if under low.
+// sumOthers updates the load of other routers on each server, from messages of routers and load reports that arrived
+// recently, and counts the routers that sent messages before and no longer do. Where not all servers are known,
+// othersPerCore stands for the rest, if it is under lowThreads.
 func (p *pool) sumOthers(now, heardFor, reportedFor, othersPerCore, lowThreads float64) (silentPeers int, anyPeerHeard bool) {
 	allKnown := true
 	for _, at := range p.peerHeardAt {
@@ -274,9 +275,9 @@
 	}
 	for k := range p.servers {
 		switch e := &p.servers[k]; {
-		case allKnown: // all that matter are known
+		case allKnown: // all ready servers are known
 		case othersPerCore >= lowThreads:
-			e.otherThreads, e.othersKnown = 0, false // some known beside others that are not would mislead
+			e.otherThreads, e.othersKnown = 0, false // a mix of known and unknown servers would mislead
 		case !e.othersKnown:
 			e.otherThreads, e.othersKnown, e.othersEstimated = othersPerCore*e.cores, true, true
 		}
@@ -284,7 +285,7 @@
 	return silentPeers, anyPeerHeard
 }
 
-// freeIndex is a free one among the engines.
+// freeIndex returns an index that is free for a new server.
 func (p *pool) freeIndex() int32 {
 	for k := range p.servers {
 		if e := &p.servers[k]; e.State == Gone && e.openAttempts == 0 {
@@ -296,7 +297,7 @@
 	return int32(len(p.servers) - 1)
 }
 
-// merge takes a list event in and calls fresh for each engine that is new or has started anew.
+// merge applies a list event and calls onNewStart for each server that is new or has restarted.
 func (p *pool) merge(scope Scope, list []Entry, onNewStart func(*server)) {
 	if scope != Delta {
 		p.markUnlisted(list)
@@ -316,7 +317,8 @@
 	}
 }
 
-// markUnlisted marks what a whole list leaves out as gone. Lists have thousands of engines, so each is looked up once.
+// markUnlisted marks the servers that a complete list leaves out as gone. Lists have thousands of servers, so each is
+// looked up once.
 func (p *pool) markUnlisted(list []Entry) {
 	listed := make(map[uint32]struct{}, len(list))
 	for _, n := range list {
@@ -329,7 +331,7 @@
 	}
 }
 
-// encodeLoads writes this router's threads on each ready engine, for the other routers.
+// encodeLoads writes this router's threads on each ready server, for the other routers.
 func (p *pool) encodeLoads(buf []byte) []byte {
 	buf = buf[:0]
 	for k := range p.servers {
@@ -341,11 +343,11 @@
 	return buf
 }
 
-// decodeLoads takes what another router packed.
+// decodeLoads reads what encodeLoads of another router wrote.
 func (p *pool) decodeLoads(from int, data []byte) {
 	for k := range p.servers {
 		e := &p.servers[k]
-		if e.peerThreads == nil { // only where routers talk: a figure for each router and engine is the most that the module keeps
+		if e.peerThreads == nil { // only where routers exchange messages: a value per router and server is the largest state of the package
 			e.peerThreads = make([]float64, len(p.peerHeardAt))
 		}
 		e.peerThreads[from] = 0
--- a/admission/teams.go
+++ b/admission/teams.go
@@ -1,7 +1,7 @@
 package admission
 
-// This file tells the teams what is held, sent and ended and carries out what they decide. It decides nothing; without
-// teams it does nothing but keep the held line.
+// This file reports queued requests and the start and end of attempts to the teams, and carries out their decisions. It
+// decides nothing; without teams it only maintains the queue.
 
 func (b *Brain) enqueue(i int32) {
 	b.sendEstimate(i)
@@ -23,22 +23,22 @@
 	}
 }
 
-// mayStart tells whether it is the command's turn, and its team's ceiling allows it.
+// mayStart reports whether it is the request's turn, and its team's ceiling allows it.
 func (b *Brain) mayStart(r *requestState) bool {
 	if b.settings.Teams == nil {
 		return true
 	}
 	i, ok := b.requests.at[r.ID]
-	if !ok { // one that is only looked at again
+	if !ok { // not a request in the set, but a copy that is evaluated again
 		i = -1
 	}
 	return b.settings.Teams.MayStart(b.now, i, r.Team)
 }
 
-// hasUsableServer tells whether some engine would take the command if it had places.
+// hasUsableServer reports whether some server would accept the request if it had free slots.
 func (b *Brain) hasUsableServer(r *requestState, p *profileState) bool {
 	if b.isOrdered(r) && b.requests.states[b.requests.byKey[r.Key].head].ID != r.ID {
-		return false // another of its key goes first
+		return false // another request of its key goes first
 	}
 	for k := range b.servers {
 		if e := &b.servers[k]; b.placementAllowed(r, p, e) && !e.unhealthy && b.now >= e.fullUntil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// settleTeam tells what a send took: nothing where it never ran, what was told where it was, and what was expected where it
-// ran or may go on at the engine.
+// settleTeam reports the work of an ended attempt: none if it never ran, the measured work if it was reported, and the
+// expected work if the attempt ran or may still be running on the server.
 func (b *Brain) settleTeam(i int32, o *Outcome) {
 	t := b.settings.Teams
 	if t == nil {
@@ -69,14 +69,15 @@
 		work = o.Work
 	case o.End.NeverRan():
 		work = 0
-	case o.End == Cancelled && b.settings.Cancels: // it has stopped, and can't have had more than its threads
+	case o.End == Cancelled && b.settings.Cancels: // it has stopped, and can't have used more than its threads
 		work = min(r.cost, o.Lag*float64(b.profiles[r.Profile].Threads))
 	}
 	t.AttemptEnded(b.now, i, work)
 }
 
-// applyPriorityChanges carries out the changes of levels. A send that is a level down has a quarter of the share (levels are 1 : 4
-// : 8 : 16) and counts as that much of its threads, so that what it stepped back for finds a place.
+// applyPriorityChanges carries out changes of priority. An attempt that is lowered by a level has a quarter of the
+// share (levels are 1 : 4 : 8 : 16) and counts as a quarter of its threads, so that the requests that it makes way for
+// find slots.
 func (b *Brain) applyPriorityChanges() {
 	t := b.settings.Teams
 	if t == nil {
--- a/admission/waits.go
+++ b/admission/waits.go
@@ -2,10 +2,11 @@
 
 import "dunereach/waittime"
 
-// This file tells the book of waits what the module expects and what came of it. Without a book it does nothing but name
-// the fixed pause. Its decisions are the book's, and the arrival estimate's (brain.go).
+// This file passes the controller's estimates, and what became of them, to the estimator of waits. Without an estimator
+// it only provides the fixed retry pause. The decisions are those of the estimator, and of the estimate on arrival
+// (controller.go).
 
-// trackedRejection is a refused command that is looked at again: when would it have been let in?
+// trackedRejection is a rejected request that is evaluated again, to find when it would have been admitted.
 type trackedRejection struct {
 	requestState
 	rejectedAt, baseWait float64
@@ -13,18 +14,18 @@
 }
 
 const (
-	maxTracked = 32   // looked at every tick, each as an arrival is
-	trackEvery = 8    // of the refused, so that a burst doesn't fill them all
-	trackFor   = 15.0 // seconds: longer than any client is told to stay away
+	maxTracked = 32   // evaluated every tick, at the cost of an arrival each
+	trackEvery = 8    // one of so many rejections is tracked, so that a burst does not use up all places
+	trackFor   = 15.0 // seconds: longer than any client is asked to stay away
 )
 
-// retryPause is how long a refused client should stay away.
+// retryPause is the time that a rejected client should wait before it retries.
 func (b *Brain) retryPause(r *requestState, p *profileState) float64 {
 	w := b.settings.Waits
 	if w == nil {
-		return b.settings.MaxPause / 2 // half of what clients honour: most do, and the rest spreads them
+		return b.settings.MaxPause / 2 // half of the pause that clients honour: most do, and the others spread the retries
 	}
-	if b.now > r.takenAt { // given up in the line: what it would wait for now is the honest answer, and it is no ghost
+	if b.now > r.takenAt { // given up in the queue: its estimate is the present wait, and it is not tracked
 		start := w.Predict(waittime.Start, r.Team, r.Profile, b.queueWait(r)+b.slotWait(r, p))
 		b.host.Told(r.ID, waittime.Return, start)
 		return min(max(start.P50, waittime.MinPause), b.settings.MaxPause)
@@ -42,7 +43,7 @@
 	return pause
 }
 
-// reservedWait is the room kept for clients that were told a time, for a command that comes without one.
+// reservedWait is the wait that capacity reserved for clients with an estimate adds for a request without a reservation.
 func (b *Brain) reservedWait(r *requestState) float64 {
 	if b.settings.Waits == nil || r.reserved {
 		return 0
@@ -50,7 +51,7 @@
 	return b.settings.Waits.ReservedLoad(b.now)
 }
 
-// checkTrackedRejections finds when refused commands would have been let in.
+// checkTrackedRejections finds out when rejected requests would have been admitted.
 func (b *Brain) checkTrackedRejections() {
 	kept := b.trackedRejections[:0]
 	for k := range b.trackedRejections {
@@ -64,7 +65,8 @@
 	b.trackedRejections = kept
 }
 
-// wouldAdmit tells whether the arrival estimate would let in a command that was refused if it came now, chance aside.
+// wouldAdmit reports whether the estimate on arrival would admit a rejected request if it arrived now, without the
+// random allowance.
 func (b *Brain) wouldAdmit(r requestState) bool {
 	r.ID, r.reserved, r.inFlight = 0, false, attempt{server: -1}
 	r.target, r.rank = b.now+r.target-r.takenAt, r.price+b.settings.Ageing*b.now
@@ -72,7 +74,8 @@
 	return b.estimatesMeetTargets(&r, &b.profiles[r.Profile])
 }
 
-// WouldTake tells whether the arrival estimate would let a command in now, chance aside. Nothing changes by it.
+// WouldAdmit reports whether the estimate on arrival would admit a request now, without the random allowance. It
+// changes no state.
 func (b *Brain) WouldTake(now float64, c Command) bool {
 	b.now = now
 	r := requestState{Command: c, takenAt: now, benefit: b.profiles[c.Profile].Benefit}
@@ -80,7 +83,7 @@
 	return b.wouldAdmit(r)
 }
 
-// sendEstimate tells how long a command that is held for the first time will take.
+// sendEstimate reports the expected times of a request that is queued for the first time.
 func (b *Brain) sendEstimate(i int32) {
 	r := &b.requests.states[i]
 	if b.settings.Waits == nil || r.queued || r.estimateSent || r.attempts > 0 {
@@ -94,8 +97,8 @@
 	b.host.Told(r.ID, waittime.Answer, answer)
 }
 
-// slotWait is how long the places of a command take to come free behind all that leaves before it: so many of those in
-// use end in a mean time.
+// slotWait is the time until slots come free for a request after all requests that leave before it: the slots in use
+// become free within the mean duration of an attempt.
 func (b *Brain) slotWait(r *requestState, p *profileState) float64 {
 	return float64(p.Threads) * max(b.meanAttemptTime, r.bestTime) / max(b.slots(&b.total), 1)
 }
@@ -104,7 +107,7 @@
 	return waittime.Estimate{P50: p.current.quantile(0.5), P90: p.current.quantile(0.9)}
 }
 
-// endWait tells that a command is sent: its wait is over, or there was none.
+// endWait reports that an attempt of the request starts: its wait is over, or there was none.
 func (b *Brain) endWait(i int32, p *profileState) {
 	w, r := b.settings.Waits, &b.requests.states[i]
 	if w == nil || r.attempts > 0 {
@@ -119,13 +122,13 @@
 	b.host.Told(r.ID, waittime.Answer, answer)
 }
 
-// answerReceived tells that a command's client has its answer.
+// answerReceived reports that a client has its answer.
 func (b *Brain) answerReceived(i int32, o *Outcome) {
 	if b.settings.Waits == nil {
 		return
 	}
 	if o.End == Answered {
-		b.meanAttemptTime += 0.02 * (o.Lag - b.meanAttemptTime) // over some fifty
+		b.meanAttemptTime += 0.02 * (o.Lag - b.meanAttemptTime) // averaged over about fifty answers
 	}
 	b.settings.Waits.Fulfilled(b.now, i, waittime.Answer)
 }
--- a/admission/warmstart.go
+++ b/admission/warmstart.go
@@ -8,10 +8,11 @@
 	"dunereach/warmstart"
 )
 
-// This file gives what the module has learned to a process that comes after it, and takes what an earlier one knew. It decides
-// nothing: what is believed, and with what weight, package memory has decided. Without Settings.Memory nothing changes.
+// This file passes on what the controller has learned to the next process, and restores what an earlier process knew.
+// It decides nothing: package warmstart decides which values are trusted, and with what weight. Without Settings.Memory
+// nothing changes.
 
-// Fingerprints of profiles: what was learned under other settings says nothing.
+// Fingerprints of profiles: values that were learned with other settings are void.
 func Fingerprints(profiles []Profile) (all []uint64) {
 	for _, p := range profiles {
 		h := fnv.New64a()
@@ -35,7 +36,7 @@
 	return all
 }
 
-// Rates at which tenants' buckets fill.
+// TenantRates returns the rates at which the tenants' token buckets refill.
 func (s Settings) Rates() (all []float64) {
 	for _, t := range s.Tenants {
 		all = append(all, t.QuotaPerS/float64(max(s.Routers, 1)))
@@ -43,7 +44,8 @@
 	return all
 }
 
-// Knows is what this process knows now. Engines' starts are by the module's clock: the caller moves them to one that lasts.
+// Knowledge returns what this process knows now. Start times of servers are on the controller's clock; the caller
+// converts them to a clock that outlives the process.
 func (b *Brain) Knows() (k warmstart.Knowledge) {
 	fingerprints := Fingerprints(b.settings.Profiles)
 	for n := range b.profiles {
@@ -60,7 +62,7 @@
 	for n := range b.tenants {
 		tokens := b.tenants[n].tokens + (b.now-b.tenants[n].refilledAt)*rates[n]
 		if math.IsInf(tokens, 0) || tokens > 1e9 {
-			tokens = 1e9 // never asked for: a full bucket
+			tokens = 1e9 // no request yet: a full bucket
 		}
 		k.Tenants = append(k.Tenants, warmstart.Tenant{Left: tokens, Rate: rates[n]})
 	}
@@ -70,7 +72,7 @@
 	return k
 }
 
-// restoreBeliefs starts with what is believed.
+// restoreBeliefs starts with the values that are trusted from an earlier process.
 func (b *Brain) restoreBeliefs() {
 	m := b.settings.Memory
 	if m == nil {
@@ -101,17 +103,19 @@
 	}
 }
 
-// restoreServer what is believed of an engine that the list names for the first time: of the same start alone.
+// restoreServer restores what is known about a server that the list contains for the first time, if it has the same
+// start.
 func (b *Brain) restoreServer(e *server) {
 	if b.settings.Memory == nil {
 		return
 	}
 	for _, earlier := range b.settings.Memory.Engines {
-		if earlier.ID != e.Engine || math.Abs(earlier.Start-e.ReadyAt) > 0.05 { // seconds: starts are told in milliseconds
+		if earlier.ID != e.Engine || math.Abs(earlier.Start-e.ReadyAt) > 0.05 { // seconds: start times are reported in milliseconds
 			continue
 		}
 		if e.slowdown, e.slowdownAt, e.failureRate = max(earlier.Slow, 1), b.now, earlier.Fails; earlier.Ill {
-			// Its trial is drawn within the pause, or all routers of a rolling restart would try it at once.
+			// The first probe is at a random time within the interval; otherwise all routers of a rolling restart would
+			// probe the server at once.
 			e.unhealthy, e.probeInterval = true, max(earlier.Pause, 0.5)
 			e.nextProbeAt = b.now + e.probeInterval*b.random.float()
 		}
