--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -8,7 +8,7 @@
 	"dunereach/waittime"
 )
 
-// play is one command after another through a module: taken, admitted, sent, answered.
+// runRequests runs one request after another through a controller: registered, admitted, sent, answered.
 func runRequests(b *testing.B, set Settings, servers int, request func(k int) Command) {
 	h := &nopHost{}
 	m := New(set, 0, h)
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkEngines: the module alone, by the size of the pool.
+// BenchmarkEngines measures the controller alone, by the size of the pool.
 func BenchmarkEngines(b *testing.B) {
 	for _, n := range []int{8, 72, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -47,7 +47,8 @@
 	}
 }
 
-// BenchmarkTeams: with teams, of which a hundred have commands. The cost must not grow with those that have none.
+// BenchmarkTeams measures with teams, of which a hundred have requests. The cost must not grow with the number of idle
+// teams.
 func BenchmarkTeams(b *testing.B) {
 	for _, n := range []int{0, 10, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// BenchmarkWaits: with waits told.
+// BenchmarkWaits measures with estimates reported.
 func BenchmarkWaits(b *testing.B) {
 	set := defaults()
 	set.Teams, set.Waits = teamTree(b, 100), waittime.New(len(set.Profiles), 1)
--- a/admission/cold_budget_test.go
+++ b/admission/cold_budget_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// coldFleet is routers that send one cold server all that their budgets let them, on virtual time.
+// coldFleet is a set of routers that send one cold server as much as their budgets allow, on virtual time.
 type coldFleet struct {
 	controller *Brain
 	random     *rand.Rand
-	servers    []server  // the server as each router knows it
-	learnedAt  []float64 // when each hears of the server
+	servers    []server  // the server as each router sees it
+	learnedAt  []float64 // when each router learns of the server
 	startedAt  []float64 // when each router's process started
-	least      float64   // work of a request
-	most       float64
+	least      float64   // least work of a request
+	most       float64   // most work of a request
 	sent       []coldAttempt
 }
 
@@ -22,7 +22,7 @@
 
 const coldStep = 0.05 // seconds
 
-// newColdFleet draws a deployment. A router's requests are of any size up to the lane's mark.
+// newColdFleet draws a random deployment. A router's requests have any size up to the limit of the fast path.
 func newColdFleet(random *rand.Rand, routers int) *coldFleet {
 	between := func(least, most float64) float64 { return least + (most-least)*random.Float64() }
 	settings := Settings{Routers: routers, Tick: 0.005, KindCores: []float64{8}, ColdFrom: between(0.1, 0.6), WarmUp: between(4, 30),
@@ -44,13 +44,13 @@
 
 func (f *coldFleet) work() float64 { return f.least * math.Pow(f.most/f.least, f.random.Float64()) }
 
-// restart has a router forget what it has sent.
+// restart makes a router forget what it has sent.
 func (f *coldFleet) restart(router int, now float64) {
 	f.startedAt[router] = now
 	f.servers[router].coldWork = newWindow(f.controller.settings.FallWindow, 10)
 }
 
-// send has each router send all that it may.
+// send makes each router send as much as it may.
 func (f *coldFleet) send(now float64) {
 	b := f.controller
 	b.now = now
@@ -73,7 +73,7 @@
 	}
 }
 
-// worstUse is the most work in a window, as a part of what the rule allows then.
+// worstUse is the most work in one window, relative to the work that the rule allows there.
 func (f *coldFleet) worstUse() (use float64) {
 	settings, sum, first, total := f.controller.settings, 0.0, 0, 0.0
 	for _, a := range f.sent {
@@ -95,8 +95,9 @@
 	return use
 }
 
-// TestColdBudgets guards against routers that send a cold server more than it bears, all together and all that they may: the rule's bound holds
-// in each window, with up to a third of the routers restarted within one, and some told later than others.
+// TestColdBudgets guards against routers that overload a cold server when each of them sends as much as it may: all
+// together must keep the rule's bound in every window, even if up to a third of the routers restart within one and some
+// learn of the server later than others.
 func TestColdBudgets(t *testing.T) {
 	const cases, longest, most = 10000, 4.0, 60
 	worstUse := 0.0
@@ -117,13 +118,13 @@
 		}
 		use := f.worstUse()
 		if worstUse = max(worstUse, use); use > 1 {
-			t.Fatalf("seed %d: %d routers send %.2f of what the rule allows", seed, len(f.servers), use)
+			t.Fatalf("seed %d: %d routers send %.2f times the work that the rule allows", seed, len(f.servers), use)
 		}
 	}
-	t.Logf("%.2f of what the rule allows at most", worstUse)
+	t.Logf("at most %.2f times the work that the rule allows", worstUse)
 }
 
-// served is how many routers have sent something.
+// served is the number of routers that have sent a request.
 func (f *coldFleet) served() (n int) {
 	for k := range f.servers {
 		if f.servers[k].openAttempts > 0 {
@@ -133,8 +134,9 @@
 	return n
 }
 
-// TestColdBudgetsAtFullSize guards against routers that are never served by a cold server, as the warm-up has no turn for each of 1,600: all
-// that have small requests send some before it is warm, and all together keep to the rule.
+// TestColdBudgetsAtFullSize guards against routers that a cold server never serves because the warm-up is too short for
+// a turn for each of 1,600 routers: every router with small requests must send some before the server is warm, and all
+// together must keep the rule.
 func TestColdBudgetsAtFullSize(t *testing.T) {
 	const cases, routers, watched = 20, 1600, 4.0
 	for seed := range uint64(cases) {
@@ -145,10 +147,10 @@
 			f.send(now)
 		}
 		if use := f.worstUse(); use > 1 {
-			t.Errorf("seed %d: %.2f of what the rule allows", seed, use)
+			t.Errorf("seed %d: %.2f times the work that the rule allows", seed, use)
 		}
 		if n := f.served(); n < routers {
-			t.Errorf("seed %d: %d of %d routers send something before it is warm", seed, n, routers)
+			t.Errorf("seed %d: %d of %d routers send a request before the server is warm", seed, n, routers)
 		}
 	}
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -7,11 +7,12 @@
 	"dunereach/waittime"
 )
 
-// TestTraces plays every script of testdata and compares what the module does with what is kept there. Equal
-// events must give equal actions, so each is played twice.
+// TestTraces runs every script of testdata and compares the controller's actions with the recorded ones. Equal events
+// must give equal actions, so each script runs twice.
 func TestTraces(t *testing.T) { script.Compare(t, playScript, playScript) }
 
-// TestTurnover: places of engines that are gone are used again, and nothing of commands that are over stays.
+// TestTurnover guards against leaks: the entries of servers that are gone are reused, and no state of finished requests
+// remains.
 func TestTurnover(t *testing.T) {
 	h := &nopHost{}
 	b := New(defaults(), 0, h)
@@ -22,10 +23,11 @@
 		b.Outcome(now, Outcome{ID: id, Engine: h.server, End: Answered, Lag: 0.1, Work: 0.1, Over: true})
 	}
 	if len(b.servers) > 2 || len(b.index) > 2 || len(b.requests.states) > 1 || len(b.requests.at) > 0 {
-		t.Errorf("%d engines under %d ids, %d commands", len(b.servers), len(b.index), len(b.requests.states))
+		t.Errorf("%d servers under %d ids, %d requests", len(b.servers), len(b.index), len(b.requests.states))
 	}
 }
 
+// nopHost ignores all actions and records the server of the latest attempt.
 type nopHost struct{ server uint32 }
 
 func (h *nopHost) Send(_, server uint32, _, _ float64)           { h.server = server }
@@ -41,7 +43,8 @@
 func (h *nopHost) Log(string)                                    {}
 func (h *nopHost) Told(uint32, waittime.Kind, waittime.Estimate) {}
 
-// TestOrdinaryPathAllocatesNothing plays commands that are taken, admitted, sent and answered, also with teams and waits.
+// TestOrdinaryPathAllocatesNothing checks requests that are registered, admitted, sent and answered, also with teams
+// and estimates.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		set := defaults()
@@ -67,6 +70,6 @@
 		serveOne()
 	}
 	if n := testing.AllocsPerRun(1000, serveOne); n != 0 {
-		t.Errorf("%v allocations for a command", n)
+		t.Errorf("%v allocations for a request", n)
 	}
 }
--- a/admission/merge_test.go
+++ b/admission/merge_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// TestListsCostTheirLength: a list of eight times the databases is merged in about eight times the time, and not the square of that.
+// TestListsCostTheirLength guards against a merge that takes quadratic time: a list of eight times as many servers
+// takes about eight times as long.
 func TestListsCostTheirLength(t *testing.T) {
 	const few, times, mostTimes = 500, 8, 24
 	small, large := fastestMerge(few), fastestMerge(few*times)
-	t.Logf("%v for %d databases, %v for %d", small, few, large, few*times)
+	t.Logf("%v for %d servers, %v for %d", small, few, large, few*times)
 	if large > mostTimes*small {
-		t.Errorf("%d databases take %v, %d take %v", few, small, few*times, large)
+		t.Errorf("merging %d servers takes %v, merging %d takes %v", few, small, few*times, large)
 	}
 }
 
-// fastestMerge is the shortest of some times in which a list that is known comes again, less one database: what else the machine does
-// lengthens them.
+// fastestMerge is the shortest of several times for merging a known list with one server less. Other load on the
+// machine can only lengthen them.
 func fastestMerge(databases int) time.Duration {
 	list := make([]Entry, databases)
 	for k := range list {
@@ -37,7 +38,8 @@
 	return shortest
 }
 
-// TestSilentRoutersTakeNoMemory: a database's state does not grow with the number of routers while none of them tells its load.
+// TestSilentRoutersTakeNoMemory checks that the state of a server does not grow with the number of routers while none
+// of them sends its load.
 func TestSilentRoutersTakeNoMemory(t *testing.T) {
 	list := make([]Entry, 100)
 	for k := range list {
@@ -53,6 +55,6 @@
 	}
 	few, many := allocated(1), allocated(1600)
 	if many > few+1024 {
-		t.Errorf("100 databases take %d bytes with one router and %d with 1,600", few, many)
+		t.Errorf("100 servers take %d bytes with one router and %d with 1,600", few, many)
 	}
 }
--- a/admission/script_test.go
+++ b/admission/script_test.go
@@ -12,9 +12,9 @@
 	"dunereach/waittime"
 )
 
-// scriptPlayer plays a script against one Brain and prints what it does. A script's lines are settings (JSON over
-// the defaults below) and events, each with its time; what the module does stands indented below the event,
-// or below "at" where a wake of its own brought it about.
+// scriptPlayer runs a script against one controller and prints its actions. A script's lines are settings (JSON over
+// the defaults below) and events, each with its time. The controller's actions follow indented below the event, or
+// below "at" if one of its own timers caused them.
 type scriptPlayer struct {
 	t           *testing.T
 	b           *Brain
@@ -22,12 +22,12 @@
 	wakes       []wake
 	out         strings.Builder
 	muted       bool
-	lastAttempt map[uint32]Outcome // the latest send of each command
+	lastAttempt map[uint32]Outcome // the latest attempt of each request
 	attempts    map[uint32]int
 	sentAt      map[uint32]float64
 	load        Load
 
-	unsent           bool // of the send that ends nothing had left
+	unsent           bool // nothing of the attempt that ends had been sent
 	printWithdrawals bool // withdrawals are printed
 }
 
@@ -90,7 +90,7 @@
 	s.now = t
 }
 
-// emptyFleet is one that has heard of nothing.
+// emptyFleet has received nothing from other routers.
 type emptyFleet struct{}
 
 func (emptyFleet) Part(float64, uint32, float64) (part float64, ok bool)       { return 0, false }
@@ -109,7 +109,7 @@
 	"timed-out":   TimedOut,
 	"unreachable": Unreachable, "cut": Cut, "cancelled": Cancelled, "moot": Moot}
 
-// playScript runs a script, less its indented lines, and gives it back with what the module did.
+// playScript runs a script without its indented lines and returns it with the controller's actions.
 func playScript(t *testing.T, script string) string {
 	s := &scriptPlayer{t: t, lastAttempt: map[uint32]Outcome{}, attempts: map[uint32]int{}, sentAt: map[uint32]float64{}}
 	set := defaults()
@@ -119,7 +119,7 @@
 		}
 		if text, ok := strings.CutPrefix(line, "settings "); ok {
 			s.must(json.Unmarshal([]byte(text), &set), line)
-		} else if text, ok := strings.CutPrefix(line, "teams "); ok { // a spec; teams are numbered as they stand there
+		} else if text, ok := strings.CutPrefix(line, "teams "); ok { // a spec; teams are numbered in its order
 			var spec fairshare.Spec
 			s.must(json.Unmarshal([]byte(text), &spec), line)
 			tree, err := fairshare.New(spec, 0)
@@ -156,7 +156,7 @@
 	}
 }
 
-// event plays one line: its words are the fields in the order below, with name=value for rarer ones.
+// event runs one line. Its arguments are the fields in the order given below.
 func (s *scriptPlayer) event(name string, args []string, line string) {
 	num := func(k int) float64 {
 		v := 0.0
@@ -179,7 +179,7 @@
 	case "command": // id profile time-left cost [key [tenant [team [mark]]]]
 		s.b.Command(s.now, Command{ID: uint32(num(0)), Profile: int(num(1)), TimeLeft: num(2), Cost: num(3),
 			Key: uint64(num(4)), Tenant: int(num(5)), Team: int(num(6)), Mark: uint64(num(7))})
-	case "crowd": // first-id count profile time-left cost [team]: as many commands at once
+	case "crowd": // first-id count profile time-left cost [team]: that many requests at once
 		for k := range int(num(1)) {
 			s.b.Command(s.now, Command{ID: uint32(num(0)) + uint32(k), Profile: int(num(2)), TimeLeft: num(3),
 				Cost: num(4), Team: int(num(5))})
@@ -187,7 +187,7 @@
 	case "spills": // id MB
 		o := s.lastAttempt[uint32(num(0))]
 		s.b.Note(s.now, Note{ID: o.ID, Engine: o.Engine, Send: o.Send, Kind: Spilling, Value: num(1)})
-	case "warm": // count profile cost lag: commands answered one after another, not printed
+	case "warm": // count profile cost lag: requests answered one after another, not printed
 		s.muted = true
 		for k := range int(num(0)) {
 			id := uint32(1e6 + s.now*1000 + float64(k))
@@ -199,7 +199,7 @@
 		s.b.Left(s.now, uint32(num(0)))
 	case "half-closed":
 		s.b.HalfClosed(s.now, uint32(num(0)))
-	case "unsent": // a send timed out before any of it left
+	case "unsent": // an attempt timed out before any of it was sent
 		s.unsent = true
 		s.end(uint32(num(0)), TimedOut, math.Round((s.now-s.sentAt[uint32(num(0))])*1e6)/1e6, 0)
 		s.unsent = false
@@ -211,11 +211,11 @@
 		_, err := fmt.Sscanf(args[1], "%x", &data)
 		s.must(err, line)
 		s.b.Peer(s.now, int(num(0)), data)
-	case "probed": // engine commands-held
+	case "probed": // server requests-held
 		s.load = Load{Held: num(1)}
 		s.b.Probed(s.now, uint32(num(0)), Answered, 0.001, &s.load)
-	case "pass": // time only
-	default: // an end: id [true work]; of the latest send
+	case "pass": // time passes without an event
+	default: // an end: id [measured work]; of the latest attempt
 		end, ok := ends[name]
 		if !ok {
 			s.t.Fatalf("script line %q: unknown event", line)
@@ -228,7 +228,7 @@
 func (s *scriptPlayer) end(id uint32, end End, lag, work float64) {
 	o, ok := s.lastAttempt[id]
 	if !ok {
-		s.t.Fatalf("command %d was not sent", id)
+		s.t.Fatalf("request %d was not sent", id)
 	}
 	o.End, o.Lag, o.Work, o.Over = end, lag, work, end == Answered
 	o.Unsent = s.unsent
--- a/admission/subset_test.go
+++ b/admission/subset_test.go
@@ -7,7 +7,7 @@
 	"dunereach/waittime"
 )
 
-// idleHost is a host that does nothing of what it is asked for.
+// idleHost ignores all actions.
 type idleHost struct{}
 
 func (idleHost) Send(id, server uint32, timeout, sendBefore float64)  {}
@@ -23,7 +23,8 @@
 func (idleHost) Log(text string)                                      {}
 func (idleHost) Told(id uint32, k waittime.Kind, e waittime.Estimate) {}
 
-// TestHeldShares: of a held engine a router has a larger equal share, of the whole pool's quotas and cores none the larger.
+// TestHeldShares checks that a router has a larger equal share of each listed server, but not of the quotas and cores
+// of the whole pool.
 func TestHeldShares(t *testing.T) {
 	set := Settings{Routers: 100, Tick: 0.005, Profiles: []Profile{{Target: 1, Benefit: 1, Threads: 1}}, KindCores: []float64{8},
 		Tenants: []Tenant{{QuotaPerS: 10}}}
@@ -35,7 +36,7 @@
 		ready        []float64 // reported by zone
 	}{
 		{"all", Held{}, 0.01, 0.01, []float64{8, 8}},
-		{"said to be all", Held{Part: 1, Zones: []float64{1, 1}}, 0.01, 0.01, []float64{8, 8}},
+		{"all, set explicitly", Held{Part: 1, Zones: []float64{1, 1}}, 0.01, 0.01, []float64{8, 8}},
 		{"a twentieth", Held{Part: 0.05, Zones: []float64{0.25, 0.125}}, 0.2, 0.01, []float64{32, 64}},
 		{"fewer than routers", Held{Part: 0.001}, 1, 0.01, []float64{8, 8}},
 	} {
@@ -45,32 +46,32 @@
 		b.Woken(0.005, 0)
 		near := func(a, b float64) bool { return math.Abs(a-b) < 1e-12 }
 		if !near(b.share, c.share) || !near(b.quotaShare(0), c.quota) {
-			t.Errorf("%s: share %v, of a quota %v; want %v and %v", c.name, b.share, b.quotaShare(0), c.share, c.quota)
+			t.Errorf("%s: share %v, share of a quota %v; want %v and %v", c.name, b.share, b.quotaShare(0), c.share, c.quota)
 		}
 		r := b.Report(1, 2)
 		for z, ready := range c.ready {
 			if r.Sights[z].Ready != ready {
-				t.Errorf("%s: zone %d is told to have %v cores, want %v", c.name, z, r.Sights[z].Ready, ready)
+				t.Errorf("%s: zone %d is reported with %v cores, want %v", c.name, z, r.Sights[z].Ready, ready)
 			}
 		}
 	}
 }
 
-// TestCondition tells a cold engine and one that drains from one that can be used.
+// TestCondition distinguishes cold, draining, unlisted, crowded and unhealthy servers from usable ones.
 func TestCondition(t *testing.T) {
 	b := New(Settings{Routers: 4, Tick: 0.005, WarmUp: 15, Profiles: []Profile{{Target: 1, Benefit: 1, Threads: 1}}}, 100, idleHost{})
 	b.Members(100, Full, []Entry{{Engine: 1, State: Ready}, {Engine: 2, State: Draining}, {Engine: 3, State: Ready, ReadyAt: 95}})
 	for id, want := range map[uint32]Condition{1: Usable, 2: Unlisted, 3: Warming, 4: Unlisted} {
 		if got := b.Condition(100, id); got != want {
-			t.Errorf("engine %d: condition %d, want %d", id, got, want)
+			t.Errorf("server %d: condition %d, want %d", id, got, want)
 		}
 	}
 	b.servers[b.index[1]].fullUntil = 101
 	if got := b.Condition(100, 1); got != Crowded {
-		t.Errorf("an engine that turned a request away: condition %d", got)
+		t.Errorf("a server that rejected a request as full: condition %d", got)
 	}
 	b.servers[b.index[1]].unhealthy = true
 	if got := b.Condition(100, 1); got != Unhealthy {
-		t.Errorf("an engine that gets probes only: condition %d", got)
+		t.Errorf("a server that receives probes only: condition %d", got)
 	}
 }
--- a/admission/warmstart_test.go
+++ b/admission/warmstart_test.go
@@ -6,7 +6,8 @@
 	"dunereach/warmstart"
 )
 
-// TestRecall: trouble is believed of the start that had it, and of no other; what was learned comes back as it was.
+// TestRecall checks that a server's health is restored only for the same start of the server, and that learned values
+// are restored unchanged.
 func TestRecall(t *testing.T) {
 	set := Settings{Seed: 1, Tick: 0.005, Profiles: []Profile{{Target: 1, Benefit: 1, Threads: 1}}, Tenants: []Tenant{{QuotaPerS: 10}}}
 	b := New(set, 100, &nopHost{})
@@ -19,7 +20,7 @@
 	b.suspect(&b.servers[0], "is silent")
 	k := b.Knows()
 	if len(k.Engines) != 1 || k.Engines[0].ID != 1 || k.Profiles[0].Seen != 30 || k.Tenants[0].Left != -5 {
-		t.Fatalf("it knows %+v", k)
+		t.Fatalf("unexpected knowledge %+v", k)
 	}
 	beliefs := warmstart.Believe(k, 2, true, Fingerprints(set.Profiles), set.Rates())
 	set.Memory = &beliefs
@@ -30,13 +31,13 @@
 		n := New(set, 102, &nopHost{})
 		n.Members(102, Full, []Entry{{Engine: 1, ReadyAt: c.start, State: Ready}, {Engine: 2, State: Ready}})
 		if got := n.servers[n.index[1]].unhealthy; got != c.unhealthy || n.servers[n.index[2]].unhealthy {
-			t.Errorf("started at %v: doubted %v", c.start, got)
+			t.Errorf("started at %v: unhealthy %v", c.start, got)
 		}
 		if p := &n.profiles[0]; p.samples < 9.9 || p.samples > 10 || p.current.n < 25 || p.work < 0.29 || p.work > 0.31 || n.tenants[0].tokens != 15 {
-			t.Errorf("%v answers, %v times, work %v, tenant %v", p.samples, p.current.n, p.work, n.tenants[0].tokens)
+			t.Errorf("%v samples, %v processing times, work %v, tenant %v", p.samples, p.current.n, p.work, n.tenants[0].tokens)
 		}
 	}
 	if a := Fingerprints([]Profile{{Target: 1}, {Target: 1, Zones: []int{0}}, {Target: 1, Kinds: []int{0}}}); a[0] == a[1] || a[1] == a[2] {
-		t.Error("profiles of other settings look alike")
+		t.Error("profiles with different settings have the same fingerprint")
 	}
 }
