--- a/admission/api.go
+++ b/admission/api.go
@@ -95,21 +95,21 @@
 // and which running attempts are lowered in priority. A request is identified by its index. Package fairshare has an
 // implementation. Work is in core seconds.
 type Teams interface {
-	Enqueue(now float64, at int32, team int, rank, work, threads, due float64) // due: latest time to send it
-	Dequeue(at int32)
+	Enqueue(now float64, index int32, team int, rank, work, threads, due float64) // due: latest time to send it
+	Dequeue(index int32)
 	StartWalk(now float64) // starts a walk over the queued requests, in the current order
 	Next() int32           // the next one, -1: none; the same until it is sent or skipped
-	Skip(at int32)
-	MarkUnplaceable(at int32)                      // no server would take it even with free slots
-	GaveUp(now float64, team int, price float64)   // a queued request was given up; price is work per benefit
-	Cut(now float64, team int) float64             // price from which queued requests were given up recently
-	ShareOf(team int) float64                      // share of the pool among the active teams
-	Ahead(team int, rank float64) float64          // queued work that leaves before a request of that rank
-	MayStart(now float64, at int32, team int) bool // whether it may take a slot now
-	Lane(team int) bool                            // whether short requests may exceed the full slots
-	AttemptStarted(now float64, at int32, team int, work, threads float64, mayBeLowered bool)
-	AttemptEnded(now float64, at int32, work float64)      // work: what it took; negative: not known, the expected work stays charged
-	Noted(at int32, share float64, spills bool)            // share done
+	Skip(index int32)
+	MarkUnplaceable(index int32)                      // no server would take it even with free slots
+	GaveUp(now float64, team int, price float64)      // a queued request was given up; price is work per benefit
+	Cut(now float64, team int) float64                // price from which queued requests were given up recently
+	ShareOf(team int) float64                         // share of the pool among the active teams
+	Ahead(team int, rank float64) float64             // queued work that leaves before a request of that rank
+	MayStart(now float64, index int32, team int) bool // whether it may take a slot now
+	Lane(team int) bool                               // whether short requests may exceed the full slots
+	AttemptStarted(now float64, index int32, team int, work, threads float64, mayBeLowered bool)
+	AttemptEnded(now float64, index int32, work float64)   // work: what it took; negative: not known, the expected work stays charged
+	Noted(index int32, share float64, spills bool)         // share done
 	Tick(now, capacity float64) []fairshare.PriorityChange // priorities to change now; capacity: this router's share in core seconds per second
 }
 
@@ -118,7 +118,7 @@
 type Fleet interface {
 	Part(now float64, server uint32, start float64) (share float64, ok bool) // of a cold server's allowance; not ok: use the equal share
 	Quota(now float64, tenant int) (share float64, ok bool)                  // of a tenant's quota; not ok: as without a fleet
-	TrialAt(now float64, server uint32, start, own float64) float64          // when to probe a suspected server, in place of own
+	TrialAt(now float64, server uint32, start, localProbeAt float64) float64 // when to probe a suspected server, in place of localProbeAt
 	Tried(now float64, server uint32, start float64, succeeded bool)         // reports the result of a probe
 }
 
--- a/admission/script_test.go
+++ b/admission/script_test.go
@@ -93,8 +93,8 @@
 // emptyFleet has received nothing from other routers.
 type emptyFleet struct{}
 
-func (emptyFleet) Part(float64, uint32, float64) (part float64, ok bool)       { return 0, false }
-func (emptyFleet) Quota(float64, int) (part float64, ok bool)                  { return 0, false }
+func (emptyFleet) Part(float64, uint32, float64) (share float64, ok bool)      { return 0, false }
+func (emptyFleet) Quota(float64, int) (share float64, ok bool)                 { return 0, false }
 func (emptyFleet) TrialAt(_ float64, _ uint32, _ float64, own float64) float64 { return own }
 func (emptyFleet) Tried(float64, uint32, float64, bool)                        {}
 
