--- a/admission/api.go
+++ b/admission/api.go
@@ -37,7 +37,7 @@
 	NonReplayable               // must never run twice
 )
 
-// Group says which servers drop the repeats of a request that is idempotent by key.
+// DedupScope says which servers drop the repeats of a request that is idempotent by key.
 type Group uint8
 
 // The servers of the whole deployment, of a zone or of a cell.
@@ -130,7 +130,7 @@
 	Keeps(now, price, work float64) bool                                // whether to admit a request where the demand exceeds the capacity of all zones
 }
 
-// Use receives the shares of the fleet's totals that this router needs, and the servers that it suspects.
+// NeedsSink receives the shares of the fleet's totals that this router needs, and the servers that it suspects.
 type Use struct {
 	Cold    func(server uint32, zone int, start, need, least float64) // a cold server; need and least are shares of its allowance
 	Doubted func(server uint32, zone int, start float64)              // a server that receives probes only
