--- a/admission/controller.go
+++ b/admission/controller.go
@@ -136,7 +136,7 @@
 	if b.estimate(r, p); r.Cost > 0 && p.estimatedWork == 0 {
 		p.observeWork(r.Cost) // no answer yet: the budget of a cold server needs some estimate
 	}
-	if b.isOrdered(r) {
+	if b.ordered(r) {
 		b.requests.enqueueKey(i)
 	}
 	r.reserved = b.settings.Waits != nil && b.settings.Waits.Booked(b.now, r.Mark)
@@ -210,7 +210,7 @@
 func (b *Brain) releaseIfDone(i int32) {
 	switch r := &b.requests.states[i]; {
 	case !r.done || r.inFlight.server >= 0:
-	case b.isOrdered(r):
+	case b.ordered(r):
 		b.requests.advanceKey(r.Key)
 	default:
 		b.requests.release(i)
@@ -364,10 +364,10 @@
 
 // ---- order: one request at a time per key, in the order of arrival (rule 5)
 
-func (b *Brain) isOrdered(r *requestState) bool { return b.profiles[r.Profile].Ordered && r.Key != 0 }
+func (b *Brain) ordered(r *requestState) bool { return b.profiles[r.Profile].Ordered && r.Key != 0 }
 
 func (b *Brain) order(i int32) bool {
-	if r := &b.requests.states[i]; b.isOrdered(r) {
+	if r := &b.requests.states[i]; b.ordered(r) {
 		if q := b.requests.byKey[r.Key]; q.head != i || b.now < q.restUntil {
 			b.enqueue(i)
 			return keep
@@ -379,7 +379,7 @@
 // restKeyAfterOpenEnd delays the next request of a key after an attempt that may still be running.
 func (b *Brain) restKeyAfterOpenEnd(i int32, o *Outcome) bool {
 	r := &b.requests.states[i]
-	if b.isOrdered(r) && (o.End == TimedOut || o.End == Cut || o.End == Cancelled) {
+	if b.ordered(r) && (o.End == TimedOut || o.End == Cut || o.End == Cancelled) {
 		b.requests.restKey(r.Key, b.now+b.settings.KeyRest)
 	}
 	return pass
@@ -424,7 +424,7 @@
 			// larger servers first. It is drawn once per server: a router keeps to the servers that it knows, and many
 			// routers together distribute load by the cores.
 			score -= (1 - b.share) * float64(p.Threads)
-			if !b.isCold(e) { // its budget limits the others, and an unused turn is lost
+			if !b.cold(e) { // its budget limits the others, and an unused turn is lost
 				score += (1 - b.share) * e.randomThreads
 			}
 		}
@@ -457,7 +457,7 @@
 			p.Group == GroupCell && e.Cell != r.firstRunCell) {
 		return false
 	}
-	return !b.isCold(e) || e.coldWork.most(b.now)+p.work <= b.coldBudget(e)
+	return !b.cold(e) || e.coldWork.most(b.now)+p.work <= b.coldBudget(e)
 }
 
 // coldMargin covers a slow server, routers that learn of a start late, and a burst at the start.
@@ -526,7 +526,7 @@
 		if e.State == Ready && e.unhealthy {
 			u.Doubted(e.Engine, e.Zone, e.ReadyAt)
 		}
-		if e.State == Ready && b.isCold(e) {
+		if e.State == Ready && b.cold(e) {
 			window := max(b.coldWindow(e), 1e-9)
 			u.Cold(e.Engine, e.Zone, e.ReadyAt, rate*b.settings.FallWindow*e.cores/max(b.total.cores, e.cores)/window, least/window)
 		}
@@ -538,7 +538,7 @@
 	}
 }
 
-func (b *Brain) isCold(e *server) bool { return e.ReadyAt > 0 && b.now < e.ReadyAt+b.settings.WarmUp }
+func (b *Brain) cold(e *server) bool { return e.ReadyAt > 0 && b.now < e.ReadyAt+b.settings.WarmUp }
 
 // hasSlot limits the threads on a server, which binds only under pressure, and the probes of unhealthy servers.
 func (b *Brain) hasSlot(r *requestState, p *profileState, e *server) bool {
@@ -613,7 +613,7 @@
 	e.addThreads(r.short, r.threads)
 	b.countZoneWork(e.Zone, r.cost)
 	e.probing = e.unhealthy
-	if b.isCold(e) {
+	if b.cold(e) {
 		e.coldWork.add(b.now, p.work)
 	}
 	priority := 1
@@ -670,7 +670,7 @@
 	// count. In other cases (a lost answer, a hung server) rejecting requests does not help. Unhealthy and cold servers
 	// are left out.
 	countsAsSlow := o.End == TimedOut && !o.Unsent && p.slowdown*b.slowdownOf(e) > pressedSlowdown && b.now-e.answeredAt <= recentSpan
-	if (o.End == Answered || countsAsSlow) && !e.unhealthy && !b.isCold(e) {
+	if (o.End == Answered || countsAsSlow) && !e.unhealthy && !b.cold(e) {
 		p.filling.add(o.Lag)
 	}
 	switch o.End {
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -135,7 +135,7 @@
 		switch e.State {
 		case Ready:
 			cores := e.cores
-			if b.isCold(e) { // the cores that it can use so far
+			if b.cold(e) { // the cores that it can use so far
 				cores *= b.coldWindow(e) / max(b.settings.FallMultiple*e.cores*coldMargin*b.settings.FallWindow, 1e-9)
 				r.Sights[e.Zone].Cold += e.cores - cores
 			}
--- a/admission/subset.go
+++ b/admission/subset.go
@@ -66,7 +66,7 @@
 	switch {
 	case e.unhealthy:
 		return Unhealthy
-	case b.isCold(e):
+	case b.cold(e):
 		return Warming
 	case now < e.fullUntil || b.slowdownOf(e) >= crowdedSlowdown:
 		return Crowded
--- a/admission/teams.go
+++ b/admission/teams.go
@@ -37,7 +37,7 @@
 
 // hasUsableServer reports whether some server would accept the request if it had free slots.
 func (b *Brain) hasUsableServer(r *requestState, p *profileState) bool {
-	if b.isOrdered(r) && b.requests.states[b.requests.byKey[r.Key].head].ID != r.ID {
+	if b.ordered(r) && b.requests.states[b.requests.byKey[r.Key].head].ID != r.ID {
 		return false // another request of its key goes first
 	}
 	for k := range b.servers {
