--- a/admission/chain.go
+++ b/admission/chain.go
@@ -19,7 +19,7 @@
 // dispatchQueued starts attempts of queued requests that find a slot now.
 func (b *Brain) dispatchQueued() {
 	const orderStage = 2 // index of the stage after admit
-	if t := b.settings.Teams; t != nil {
+	if t := b.config.Teams; t != nil {
 		for t.StartWalk(b.now); ; {
 			i := t.Next()
 			if i < 0 {
--- a/admission/cold_budget_test.go
+++ b/admission/cold_budget_test.go
@@ -25,9 +25,9 @@
 // newColdFleet draws a random deployment. A router's requests have any size up to the limit of the fast path.
 func newColdFleet(random *rand.Rand, routers int) *coldFleet {
 	between := func(least, most float64) float64 { return least + (most-least)*random.Float64() }
-	settings := Settings{Routers: routers, Tick: 0.005, KindCores: []float64{8}, ColdFrom: between(0.1, 0.6), WarmUp: between(4, 30),
+	config := Settings{Routers: routers, Tick: 0.005, KindCores: []float64{8}, ColdFrom: between(0.1, 0.6), WarmUp: between(4, 30),
 		FallMultiple: between(1.2, 3), FallWindow: between(0.5, 2), Profiles: []Profile{{Target: math.Pow(10, between(-1.5, 0.7)), Benefit: 1, Threads: 1}}}
-	f := &coldFleet{controller: New(settings, 0, &nopHost{}), random: random}
+	f := &coldFleet{controller: New(config, 0, &nopHost{}), random: random}
 	f.most = f.controller.fastPathLimit
 	f.least = f.most * math.Pow(10, between(-3, 0))
 	cores := float64(4 + random.IntN(61))
@@ -47,7 +47,7 @@
 // restart makes a router forget what it has sent.
 func (f *coldFleet) restart(router int, now float64) {
 	f.startedAt[router] = now
-	f.servers[router].coldWork = newWindow(f.controller.settings.FallWindow, 10)
+	f.servers[router].coldWork = newWindow(f.controller.config.FallWindow, 10)
 }
 
 // send makes each router send as much as it may.
@@ -59,7 +59,7 @@
 		if now < f.learnedAt[k] {
 			continue
 		}
-		b.settings.Me, b.startedAt = k, f.startedAt[k]
+		b.config.Me, b.startedAt = k, f.startedAt[k]
 		for refused := 0; refused < 4; { // some size that fits
 			work := f.work()
 			if e.coldWork.most(now)+work > b.coldBudget(e) {
@@ -75,17 +75,17 @@
 
 // worstUse is the most work in one window, relative to the work that the rule allows there.
 func (f *coldFleet) worstUse() (use float64) {
-	settings, sum, first, total := f.controller.settings, 0.0, 0, 0.0
+	config, sum, first, total := f.controller.config, 0.0, 0, 0.0
 	for _, a := range f.sent {
 		total += a.work
 	}
 	mean := total / float64(max(len(f.sent), 1))
 	for _, a := range f.sent {
-		for sum += a.work; f.sent[first].at <= a.at-settings.FallWindow+coldStep/2; first++ {
+		for sum += a.work; f.sent[first].at <= a.at-config.FallWindow+coldStep/2; first++ {
 			sum -= f.sent[first].work
 		}
-		age := (a.at - 1) / settings.WarmUp
-		n := settings.FallMultiple * f.servers[0].cores * (settings.ColdFrom + (1-settings.ColdFrom)*age*age) * settings.FallWindow / mean
+		age := (a.at - 1) / config.WarmUp
+		n := config.FallMultiple * f.servers[0].cores * (config.ColdFrom + (1-config.ColdFrom)*age*age) * config.FallWindow / mean
 		allowed := n + 2*math.Sqrt(n) + 2
 		if n < 30 {
 			allowed = n + 3*math.Sqrt(n) + 3
@@ -106,7 +106,7 @@
 		f := newColdFleet(random, 1+random.IntN(most))
 		restarts := random.IntN(len(f.servers)/3 + 1)
 		restartAt := 1 + 3*random.Float64()
-		end := 1 + min(longest, f.controller.settings.WarmUp)
+		end := 1 + min(longest, f.controller.config.WarmUp)
 		for now := 1.0; now < end; now += coldStep {
 			if now >= restartAt {
 				for range restarts {
@@ -141,9 +141,9 @@
 	const cases, routers, watched = 20, 1600, 4.0
 	for seed := range uint64(cases) {
 		f := newColdFleet(rand.New(rand.NewPCG(seed, 3)), routers)
-		settings := f.controller.settings
-		f.least = min(f.least, settings.FallMultiple*f.servers[0].cores*coldMargin*settings.ColdFrom*settings.FallWindow/routers/10)
-		for now := 1.0; now < 1+settings.WarmUp && (now < 1+watched || f.served() < routers); now += coldStep {
+		config := f.controller.config
+		f.least = min(f.least, config.FallMultiple*f.servers[0].cores*coldMargin*config.ColdFrom*config.FallWindow/routers/10)
+		for now := 1.0; now < 1+config.WarmUp && (now < 1+watched || f.served() < routers); now += coldStep {
 			f.send(now)
 		}
 		if use := f.worstUse(); use > 1 {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -14,7 +14,7 @@
 
 // Controller decides for one router.
 type Brain struct {
-	settings Settings
+	config   Settings
 	host     Host
 	now      float64
 	random   pcg
@@ -62,16 +62,16 @@
 const allowanceSpan = 10.0 // seconds of the allowance's window: some tens of requests of a rare profile
 
 // New returns the controller of one router.
-func New(settings Settings, now float64, host Host) *Brain {
-	settings.Routers = max(settings.Routers, 1)
-	if settings.Teams == nil {
-		settings.Ageing = 0.05 // seconds of work per benefit and second of waiting
+func New(config Settings, now float64, host Host) *Brain {
+	config.Routers = max(config.Routers, 1)
+	if config.Teams == nil {
+		config.Ageing = 0.05 // seconds of work per benefit and second of waiting
 	}
-	b := &Brain{settings: settings, host: host, now: now, random: newPCG(settings.Seed), requests: newSet(),
-		pool: newPool(settings.Routers), share: 1 / float64(settings.Routers), fastPathLimit: math.Inf(1), cutoffPrice: math.Inf(1),
+	b := &Brain{config: config, host: host, now: now, random: newPCG(config.Seed), requests: newSet(),
+		pool: newPool(config.Routers), share: 1 / float64(config.Routers), fastPathLimit: math.Inf(1), cutoffPrice: math.Inf(1),
 		swapAt: now, startedAt: now, watchAt: math.Inf(1), othersPerCore: lowThreadsPerCore, averageSlowdown: 1}
 	const fastPathShare = 0.5 // the fast path leaves half of the tightest target for contention
-	for _, p := range settings.Profiles {
+	for _, p := range config.Profiles {
 		p.Threads = max(p.Threads, 1)
 		// Buckets from 1 ms to 5 min, each 15% wider: finer than the estimates that they are compared with. Until
 		// something is known, the assumed work leaves half of the target for contention.
@@ -80,12 +80,12 @@
 			work: p.Target / 2 * float64(p.Threads)})
 		b.fastPathLimit = min(b.fastPathLimit, p.Target*fastPathShare)
 	}
-	for range settings.Tenants {
-		b.tenants = append(b.tenants, tenantState{tokens: math.Inf(1), refilledAt: now, demand: newDemandWindow(settings)})
+	for range config.Tenants {
+		b.tenants = append(b.tenants, tenantState{tokens: math.Inf(1), refilledAt: now, demand: newDemandWindow(config)})
 	}
-	b.requestsTaken, b.retries = newWindow(max(settings.BudgetWindow, 1), 50), newWindow(max(settings.BudgetWindow, 1), 50)
+	b.requestsTaken, b.retries = newWindow(max(config.BudgetWindow, 1), 50), newWindow(max(config.BudgetWindow, 1), 50)
 	b.restoreBeliefs()
-	if host.Wake(0, 0); settings.Ask {
+	if host.Wake(0, 0); config.Ask {
 		host.Watch(true)
 	}
 	return b
@@ -121,14 +121,14 @@
 	r.takenAt, r.deadline, r.benefit, r.priority = b.now, b.now+r.TimeLeft, p.Benefit, 1
 	b.requestsTaken.add(b.now, 1)
 	if r.Tenant < len(b.tenants) {
-		t, rate := &b.tenants[r.Tenant], b.settings.Tenants[r.Tenant].QuotaPerS*b.quotaShare(r.Tenant)
+		t, rate := &b.tenants[r.Tenant], b.config.Tenants[r.Tenant].QuotaPerS*b.quotaShare(r.Tenant)
 		const depth = 5 // requests: chance clusters of a small share are no excess; for larger quotas one second's worth
 		t.tokens, t.refilledAt = min(t.tokens+(b.now-t.refilledAt)*rate, max(rate, depth)), b.now
-		if b.settings.Fleet != nil {
+		if b.config.Fleet != nil {
 			t.demand.add(b.now, 1)
 		}
 		if t.tokens < 1 {
-			r.benefit *= b.settings.OverShareBenefit
+			r.benefit *= b.config.OverShareBenefit
 		} else {
 			t.tokens--
 		}
@@ -136,11 +136,11 @@
 	if b.estimate(r, p); r.Cost > 0 && p.estimatedWork == 0 {
 		p.observeWork(r.Cost) // no answer yet: the budget of a cold server needs some estimate
 	}
-	if b.ordered(r) {
+	if b.keyed(r) {
 		b.requests.enqueueKey(i)
 	}
-	r.reserved = b.settings.Waits != nil && b.settings.Waits.Booked(b.now, r.Mark)
-	b.host.Wake(max(r.TimeLeft-2*b.settings.Tick, 0), uint64(r.ID)|1<<32) // two ticks early: a wake may come one tick late
+	r.reserved = b.config.Waits != nil && b.config.Waits.Booked(b.now, r.Mark)
+	b.host.Wake(max(r.TimeLeft-2*b.config.Tick, 0), uint64(r.ID)|1<<32) // two ticks early: a wake may come one tick late
 	return pass
 }
 
@@ -154,9 +154,9 @@
 	}
 	r.bestTime = r.cost / float64(p.Threads)
 	r.target = r.takenAt + p.Target + p.Stretch*r.bestTime
-	r.short = r.bestTime <= b.fastPathLimit && r.benefit == p.Benefit && (b.settings.Teams == nil || b.settings.Teams.Lane(r.Team))
+	r.short = r.bestTime <= b.fastPathLimit && r.benefit == p.Benefit && (b.config.Teams == nil || b.config.Teams.Lane(r.Team))
 	r.price = r.cost / max(r.benefit, 1e-9)
-	r.rank = r.price + b.settings.Ageing*r.takenAt // lowest work per benefit first; waiting time lowers the rank
+	r.rank = r.price + b.config.Ageing*r.takenAt // lowest work per benefit first; waiting time lowers the rank
 }
 
 // finishUnresolved ends a request that has no attempt in flight and no retry ahead.
@@ -187,8 +187,8 @@
 func (b *Brain) complete(i int32) {
 	b.requests.states[i].done = true
 	b.dequeue(i)
-	if b.settings.Waits != nil {
-		b.settings.Waits.Over(b.now, i)
+	if b.config.Waits != nil {
+		b.config.Waits.Over(b.now, i)
 	}
 	b.cancelAttempt(&b.requests.states[i])
 	b.releaseIfDone(i)
@@ -197,7 +197,7 @@
 func (b *Brain) cancelAttempt(r *requestState) {
 	switch {
 	case r.inFlight.server < 0 || r.inFlight.cancelRequested || r.streaming:
-	case b.settings.Cancels:
+	case b.config.Cancels:
 		r.inFlight.cancelRequested = true
 		b.host.Cancel(r.ID, r.inFlight.number)
 	default: // an attempt that still waits for its connection has run nowhere
@@ -210,7 +210,7 @@
 func (b *Brain) releaseIfDone(i int32) {
 	switch r := &b.requests.states[i]; {
 	case !r.done || r.inFlight.server >= 0:
-	case b.ordered(r):
+	case b.keyed(r):
 		b.requests.advanceKey(r.Key)
 	default:
 		b.requests.release(i)
@@ -306,8 +306,8 @@
 	switch {
 	case r.reserved:
 		return math.Inf(1)
-	case b.settings.Teams != nil:
-		return b.settings.Teams.Cut(b.now, r.Team)
+	case b.config.Teams != nil:
+		return b.config.Teams.Cut(b.now, r.Team)
 	}
 	return b.cutoffPrice
 }
@@ -315,8 +315,8 @@
 // queueWait is the wait for the queued work that leaves before a request, over this router's slots.
 func (b *Brain) queueWait(request *requestState) float64 {
 	work := 0.0
-	if b.settings.Teams != nil {
-		work = b.settings.Teams.Ahead(request.Team, request.rank) * b.averageSlowdown
+	if b.config.Teams != nil {
+		work = b.config.Teams.Ahead(request.Team, request.rank) * b.averageSlowdown
 		return work / max(b.slots(&b.total), 1)
 	}
 	for _, index := range b.requests.queued {
@@ -349,7 +349,7 @@
 	r := &b.requests.states[i]
 	const errors = 2 // two servers do not fail by chance: more attempts would only spread a request that no server can execute
 	if r.done || r.halfClosed || r.inFlight.server >= 0 || b.now+r.bestTime > r.deadline || r.errors >= errors ||
-		b.settings.MaxSends > 0 && r.attempts >= b.settings.MaxSends || !b.mayRunAgain(r, &b.profiles[r.Profile]) {
+		b.config.MaxSends > 0 && r.attempts >= b.config.MaxSends || !b.mayRunAgain(r, &b.profiles[r.Profile]) {
 		return pass
 	}
 	b.enqueue(i)
@@ -364,10 +364,10 @@
 
 // ---- order: one request at a time per key, in the order of arrival (rule 5)
 
-func (b *Brain) ordered(r *requestState) bool { return b.profiles[r.Profile].Ordered && r.Key != 0 }
+func (b *Brain) keyed(r *requestState) bool { return b.profiles[r.Profile].Ordered && r.Key != 0 }
 
 func (b *Brain) order(i int32) bool {
-	if r := &b.requests.states[i]; b.ordered(r) {
+	if r := &b.requests.states[i]; b.keyed(r) {
 		if q := b.requests.byKey[r.Key]; q.head != i || b.now < q.restUntil {
 			b.enqueue(i)
 			return keep
@@ -379,8 +379,8 @@
 // restKeyAfterOpenEnd delays the next request of a key after an attempt that may still be running.
 func (b *Brain) restKeyAfterOpenEnd(i int32, o *Outcome) bool {
 	r := &b.requests.states[i]
-	if b.ordered(r) && (o.End == TimedOut || o.End == Cut || o.End == Cancelled) {
-		b.requests.restKey(r.Key, b.now+b.settings.KeyRest)
+	if b.keyed(r) && (o.End == TimedOut || o.End == Cut || o.End == Cancelled) {
+		b.requests.restKey(r.Key, b.now+b.config.KeyRest)
 	}
 	return pass
 }
@@ -403,8 +403,8 @@
 func (b *Brain) chooseServer(r *requestState) int32 {
 	p := &b.profiles[r.Profile]
 	// Rules 2 and 7, and one attempt at a time, whether or not concurrent copies are allowed.
-	if r.inFlight.server >= 0 || !b.mayRunAgain(r, p) || r.attempts > 0 && b.settings.BudgetWindow > 0 &&
-		b.retries.most(b.now)+1 > b.settings.BudgetFree+b.settings.BudgetShare*b.requestsTaken.least(b.now) {
+	if r.inFlight.server >= 0 || !b.mayRunAgain(r, p) || r.attempts > 0 && b.config.BudgetWindow > 0 &&
+		b.retries.most(b.now)+1 > b.config.BudgetFree+b.config.BudgetShare*b.requestsTaken.least(b.now) {
 		return -1
 	}
 	if !b.mayStart(r) {
@@ -431,7 +431,7 @@
 		score *= b.slowdownOf(e) / e.cores
 		if price, ok := b.zonePrice(e.Zone, r.cost); ok && !e.unhealthy { // probes find out when a zone is available again
 			score += price // the shares that the fleet agreed on, in place of the default price
-		} else if crossZonePrice := 0.2; e.Zone != b.settings.Zone { // a server in another zone must be this much emptier: a small price for the added delay
+		} else if crossZonePrice := 0.2; e.Zone != b.config.Zone { // a server in another zone must be this much emptier: a small price for the added delay
 			if unsure {
 				crossZonePrice *= min(max(3-2*b.worstSlowdown, 0), 1) // not while answers, most of them from this zone, are slow by half
 			}
@@ -473,8 +473,8 @@
 
 // coldWindow is the work that all routers together may send to a cold server in one window.
 func (b *Brain) coldWindow(e *server) float64 {
-	ramp := (b.now - e.ReadyAt) / b.settings.WarmUp
-	return b.settings.FallMultiple * e.cores * coldMargin * (b.settings.ColdFrom + (1-b.settings.ColdFrom)*ramp*ramp) * b.settings.FallWindow
+	ramp := (b.now - e.ReadyAt) / b.config.WarmUp
+	return b.config.FallMultiple * e.cores * coldMargin * (b.config.ColdFrom + (1-b.config.ColdFrom)*ramp*ramp) * b.config.FallWindow
 }
 
 // coldBudget is this router's share of the work that a cold server accepts in one window (rule 4). The server does not
@@ -486,12 +486,12 @@
 // and a half times the budget. Where the warm-up is too short for a turn for each router, which all routers compute
 // alike, a part of the budget is used in equal shares.
 func (b *Brain) coldBudget(e *server) float64 {
-	fullRate := b.settings.FallMultiple * e.cores * coldMargin
+	fullRate := b.config.FallMultiple * e.cores * coldMargin
 	budget := func(age float64) float64 { // the budget up to an age
 		age = max(age, 0)
-		return fullRate * (b.settings.ColdFrom*age + (1-b.settings.ColdFrom)*age*age*age/(3*b.settings.WarmUp*b.settings.WarmUp))
+		return fullRate * (b.config.ColdFrom*age + (1-b.config.ColdFrom)*age*age*age/(3*b.config.WarmUp*b.config.WarmUp))
 	}
-	age, n := b.now-e.ReadyAt, float64(b.settings.Routers)
+	age, n := b.now-e.ReadyAt, float64(b.config.Routers)
 	window := b.coldWindow(e)
 	if granted, ok := b.coldShare(e); ok { // granted by need for all routers: the sum of all shares is never over one
 		return window * granted
@@ -499,12 +499,12 @@
 		return share
 	}
 	turnPart, share := 1.0, 0.0
-	if budget(b.settings.WarmUp) < n*b.fastPathLimit {
+	if budget(b.config.WarmUp) < n*b.fastPathLimit {
 		turnPart, share = coldByTurns, coldByShares*window/n
 	}
-	first := float64((uint32(b.settings.Me) + e.Engine) % uint32(b.settings.Routers)) // another router at each server
+	first := float64((uint32(b.config.Me) + e.Engine) % uint32(b.config.Routers)) // another router at each server
 	turns := func(age float64) float64 { return math.Floor((turnPart*budget(age)/b.fastPathLimit - first) / n) }
-	countedFrom := max(age-b.settings.FallWindow/2, b.startedAt-e.ReadyAt) // the process before this one may have used the turn in which this one started
+	countedFrom := max(age-b.config.FallWindow/2, b.startedAt-e.ReadyAt) // the process before this one may have used the turn in which this one started
 	turn := (turns(age) - turns(countedFrom)) * b.fastPathLimit
 	if e.coldWork.most(b.now) > 0 { // a server may accept less in a window than a turn: then one request, or as many smaller ones
 		turn = min(turn, window)
@@ -528,17 +528,17 @@
 		}
 		if e.State == Ready && b.cold(e) {
 			window := max(b.coldWindow(e), 1e-9)
-			u.Cold(e.Engine, e.Zone, e.ReadyAt, rate*b.settings.FallWindow*e.cores/max(b.total.cores, e.cores)/window, least/window)
+			u.Cold(e.Engine, e.Zone, e.ReadyAt, rate*b.config.FallWindow*e.cores/max(b.total.cores, e.cores)/window, least/window)
 		}
 	}
 	for k := range b.tenants {
-		if t := &b.tenants[k]; b.settings.Tenants[k].QuotaPerS > 0 {
-			u.Tenant(k, t.demand.most(b.now)/tenantDemandSpan/b.settings.Tenants[k].QuotaPerS)
+		if t := &b.tenants[k]; b.config.Tenants[k].QuotaPerS > 0 {
+			u.Tenant(k, t.demand.most(b.now)/tenantDemandSpan/b.config.Tenants[k].QuotaPerS)
 		}
 	}
 }
 
-func (b *Brain) cold(e *server) bool { return e.ReadyAt > 0 && b.now < e.ReadyAt+b.settings.WarmUp }
+func (b *Brain) cold(e *server) bool { return e.ReadyAt > 0 && b.now < e.ReadyAt+b.config.WarmUp }
 
 // hasSlot limits the threads on a server, which binds only under pressure, and the probes of unhealthy servers.
 func (b *Brain) hasSlot(r *requestState, p *profileState, e *server) bool {
@@ -622,14 +622,14 @@
 	} else if r.benefit < p.Benefit || b.now > r.target {
 		priority = 0
 	}
-	if b.settings.Priorities && priority != r.priority {
+	if b.config.Priorities && priority != r.priority {
 		r.priority = priority
 		b.host.Priority(r.ID, priority, 0)
 	}
-	b.chargeTeam(i, b.settings.Priorities && priority == 1)
+	b.chargeTeam(i, b.config.Priorities && priority == 1)
 	// A probe that can't be cancelled times out while another server can still answer in time.
 	limit := r.deadline - b.now
-	if e.unhealthy && !b.settings.Cancels && p.Effect == Replayable {
+	if e.unhealthy && !b.config.Cancels && p.Effect == Replayable {
 		limit = min(limit, 0.6*(r.target-r.takenAt))
 	}
 	sendBefore := 0.0
@@ -762,8 +762,8 @@
 		// as far as other routers cause it, since that part does not shrink when this router queues less.
 		r := &b.requests.states[i]
 		if now+r.bestTime*(1+(1-b.share)*max(b.profiles[r.Profile].slowdown-1, 0)) > min(r.target, r.deadline) {
-			if b.cutoffPrice = min(b.cutoffPrice, r.price); b.settings.Teams != nil {
-				b.settings.Teams.GaveUp(now, r.Team, r.price)
+			if b.cutoffPrice = min(b.cutoffPrice, r.price); b.config.Teams != nil {
+				b.config.Teams.GaveUp(now, r.Team, r.price)
 			}
 			b.finishUnserved(i)
 			continue
@@ -828,7 +828,7 @@
 // never suspect the server. This applies only with a fleet, where the probes of a suspected server are shared: without
 // one, a router would suspect servers whose answers are lost now and then.
 func (b *Brain) silentSinceTimeout(e *server) bool {
-	return b.settings.Fleet != nil && e.State == Ready && e.silentTimeoutAt > e.aliveAt
+	return b.config.Fleet != nil && e.State == Ready && e.silentTimeoutAt > e.aliveAt
 }
 
 // UpdateServers reports a change of the list of servers.
@@ -841,12 +841,12 @@
 	b.merge(scope, list, func(e *server) {
 		// After a new start, everything learned about the old process is void.
 		e.slowdown, e.slowdownAt, e.failureRate, e.unhealthy, e.probing, e.fullUntil, e.silentTimeoutAt = 1, now, 0, false, false, 0, 0
-		if e.cores = 1; e.Kind < len(b.settings.KindCores) && b.settings.KindCores[e.Kind] > 0 {
-			e.cores = b.settings.KindCores[e.Kind]
+		if e.cores = 1; e.Kind < len(b.config.KindCores) && b.config.KindCores[e.Kind] > 0 {
+			e.cores = b.config.KindCores[e.Kind]
 		}
 		const meanOthers = 4 // threads: about the variation in the number of other routers' threads on a server
 		e.randomThreads = -meanOthers * math.Log(1-b.random.float())
-		e.coldWork = newWindow(max(b.settings.FallWindow, 0.001), 10)
+		e.coldWork = newWindow(max(b.config.FallWindow, 0.001), 10)
 		b.restoreServer(e)
 	})
 	b.dispatchQueued()
@@ -861,8 +861,8 @@
 		b.servers[k].aliveAt = now
 	}
 	i, ok := b.requests.at[n.ID]
-	if ok && b.settings.Teams != nil && b.requests.states[i].inFlight.number == n.Send && n.Kind != Waiting {
-		b.settings.Teams.Noted(i, n.Value, n.Kind == Spilling)
+	if ok && b.config.Teams != nil && b.requests.states[i].inFlight.number == n.Send && n.Kind != Waiting {
+		b.config.Teams.Noted(i, n.Value, n.Kind == Spilling)
 	}
 	if !ok || n.Kind != Progressed || n.Value <= 0 || b.requests.states[i].attempts != 1 {
 		return
@@ -897,7 +897,7 @@
 // PeerMessage reports a message of another router.
 func (b *Brain) Peer(now float64, from int, data []byte) {
 	b.now = now
-	if from >= 0 && from < len(b.peerHeardAt) && from != b.settings.Me {
+	if from >= 0 && from < len(b.peerHeardAt) && from != b.config.Me {
 		b.peerHeardAt[from] = now
 		b.decodeLoads(from, data)
 	}
@@ -919,7 +919,7 @@
 		b.worstSlowdown = max(b.worstSlowdown, b.profiles[k].slowdown)
 		rate += b.profiles[k].received.most(b.now) / min(max(b.now-b.startedAt, 1), allowanceSpan)
 	}
-	if b.settings.Peers && b.now >= b.announceAt && float64(6*n*(len(b.peerHeardAt)-1)) <= bytesPerRequest*rate*loadLifetime/3 {
+	if b.config.Peers && b.now >= b.announceAt && float64(6*n*(len(b.peerHeardAt)-1)) <= bytesPerRequest*rate*loadLifetime/3 {
 		b.announceAt = b.now + announceInterval
 		b.message = b.encodeLoads(b.message)
 		b.host.Tell(-1, b.message)
@@ -930,7 +930,7 @@
 	if silentPeers, anyPeerHeard := b.sumOthers(b.now, loadLifetime, recentSpan, b.othersPerCore, lowThreadsPerCore); anyPeerHeard {
 		b.share = 1 / float64(max(len(b.peerHeardAt)-silentPeers, 2)) // never all: it may be this router alone that receives nothing
 	}
-	if b.total = b.healthyTotal(); !(b.total.othersKnown && b.settings.Peers) && b.total.cores > 0 {
+	if b.total = b.healthyTotal(); !(b.total.othersKnown && b.config.Peers) && b.total.cores > 0 {
 		// Exception: an equal share holds back a router with more traffic than most. Its share is the work that it
 		// admits in the long run, as a part of the pool's capacity, less an equal share, since overload raises the
 		// value for all.
@@ -938,7 +938,7 @@
 	}
 	b.applyPriorityChanges()
 	b.checkTrackedRejections()
-	if b.settings.ProbeLoads && len(b.peerHeardAt) > 1 && b.now >= b.loadProbeAt && n > 0 &&
+	if b.config.ProbeLoads && len(b.peerHeardAt) > 1 && b.now >= b.loadProbeAt && n > 0 &&
 		float64(min(n, 3)) <= recentSpan*probesPerRequest*rate {
 		b.loadProbeAt = b.now + max(probeInterval/float64(n), 1/(probesPerRequest*rate)) // one server at a time, so that new loads arrive spread out
 		b.nextLoadProbe = (b.nextLoadProbe + 1) % n
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -34,15 +34,15 @@
 }
 
 func (b *Brain) coldShare(e *server) (granted float64, ok bool) {
-	if b.settings.Fleet == nil {
+	if b.config.Fleet == nil {
 		return 0, false
 	}
-	return b.settings.Fleet.Part(b.now, e.Engine, e.ReadyAt)
+	return b.config.Fleet.Part(b.now, e.Engine, e.ReadyAt)
 }
 
 func (b *Brain) quotaShare(tenant int) float64 {
-	if b.settings.Fleet != nil {
-		if granted, ok := b.settings.Fleet.Quota(b.now, tenant); ok {
+	if b.config.Fleet != nil {
+		if granted, ok := b.config.Fleet.Quota(b.now, tenant); ok {
 			return granted
 		}
 	}
@@ -50,39 +50,39 @@
 }
 
 func (b *Brain) nextProbeAt(e *server) float64 {
-	if b.settings.Fleet == nil {
+	if b.config.Fleet == nil {
 		return e.nextProbeAt
 	}
-	return b.settings.Fleet.TrialAt(b.now, e.Engine, e.ReadyAt, e.nextProbeAt)
+	return b.config.Fleet.TrialAt(b.now, e.Engine, e.ReadyAt, e.nextProbeAt)
 }
 
 func (b *Brain) reportProbe(e *server, o *Outcome) {
-	if e.probing && b.settings.Fleet != nil {
-		b.settings.Fleet.Tried(b.now, e.Engine, e.ReadyAt, o.End == Answered)
+	if e.probing && b.config.Fleet != nil {
+		b.config.Fleet.Tried(b.now, e.Engine, e.ReadyAt, o.End == Answered)
 	}
 }
 
 func (b *Brain) zonePrice(zone int, work float64) (price float64, ok bool) {
-	if b.settings.Plan == nil {
+	if b.config.Plan == nil {
 		return 0, false
 	}
-	return b.settings.Plan.Price(b.now, zone, work)
+	return b.config.Plan.Price(b.now, zone, work)
 }
 
 func (b *Brain) countZoneWork(zone int, work float64) {
-	if b.settings.Plan != nil {
-		b.settings.Plan.Sent(b.now, zone, work)
+	if b.config.Plan != nil {
+		b.config.Plan.Sent(b.now, zone, work)
 	}
 }
 
 func (b *Brain) planAdmits(r *requestState) bool {
-	return b.settings.Plan == nil || b.settings.Plan.Keeps(b.now, r.price, r.cost)
+	return b.config.Plan == nil || b.config.Plan.Keeps(b.now, r.price, r.cost)
 }
 
 // countZoneOutcome counts the outcome of an attempt as evidence on its zone. Attempts that this router ended itself are
 // left out.
 func (b *Brain) countZoneOutcome(e *server, o *Outcome, r *requestState) {
-	if b.settings.Plan == nil || o.End == Cancelled || o.End == Moot || e.Zone < 0 || e.Zone >= failover.MostZones {
+	if b.config.Plan == nil || o.End == Cancelled || o.End == Moot || e.Zone < 0 || e.Zone >= failover.MostZones {
 		return
 	}
 	for len(b.zoneSights) <= e.Zone {
@@ -116,14 +116,14 @@
 // Report returns the outcomes by zone since the last report, and the demand at this router.
 func (b *Brain) Report(now float64, zones int) failover.Report {
 	b.now = now
-	r := failover.Report{Zone: b.settings.Zone, Sights: make([]failover.Sight, zones)}
+	r := failover.Report{Zone: b.config.Zone, Sights: make([]failover.Sight, zones)}
 	copy(r.Sights, b.zoneSights)
 	clear(b.zoneSights)
 	for k := range b.profiles {
 		p := &b.profiles[k]
 		work := p.received.most(now) / min(max(now-b.startedAt, 1), allowanceSpan) * p.work
 		r.Demand += work
-		if len(p.Zones) == 1 && p.Zones[0] == b.settings.Zone {
+		if len(p.Zones) == 1 && p.Zones[0] == b.config.Zone {
 			r.Pinned += work
 		}
 	}
@@ -136,7 +136,7 @@
 		case Ready:
 			cores := e.cores
 			if b.cold(e) { // the cores that it can use so far
-				cores *= b.coldWindow(e) / max(b.settings.FallMultiple*e.cores*coldMargin*b.settings.FallWindow, 1e-9)
+				cores *= b.coldWindow(e) / max(b.config.FallMultiple*e.cores*coldMargin*b.config.FallWindow, 1e-9)
 				r.Sights[e.Zone].Cold += e.cores - cores
 			}
 			// A server that no request has needed since its probe was due may have recovered: it is no evidence on its
--- a/admission/teams.go
+++ b/admission/teams.go
@@ -6,7 +6,7 @@
 func (b *Brain) enqueue(i int32) {
 	b.sendEstimate(i)
 	b.requests.enqueue(i)
-	if t := b.settings.Teams; t != nil {
+	if t := b.config.Teams; t != nil {
 		r := &b.requests.states[i]
 		p := &b.profiles[r.Profile]
 		t.Enqueue(b.now, i, r.Team, r.rank, r.cost, float64(p.Threads), r.target-r.bestTime*max(1, p.slowdown))
@@ -18,26 +18,26 @@
 
 func (b *Brain) dequeue(i int32) {
 	b.requests.dequeue(i)
-	if t := b.settings.Teams; t != nil {
+	if t := b.config.Teams; t != nil {
 		t.Dequeue(i)
 	}
 }
 
 // mayStart reports whether it is the request's turn, and its team's ceiling allows it.
 func (b *Brain) mayStart(r *requestState) bool {
-	if b.settings.Teams == nil {
+	if b.config.Teams == nil {
 		return true
 	}
 	i, ok := b.requests.at[r.ID]
 	if !ok { // not a request in the set, but a copy that is evaluated again
 		i = -1
 	}
-	return b.settings.Teams.MayStart(b.now, i, r.Team)
+	return b.config.Teams.MayStart(b.now, i, r.Team)
 }
 
 // hasUsableServer reports whether some server would accept the request if it had free slots.
 func (b *Brain) hasUsableServer(r *requestState, p *profileState) bool {
-	if b.ordered(r) && b.requests.states[b.requests.byKey[r.Key].head].ID != r.ID {
+	if b.keyed(r) && b.requests.states[b.requests.byKey[r.Key].head].ID != r.ID {
 		return false // another request of its key goes first
 	}
 	for k := range b.servers {
@@ -49,7 +49,7 @@
 }
 
 func (b *Brain) chargeTeam(i int32, mayBeLowered bool) {
-	if t := b.settings.Teams; t != nil {
+	if t := b.config.Teams; t != nil {
 		r := &b.requests.states[i]
 		t.AttemptStarted(b.now, i, r.Team, r.cost, r.threads, mayBeLowered)
 	}
@@ -58,7 +58,7 @@
 // settleTeam reports the work of an ended attempt: none if it never ran, the measured work if it was reported, and the
 // expected work if the attempt ran or may still be running on the server.
 func (b *Brain) settleTeam(i int32, o *Outcome) {
-	t := b.settings.Teams
+	t := b.config.Teams
 	if t == nil {
 		return
 	}
@@ -69,7 +69,7 @@
 		work = o.Work
 	case o.End.NeverRan():
 		work = 0
-	case o.End == Cancelled && b.settings.Cancels: // it has stopped, and can't have used more than its threads
+	case o.End == Cancelled && b.config.Cancels: // it has stopped, and can't have used more than its threads
 		work = min(r.cost, o.Lag*float64(b.profiles[r.Profile].Threads))
 	}
 	t.AttemptEnded(b.now, i, work)
@@ -79,7 +79,7 @@
 // share (levels are 1 : 4 : 8 : 16) and counts as a quarter of its threads, so that the requests that it makes way for
 // find slots.
 func (b *Brain) applyPriorityChanges() {
-	t := b.settings.Teams
+	t := b.config.Teams
 	if t == nil {
 		return
 	}
--- a/admission/waits.go
+++ b/admission/waits.go
@@ -21,18 +21,18 @@
 
 // retryPause is the time that a rejected client should wait before it retries.
 func (b *Brain) retryPause(r *requestState, p *profileState) float64 {
-	w := b.settings.Waits
+	w := b.config.Waits
 	if w == nil {
-		return b.settings.MaxPause / 2 // half of the pause that clients honour: most do, and the others spread the retries
+		return b.config.MaxPause / 2 // half of the pause that clients honour: most do, and the others spread the retries
 	}
 	if b.now > r.takenAt { // given up in the queue: its estimate is the present wait, and it is not tracked
 		start := w.Predict(waittime.Start, r.Team, r.Profile, b.queueWait(r)+b.slotWait(r, p))
 		b.host.Told(r.ID, waittime.Return, start)
-		return min(max(start.P50, waittime.MinPause), b.settings.MaxPause)
+		return min(max(start.P50, waittime.MinPause), b.config.MaxPause)
 	}
 	baseWait, teamShare := b.timeUntilAdmitted(r, p), 1.0
-	if b.settings.Teams != nil {
-		teamShare = b.settings.Teams.ShareOf(r.Team)
+	if b.config.Teams != nil {
+		teamShare = b.config.Teams.ShareOf(r.Team)
 	}
 	unadjusted := w.Predict(waittime.Return, r.Team, r.Profile, baseWait)
 	pause, e := w.Refuse(b.now, r.Mark, r.Team, r.Profile, baseWait, r.cost*b.averageSlowdown/max(b.slots(&b.total), 1), teamShare)
@@ -45,10 +45,10 @@
 
 // reservedWait is the wait that capacity reserved for clients with an estimate adds for a request without a reservation.
 func (b *Brain) reservedWait(r *requestState) float64 {
-	if b.settings.Waits == nil || r.reserved {
+	if b.config.Waits == nil || r.reserved {
 		return 0
 	}
-	return b.settings.Waits.ReservedLoad(b.now)
+	return b.config.Waits.ReservedLoad(b.now)
 }
 
 // checkTrackedRejections finds out when rejected requests would have been admitted.
@@ -57,7 +57,7 @@
 	for k := range b.trackedRejections {
 		g := &b.trackedRejections[k]
 		if admitted, elapsed := b.wouldAdmit(g.requestState), b.now-g.rejectedAt; admitted || elapsed >= trackFor {
-			b.settings.Waits.ObserveReturn(g.Team, g.Profile, g.baseWait, g.estimated, elapsed, !admitted)
+			b.config.Waits.ObserveReturn(g.Team, g.Profile, g.baseWait, g.estimated, elapsed, !admitted)
 		} else {
 			kept = append(kept, *g)
 		}
@@ -69,7 +69,7 @@
 // random allowance.
 func (b *Brain) wouldAdmit(r requestState) bool {
 	r.ID, r.reserved, r.inFlight = 0, false, attempt{server: -1}
-	r.target, r.rank = b.now+r.target-r.takenAt, r.price+b.settings.Ageing*b.now
+	r.target, r.rank = b.now+r.target-r.takenAt, r.price+b.config.Ageing*b.now
 	r.takenAt, r.deadline = b.now, b.now+r.TimeLeft
 	return b.estimatesMeetTargets(&r, &b.profiles[r.Profile])
 }
@@ -86,13 +86,13 @@
 // sendEstimate reports the expected times of a request that is queued for the first time.
 func (b *Brain) sendEstimate(i int32) {
 	r := &b.requests.states[i]
-	if b.settings.Waits == nil || r.queued || r.estimateSent || r.attempts > 0 {
+	if b.config.Waits == nil || r.queued || r.estimateSent || r.attempts > 0 {
 		return
 	}
 	p := &b.profiles[r.Profile]
 	r.estimateSent = true
 	baseWait := b.queueWait(r) + b.slotWait(r, p)
-	start, answer := b.settings.Waits.Promise(b.now, i, r.Team, r.Profile, baseWait, b.runTime(p))
+	start, answer := b.config.Waits.Promise(b.now, i, r.Team, r.Profile, baseWait, b.runTime(p))
 	b.host.Told(r.ID, waittime.Start, start)
 	b.host.Told(r.ID, waittime.Answer, answer)
 }
@@ -109,7 +109,7 @@
 
 // endWait reports that an attempt of the request starts: its wait is over, or there was none.
 func (b *Brain) endWait(i int32, p *profileState) {
-	w, r := b.settings.Waits, &b.requests.states[i]
+	w, r := b.config.Waits, &b.requests.states[i]
 	if w == nil || r.attempts > 0 {
 		return
 	}
@@ -124,11 +124,11 @@
 
 // answerReceived reports that a client has its answer.
 func (b *Brain) answerReceived(i int32, o *Outcome) {
-	if b.settings.Waits == nil {
+	if b.config.Waits == nil {
 		return
 	}
 	if o.End == Answered {
 		b.meanAttemptTime += 0.02 * (o.Lag - b.meanAttemptTime) // averaged over about fifty answers
 	}
-	b.settings.Waits.Fulfilled(b.now, i, waittime.Answer)
+	b.config.Waits.Fulfilled(b.now, i, waittime.Answer)
 }
--- a/admission/warmstart.go
+++ b/admission/warmstart.go
@@ -47,7 +47,7 @@
 // Knowledge returns what this process knows now. Start times of servers are on the controller's clock; the caller
 // converts them to a clock that outlives the process.
 func (b *Brain) Knows() (k warmstart.Knowledge) {
-	fingerprints := Fingerprints(b.settings.Profiles)
+	fingerprints := Fingerprints(b.config.Profiles)
 	for n := range b.profiles {
 		p := &b.profiles[n]
 		t := warmstart.Times{Sum: p.current.sum, Counts: append([]float64(nil), p.current.counts...)}
@@ -58,7 +58,7 @@
 			k.Engines = append(k.Engines, warmstart.Server{ID: e.Engine, Start: e.ReadyAt, Slow: b.slowdownOf(e), Fails: e.failureRate, Ill: e.unhealthy, Pause: e.probeInterval})
 		}
 	}
-	rates := b.settings.Rates()
+	rates := b.config.Rates()
 	for n := range b.tenants {
 		tokens := b.tenants[n].tokens + (b.now-b.tenants[n].refilledAt)*rates[n]
 		if math.IsInf(tokens, 0) || tokens > 1e9 {
@@ -74,7 +74,7 @@
 
 // restoreBeliefs starts with the values that are trusted from an earlier process.
 func (b *Brain) restoreBeliefs() {
-	m := b.settings.Memory
+	m := b.config.Memory
 	if m == nil {
 		return
 	}
@@ -106,10 +106,10 @@
 // restoreServer restores what is known about a server that the list contains for the first time, if it has the same
 // start.
 func (b *Brain) restoreServer(e *server) {
-	if b.settings.Memory == nil {
+	if b.config.Memory == nil {
 		return
 	}
-	for _, earlier := range b.settings.Memory.Engines {
+	for _, earlier := range b.config.Memory.Engines {
 		if earlier.ID != e.Engine || math.Abs(earlier.Start-e.ReadyAt) > 0.05 { // seconds: start times are reported in milliseconds
 			continue
 		}
--- a/internal/mutation/planted_test.go
+++ b/internal/mutation/planted_test.go
@@ -14,7 +14,7 @@
 var bugs = []struct {
 	name, file, right, wrong, tests string
 }{
-	{"no ageing", "admission/controller.go", "r.rank = r.price + b.settings.Ageing*r.takenAt", "r.rank = r.price", "./admission"},
+	{"no ageing", "admission/controller.go", "r.rank = r.price + b.config.Ageing*r.takenAt", "r.rank = r.price", "./admission"},
 	{"price before budget", "fairshare/tree.go", "if x.virtualTime != y.virtualTime {", "if false {", "./fairshare"},
 	{"an idle team hoards credit", "fairshare/tree.go", "n.virtualTime = max(n.virtualTime, mean(p)-t.slack(i))", "n.virtualTime = max(n.virtualTime, 0)", "./fairshare"},
 	{"nothing is lent", "fairshare/tree.go", "n.virtualTime = max(n.virtualTime, mean(p)-t.slack(i))", "n.virtualTime = max(n.virtualTime, mean(p)+100)", "./fairshare"},
@@ -31,7 +31,7 @@
 	{"allowance at one", "admission/controller.go", "const allowance = 0.03", "const allowance = 1.0", "./internal/expect"},
 	{"cold budget doubled", "admission/controller.go", "const coldMargin = 0.5", "const coldMargin = 1.0", "./internal/expect"},
 	{"trial never ends", "admission/controller.go", "e.failureRate < 0.1 {", "e.failureRate < 0 {", "./internal/expect"},
-	{"ageing off", "admission/controller.go", "r.rank = r.price + b.settings.Ageing*r.takenAt", "r.rank = r.price ", "./internal/expect"},
+	{"ageing off", "admission/controller.go", "r.rank = r.price + b.config.Ageing*r.takenAt", "r.rank = r.price ", "./internal/expect"},
 	{"waits given up count as kept", "waittime/estimator.go", "if above && z <= t.q50 {", "if above = false; above {", "./waittime"},
 	{"a time is told to all", "waittime/estimator.go", "due = max(due, s.due+s.load/max(part, 1e-3))", "due = max(due, 0)", "./waittime"},
 	{"the fence is not checked", "fleet/lease/gate.go", "if fence < m.fence || fence == 0 {", "if fence == 0 {", "./emulator/modelcheck"},
@@ -108,7 +108,7 @@
 	{"who comes early finds room", "waittime/estimator.go", "if k < 0 || b.reservations[k].due > now+earlyTolerance {", "if k < 0 {", "./waittime"},
 	{"cold servers get four times their budget from all routers", "admission/controller.go", "const coldMargin = 0.5", "const coldMargin = 2.0", "./emulator/cluster"},
 	{"cold servers get shares beside turns that are not fewer", "admission/controller.go", "coldByShares = 0.5", "coldByShares = 2.0", "./admission"},
-	{"a hung server with one attempt at a time is not suspected", "admission/controller.go", "b.settings.Fleet != nil && e.State == Ready && e.silentTimeoutAt > e.aliveAt", "false", "./admission"},
+	{"a hung server with one attempt at a time is not suspected", "admission/controller.go", "b.config.Fleet != nil && e.State == Ready && e.silentTimeoutAt > e.aliveAt", "false", "./admission"},
 	{"a connection with unread input makes room", "internal/router/arrivals.go", "if !best.session.InTransit() {", "if true {", "./internal/router"},
 }
 
