--- a/admission/api.go
+++ b/admission/api.go
@@ -37,7 +37,7 @@
 	NonReplayable               // must never run twice
 )
 
-// DedupScope says which servers drop the repeats of a request that is idempotent by key.
+// Group says which servers drop the repeats of a request that is idempotent by key.
 type Group uint8
 
 // The servers of the whole deployment, of a zone or of a cell.
--- a/admission/warmstart.go
+++ b/admission/warmstart.go
@@ -44,7 +44,7 @@
 	return all
 }
 
-// Knowledge returns what this process knows now. Start times of servers are on the controller's clock; the caller
+// Learned returns what this process knows now. Start times of servers are on the controller's clock; the caller
 // converts them to a clock that outlives the process.
 func (b *Brain) Knows() (k warmstart.Knowledge) {
 	fingerprints := Fingerprints(b.config.Profiles)
