--- a/admission/controller.go
+++ b/admission/controller.go
@@ -1,7 +1,6 @@
 // This file holds every decision on a request. A host makes one Controller per router (api.go has the interface) and
-// reports events to it. A request passes the stages register, admit, order and place in that order; each stage passes
-// it on, keeps it queued or ends it. The outcome of an attempt passes the stages in reverse. The Bouncer policy decides
-// the ordinary path.
+// reports events to it. A request passes the stages register, admit, order and place; each passes it on, keeps it
+// queued or ends it. The outcome of an attempt passes them in reverse. The Bouncer policy decides the ordinary path.
 package admission
 
 import (
@@ -41,22 +40,6 @@
 	startedAt, swapAt, logAt, announceAt, loadProbeAt, watchAt float64
 }
 
-// profileState holds the settings of a profile and what was learned about it.
-type profileState struct {
-	Profile
-	current, filling            histogram // processing times: current is read while filling collects
-	received, admitted          window    // requests that arrived and requests that were admitted, by Bouncer's sliding window
-	estimatedWork, measuredWork float64   // decaying sums of the clients' estimates and of the measured work of the same requests
-	work, samples               float64   // usual work over all threads, and the number of answers or estimates behind it
-	slowdown                    float64   // usual slowdown: processing time over work per thread
-}
-
-// tenantState is the token bucket of a tenant's quota. Requests beyond the quota are served last.
-type tenantState struct {
-	tokens, refilledAt float64
-	demand             window // requests received, where the fleet grants quotas
-}
-
 const tenantDemandSpan = 5.0 // seconds: long enough for some requests of a small tenant, short compared with its surges
 
 const allowanceSpan = 10.0 // seconds of the allowance's window: some tens of requests of a rare profile
@@ -144,8 +127,7 @@
 	return pass
 }
 
-// estimate sets the expected work and the target time: the client's estimate corrected by the profile's bias, else the
-// usual work.
+// estimate sets the expected work (the client's estimate less the profile's bias, or the usual work) and target.
 func (b *Brain) estimate(r *requestState, p *profileState) {
 	if r.cost = r.Cost; r.Cost <= 0 {
 		r.cost = p.work
@@ -205,8 +187,7 @@
 	}
 }
 
-// releaseIfDone frees the state of a request that has its final answer and no attempt in flight. The next request of
-// its order key may start.
+// releaseIfDone frees a request that has its answer and no attempt in flight, and advances the queue of its key.
 func (b *Brain) releaseIfDone(i int32) {
 	switch r := &b.requests.states[i]; {
 	case !r.done || r.inFlight.server >= 0:
@@ -226,9 +207,8 @@
 	}
 }
 
-// HalfClosed reports that the client has closed its sending side. Either it has left, or it still reads. A final answer
-// serves both cases: at once if no attempt is in flight, otherwise by that attempt, without a retry. Drawback: a client
-// that still reads is rejected if its request was queued.
+// HalfClosed reports that the client closed its sending side: it has left, or it still reads. A final answer serves
+// both: at once if no attempt is in flight, else by that attempt. Drawback: a queued client that reads is rejected.
 func (b *Brain) HalfClosed(now float64, id uint32) {
 	b.now = now
 	if i, ok := b.requests.at[id]; ok && !b.requests.states[i].done {
@@ -268,17 +248,15 @@
 	return pass
 }
 
-// estimatesMeetTargets compares the p50 and p90 estimates with the latency target and the client timeout, and the wait
-// with the time at which the request would be given up.
+// estimatesMeetTargets compares p50 and p90 with the latency target and the client timeout, and the wait with both.
 func (b *Brain) estimatesMeetTargets(r *requestState, p *profileState) bool {
 	if p.current.n < 20 { // samples, as in the design document
 		return true
 	}
 	wait, k := 0.0, b.chooseServer(r)
 	if k >= 0 && !b.pressed(p, &b.servers[k]) {
-		// Exception: while a server has spare capacity, a rejection protects no other request, so p90 alone does not
-		// reject (histograms with few samples, clients with short timeouts). The exception ends as soon as the servers
-		// are pressed.
+		// Exception: while a server has spare capacity, a rejection protects nobody, so p90 alone does not reject (few
+		// samples, short client timeouts). It ends as soon as the servers are pressed.
 		return r.bestTime <= r.TimeLeft || p.current.quantile(0.9) <= r.TimeLeft
 	}
 	target := r.target - b.now
@@ -356,8 +334,7 @@
 	return keep
 }
 
-// mayRunAgain reports whether another attempt is harmless: a request that may have run runs again only if it is
-// idempotent (rule 2). placementAllowed restricts where.
+// mayRunAgain applies rule 2: a request that may have run runs again only if that is harmless.
 func (b *Brain) mayRunAgain(r *requestState, p *profileState) bool {
 	return !r.mayHaveRun || p.Effect == Replayable || p.Effect == Uniqued && b.now < r.firstRunAt+p.Window
 }
@@ -479,12 +456,10 @@
 
 // coldBudget is this router's share of the work that a cold server accepts in one window (rule 4). The server does not
 // report its ramp; a late one is assumed, by the square of the age. The margin covers a slow server, routers that have
-// not yet been notified and a burst at the start.
-//
-// A share that is too small for one request of the fast path is used in turns: the budget since the start is cut into
-// pieces of one request, and each piece belongs to one router for half a window. All routers together stay within one
-// and a half times the budget. Where the warm-up is too short for a turn for each router, which all routers compute
-// alike, a part of the budget is used in equal shares.
+// not yet been notified and a burst at the start. A share that is too small for one request of the fast path is used in
+// turns: the budget since the start is cut into pieces of one request, and each piece belongs to one router for half a
+// window. All together stay within one and a half budgets. Where the warm-up is too short for a turn for each router,
+// which all routers compute alike, a part of the budget is used in equal shares.
 func (b *Brain) coldBudget(e *server) float64 {
 	fullRate := b.config.FallMultiple * e.cores * coldMargin
 	budget := func(age float64) float64 { // the budget up to an age
@@ -512,9 +487,8 @@
 	return max(share, turn)
 }
 
-// reportNeeds reports which shares of the fleet's totals this router needs. For a cold server it is the work that the
-// router admits, by the server's fraction of the pool, and at least the profile with the least usual work per window.
-// For a tenant it is the recent demand.
+// reportNeeds reports the needed shares of the fleet's totals: of a cold server by the work admitted here and the
+// server's part of the pool, at least the smallest usual work of a profile; of a quota by the tenant's recent demand.
 func (b *Brain) reportNeeds(u Use) {
 	rate, least := 0.0, b.fastPathLimit
 	for k := range b.profiles {
@@ -546,8 +520,7 @@
 		probeAt := b.nextProbeAt(e)
 		return !e.probing && b.now >= probeAt && (r.short && p.Effect == Replayable || b.now >= probeAt+1)
 	}
-	// The slots of the whole pool bind too. Otherwise hundreds of routers with one request each would fill every
-	// server.
+	// The slots of the pool bind too, or hundreds of routers with one request each would fill every server.
 	return !b.pressed(p, e) || b.withinSlots(e, r.short, p.Threads) && b.withinSlots(&b.total, r.short, p.Threads)
 }
 
@@ -575,8 +548,8 @@
 
 const pressedSlowdown = 2.2 // slowdown over the best time from which a server is pressed: tiny requests run at 2 under light load
 
-// pressed reports whether a server is under pressure: its answers take far longer than their best time, those of any
-// profile do, or the known threads fill the cores.
+// pressed reports whether a server is under pressure: answers there or of any profile are slow, or its threads are
+// many.
 func (b *Brain) pressed(p *profileState, e *server) bool {
 	threadsPerCore := 1.5
 	if !e.othersKnown { // for the others' load: twice an equal share, or many routers would fill a server before answers show it
@@ -587,9 +560,8 @@
 		!e.othersKnown && b.total.threads+float64(p.Threads) > threadsPerCore*b.total.cores
 }
 
-// slowdownOf is the learned slowdown of a server compared with others. Answers are compared with the usual slowdown of
-// their own profile, since priorities make profiles differ. Without new answers the value decays, so that an avoided
-// server is used again.
+// slowdownOf is a server's slowdown compared with others. Answers are compared with the usual ones of their profile, as
+// priorities make profiles differ. Without new answers it decays, so that an avoided server is used again.
 func (b *Brain) slowdownOf(e *server) float64 {
 	const fade = 4.0 // seconds: a few report intervals
 	return 1 + (e.slowdown-1)*math.Exp(-(b.now-e.slowdownAt)/fade)
@@ -666,9 +638,8 @@
 			r.mayHaveRun, r.firstRunAt, r.firstRunZone, r.firstRunCell = true, a.at, e.Zone, e.Cell
 		}
 	}
-	// A timeout counts as a processing time where answers do arrive, but slowly; otherwise only the fast answers would
-	// count. In other cases (a lost answer, a hung server) rejecting requests does not help. Unhealthy and cold servers
-	// are left out.
+	// A timeout counts as a processing time where answers come, but slowly, or only the fast ones would count. In other
+	// cases (a lost answer, a hang) rejecting does not help. Unhealthy and cold servers are left out.
 	countsAsSlow := o.End == TimedOut && !o.Unsent && p.slowdown*b.slowdownOf(e) > pressedSlowdown && b.now-e.answeredAt <= recentSpan
 	if (o.End == Answered || countsAsSlow) && !e.unhealthy && !b.cold(e) {
 		p.filling.add(o.Lag)
@@ -709,12 +680,10 @@
 	return pass
 }
 
-// failWeight is the weight of one outcome in the failure rate of a server, which reflects about the last seven
-// outcomes.
+// failWeight is the weight of one outcome in a server's failure rate, which reflects about the last seven outcomes.
 const failWeight = 0.15
 
-// countFailure counts a failed attempt and suspects the server once its failure rate is high, or at once if the failure
-// is certain.
+// countFailure counts a failed attempt and suspects the server if its failure rate is high or the failure is certain.
 func (b *Brain) countFailure(e *server, certain bool) {
 	if e.failureRate += failWeight * (1 - e.failureRate); e.failureRate > 0.25 || e.unhealthy || certain {
 		b.suspect(e, "fails what it is sent")
@@ -774,8 +743,7 @@
 	b.dispatchQueued()
 }
 
-// rotateHistograms swaps the histograms. A part of the old counts is carried over, and more where there are few, since
-// one outlier would move p90.
+// rotateHistograms carries a part of the old counts over, more where there are few: one outlier would move p90.
 func (b *Brain) rotateHistograms() {
 	const carry, thin, carryThin = 0.5, 150, 0.9                                      // a frequent profile shows a change within two rotations
 	b.swapAt += 2                                                                     // seconds, as in the design document
@@ -823,10 +791,9 @@
 	}
 }
 
-// silentSinceTimeout reports whether the last attempt that was alone on a server timed out, without a sign of life
-// since it was sent. It then counts beside the next attempt; otherwise a router with one attempt at a time there would
-// never suspect the server. This applies only with a fleet, where the probes of a suspected server are shared: without
-// one, a router would suspect servers whose answers are lost now and then.
+// silentSinceTimeout reports whether the last attempt that was alone on a server timed out without a sign of life
+// since. It counts beside the next one, or a router with one attempt at a time there would never suspect the server.
+// Only with a fleet, where probes are shared: a lone router would suspect servers that lose an answer now and then.
 func (b *Brain) silentSinceTimeout(e *server) bool {
 	return b.config.Fleet != nil && e.State == Ready && e.silentTimeoutAt > e.aliveAt
 }
@@ -852,9 +819,8 @@
 	b.dispatchQueued()
 }
 
-// Progress reports on an attempt in flight. An attempt that is far slower than a new one would be, and too late at its
-// pace, is cancelled and retried elsewhere, once: its plan is bad, the server is slow, or it spills to disk. Drawback:
-// where only the estimate was wrong, the work done is lost.
+// Progress reports on an attempt in flight. An attempt that is far slower than a new one, and too late at its pace, is
+// retried elsewhere, once: a bad plan, a slow server, or spilling. Drawback: lost work where the estimate was wrong.
 func (b *Brain) Note(now float64, n Note) {
 	b.now = now
 	if k, ok := b.index[n.Engine]; ok {
@@ -876,8 +842,7 @@
 	}
 }
 
-// lowThreadsPerCore is the load below which sampled load reports stand for all servers. It is less than the load at
-// which servers are pressed; 1 and 1.5 each perform worse under some workloads.
+// lowThreadsPerCore is below the load at which servers are pressed; 1 and 1.5 each perform worse on some workloads.
 const lowThreadsPerCore = 1.25
 
 // Probed reports the answer to Host.Probe.
@@ -894,24 +859,13 @@
 	}
 }
 
-// PeerMessage reports a message of another router.
-func (b *Brain) Peer(now float64, from int, data []byte) {
-	b.now = now
-	if from >= 0 && from < len(b.peerHeardAt) && from != b.config.Me {
-		b.peerHeardAt[from] = now
-		b.decodeLoads(from, data)
-	}
-}
-
-// exchangeLoads sends this router's load to the other routers, requests the load of servers, and sums up the known load
-// of others. A router that fell silent is taken to be gone: if it is only cut off from here, it can't reach our servers
-// either.
+// exchangeLoads sends our load to the other routers, requests the load of servers, and sums up the load of others. A
+// router that fell silent is taken to be gone: if it is only cut off from us, it can't reach our servers either.
 func (b *Brain) exchangeLoads() {
 	const announceInterval, probeInterval = 0.2, 1.0 // seconds: each costs a few tenths of a point of the day's score, and a load report is valid for seconds only
 	const loadLifetime = 1.5                         // seconds for which another router's load is valid: some messages lost in a row
-	// Both rates follow this router's own requests, or their cost would grow with the square of the number of routers.
-	// These bytes and probes per request cost a quarter of a point. Loads that can't be sent or requested while they
-	// are valid are left out.
+	// Both follow this router's own requests, or their cost would grow with the square of the number of routers. These
+	// values cost a quarter of a point. Loads that can't be exchanged while they are valid are left out.
 	const bytesPerRequest, probesPerRequest = 64.0, 0.5
 	rate, n := 0.0, len(b.servers)
 	b.worstSlowdown = 0
@@ -931,9 +885,8 @@
 		b.share = 1 / float64(max(len(b.peerHeardAt)-silentPeers, 2)) // never all: it may be this router alone that receives nothing
 	}
 	if b.total = b.healthyTotal(); !(b.total.othersKnown && b.config.Peers) && b.total.cores > 0 {
-		// Exception: an equal share holds back a router with more traffic than most. Its share is the work that it
-		// admits in the long run, as a part of the pool's capacity, less an equal share, since overload raises the
-		// value for all.
+		// Exception: an equal share holds back a router with much traffic. Its share is its admitted work in the long
+		// run as a part of the pool's capacity, less an equal share, since overload raises the value for all.
 		b.share = min(max(b.share, b.admittedWork/max(b.admittedSeconds, allowanceSpan)/b.total.cores-b.share), 1)
 	}
 	b.applyPriorityChanges()
--- a/admission/state.go
+++ b/admission/state.go
@@ -59,6 +59,22 @@
 	restUntil  float64 // no attempt starts before
 }
 
+// profileState holds the settings of a profile and what was learned about it.
+type profileState struct {
+	Profile
+	current, filling            histogram // processing times: current is read while filling collects
+	received, admitted          window    // requests that arrived and requests that were admitted, by Bouncer's sliding window
+	estimatedWork, measuredWork float64   // decaying sums of the clients' estimates and of the measured work of the same requests
+	work, samples               float64   // usual work over all threads, and the number of answers or estimates behind it
+	slowdown                    float64   // usual slowdown: processing time over work per thread
+}
+
+// tenantState is the token bucket of a tenant's quota. Requests beyond the quota are served last.
+type tenantState struct {
+	tokens, refilledAt float64
+	demand             window // requests received, where the fleet grants quotas
+}
+
 // requestSet holds request states at indexes that are reused, the queue ordered by rank, and the queues of order keys.
 type requestSet struct {
 	states      []requestState
@@ -358,3 +374,12 @@
 		}
 	}
 }
+
+// PeerMessage reports a message of another router.
+func (b *Brain) Peer(now float64, from int, data []byte) {
+	b.now = now
+	if from >= 0 && from < len(b.peerHeardAt) && from != b.config.Me {
+		b.peerHeardAt[from] = now
+		b.decodeLoads(from, data)
+	}
+}
