--- a/admission/api.go
+++ b/admission/api.go
@@ -13,13 +13,13 @@
 
 // Host carries out the actions of a Controller. Calls are carried out in the order made.
 type Host interface {
-	Send(id, server uint32, timeout, sendBefore float64)  // starts an attempt that ends by itself after timeout and leaves before sendBefore (0: any time)
+	Send(id, server uint32, timeout, sendBefore float64)  // ends by itself after timeout, and leaves before sendBefore (0: any time)
 	Shed(id uint32, pause float64)                        // final answer: retrying is harmless, best after pause (0: at any time)
 	Fail(id uint32)                                       // final answer: the request may or may not have run
 	Cancel(id uint32, attempt int)                        // stops waiting for that attempt
 	Withdraw(id uint32, attempt int)                      // ends that attempt as Moot if nothing of it has been sent yet
 	Probe(server uint32)                                  // asks a server for its load; Probed receives the answer
-	Priority(id uint32, level int, grant float64)         // level 0 to 3, takes effect at once; grant: memory for later attempts, 0: the server chooses
+	Priority(id uint32, level int, grant float64)         // 0 to 3, at once; grant: memory for later attempts, 0: server's choice
 	Wake(after float64, token uint64)                     // calls Woken with that token, not before
 	Tell(peer int, data []byte)                           // sends a short message to another router, -1: to all
 	Watch(on bool)                                        // follows the list of servers, where it must be requested
@@ -127,7 +127,7 @@
 type Plan interface {
 	Price(now float64, zone int, work float64) (price float64, ok bool) // of a zone, as a load of a server; not ok: nothing was received
 	Sent(now float64, zone int, work float64)                           // counts work sent to the zone
-	Keeps(now, price, work float64) bool                                // whether to admit a request where the demand exceeds the capacity of all zones
+	Keeps(now, price, work float64) bool                                // whether to admit a request if demand exceeds all capacity
 }
 
 // NeedsSink receives the shares of the fleet's totals that this router needs, and the servers that it suspects.
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -23,7 +23,7 @@
 	pool     // servers, and the load that other routers have on them
 
 	requestsTaken, retries            window  // requests taken, and attempts beyond each request's first
-	share, fastPathLimit, cutoffPrice float64 // share of each server; longest best time on the fast path; price from which queued requests were given up
+	share, fastPathLimit, cutoffPrice float64 // of each server; longest best time on the fast path; price given up in the queue
 	total                             server  // this router's load on all healthy servers, and their cores
 	outcome                           Outcome
 	message                           []byte
@@ -314,7 +314,7 @@
 	}
 	p.observeWork(work)
 	b.averageSlowdown += 0.05 * min(work/max(p.work, 0.001), 3) * min(work, 1) * (slowdown - b.averageSlowdown)
-	p.slowdown += 0.05 * min(work/max(p.work, 0.001), 3) * (slowdown - p.slowdown) // weighted by work: the time of tiny requests is mostly overhead
+	p.slowdown += 0.05 * min(work/max(p.work, 0.001), 3) * (slowdown - p.slowdown) // by work: tiny requests are mostly overhead
 }
 
 func (p *profileState) observeWork(work float64) {
@@ -408,7 +408,7 @@
 		score *= b.slowdownOf(e) / e.cores
 		if price, ok := b.zonePrice(e.Zone, r.cost); ok && !e.unhealthy { // probes find out when a zone is available again
 			score += price // the shares that the fleet agreed on, in place of the default price
-		} else if crossZonePrice := 0.2; e.Zone != b.config.Zone { // a server in another zone must be this much emptier: a small price for the added delay
+		} else if crossZonePrice := 0.2; e.Zone != b.config.Zone { // another zone must be this much emptier, for the delay
 			if unsure {
 				crossZonePrice *= min(max(3-2*b.worstSlowdown, 0), 1) // not while answers, most of them from this zone, are slow by half
 			}
@@ -479,7 +479,7 @@
 	}
 	first := float64((uint32(b.config.Me) + e.Engine) % uint32(b.config.Routers)) // another router at each server
 	turns := func(age float64) float64 { return math.Floor((turnPart*budget(age)/b.fastPathLimit - first) / n) }
-	countedFrom := max(age-b.config.FallWindow/2, b.startedAt-e.ReadyAt) // the process before this one may have used the turn in which this one started
+	countedFrom := max(age-b.config.FallWindow/2, b.startedAt-e.ReadyAt) // the previous process may have used the turn at the start
 	turn := (turns(age) - turns(countedFrom)) * b.fastPathLimit
 	if e.coldWork.most(b.now) > 0 { // a server may accept less in a window than a turn: then one request, or as many smaller ones
 		turn = min(turn, window)
@@ -548,8 +548,7 @@
 
 const pressedSlowdown = 2.2 // slowdown over the best time from which a server is pressed: tiny requests run at 2 under light load
 
-// pressed reports whether a server is under pressure: answers there or of any profile are slow, or its threads are
-// many.
+// pressed reports whether a server is under pressure: slow answers there or of any profile, or too many threads.
 func (b *Brain) pressed(p *profileState, e *server) bool {
 	threadsPerCore := 1.5
 	if !e.othersKnown { // for the others' load: twice an equal share, or many routers would fill a server before answers show it
@@ -692,7 +691,7 @@
 
 // suspect takes a server out of normal use; it receives one probe at a time.
 func (b *Brain) suspect(e *server, why string) {
-	const firstInterval, longestInterval = 0.5, 3.0                                // seconds: some round trips, and short compared with the shortest outages
+	const firstInterval, longestInterval = 0.5, 3.0                                // seconds: some round trips; short against the shortest outages
 	if e.probeInterval = min(e.probeInterval*1.5, longestInterval); !e.unhealthy { // single probes find out when it is available again
 		e.unhealthy, e.probeInterval = true, firstInterval
 		b.log("engine %d %s: one trial at a time", e.Engine, why)
@@ -862,7 +861,7 @@
 // exchangeLoads sends our load to the other routers, requests the load of servers, and sums up the load of others. A
 // router that fell silent is taken to be gone: if it is only cut off from us, it can't reach our servers either.
 func (b *Brain) exchangeLoads() {
-	const announceInterval, probeInterval = 0.2, 1.0 // seconds: each costs a few tenths of a point of the day's score, and a load report is valid for seconds only
+	const announceInterval, probeInterval = 0.2, 1.0 // seconds: each costs some tenths of a point a day; loads are valid for seconds
 	const loadLifetime = 1.5                         // seconds for which another router's load is valid: some messages lost in a row
 	// Both follow this router's own requests, or their cost would grow with the square of the number of routers. These
 	// values cost a quarter of a point. Loads that can't be exchanged while they are valid are left out.
@@ -893,7 +892,7 @@
 	b.checkTrackedRejections()
 	if b.config.ProbeLoads && len(b.peerHeardAt) > 1 && b.now >= b.loadProbeAt && n > 0 &&
 		float64(min(n, 3)) <= recentSpan*probesPerRequest*rate {
-		b.loadProbeAt = b.now + max(probeInterval/float64(n), 1/(probesPerRequest*rate)) // one server at a time, so that new loads arrive spread out
+		b.loadProbeAt = b.now + max(probeInterval/float64(n), 1/(probesPerRequest*rate)) // one at a time, to spread load changes over time
 		b.nextLoadProbe = (b.nextLoadProbe + 1) % n
 		if e := &b.servers[b.nextLoadProbe]; e.State == Ready {
 			b.host.Probe(e.Engine)
