--- a/admission/controller.go
+++ b/admission/controller.go
@@ -11,7 +11,7 @@
 	"dunereach/fleet/failover"
 )
 
-// Controller decides for one router.
+// Controller makes the admission and routing decisions of one router.
 type Brain struct {
 	config   Settings
 	host     Host
@@ -34,7 +34,7 @@
 	meanAttemptTime                   float64            // mean duration of an attempt, where estimates are reported
 	trackedRejections                 []trackedRejection // rejected requests that are evaluated again, where estimates are reported
 	rejections                        int                // counts rejections on arrival, to track every trackEvery-th
-	zoneSights                        []failover.Sight   // outcomes by zone since the last report, where the fleet has a plan
+	zoneOutcomes                      []failover.Sight   // outcomes by zone since the last report, where the fleet has a plan
 	rejectedSinceLog, nextLoadProbe   int                // rejections since the last log line; server to probe for its load next
 
 	startedAt, swapAt, logAt, announceAt, loadProbeAt, watchAt float64
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -85,10 +85,10 @@
 	if b.config.Plan == nil || o.End == Cancelled || o.End == Moot || e.Zone < 0 || e.Zone >= failover.MostZones {
 		return
 	}
-	for len(b.zoneSights) <= e.Zone {
-		b.zoneSights = append(b.zoneSights, failover.Sight{})
+	for len(b.zoneOutcomes) <= e.Zone {
+		b.zoneOutcomes = append(b.zoneOutcomes, failover.Sight{})
 	}
-	s := &b.zoneSights[e.Zone]
+	s := &b.zoneOutcomes[e.Zone]
 	s.Sent++
 	switch o.End {
 	case Answered:
@@ -117,8 +117,8 @@
 func (b *Brain) Report(now float64, zones int) failover.Report {
 	b.now = now
 	r := failover.Report{Zone: b.config.Zone, Sights: make([]failover.Sight, zones)}
-	copy(r.Sights, b.zoneSights)
-	clear(b.zoneSights)
+	copy(r.Sights, b.zoneOutcomes)
+	clear(b.zoneOutcomes)
 	for k := range b.profiles {
 		p := &b.profiles[k]
 		work := p.received.most(now) / min(max(now-b.startedAt, 1), allowanceSpan) * p.work
--- a/admission/script_test.go
+++ b/admission/script_test.go
@@ -70,7 +70,7 @@
 }
 func (s *scriptPlayer) Log(text string) { s.print("log %s", text) }
 
-// runUntil plays the module's own wakes until a time.
+// runUntil fires the controller's own timers up to a time.
 func (s *scriptPlayer) runUntil(t float64) {
 	for len(s.wakes) > 0 {
 		sort.SliceStable(s.wakes, func(i, j int) bool { return s.wakes[i].at < s.wakes[j].at })
--- a/admission/state.go
+++ b/admission/state.go
@@ -359,7 +359,7 @@
 	return buf
 }
 
-// decodeLoads reads what encodeLoads of another router wrote.
+// decodeLoads reads the message of another router's encodeLoads.
 func (p *pool) decodeLoads(from int, data []byte) {
 	for k := range p.servers {
 		e := &p.servers[k]
