--- a/admission/histogram.go
+++ b/admission/histogram.go
@@ -24,7 +24,7 @@
 	h.sum += v
 }
 
-// copyScaled makes h hold what o holds, every count times f.
+// copyScaled replaces the counts of h by those of o times f.
 func (h *histogram) copyScaled(o *histogram, f float64) {
 	for i, c := range o.counts {
 		h.counts[i] = c * f
@@ -50,18 +50,18 @@
 	return 0
 }
 
-// window sums amounts over a sliding span, kept in steps.
+// window sums amounts over a sliding time span, which is divided into steps.
 type window struct {
-	step  float64
-	sums  []float64
-	first int64 // step number of the newest bucket
+	step   float64
+	sums   []float64
+	newest int64 // step number of the newest bucket
 }
 
 func newWindow(span float64, steps int) window {
-	return window{step: span / float64(steps), sums: make([]float64, steps+1), first: math.MinInt64}
+	return window{step: span / float64(steps), sums: make([]float64, steps+1), newest: math.MinInt64}
 }
 
-// bucket holds step i; one step on from the newest stands the oldest.
+// bucket returns the bucket of step i. The step after the newest is the oldest.
 func (w *window) bucket(i int64) *float64 {
 	n := int64(len(w.sums))
 	return &w.sums[((i%n)+n)%n]
@@ -69,18 +69,18 @@
 
 func (w *window) advance(now float64) {
 	k, n := int64(math.Floor(now/w.step)), int64(len(w.sums))
-	for i := max(w.first+1, k-n+1); i <= k; i++ {
+	for i := max(w.newest+1, k-n+1); i <= k; i++ {
 		*w.bucket(i) = 0
 	}
-	w.first = max(w.first, k)
+	w.newest = max(w.newest, k)
 }
 
 func (w *window) add(now, v float64) {
 	w.advance(now)
-	*w.bucket(w.first) += v
+	*w.bucket(w.newest) += v
 }
 
-// most sums everything in the span and the whole of the step that its start cuts.
+// most is an upper bound: it sums the whole span and all of the step in which the span begins.
 func (w *window) most(now float64) (sum float64) {
 	w.advance(now)
 	for _, v := range w.sums {
@@ -89,8 +89,8 @@
 	return sum
 }
 
-// least sums only the steps that lie wholly inside the span.
+// least is a lower bound: it sums only the steps that lie completely inside the span.
 func (w *window) least(now float64) float64 {
 	sum := w.most(now)
-	return sum - *w.bucket(w.first + 1)
+	return sum - *w.bucket(w.newest + 1)
 }
