--- a/fleet/allocation/allocation_test.go
+++ b/fleet/allocation/allocation_test.go
@@ -16,40 +16,40 @@
 
 // process is one life of a member.
 type process struct {
-	name   string
-	life   uint64
-	clock  clock
-	h      *Holder
-	asleep float64 // until then, in true time
-	quiet  float64 // it pledges nothing until then
-	dead   bool
-	used   []float64 // part by step of late
+	name         string
+	incarnation  uint64
+	clock        clock
+	holder       *Holder
+	stoppedUntil float64 // until then, in true time
+	quietUntil   float64 // it pledges nothing until then
+	killed       bool
+	recentShares []float64 // part by step of late
 }
 
-// letter is on its way.
-type letter struct {
-	at     float64
-	pledge *Relinquishment
-	deal   *Grant
-	from   *process
-	to     *process
-	owner  int
+// message is on its way.
+type message struct {
+	at             float64
+	relinquishment *Relinquishment
+	grant          *Grant
+	from           *process
+	to             *process
+	owner          int
 }
 
 const step = 0.05
 
-// town plays members and owners with everything that can go wrong between them, and looks at every step at the most that all
+// simulateCluster plays members and owners with everything that can go wrong between them, and looks at every step at the most that all
 // processes together may have used within the window of the limit.
-func town(seed uint64, terms Terms, members, steps int) (worst, dealtOut float64, err error) {
+func simulateCluster(seed uint64, terms Terms, members, steps int) (highestUse, totalGranted float64, err error) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
-	drift := func() clock {
+	drawClock := func() clock {
 		return clock{rnd.Float64() * 1e4, 1 + terms.Drift*(2*rnd.Float64()-1)}
 	}
-	var all []*process
-	start := func(name string, life uint64, now float64, clean bool) *process {
-		p := &process{name: name, life: life, clock: drift()}
-		p.h = NewHolder(terms, p.clock.at(now), clean)
-		all = append(all, p)
+	var processes []*process
+	start := func(name string, incarnation uint64, now float64, clean bool) *process {
+		p := &process{name: name, incarnation: incarnation, clock: drawClock()}
+		p.holder = NewHolder(terms, p.clock.at(now), clean)
+		processes = append(processes, p)
 		return p
 	}
 	current := make([]*process, members)
@@ -57,157 +57,157 @@
 		current[k] = start(fmt.Sprint("n", k), 1, 0, true)
 	}
 	type owner struct {
-		d      *Granter
-		clock  clock
-		until  float64 // end of its lease in true time
-		asleep float64
-		round  uint64
+		granter      *Granter
+		clock        clock
+		leaseEnd     float64 // end of its lease in true time
+		stoppedUntil float64
+		round        uint64
 	}
 	var owners []*owner
 	var fence uint64
 	acquire := func(now float64) {
 		fence++
-		o := &owner{clock: drift(), until: now + 1 + 20*rnd.Float64()}
-		o.d = NewGranter(terms, fence, 0, o.clock.at(now))
+		o := &owner{clock: drawClock(), leaseEnd: now + 1 + 20*rnd.Float64()}
+		o.granter = NewGranter(terms, fence, 0, o.clock.at(now))
 		owners = append(owners, o)
 	}
 	acquire(0)
 	window := int(math.Ceil(terms.Settle/step)) + 1
-	var post []letter
-	way := func() float64 { // mostly quick, at times held for long
+	var inFlight []message
+	drawDelay := func() float64 { // mostly quick, at times held for long
 		if rnd.Float64() < 0.05 {
 			return rnd.Float64() * 10
 		}
 		return rnd.Float64() * 0.3
 	}
-	var fresh []letter
-	send := func(l letter) {
+	var outgoing []message
+	send := func(msg message) {
 		if rnd.Float64() < 0.1 {
 			return
 		}
-		fresh = append(fresh, l)
+		outgoing = append(outgoing, msg)
 		if rnd.Float64() < 0.05 {
-			l.at += rnd.Float64() * 3
-			fresh = append(fresh, l)
+			msg.at += rnd.Float64() * 3
+			outgoing = append(outgoing, msg)
 		}
 	}
 	for n := range steps {
 		now := float64(n) * step
-		if o := owners[len(owners)-1]; now >= o.until { // its lease is over: the next one
+		if o := owners[len(owners)-1]; now >= o.leaseEnd { // its lease is over: the next one
 			acquire(now)
 		}
 		for k, p := range current {
 			switch r := rnd.Float64(); {
 			case r < 0.0005: // killed, and back under its name
-				p.dead = true
-				current[k] = start(p.name, p.life+1, now, false)
+				p.killed = true
+				current[k] = start(p.name, p.incarnation+1, now, false)
 			case r < 0.001:
-				p.asleep = now + rnd.Float64()*12
+				p.stoppedUntil = now + rnd.Float64()*12
 			}
 		}
 		for _, p := range current {
 			if rnd.Float64() < 0.003 {
-				p.quiet = now + rnd.Float64()*8
+				p.quietUntil = now + rnd.Float64()*8
 			}
 		}
 		for k, o := range owners {
 			if rnd.Float64() < 0.002 {
-				o.asleep = now + rnd.Float64()*10
+				o.stoppedUntil = now + rnd.Float64()*10
 			}
-			if now < o.asleep || now >= o.until { // it checks its lease at the moment of the act
+			if now < o.stoppedUntil || now >= o.leaseEnd { // it checks its lease at the moment of the act
 				continue
 			}
-			mine := o.clock.at(now)
+			localTime := o.clock.at(now)
 			if rnd.Float64() < 0.004 { // it has lost its account, and has its fence
-				o.d = NewGranter(terms, o.d.Fence(), o.round, mine)
+				o.granter = NewGranter(terms, o.granter.Fence(), o.round, localTime)
 			}
 			if n%10 == 0 {
-				round := o.d.OpenRound(mine)
+				round := o.granter.OpenRound(localTime)
 				o.round = round
 				for _, p := range current {
-					send(letter{at: now + way(), deal: &Grant{Fence: o.d.Fence(), Round: round}, to: p, owner: k})
+					send(message{at: now + drawDelay(), grant: &Grant{Fence: o.granter.Fence(), Round: round}, to: p, owner: k})
 				}
 			}
-			for _, to := range o.d.Grants(mine) {
-				dealtOut += to.Share
-				for _, p := range all {
-					if p.name == to.Name && p.life == to.Incarnation {
-						send(letter{at: now + way(), deal: &to.Grant, to: p, owner: k})
+			for _, to := range o.granter.Grants(localTime) {
+				totalGranted += to.Share
+				for _, p := range processes {
+					if p.name == to.Name && p.incarnation == to.Incarnation {
+						send(message{at: now + drawDelay(), grant: &to.Grant, to: p, owner: k})
 					}
 				}
 			}
-			if live, laid := o.d.InUse(mine), o.d.Relinquished(mine, mine); live > laid+1e-9 {
-				return worst, dealtOut, fmt.Errorf("seed %d at %.2f: %v live of %v laid down", seed, now, live, laid)
+			if inUse, relinquished := o.granter.InUse(localTime), o.granter.Relinquished(localTime, localTime); inUse > relinquished+1e-9 {
+				return highestUse, totalGranted, fmt.Errorf("seed %d at %.2f: %v live of %v laid down", seed, now, inUse, relinquished)
 			}
 		}
-		rest := post[:0]
-		for _, l := range post {
+		undelivered := inFlight[:0]
+		for _, msg := range inFlight {
 			switch {
-			case l.at > now:
-				rest = append(rest, l)
-			case l.pledge != nil:
-				if o := owners[l.owner]; now < o.asleep {
-					l.at = o.asleep
-					rest = append(rest, l)
+			case msg.at > now:
+				undelivered = append(undelivered, msg)
+			case msg.relinquishment != nil:
+				if o := owners[msg.owner]; now < o.stoppedUntil {
+					msg.at = o.stoppedUntil
+					undelivered = append(undelivered, msg)
 				} else {
-					o.d.Relinquish(o.clock.at(now), l.from.name, l.from.life, *l.pledge)
+					o.granter.Relinquish(o.clock.at(now), msg.from.name, msg.from.incarnation, *msg.relinquishment)
 				}
-			case l.to.dead:
-			case now < l.to.asleep:
-				l.at = l.to.asleep
-				rest = append(rest, l)
+			case msg.to.killed:
+			case now < msg.to.stoppedUntil:
+				msg.at = msg.to.stoppedUntil
+				undelivered = append(undelivered, msg)
 			default:
-				mine := l.to.clock.at(now)
-				if l.to.h.Receive(mine, *l.deal) == nil && l.deal.Tag == 0 && now >= l.to.quiet {
+				localTime := msg.to.clock.at(now)
+				if msg.to.holder.Receive(localTime, *msg.grant) == nil && msg.grant.Tag == 0 && now >= msg.to.quietUntil {
 					need := rnd.Float64() * 3 / float64(members)
-					if p, ok := l.to.h.Relinquish(mine, need, need*rnd.Float64()); ok {
-						send(letter{at: now + way(), pledge: &p, from: l.to, owner: l.owner})
+					if p, ok := msg.to.holder.Relinquish(localTime, need, need*rnd.Float64()); ok {
+						send(message{at: now + drawDelay(), relinquishment: &p, from: msg.to, owner: msg.owner})
 					}
 				}
 			}
 		}
-		post, fresh = append(rest, fresh...), fresh[:0]
+		inFlight, outgoing = append(undelivered, outgoing...), outgoing[:0]
 		sum := 0.0
-		for _, p := range all {
-			part := 0.0
-			if !p.dead { // asleep ones too: they may go on with what they were about to do
+		for _, p := range processes {
+			share := 0.0
+			if !p.killed { // asleep ones too: they may go on with what they were about to do
 				var ok bool
-				if part, ok = p.h.Share(p.clock.at(now)); !ok {
-					part = 1 / float64(terms.Members)
+				if share, ok = p.holder.Share(p.clock.at(now)); !ok {
+					share = 1 / float64(terms.Members)
 				}
 			}
-			if p.used = append(p.used, part); len(p.used) > window {
-				p.used = p.used[1:]
+			if p.recentShares = append(p.recentShares, share); len(p.recentShares) > window {
+				p.recentShares = p.recentShares[1:]
 			}
-			most := 0.0
-			for _, u := range p.used {
-				most = max(most, u)
+			highest := 0.0
+			for _, u := range p.recentShares {
+				highest = max(highest, u)
 			}
-			sum += most
+			sum += highest
 		}
-		if worst = max(worst, sum); sum > 1+1e-9 {
-			return worst, dealtOut, fmt.Errorf("seed %d at %.2f: %.4f of the whole may be in use", seed, now, sum)
+		if highestUse = max(highestUse, sum); sum > 1+1e-9 {
+			return highestUse, totalGranted, fmt.Errorf("seed %d at %.2f: %.4f of the whole may be in use", seed, now, sum)
 		}
 	}
-	return worst, dealtOut, nil
+	return highestUse, totalGranted, nil
 }
 
-func TestSumNeverExceedsWhole(t *testing.T) {
-	dealt, worst := 0.0, 0.0
+func TestSumNeverExceedsQuota(t *testing.T) {
+	granted, highestUse := 0.0, 0.0
 	seeds := 300
 	if testing.Short() {
 		seeds = 60
 	}
 	for seed := range uint64(seeds) {
 		terms := Standard(1+int(seed%7), float64(seed%3), 0.05)
-		w, d, err := town(seed, terms, terms.Members, 800)
+		use, total, err := simulateCluster(seed, terms, terms.Members, 800)
 		if err != nil {
 			t.Fatal(err)
 		}
-		dealt, worst = dealt+d, max(worst, w)
+		granted, highestUse = granted+total, max(highestUse, use)
 	}
-	if dealt < 100 || worst < 0.95 { // the check has to have seen parts that move
-		t.Errorf("only %v was dealt, at most %v in use", dealt, worst)
+	if granted < 100 || highestUse < 0.95 { // the check has to have seen parts that move
+		t.Errorf("only %v was dealt, at most %v in use", granted, highestUse)
 	}
 }
 
@@ -215,14 +215,14 @@
 func TestNeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "members")
-		servesNeed(t, n, rapid.Float64Range(0.5, 4).Draw(t, "least")/float64(n))
+		checkNeedIsServed(t, n, rapid.Float64Range(0.5, 4).Draw(t, "least")/float64(n))
 	})
 }
 
 // TestNeedCase: what the property found once, mended since.
-func TestNeedCase(t *testing.T) { servesNeed(t, 3, 1.75/3) }
+func TestNeedCase(t *testing.T) { checkNeedIsServed(t, 3, 1.75/3) }
 
-func servesNeed(t rapid.TB, n int, least float64) {
+func checkNeedIsServed(t rapid.TB, n int, least float64) {
 	terms := Standard(n, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
 	served := map[string]int{}
@@ -255,8 +255,8 @@
 	}
 }
 
-// TestLapse: when all but one member stop pledging, what that one was dealt of theirs is not renewed past their pledges.
-func TestLapse(t *testing.T) {
+// TestGrantsEndWithRelinquishments: when all but one member stop pledging, what that one was dealt of theirs is not renewed past their pledges.
+func TestGrantsEndWithRelinquishments(t *testing.T) {
 	terms := Standard(4, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
 	for n := range 60 {
@@ -272,19 +272,19 @@
 			}
 		}
 		d.Grants(now)
-		own := 0.0 // equal parts that came back
+		returned := 0.0 // equal parts that came back
 		if lapsed := 10 + 19.0/2 + terms.RelinquishFor*(1-0.05); now > lapsed {
-			own = 0.75
+			returned = 0.75
 		}
-		if sum := d.InUse(now) + own; sum > 1+1e-9 {
+		if sum := d.InUse(now) + returned; sum > 1+1e-9 {
 			t.Fatalf("%v at %v", sum, now)
 		}
 	}
 }
 
-// TestHeldDeal: a deal that was held on its way for longer than it lives does nothing, nor does one under an old fence, nor one
+// TestDelayedAndStaleGrants: a deal that was held on its way for longer than it lives does nothing, nor does one under an old fence, nor one
 // that another process asked for.
-func TestHeldDeal(t *testing.T) {
+func TestDelayedAndStaleGrants(t *testing.T) {
 	terms := Standard(4, 1, 0.05)
 	h := NewHolder(terms, 100, true)
 	if part, ok := h.Share(100); ok {
@@ -292,8 +292,8 @@
 	}
 	h.Receive(100, Grant{Fence: 5, Round: 1})
 	p, _ := h.Relinquish(100, 1, 0)
-	deal := Grant{Fence: 5, Round: 1, Tag: p.Tag, Share: 0.7, Lifetime: 60}
-	if err := h.Receive(130, deal); err != ErrExpired {
+	grant := Grant{Fence: 5, Round: 1, Tag: p.Tag, Share: 0.7, Lifetime: 60}
+	if err := h.Receive(130, grant); err != ErrExpired {
 		t.Errorf("held for 30 s: %v", err)
 	}
 	h.Receive(130, Grant{Fence: 5, Round: 2})
@@ -316,7 +316,7 @@
 	}
 }
 
-func BenchmarkDeal(b *testing.B) {
+func BenchmarkGrants(b *testing.B) {
 	terms := Standard(300, 1, 0.05)
 	d := NewGranter(terms, 1, 0, 0)
 	for n := range b.N {
@@ -329,8 +329,8 @@
 	}
 }
 
-// TestRoundsGoOn: an owner that has lost its account, and kept its fence, takes no pledge for one of its old rounds for a new one.
-func TestRoundsGoOn(t *testing.T) {
+// TestRoundNumbersContinue: an owner that has lost its account, and kept its fence, takes no pledge for one of its old rounds for a new one.
+func TestRoundNumbersContinue(t *testing.T) {
 	terms := Standard(4, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
 	round := d.OpenRound(10)
@@ -353,7 +353,7 @@
 	const n = 20
 	terms := Standard(n, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
-	others, most, served := 0.0, 0.0, 0
+	othersBefore, othersAfter, served := 0.0, 0.0, 0
 	for step := range 120 {
 		now := 10 + float64(step)/2
 		round := d.OpenRound(now)
@@ -374,16 +374,16 @@
 		}
 		switch {
 		case step > 20 && step < 40:
-			others = max(others, sum)
+			othersBefore = max(othersBefore, sum)
 		case step >= 40 && step < 60:
-			if sum < 0.6*others {
-				t.Fatalf("step %d: the others have %.2f of %.2f while one waits", step, sum, others)
+			if sum < 0.6*othersBefore {
+				t.Fatalf("step %d: the others have %.2f of %.2f while one waits", step, sum, othersBefore)
 			}
 		case step > 80:
-			most = max(most, sum)
+			othersAfter = max(othersAfter, sum)
 		}
 	}
-	if served == 0 || most < 0.9*others {
-		t.Errorf("served %d times; the others have %.2f after, %.2f before", served, most, others)
+	if served == 0 || othersAfter < 0.9*othersBefore {
+		t.Errorf("served %d times; the others have %.2f after, %.2f before", served, othersAfter, othersBefore)
 	}
 }
--- a/fleet/allocation/granter.go
+++ b/fleet/allocation/granter.go
@@ -16,38 +16,38 @@
 	terms      Terms
 	fence      uint64
 	grantsFrom float64 // until then grants of the last owner may be in use
-	rounds     []openedRound
+	openRounds []openRound
 	round      uint64
 	members    map[string]*member
 }
 
-// openedRound is a round and when it was opened.
-type openedRound struct {
-	round uint64
-	at    float64
+// openRound is a round and when it was opened.
+type openRound struct {
+	number   uint64
+	openedAt float64
 }
 
 // member is one incarnation of one name; relinquishments count by name.
 type member struct {
-	name          string
-	incarnation   uint64
-	from, until   float64 // between which it has surely relinquished
-	need, least   float64
-	tag, answered uint64  // of the last relinquishment, and of the last that was answered
-	lastServed    float64 // when it last had a share, and since when it has the present one
-	heldSince     float64
-	waitsFor      float64 // least share that could not be granted yet; 0: it does not wait
-	grants        []granted
+	name                 string
+	incarnation          uint64
+	from, until          float64 // between which it has surely relinquished
+	need, least          float64
+	lastTag, answeredTag uint64  // of the last relinquishment, and of the last that was answered
+	lastServed           float64 // when it last had a share, and since when it has the present one
+	heldSince            float64
+	awaitedShare         float64 // least share that could not be granted yet; 0: it does not wait
+	grants               []issuedGrant
 }
 
-// granted is a grant that was made: its share and when it ends.
-type granted struct{ share, until float64 }
+// issuedGrant is a grant that was made: its share and when it ends.
+type issuedGrant struct{ share, until float64 }
 
 // NewGranter returns the account of a task that was acquired now: it grants nothing while grants of the last owner may be in use.
 // after is the number of the last round that this process has opened of anything: a process that loses its account under a fence
 // that it keeps must not take an answer to an old round for one to a new round.
-func NewGranter(t Terms, fence, after uint64, now float64) *Granter {
-	return &Granter{terms: t, fence: fence, round: after, members: map[string]*member{}, grantsFrom: now + t.longest(t.GrantLifetime+t.longest(t.Settle))}
+func NewGranter(t Terms, fence, priorRound uint64, now float64) *Granter {
+	return &Granter{terms: t, fence: fence, round: priorRound, members: map[string]*member{}, grantsFrom: now + t.longest(t.GrantLifetime+t.longest(t.Settle))}
 }
 
 // Fence returns the fence under which it grants.
@@ -59,8 +59,8 @@
 // OpenRound begins a round and returns its number. Members that receive it may relinquish for it.
 func (d *Granter) OpenRound(now float64) uint64 {
 	d.round++
-	if d.rounds = append(d.rounds, openedRound{d.round, now}); len(d.rounds) > maxRounds {
-		d.rounds = slices.Delete(d.rounds, 0, 1)
+	if d.openRounds = append(d.openRounds, openRound{d.round, now}); len(d.openRounds) > maxRounds {
+		d.openRounds = slices.Delete(d.openRounds, 0, 1)
 	}
 	for key, m := range d.members { // members that neither relinquish nor have a grant take no memory
 		if m.until < now && m.inUse(now) == 0 {
@@ -79,14 +79,14 @@
 )
 
 // Relinquish takes a member's relinquishment. An older one than the last, or the same again, has no effect.
-func (d *Granter) Relinquish(now float64, name string, incarnation uint64, p Relinquishment) error {
-	k := slices.IndexFunc(d.rounds, func(o openedRound) bool { return o.round == p.Round })
+func (d *Granter) Relinquish(now float64, name string, incarnation uint64, msg Relinquishment) error {
+	k := slices.IndexFunc(d.openRounds, func(o openRound) bool { return o.number == msg.Round })
 	switch {
-	case k < 0 || p.Fence != d.fence:
+	case k < 0 || msg.Fence != d.fence:
 		return ErrRound
-	case p.Members != d.terms.Members:
+	case msg.Members != d.terms.Members:
 		return ErrMemberCount
-	case !(p.Need >= 0 && p.Need <= 1e6 && p.Least >= 0 && p.Least <= 1e6 && p.Duration >= 0):
+	case !(msg.Need >= 0 && msg.Need <= 1e6 && msg.Least >= 0 && msg.Least <= 1e6 && msg.Duration >= 0):
 		return ErrBadNumbers
 	}
 	key := fmt.Sprintf("%s/%d", name, incarnation)
@@ -98,26 +98,26 @@
 		m = &member{name: name, incarnation: incarnation, until: math.Inf(-1)}
 		d.members[key] = m
 	}
-	if m.tag >= p.Tag {
+	if m.lastTag >= msg.Tag {
 		return nil // an older one, or the same again
 	}
 	if now > m.until { // it may have used its equal share until now: that has to settle
 		m.from = now + d.terms.longest(d.terms.Settle)
 	}
 	// It was sent after the round was opened; no clock here tells when, and the opening is surely early enough.
-	m.until = max(m.until, d.rounds[k].at+d.terms.shortest(min(p.Duration, d.terms.RelinquishFor)))
-	m.need, m.least, m.tag = p.Need, p.Least, p.Tag
+	m.until = max(m.until, d.openRounds[k].openedAt+d.terms.shortest(min(msg.Duration, d.terms.RelinquishFor)))
+	m.need, m.least, m.lastTag = msg.Need, msg.Least, msg.Tag
 	return nil
 }
 
 // inUse returns the largest share that a member may be using, or whose use still counts.
-func (m *member) inUse(now float64) (most float64) {
-	for _, x := range m.grants {
-		if x.until > now {
-			most = max(most, x.share) // a member uses one grant at a time
+func (m *member) inUse(now float64) (largest float64) {
+	for _, grant := range m.grants {
+		if grant.until > now {
+			largest = max(largest, grant.share) // a member uses one grant at a time
 		}
 	}
-	return most
+	return largest
 }
 
 // InUse returns the sum of the shares that members may be using, or whose use still counts.
@@ -129,10 +129,10 @@
 }
 
 // Relinquished returns the sum of the equal shares that are surely relinquished from now until then.
-func (d *Granter) Relinquished(now, then float64) float64 {
+func (d *Granter) Relinquished(now, end float64) float64 {
 	names := map[string]bool{}
 	for _, m := range d.members {
-		if m.from <= now && m.until >= then {
+		if m.from <= now && m.until >= end {
 			names[m.name] = true // two incarnations of a name have one share
 		}
 	}
@@ -150,13 +150,13 @@
 // longestWaiting returns the member that has waited longest for its least share, or nil.
 func (d *Granter) longestWaiting(now float64) (first *member) {
 	for _, m := range d.members {
-		if m.waitsFor > 0 && m.until >= now && (first == nil || m.lastServed < first.lastServed || m.lastServed == first.lastServed && m.name < first.name) {
+		if m.awaitedShare > 0 && m.until >= now && (first == nil || m.lastServed < first.lastServed || m.lastServed == first.lastServed && m.name < first.name) {
 			first = m
 		}
 	}
 	return first
 }
 
-// hash orders members between which nothing else decides, the same in every round: a share that moved between two would leave no
+// nameHash orders members between which nothing else decides, the same in every round: a share that moved between two would leave no
 // room for a third, since what both had of late counts.
-func (m *member) hash() uint64 { return xxhash.Sum64String(m.name) }
+func (m *member) nameHash() uint64 { return xxhash.Sum64String(m.name) }
--- a/fleet/allocation/holder.go
+++ b/fleet/allocation/holder.go
@@ -8,14 +8,14 @@
 // Holder is a member's account of one quota. It is not safe for concurrent use.
 type Holder struct {
 	terms             Terms
-	fence             uint64 // highest received
-	round             uint64 // last announced under it
+	highestFence      uint64 // highest received
+	lastRound         uint64 // last announced under it
 	relinquishedUntil float64
-	sent              [16]sentTag // the latest, by tag
-	tag               uint64
+	sentTags          [16]sentTag // the latest, by tag
+	lastTag           uint64
 	appliedTag        uint64 // of the last grant that counts
 	share             float64
-	until             float64
+	shareUntil        float64
 }
 
 // sentTag is when the relinquishment of a tag was sent.
@@ -26,10 +26,10 @@
 
 // NewHolder returns the account of a process that began at the given time. clean: no earlier process of its name can have
 // relinquished anything; else the equal share is not used until that would be over.
-func NewHolder(t Terms, began float64, clean bool) *Holder {
-	h := &Holder{terms: t, relinquishedUntil: math.Inf(-1), until: math.Inf(-1)}
-	if !clean {
-		h.relinquishedUntil = began + t.Longest()
+func NewHolder(t Terms, startedAt float64, cleanStart bool) *Holder {
+	h := &Holder{terms: t, relinquishedUntil: math.Inf(-1), shareUntil: math.Inf(-1)}
+	if !cleanStart {
+		h.relinquishedUntil = startedAt + t.Longest()
 	}
 	return h
 }
@@ -44,50 +44,50 @@
 
 // Receive takes an owner's grant, or returns why it does not count. A higher fence is a new owner's, who grants only when no grant
 // of the last one is in use.
-func (h *Holder) Receive(now float64, d Grant) error {
+func (h *Holder) Receive(now float64, grant Grant) error {
 	switch {
-	case d.Fence < h.fence:
+	case grant.Fence < h.highestFence:
 		return ErrStaleFence
-	case d.Fence > h.fence:
-		h.fence, h.round = d.Fence, 0
+	case grant.Fence > h.highestFence:
+		h.highestFence, h.lastRound = grant.Fence, 0
 	}
-	h.round = max(h.round, d.Round)
-	if d.Tag == 0 {
+	h.lastRound = max(h.lastRound, grant.Round)
+	if grant.Tag == 0 {
 		return nil
 	}
-	a := h.sent[d.Tag%uint64(len(h.sent))]
+	sent := h.sentTags[grant.Tag%uint64(len(h.sentTags))]
 	switch {
-	case a.tag != d.Tag:
+	case sent.tag != grant.Tag:
 		return ErrUnsolicited
-	case !(d.Share >= 0 && d.Share <= 1) || !(d.Lifetime >= 0):
+	case !(grant.Share >= 0 && grant.Share <= 1) || !(grant.Lifetime >= 0):
 		return ErrBadShare
-	case d.Tag <= h.appliedTag:
+	case grant.Tag <= h.appliedTag:
 		return nil // a newer grant counts
 	}
-	until := a.at + h.terms.shortest(min(d.Lifetime, h.terms.GrantLifetime))
-	if until <= now {
+	shareUntil := sent.at + h.terms.shortest(min(grant.Lifetime, h.terms.GrantLifetime))
+	if shareUntil <= now {
 		return ErrExpired
 	}
-	h.appliedTag, h.share, h.until = d.Tag, d.Share, until
+	h.appliedTag, h.share, h.shareUntil = grant.Tag, grant.Share, shareUntil
 	return nil
 }
 
 // Relinquish gives the equal share up and returns the message that says so; ok is false where no round was announced. The share
 // counts as relinquished from now on, whether or not the message arrives.
-func (h *Holder) Relinquish(now, need, least float64) (p Relinquishment, ok bool) {
-	if h.round == 0 {
-		return p, false
+func (h *Holder) Relinquish(now, need, least float64) (msg Relinquishment, ok bool) {
+	if h.lastRound == 0 {
+		return msg, false
 	}
-	h.tag++
-	h.sent[h.tag%uint64(len(h.sent))] = sentTag{h.tag, now}
+	h.lastTag++
+	h.sentTags[h.lastTag%uint64(len(h.sentTags))] = sentTag{h.lastTag, now}
 	h.relinquishedUntil = max(h.relinquishedUntil, now+h.terms.RelinquishFor)
-	return Relinquishment{Fence: h.fence, Round: h.round, Tag: h.tag, Need: need, Least: least, Members: h.terms.Members, Duration: h.terms.RelinquishFor}, true
+	return Relinquishment{Fence: h.highestFence, Round: h.lastRound, Tag: h.lastTag, Need: need, Least: least, Members: h.terms.Members, Duration: h.terms.RelinquishFor}, true
 }
 
 // Share returns the share that may be used now. ok is false where nothing is relinquished: the equal share.
-func (h *Holder) Share(now float64) (part float64, ok bool) {
+func (h *Holder) Share(now float64) (fraction float64, ok bool) {
 	switch {
-	case now < h.until:
+	case now < h.shareUntil:
 		return h.share, true
 	case now < h.relinquishedUntil:
 		return 0, true
@@ -107,10 +107,10 @@
 func (h *Holder) Terms(t Terms) { h.terms = t }
 
 // Round returns the last round announced under the highest fence, or 0.
-func (h *Holder) Round() uint64 { return h.round }
+func (h *Holder) Round() uint64 { return h.lastRound }
 
 // Until returns when the last granted share ends.
-func (h *Holder) Until() float64 { return h.until }
+func (h *Holder) Until() float64 { return h.shareUntil }
 
 // Fence returns the highest fence received.
-func (h *Holder) Fence() uint64 { return h.fence }
+func (h *Holder) Fence() uint64 { return h.highestFence }
--- a/fleet/allocation/terms.go
+++ b/fleet/allocation/terms.go
@@ -29,9 +29,9 @@
 // Standard returns terms under which a grant outlives three rounds of half a second, so that two may be lost, and a relinquishment
 // outlives a round's way there and back, a grant, and the window.
 func Standard(members int, settle, drift float64) Terms {
-	const life, ways = 1.5, 1.5
-	t := Terms{Members: max(members, 1), GrantLifetime: life, Settle: settle, Drift: drift}
-	t.RelinquishFor = (ways + life + t.longest(settle)) * (1 + drift) / (1 - drift)
+	const lifetime, roundTrip = 1.5, 1.5
+	t := Terms{Members: max(members, 1), GrantLifetime: lifetime, Settle: settle, Drift: drift}
+	t.RelinquishFor = (roundTrip + lifetime + t.longest(settle)) * (1 + drift) / (1 - drift)
 	return t
 }
 
--- a/fleet/lease/choose.go
+++ b/fleet/lease/choose.go
@@ -10,81 +10,83 @@
 type Candidate struct {
 	Session    uint64
 	Name, Zone string
-	Tasks      int // number that it owns already
+	Tasks      int // number of tasks that it owns already
 }
 
-// Choose returns the index of the candidate that is to own a free task, or -1. Every caller gets the same answer, so that nobody
-// races: the highest by rendezvous hashing, which moves few tasks when a session comes or goes. Candidates in the task's zone are
-// preferred, then those that own no more than enoughShare of the average; suppressed ones come last.
-func Choose(all []Candidate, work, zone string, suppressed func(name string) bool) int {
+// ChooseOwner returns the index of the candidate that should own a free task, or -1 if there are no candidates. It uses rendezvous
+// hashing, so every caller chooses the same candidate without a race, and few tasks move when a session starts or ends. Candidates
+// that are not suppressed come before those that are, then candidates in the task's zone, then those that with the task own at most
+// boundedLoadFactor times the average number of tasks.
+func Choose(candidates []Candidate, task, zone string, suppressed func(name string) bool) int {
 	total := 0
-	for _, c := range all {
+	for _, c := range candidates {
 		total += c.Tasks
 	}
-	enough := max(1, int(math.Ceil(enoughShare*float64(total+1)/float64(max(len(all), 1)))))
-	best, rank, top := -1, -1, uint64(0)
-	for k, c := range all {
-		r := 0
+	preferredMax := max(1, int(math.Ceil(boundedLoadFactor*float64(total+1)/float64(max(len(candidates), 1)))))
+	best, bestRank, bestHash := -1, -1, uint64(0)
+	for k, c := range candidates {
+		rank := 0
 		if !suppressed(c.Name) {
-			r += 4
+			rank += 4
 		}
 		if zone == "" || c.Zone == zone {
-			r += 2
+			rank += 2
 		}
-		if c.Tasks < enough {
-			r++
+		if c.Tasks < preferredMax {
+			rank++
 		}
-		h := xxhash.Sum64String(c.Name + "\x00" + work)
-		if r > rank || r == rank && (h > top || h == top && c.Session < all[best].Session) {
-			best, rank, top = k, r, h
+		hash := xxhash.Sum64String(c.Name + "\x00" + task)
+		if rank > bestRank || rank == bestRank && (hash > bestHash || hash == bestHash && c.Session < candidates[best].Session) {
+			best, bestRank, bestHash = k, rank, hash
 		}
 	}
 	return best
 }
 
-// enoughShare is how far above the average a candidate may own: hashing alone gives some candidate several times the average.
-const enoughShare = 1.25
+// boundedLoadFactor is the multiple of the average number of tasks up to which a candidate is preferred. Hashing alone would give
+// some candidate several times the average.
+const boundedLoadFactor = 1.25
 
-// FlapDamper suppresses sessions that lost their leases of late, for a time that doubles with each loss. It is not safe for
-// concurrent use.
+// FlapDamper suppresses sessions that lost their leases recently. The suppression time doubles with each loss. A FlapDamper is not
+// safe for concurrent use.
 type FlapDamper struct {
-	by map[string]flap
+	flaps map[string]flap
 }
 
-// flap is what is remembered of one name.
+// flap is the loss history of one session name.
 type flap struct {
-	times int
-	until float64
-	last  float64
+	losses   int
+	until    float64
+	lastLoss float64
 }
 
-// Bounds of suppression.
+// Limits of the suppression.
 const (
-	minSuppression = 2.0   // seconds: less than a lease, so that one loss costs nothing
-	maxSuppression = 300.0 // seconds: five minutes
-	forgetAfter    = 120.0 // seconds without a loss after which it counts as new
-	maxFlapping    = 1024
+	minSuppression   = 2.0   // seconds; shorter than a lease, so that a single loss has no effect
+	maxSuppression   = 300.0 // seconds (5 minutes)
+	forgetAfter      = 120.0 // seconds after the end of a suppression; the next loss then counts as the first
+	maxFlappingNames = 1024
 )
 
-// NewFlapDamper returns a damper that suppresses nobody.
-func NewFlapDamper() *FlapDamper { return &FlapDamper{by: map[string]flap{}} }
+// NewFlapDamper returns a damper that suppresses no session.
+func NewFlapDamper() *FlapDamper { return &FlapDamper{flaps: map[string]flap{}} }
 
-// Lost reports that the lease of a name expired while it owned something.
+// RecordLoss records that the lease of a session expired while the session owned tasks.
 func (p *FlapDamper) Lost(now float64, name string) {
-	f := p.by[name]
+	f := p.flaps[name]
 	if now > f.until+forgetAfter {
-		f.times = 0
+		f.losses = 0
 	}
-	f.times++
-	f.last = now
-	f.until = now + min(minSuppression*math.Pow(2, float64(min(f.times-1, 20))), maxSuppression)
-	p.by[name] = f
-	for n, x := range p.by { // forgotten ones take no memory; the bound is reached where a whole fleet flaps
-		if now > x.until+forgetAfter || len(p.by) > maxFlapping && n != name {
-			delete(p.by, n)
+	f.losses++
+	f.lastLoss = now
+	f.until = now + min(minSuppression*math.Pow(2, float64(min(f.losses-1, 20))), maxSuppression)
+	p.flaps[name] = f
+	for n, x := range p.flaps { // delete expired entries; the size limit is reached only if a whole fleet flaps
+		if now > x.until+forgetAfter || len(p.flaps) > maxFlappingNames && n != name {
+			delete(p.flaps, n)
 		}
 	}
 }
 
-// Suppressed reports whether a name is suppressed now.
-func (p *FlapDamper) Suppressed(now float64, name string) bool { return now < p.by[name].until }
+// Suppressed reports whether the session with this name is suppressed now.
+func (p *FlapDamper) Suppressed(now float64, name string) bool { return now < p.flaps[name].until }
--- a/fleet/lease/gate.go
+++ b/fleet/lease/gate.go
@@ -6,92 +6,92 @@
 	"slices"
 )
 
-// MaxMarks is how many tasks' fences a receiver remembers: four times what a registry holds.
+// MaxTaskFences is the number of tasks whose fences a receiver remembers: four times the number of tasks in a registry.
 const MaxMarks = 4096
 
-// StaleFenceError is returned for an act under a fence lower than the highest seen: the sender does not own the task any more.
+// StaleFenceError is returned for an action whose fence is lower than the highest fence seen for the task: the sender no longer owns
+// the task.
 type StaleFenceError struct {
 	Work           string
 	Fence, Highest uint64
 }
 
-// Error names the task and both fences.
 func (o *StaleFenceError) Error() string {
-	return fmt.Sprintf("%s: fence %d is old, %d has been seen: you are not its owner any more", o.Work, o.Fence, o.Highest)
+	return fmt.Sprintf("%s: fence %d is stale, the highest fence seen is %d: the sender no longer owns the task", o.Work, o.Fence, o.Highest)
 }
 
-// FenceMark is the highest fence seen of a task.
+// TaskFence is the highest fence seen for a task.
 type FenceMark struct {
 	Work  string `json:"work" cbor:"1,keyasint"`
 	Fence uint64 `json:"fence" cbor:"2,keyasint"`
 }
 
-// Gate remembers the highest fence that a receiver has seen of each task. It is not safe for concurrent use.
+// FenceChecker remembers the highest fence that a receiver has seen for each task. It is not safe for concurrent use.
 type Gate struct {
-	marks map[string]seen
-	turn  uint64
-	floor uint64 // highest fence of the tasks that were forgotten
+	fences   map[string]fenceEntry
+	sequence uint64
+	floor    uint64 // highest fence of the evicted tasks
 }
 
-type seen struct{ fence, turn uint64 }
+type fenceEntry struct{ fence, sequence uint64 }
 
-// NewGate returns a gate that has seen no fence.
-func NewGate() *Gate { return &Gate{marks: map[string]seen{}} }
+// NewFenceChecker returns a checker that has seen no fences.
+func NewGate() *Gate { return &Gate{fences: map[string]fenceEntry{}} }
 
-// Accept admits an act under a fence, or returns a *StaleFenceError. rose reports that the fence is higher than any seen before of
-// the task: a receiver whose safety has to survive a restart stores it before it acts.
-func (g *Gate) Accept(work string, fence uint64) (rose bool, err error) {
-	m, ok := g.marks[work]
+// Accept checks the fence of an action and returns a *StaleFenceError if it is stale. raised reports that the fence is higher than all
+// fences seen before for the task. A receiver whose safety must survive a restart stores such a fence before it acts.
+func (g *Gate) Accept(task string, fence uint64) (raised bool, err error) {
+	entry, ok := g.fences[task]
 	if !ok {
-		m.fence = g.floor
+		entry.fence = g.floor
 	}
-	if fence < m.fence || fence == 0 {
-		return false, &StaleFenceError{work, fence, m.fence}
+	if fence < entry.fence || fence == 0 {
+		return false, &StaleFenceError{task, fence, entry.fence}
 	}
-	rose = fence > m.fence || !ok
-	g.turn++
-	g.marks[work] = seen{fence, g.turn}
-	if len(g.marks) > MaxMarks {
+	raised = fence > entry.fence || !ok
+	g.sequence++
+	g.fences[task] = fenceEntry{fence, g.sequence}
+	if len(g.fences) > MaxMarks {
 		g.forget()
 	}
-	return rose, nil
+	return raised, nil
 }
 
-// forget drops the least recently used task. Fences of all tasks come from one counter, so its fence is a lower bound for every task
-// that is not remembered.
+// forget evicts the least recently used task. The fences of all tasks come from one counter, so the highest evicted fence is a safe
+// lower bound for every task that is not remembered.
 func (g *Gate) forget() {
-	oldest, at := "", g.turn+1
-	for work, m := range g.marks {
-		if m.turn < at {
-			oldest, at = work, m.turn
+	oldest, oldestUse := "", g.sequence+1
+	for task, entry := range g.fences {
+		if entry.sequence < oldestUse {
+			oldest, oldestUse = task, entry.sequence
 		}
 	}
-	g.floor = max(g.floor, g.marks[oldest].fence)
-	delete(g.marks, oldest)
+	g.floor = max(g.floor, g.fences[oldest].fence)
+	delete(g.fences, oldest)
 }
 
-// Highest returns the highest fence seen of a task.
-func (g *Gate) Highest(work string) uint64 {
-	if m, ok := g.marks[work]; ok {
-		return m.fence
+// Highest returns the highest fence seen for a task, or the floor if the task is not remembered.
+func (g *Gate) Highest(task string) uint64 {
+	if entry, ok := g.fences[task]; ok {
+		return entry.fence
 	}
 	return g.floor
 }
 
-// Export returns what has to be stored over a restart, in the order of the tasks' names.
-func (g *Gate) Export() (marks []FenceMark, floor uint64) {
-	for work, m := range g.marks {
-		marks = append(marks, FenceMark{work, m.fence})
+// Export returns the state to be stored across a restart, sorted by task name.
+func (g *Gate) Export() (fences []FenceMark, floor uint64) {
+	for task, entry := range g.fences {
+		fences = append(fences, FenceMark{task, entry.fence})
 	}
-	slices.SortFunc(marks, func(a, b FenceMark) int { return cmp.Compare(a.Work, b.Work) })
-	return marks, g.floor
+	slices.SortFunc(fences, func(a, b FenceMark) int { return cmp.Compare(a.Work, b.Work) })
+	return fences, g.floor
 }
 
-// Import restores what Export returned. Fences never fall.
-func (g *Gate) Import(marks []FenceMark, floor uint64) {
+// Import restores the state returned by Export. It never lowers a fence.
+func (g *Gate) Import(fences []FenceMark, floor uint64) {
 	g.floor = max(g.floor, floor)
-	for _, m := range marks[:min(len(marks), MaxMarks)] {
-		g.turn++
-		g.marks[m.Work] = seen{max(m.Fence, g.marks[m.Work].fence), g.turn}
+	for _, m := range fences[:min(len(fences), MaxMarks)] {
+		g.sequence++
+		g.fences[m.Work] = fenceEntry{max(m.Fence, g.fences[m.Work].fence), g.sequence}
 	}
 }
--- a/fleet/lease/owner.go
+++ b/fleet/lease/owner.go
@@ -1,7 +1,7 @@
-// Package lease decides what the holder of a lease on the fleet's tasks may assume, and what a receiver of its acts may accept.
+// Package lease implements leases on the fleet's tasks: when their holder may act, and which of its actions a receiver may accept.
 //
-// It has no clock: every time is a reading, in seconds, of the calling process's own monotonic clock, which goes on while the
-// process is stopped.
+// The package reads no clock. Every time is a reading, in seconds, of the calling process's monotonic clock, which must keep running
+// while the process is stopped.
 package lease
 
 import (
@@ -12,133 +12,134 @@
 
 // Terms are the terms of all leases, the same in every process of a fleet.
 type Terms struct {
-	Lease float64 // seconds after which coordinators, by their clocks, free the tasks of a silent session
+	Lease float64 // seconds, on the coordinators' clocks, after which the tasks of a silent session become free
 	Drift float64 // fraction by which any clock may run fast or slow
 }
 
-// HolderDuration returns for how many seconds a lease lasts for its holder, counted on its clock from when it sent the heartbeat that
-// was confirmed. The coordinators' count begins later, when the heartbeat arrives, and is longer by what both clocks may differ, so
-// that it ends later whichever process is suspended in between.
+// HolderDuration returns the number of seconds for which the holder may use a lease. The holder counts them on its own clock from the
+// time at which it sent the confirmed heartbeat. The coordinators start counting later, when the heartbeat arrives, and count longer,
+// by the largest difference between both clocks. Their count therefore ends later, whichever process is suspended in between.
 func (t Terms) HolderDuration() float64 { return t.Lease * (1 - t.Drift) / (1 + t.Drift) }
 
-// Longest returns how long a duration on one process's clock may last on another's.
-func (t Terms) Longest(length float64) float64 { return length * (1 + t.Drift) / (1 - t.Drift) }
+// LongestOnAnyClock returns the longest time that a duration on one process's clock can take on another process's clock.
+func (t Terms) Longest(duration float64) float64 { return duration * (1 + t.Drift) / (1 - t.Drift) }
 
-// Claim is the ownership of a task under a fence.
+// Claim states that a session owns a task under a fence.
 type Claim struct {
 	Work  string `json:"work"`
 	Fence uint64 `json:"fence"`
 }
 
-// Owner is what one process may assume of the tasks that it owns. It is not safe for concurrent use.
+// Owner tracks the tasks that one process owns and until when it may act on them. It is not safe for concurrent use.
 type Owner struct {
 	terms          Terms
 	session        uint64
-	snapshotNumber uint64  // of the newest snapshot of claims; coordinators number snapshots in the order of their state
-	until          float64 // end of the lease on this process's clock
+	snapshotNumber uint64  // of the newest snapshot of claims; coordinators number snapshots in the order of the registry's state
+	leaseEnd       float64 // on this process's clock
 	held           map[string]uint64
-	released       map[string]uint64 // highest released fence, by task that the registry may still show as held
+	released       map[string]uint64 // highest released fence by task; only tasks that the registry may still show as held
 }
 
-// NewOwner returns an owner of nothing, without a session.
+// NewOwner returns an owner without tasks and without a session.
 func NewOwner(t Terms) *Owner {
 	return &Owner{terms: t, held: map[string]uint64{}, released: map[string]uint64{}}
 }
 
-// Terms sets the terms that the coordinators use, from the next confirmation on.
+// SetTerms sets the terms that the coordinators use. They apply from the next confirmation on.
 func (o *Owner) Terms(t Terms) { o.terms = t }
 
-// Session returns the number of the session, or 0.
+// SessionID returns the number of the session, or 0 if there is none.
 func (o *Owner) Session() uint64 { return o.session }
 
-// Until returns the time at which the lease ends.
-func (o *Owner) Until() float64 { return o.until }
+// LeaseEnd returns the time at which the lease ends.
+func (o *Owner) Until() float64 { return o.leaseEnd }
 
-// Confirmed applies the coordinators' answer to a heartbeat sent at the given time: the session, and all tasks that it owns by the
-// snapshot of that number. Answers may arrive out of order: each extends the lease by when its heartbeat was sent, but claims of a
-// snapshot that is not newer than the last are ignored. It returns the tasks that are not held any more.
-func (o *Owner) Confirmed(sent float64, number, session uint64, claims []Claim) (gone []Claim) {
+// ApplyConfirmation applies the coordinators' response to the heartbeat sent at sentAt. The response names the session and all tasks
+// that the session owns in the snapshot with the given number. Responses may arrive out of order: each extends the lease from the time
+// at which its heartbeat was sent, but the claims of a snapshot that is not newer than the last one are ignored. ApplyConfirmation
+// returns the claims that are no longer held.
+func (o *Owner) Confirmed(sentAt float64, number, session uint64, claims []Claim) (lost []Claim) {
 	if number <= o.snapshotNumber {
 		if session == o.session {
-			o.until = max(o.until, sent+o.terms.HolderDuration())
+			o.leaseEnd = max(o.leaseEnd, sentAt+o.terms.HolderDuration())
 		}
 		return nil
 	}
 	if session != o.session {
-		gone = o.Lose() // released tasks stay released: the coordinators may not have received the release yet
+		lost = o.Lose() // keeps o.released: the coordinators may not have received the releases yet
 		o.session = session
 	}
 	o.snapshotNumber = number
-	o.until = max(o.until, sent+o.terms.HolderDuration())
-	now := make(map[string]uint64, len(claims))
+	o.leaseEnd = max(o.leaseEnd, sentAt+o.terms.HolderDuration())
+	confirmed := make(map[string]uint64, len(claims))
 	for _, c := range claims {
 		if c.Fence > o.released[c.Work] {
-			now[c.Work] = c.Fence
+			confirmed[c.Work] = c.Fence
 		}
 	}
-	for _, c := range inOrder(o.held) {
-		if now[c.Work] != c.Fence {
-			gone = append(gone, c)
+	for _, c := range sortedClaims(o.held) {
+		if confirmed[c.Work] != c.Fence {
+			lost = append(lost, c)
 		}
 	}
-	for work := range o.released { // the registry has applied the release
-		if !claimed(claims, work) {
-			delete(o.released, work)
+	for task := range o.released { // tasks without a claim: the registry has applied their release
+		if !containsTask(claims, task) {
+			delete(o.released, task)
 		}
 	}
-	o.held = now
-	return gone
+	o.held = confirmed
+	return lost
 }
 
-// claimed reports whether a task is among the claims.
-func claimed(claims []Claim, work string) bool {
+// containsTask reports whether one of the claims is for the task.
+func containsTask(claims []Claim, task string) bool {
 	for _, c := range claims {
-		if c.Work == work {
+		if c.Work == task {
 			return true
 		}
 	}
 	return false
 }
 
-// Lose ends the session and returns what was held: the session is over, or another process's.
-func (o *Owner) Lose() (gone []Claim) {
-	gone = inOrder(o.held)
+// EndSession drops the session, which has ended or belongs to another process now, and returns the claims that were held.
+func (o *Owner) Lose() (lost []Claim) {
+	lost = sortedClaims(o.held)
 	clear(o.held)
-	o.session, o.until = 0, 0
-	return gone
+	o.session, o.leaseEnd = 0, 0
+	return lost
 }
 
-// Release gives a task up under its present fence, before the coordinators are told.
-func (o *Owner) Release(work string) (c Claim, ok bool) {
-	fence, ok := o.held[work]
+// Release stops holding a task under its current fence. The caller reports the release to the coordinators afterwards.
+func (o *Owner) Release(task string) (c Claim, ok bool) {
+	fence, ok := o.held[task]
 	if ok {
-		o.released[work] = max(o.released[work], fence)
-		delete(o.held, work)
+		o.released[task] = max(o.released[task], fence)
+		delete(o.held, task)
 	}
-	return Claim{work, fence}, ok
+	return Claim{task, fence}, ok
 }
 
-// Released reports whether a claim was given up.
+// Released reports whether a claim was released.
 func (o *Owner) Released(c Claim) bool { return c.Fence <= o.released[c.Work] }
 
-// Permit reports whether an act on a task may begin now that takes effect within the given seconds, and under which fence. It is to
-// be called at the moment of the act: an answer kept for later proves nothing.
-func (o *Owner) Permit(now float64, work string, takes float64) (fence uint64, ok bool) {
-	fence = o.held[work]
-	return fence, fence > 0 && now+takes < o.until
+// Permit reports whether an action on a task that takes effect within duration seconds may begin now, and under which fence. Call it
+// immediately before the action: the result does not hold later.
+func (o *Owner) Permit(now float64, task string, duration float64) (fence uint64, ok bool) {
+	fence = o.held[task]
+	return fence, fence > 0 && now+duration < o.leaseEnd
 }
 
-// Held returns all tasks that the registry has granted, whether or not the lease still runs.
+// HeldClaims returns the claims on all tasks that the registry assigned to the session, whether or not the lease has expired.
 func (o *Owner) Held() []Claim {
-	return inOrder(o.held)
+	return sortedClaims(o.held)
 }
 
-// inOrder returns claims in the order of the tasks' names.
-func inOrder(m map[string]uint64) (all []Claim) {
-	for _, work := range slices.Sorted(maps.Keys(m)) {
-		all = append(all, Claim{work, m[work]})
+// sortedClaims returns the claims sorted by task name.
+func sortedClaims(fences map[string]uint64) (claims []Claim) {
+	for _, task := range slices.Sorted(maps.Keys(fences)) {
+		claims = append(claims, Claim{task, fences[task]})
 	}
-	return all
+	return claims
 }
 
 // Clone returns an independent copy.
@@ -148,7 +149,7 @@
 	return &c
 }
 
-// State returns all of the state as text: two owners are equal where their texts are.
+// State returns the complete state as text. Two owners are equal if and only if their texts are equal.
 func (o *Owner) State() string {
-	return fmt.Sprint(o.session, o.snapshotNumber, o.until, inOrder(o.held), inOrder(o.released))
+	return fmt.Sprint(o.session, o.snapshotNumber, o.leaseEnd, sortedClaims(o.held), sortedClaims(o.released))
 }
