--- a/fleet/allocation/allocation_test.go
+++ b/fleet/allocation/allocation_test.go
@@ -9,24 +9,24 @@
 	"pgregory.net/rapid"
 )
 
-// clock of one process: readings for a true time.
+// clock is the clock of one process; at returns its reading at a true time.
 type clock struct{ offset, rate float64 }
 
 func (c clock) at(t float64) float64 { return c.offset + c.rate*t }
 
-// process is one life of a member.
+// process is one incarnation of a member.
 type process struct {
 	name         string
 	incarnation  uint64
 	clock        clock
 	holder       *Holder
-	stoppedUntil float64 // until then, in true time
-	quietUntil   float64 // it pledges nothing until then
+	stoppedUntil float64 // in true time
+	quietUntil   float64 // in true time; until then the process relinquishes nothing
 	killed       bool
-	recentShares []float64 // part by step of late
+	recentShares []float64 // share in use at each of the latest steps, for the window of the limit
 }
 
-// message is on its way.
+// message is a message in flight: a relinquishment or a grant.
 type message struct {
 	at             float64
 	relinquishment *Relinquishment
@@ -38,8 +38,9 @@
 
 const step = 0.05
 
-// simulateCluster plays members and owners with everything that can go wrong between them, and looks at every step at the most that all
-// processes together may have used within the window of the limit.
+// simulateCluster simulates members and owners with lost, duplicated and delayed messages, stopped and killed processes, and owners that
+// lose their leases or their state. It checks at every step the largest share that all processes together may have used within the
+// time window of the limit.
 func simulateCluster(seed uint64, terms Terms, members, steps int) (highestUse, totalGranted float64, err error) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	drawClock := func() clock {
@@ -59,7 +60,7 @@
 	type owner struct {
 		granter      *Granter
 		clock        clock
-		leaseEnd     float64 // end of its lease in true time
+		leaseEnd     float64 // in true time
 		stoppedUntil float64
 		round        uint64
 	}
@@ -74,7 +75,7 @@
 	acquire(0)
 	window := int(math.Ceil(terms.Settle/step)) + 1
 	var inFlight []message
-	drawDelay := func() float64 { // mostly quick, at times held for long
+	drawDelay := func() float64 { // mostly short, sometimes long
 		if rnd.Float64() < 0.05 {
 			return rnd.Float64() * 10
 		}
@@ -93,12 +94,12 @@
 	}
 	for n := range steps {
 		now := float64(n) * step
-		if o := owners[len(owners)-1]; now >= o.leaseEnd { // its lease is over: the next one
+		if o := owners[len(owners)-1]; now >= o.leaseEnd { // the lease has ended: the next owner acquires the task
 			acquire(now)
 		}
 		for k, p := range current {
 			switch r := rnd.Float64(); {
-			case r < 0.0005: // killed, and back under its name
+			case r < 0.0005: // killed and restarted under the same name
 				p.killed = true
 				current[k] = start(p.name, p.incarnation+1, now, false)
 			case r < 0.001:
@@ -114,11 +115,11 @@
 			if rnd.Float64() < 0.002 {
 				o.stoppedUntil = now + rnd.Float64()*10
 			}
-			if now < o.stoppedUntil || now >= o.leaseEnd { // it checks its lease at the moment of the act
+			if now < o.stoppedUntil || now >= o.leaseEnd { // the owner checks its lease immediately before it acts
 				continue
 			}
 			localTime := o.clock.at(now)
-			if rnd.Float64() < 0.004 { // it has lost its account, and has its fence
+			if rnd.Float64() < 0.004 { // the owner loses its state but keeps its fence
 				o.granter = NewGranter(terms, o.granter.Fence(), o.round, localTime)
 			}
 			if n%10 == 0 {
@@ -137,7 +138,7 @@
 				}
 			}
 			if inUse, relinquished := o.granter.InUse(localTime), o.granter.Relinquished(localTime, localTime); inUse > relinquished+1e-9 {
-				return highestUse, totalGranted, fmt.Errorf("seed %d at %.2f: %v live of %v laid down", seed, now, inUse, relinquished)
+				return highestUse, totalGranted, fmt.Errorf("seed %d at %.2f s: share %v is in use, %v is relinquished", seed, now, inUse, relinquished)
 			}
 		}
 		undelivered := inFlight[:0]
@@ -170,7 +171,7 @@
 		sum := 0.0
 		for _, p := range processes {
 			share := 0.0
-			if !p.killed { // asleep ones too: they may go on with what they were about to do
+			if !p.killed { // a stopped process counts too: it may continue with the action that it was about to do
 				var ok bool
 				if share, ok = p.holder.Share(p.clock.at(now)); !ok {
 					share = 1 / float64(terms.Members)
@@ -186,7 +187,7 @@
 			sum += highest
 		}
 		if highestUse = max(highestUse, sum); sum > 1+1e-9 {
-			return highestUse, totalGranted, fmt.Errorf("seed %d at %.2f: %.4f of the whole may be in use", seed, now, sum)
+			return highestUse, totalGranted, fmt.Errorf("seed %d at %.2f s: share %.4f of the quota may be in use", seed, now, sum)
 		}
 	}
 	return highestUse, totalGranted, nil
@@ -206,12 +207,13 @@
 		}
 		granted, highestUse = granted+total, max(highestUse, use)
 	}
-	if granted < 100 || highestUse < 0.95 { // the check has to have seen parts that move
-		t.Errorf("only %v was dealt, at most %v in use", granted, highestUse)
+	if granted < 100 || highestUse < 0.95 { // shares must have moved for the check to mean anything
+		t.Errorf("the grants add up to only %v, at most %v was in use", granted, highestUse)
 	}
 }
 
-// TestNeed: a member with need gets more than its equal part, those without give theirs; the least that is of use comes round.
+// TestNeed checks that members without need give up their shares and that every member with need gets its smallest useful share, which
+// may exceed its equal share, in at least one round.
 func TestNeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "members")
@@ -219,7 +221,7 @@
 	})
 }
 
-// TestNeedCase: what the property found once, mended since.
+// TestNeedCase checks a case in which TestNeed once failed.
 func TestNeedCase(t *testing.T) { checkNeedIsServed(t, 3, 1.75/3) }
 
 func checkNeedIsServed(t rapid.TB, n int, least float64) {
@@ -239,23 +241,24 @@
 		sum := 0.0
 		for _, to := range d.Grants(now + 0.2) {
 			sum += to.Share
-			if to.Share >= least-1e-6 { // a rounding less is as good
+			if to.Share >= least-1e-6 { // tolerates rounding
 				served[to.Name]++
 			}
 		}
 		if sum > 1+1e-9 || d.InUse(now+0.2) > 1+1e-9 {
-			t.Fatalf("%v dealt, %v live", sum, d.InUse(now+0.2))
+			t.Fatalf("share %v is granted, %v is in use", sum, d.InUse(now+0.2))
 		}
 		now += 0.5
 	}
 	for k := 0; k < n; k += 2 {
 		if least <= 1 && served[fmt.Sprint(k)] == 0 {
-			t.Errorf("member %d with need never got the least that is of use (%v of %d members): %v", k, least, n, served)
+			t.Errorf("member %d with need never got its smallest useful share (%v of the quota, %d members); grants by member: %v", k, least, n, served)
 		}
 	}
 }
 
-// TestGrantsEndWithRelinquishments: when all but one member stop pledging, what that one was dealt of theirs is not renewed past their pledges.
+// TestGrantsEndWithRelinquishments checks that when all members but one stop relinquishing, the shares that this one was granted are not
+// renewed beyond the end of the relinquishments.
 func TestGrantsEndWithRelinquishments(t *testing.T) {
 	terms := Standard(4, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
@@ -272,47 +275,47 @@
 			}
 		}
 		d.Grants(now)
-		returned := 0.0 // equal parts that came back
+		returned := 0.0 // equal shares that are no longer relinquished
 		if lapsed := 10 + 19.0/2 + terms.RelinquishFor*(1-0.05); now > lapsed {
 			returned = 0.75
 		}
 		if sum := d.InUse(now) + returned; sum > 1+1e-9 {
-			t.Fatalf("%v at %v", sum, now)
+			t.Fatalf("share %v of the quota may be in use at %v s", sum, now)
 		}
 	}
 }
 
-// TestDelayedAndStaleGrants: a deal that was held on its way for longer than it lives does nothing, nor does one under an old fence, nor one
-// that another process asked for.
+// TestDelayedAndStaleGrants checks that a member ignores a grant that was delayed beyond its lifetime, one under a stale fence, and one
+// that answers another process's relinquishment.
 func TestDelayedAndStaleGrants(t *testing.T) {
 	terms := Standard(4, 1, 0.05)
 	h := NewHolder(terms, 100, true)
 	if part, ok := h.Share(100); ok {
-		t.Fatalf("%v without a pledge", part)
+		t.Fatalf("granted share %v without a relinquishment", part)
 	}
 	h.Receive(100, Grant{Fence: 5, Round: 1})
 	p, _ := h.Relinquish(100, 1, 0)
 	grant := Grant{Fence: 5, Round: 1, Tag: p.Tag, Share: 0.7, Lifetime: 60}
 	if err := h.Receive(130, grant); err != ErrExpired {
-		t.Errorf("held for 30 s: %v", err)
+		t.Errorf("grant delayed by 30 s: %v", err)
 	}
 	h.Receive(130, Grant{Fence: 5, Round: 2})
 	p, _ = h.Relinquish(130, 1, 0)
 	if err := h.Receive(130.1, Grant{Fence: 5, Tag: 99, Share: 0.7, Lifetime: 1}); err != ErrUnsolicited {
-		t.Errorf("not asked for: %v", err)
+		t.Errorf("grant for another tag: %v", err)
 	}
 	h.Receive(130.1, Grant{Fence: 6, Round: 1})
 	if err := h.Receive(130.2, Grant{Fence: 5, Tag: p.Tag, Share: 0.7, Lifetime: 1}); err != ErrStaleFence {
-		t.Errorf("under the old fence: %v", err)
+		t.Errorf("grant under the previous fence: %v", err)
 	}
 	if part, ok := h.Share(130.3); !ok || part != 0 {
-		t.Errorf("pledged and nothing dealt: %v %v", part, ok)
+		t.Errorf("relinquished without a grant: share %v, relinquished %v", part, ok)
 	}
 	if _, ok := h.Share(130 + terms.RelinquishFor); ok {
-		t.Error("the equal part does not come back")
+		t.Error("the equal share is still relinquished after the relinquishment has expired")
 	}
 	if part, ok := NewHolder(terms, 10, false).Share(11); !ok || part != 0 {
-		t.Errorf("a process that another may have pledged for uses %v %v", part, ok)
+		t.Errorf("a process whose predecessor may have relinquished the share: share %v, relinquished %v", part, ok)
 	}
 }
 
@@ -329,7 +332,8 @@
 	}
 }
 
-// TestRoundNumbersContinue: an owner that has lost its account, and kept its fence, takes no pledge for one of its old rounds for a new one.
+// TestRoundNumbersContinue checks that an owner that lost its state but kept its fence does not mistake an answer to one of its old
+// rounds for an answer to a new one.
 func TestRoundNumbersContinue(t *testing.T) {
 	terms := Standard(4, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
@@ -339,16 +343,16 @@
 	for k := range 6 {
 		d.OpenRound(40 + float64(k)/2)
 		if err := d.Relinquish(40.1+float64(k)/2, "n1", 1, late); err != ErrRound {
-			t.Fatalf("a pledge of half a minute ago: %v", err)
+			t.Fatalf("relinquishment of half a minute ago: %v", err)
 		}
 	}
 	if d.Relinquished(43, 43) > 0 {
-		t.Errorf("%v laid down", d.Relinquished(43, 43))
+		t.Errorf("share %v is relinquished", d.Relinquished(43, 43))
 	}
 }
 
-// TestWaiting: while one member waits for a large least, the others keep what they have but for what it needs, and get it back when
-// it has been served.
+// TestWaiting checks that while one member waits for a large share, the others lose only the share that it needs, and that they get it
+// back after it has been served.
 func TestWaiting(t *testing.T) {
 	const n = 20
 	terms := Standard(n, 1, 0.05)
@@ -359,7 +363,7 @@
 		round := d.OpenRound(now)
 		for k := range n {
 			need, least := 0.1, 0.002
-			if k == 0 && step >= 40 && step < 60 { // a process that has just started, and knows no work yet
+			if k == 0 && step >= 40 && step < 60 { // a process that has just started and does not know the cost of its requests yet
 				need, least = 0.5, 0.25
 			}
 			d.Relinquish(now+0.1, fmt.Sprint(k), 1, Relinquishment{Fence: 7, Round: round, Tag: round, Need: need, Least: least, Members: n, Duration: terms.RelinquishFor})
@@ -377,13 +381,13 @@
 			othersBefore = max(othersBefore, sum)
 		case step >= 40 && step < 60:
 			if sum < 0.6*othersBefore {
-				t.Fatalf("step %d: the others have %.2f of %.2f while one waits", step, sum, othersBefore)
+				t.Fatalf("step %d: the other members have %.2f instead of %.2f while one waits", step, sum, othersBefore)
 			}
 		case step > 80:
 			othersAfter = max(othersAfter, sum)
 		}
 	}
 	if served == 0 || othersAfter < 0.9*othersBefore {
-		t.Errorf("served %d times; the others have %.2f after, %.2f before", served, othersAfter, othersBefore)
+		t.Errorf("served %d times; the other members have %.2f afterwards, %.2f before", served, othersAfter, othersBefore)
 	}
 }
--- a/fleet/allocation/granter.go
+++ b/fleet/allocation/granter.go
@@ -1,6 +1,6 @@
 package allocation
 
-// This file keeps what members have relinquished and been granted.
+// This file tracks the shares that members have relinquished and have been granted.
 
 import (
 	"errors"
@@ -11,58 +11,58 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Granter is an owner's account of one quota. It is not safe for concurrent use.
+// Granter tracks one quota for its owner. It is not safe for concurrent use.
 type Granter struct {
 	terms      Terms
 	fence      uint64
-	grantsFrom float64 // until then grants of the last owner may be in use
+	grantsFrom float64 // before this time grants of the previous owner may be in use
 	openRounds []openRound
 	round      uint64
 	members    map[string]*member
 }
 
-// openRound is a round and when it was opened.
+// openRound is a round and the time at which it was opened.
 type openRound struct {
 	number   uint64
 	openedAt float64
 }
 
-// member is one incarnation of one name; relinquishments count by name.
+// member is one incarnation of a member. Relinquished shares are counted once per name.
 type member struct {
 	name                 string
 	incarnation          uint64
-	from, until          float64 // between which it has surely relinquished
+	from, until          float64 // times between which the equal share is certainly relinquished
 	need, least          float64
-	lastTag, answeredTag uint64  // of the last relinquishment, and of the last that was answered
-	lastServed           float64 // when it last had a share, and since when it has the present one
-	heldSince            float64
-	awaitedShare         float64 // least share that could not be granted yet; 0: it does not wait
+	lastTag, answeredTag uint64  // tags of the last relinquishment and of the last one that was answered
+	lastServed           float64 // time of the last grant of a share above 0
+	heldSince            float64 // time since which the member has had a share without interruption
+	awaitedShare         float64 // smallest useful share, which could not be granted yet; 0: the member does not wait
 	grants               []issuedGrant
 }
 
-// issuedGrant is a grant that was made: its share and when it ends.
+// issuedGrant is a grant that was made: its share and the time until which its use counts.
 type issuedGrant struct{ share, until float64 }
 
-// NewGranter returns the account of a task that was acquired now: it grants nothing while grants of the last owner may be in use.
-// after is the number of the last round that this process has opened of anything: a process that loses its account under a fence
-// that it keeps must not take an answer to an old round for one to a new round.
+// NewGranter returns the state for a task that was acquired now. It makes no grants while grants of the previous owner may be in use.
+// priorRound is the number of the last round that this process opened for any quota. A process that loses this state but keeps its fence
+// must not mistake an answer to an old round for an answer to a new one.
 func NewGranter(t Terms, fence, priorRound uint64, now float64) *Granter {
 	return &Granter{terms: t, fence: fence, round: priorRound, members: map[string]*member{}, grantsFrom: now + t.longest(t.GrantLifetime+t.longest(t.Settle))}
 }
 
-// Fence returns the fence under which it grants.
+// Fence returns the fence under which grants are made.
 func (d *Granter) Fence() uint64 { return d.fence }
 
-// maxRounds is how many rounds' openings are remembered: eight seconds of rounds of half a second.
+// maxRounds is the number of remembered rounds: eight seconds at one round every half second.
 const maxRounds = 16
 
-// OpenRound begins a round and returns its number. Members that receive it may relinquish for it.
+// OpenRound starts a round and returns its number. Members that receive the number may relinquish their shares in answer to it.
 func (d *Granter) OpenRound(now float64) uint64 {
 	d.round++
 	if d.openRounds = append(d.openRounds, openRound{d.round, now}); len(d.openRounds) > maxRounds {
 		d.openRounds = slices.Delete(d.openRounds, 0, 1)
 	}
-	for key, m := range d.members { // members that neither relinquish nor have a grant take no memory
+	for key, m := range d.members { // forget members that neither relinquish a share nor use a grant
 		if m.until < now && m.inUse(now) == 0 {
 			delete(d.members, key)
 		}
@@ -70,15 +70,15 @@
 	return d.round
 }
 
-// Why a relinquishment is rejected.
+// Reasons for which a relinquishment is rejected.
 var (
-	ErrRound          = errors.New("a pledge for a round that is not remembered, or another owner's")
-	ErrMemberCount    = errors.New("a pledge that counts the members otherwise")
-	ErrTooManyMembers = errors.New("more members than a whole can have")
-	ErrBadNumbers     = errors.New("a pledge with figures that are none")
+	ErrRound          = errors.New("the relinquishment answers a round that is not remembered or is another owner's")
+	ErrMemberCount    = errors.New("the relinquishment has a different number of members")
+	ErrTooManyMembers = errors.New("the quota has too many members")
+	ErrBadNumbers     = errors.New("the relinquishment has an invalid number")
 )
 
-// Relinquish takes a member's relinquishment. An older one than the last, or the same again, has no effect.
+// AcceptRelinquishment records a member's relinquishment. A duplicate, or one that is older than the last, has no effect.
 func (d *Granter) Relinquish(now float64, name string, incarnation uint64, msg Relinquishment) error {
 	k := slices.IndexFunc(d.openRounds, func(o openRound) bool { return o.number == msg.Round })
 	switch {
@@ -99,18 +99,18 @@
 		d.members[key] = m
 	}
 	if m.lastTag >= msg.Tag {
-		return nil // an older one, or the same again
+		return nil // a duplicate or an older one
 	}
-	if now > m.until { // it may have used its equal share until now: that has to settle
+	if now > m.until { // it may have used its equal share until now: wait until that use no longer counts
 		m.from = now + d.terms.longest(d.terms.Settle)
 	}
-	// It was sent after the round was opened; no clock here tells when, and the opening is surely early enough.
+	// The message was sent after the round was opened. The sending time is unknown on this clock; the opening is certainly early enough.
 	m.until = max(m.until, d.openRounds[k].openedAt+d.terms.shortest(min(msg.Duration, d.terms.RelinquishFor)))
 	m.need, m.least, m.lastTag = msg.Need, msg.Least, msg.Tag
 	return nil
 }
 
-// inUse returns the largest share that a member may be using, or whose use still counts.
+// inUse returns the largest share that the member may be using or whose use still counts.
 func (m *member) inUse(now float64) (largest float64) {
 	for _, grant := range m.grants {
 		if grant.until > now {
@@ -120,7 +120,7 @@
 	return largest
 }
 
-// InUse returns the sum of the shares that members may be using, or whose use still counts.
+// ShareInUse returns the sum of the shares that members may be using or whose use still counts.
 func (d *Granter) InUse(now float64) (sum float64) {
 	for _, m := range d.members {
 		sum += m.inUse(now)
@@ -128,12 +128,12 @@
 	return sum
 }
 
-// Relinquished returns the sum of the equal shares that are surely relinquished from now until then.
+// RelinquishedShare returns the sum of the equal shares that are certainly relinquished from now until end.
 func (d *Granter) Relinquished(now, end float64) float64 {
 	names := map[string]bool{}
 	for _, m := range d.members {
 		if m.from <= now && m.until >= end {
-			names[m.name] = true // two incarnations of a name have one share
+			names[m.name] = true // all incarnations of a name have one equal share together
 		}
 	}
 	return float64(len(names)) / float64(d.terms.Members)
@@ -147,7 +147,7 @@
 	return 0
 }
 
-// longestWaiting returns the member that has waited longest for its least share, or nil.
+// longestWaiting returns the member that has waited longest for its smallest useful share, or nil.
 func (d *Granter) longestWaiting(now float64) (first *member) {
 	for _, m := range d.members {
 		if m.awaitedShare > 0 && m.until >= now && (first == nil || m.lastServed < first.lastServed || m.lastServed == first.lastServed && m.name < first.name) {
@@ -157,6 +157,6 @@
 	return first
 }
 
-// nameHash orders members between which nothing else decides, the same in every round: a share that moved between two would leave no
-// room for a third, since what both had of late counts.
+// nameHash breaks ties between members, in the same way in every round. A share that alternated between two members would leave none
+// for a third, since the recent use of both counts.
 func (m *member) nameHash() uint64 { return xxhash.Sum64String(m.name) }
--- a/fleet/allocation/grants.go
+++ b/fleet/allocation/grants.go
@@ -1,6 +1,6 @@
 package allocation
 
-// This file decides the grants of one round.
+// This file computes the grants of one round.
 
 import (
 	"cmp"
@@ -8,18 +8,18 @@
 	"slices"
 )
 
-// AddressedGrant is a grant and the incarnation that it is for.
+// AddressedGrant is a grant and the incarnation of the member that receives it.
 type AddressedGrant struct {
 	Name        string
 	Incarnation uint64
 	Grant
 }
 
-// shareTolerance is what a share may be short of without being of less use: what rounding leaves.
+// shareTolerance is the rounding error by which a share may fall short of a target and still count as sufficient.
 const shareTolerance = 1e-9
 
-// Grants grants what is relinquished to the members that relinquished and have no answer yet. A grant counts as used from now on,
-// whether or not it arrives.
+// IssueGrants distributes the relinquished shares to the members whose relinquishments have not been answered yet. A grant counts as
+// used from now on, whether or not it arrives.
 func (d *Granter) Grants(now float64) []AddressedGrant {
 	if now < d.grantsFrom {
 		return nil
@@ -40,15 +40,15 @@
 	return d.recordGrants(now, end, r)
 }
 
-// unansweredMembers returns the members that are to be granted something, in the order in which they are: those that have none first, longest
-// unserved before others; then those that have a share, most recent before others, so that the next to yield is the one that has had
-// it longest. Names decide between equals.
+// unansweredMembers returns the members to which shares are to be granted, in the order in which they are served: first members without
+// a share, starting with the one that has been without a share longest; then members with a share, starting with the one that got it
+// most recently, so that the member that has held its share longest yields first. Hashes of the names break ties.
 func (d *Granter) unansweredMembers(now float64) (pending []*member) {
 	for _, m := range d.members {
 		for len(m.grants) > 0 && m.grants[0].until <= now {
 			m.grants = slices.Delete(m.grants, 0, 1)
 		}
-		// Only members whose relinquishment holds: another process of the same name may have taken the place of others.
+		// An expired relinquishment does not count: another process of the same name may have replaced this one.
 		if m.lastTag > m.answeredTag && m.until >= now {
 			pending = append(pending, m)
 		}
@@ -63,19 +63,20 @@
 	return pending
 }
 
-// round is one round of grants.
+// round is the computation of the grants of one round.
 type round struct {
 	pending      []*member
-	shares       []float64 // by member that asks
+	shares       []float64 // by pending member
 	remaining    budget
-	lastPeriod   int     // index of the budget's last time: no earlier grant is in use from then on
-	maxGrantable float64 // all that could be granted, if members that ask got nothing
-	// One member at a time may wait for a share that others still have: theirs are renewed only as far as its least is left over.
+	lastPeriod   int     // index of the budget's last period, in which no earlier grant is in use any more
+	maxGrantable float64 // share that could be granted in total if the pending members got nothing
+	// One member at a time may wait for a share that others still hold. Their shares are renewed only as far as they leave it its
+	// smallest useful share.
 	waiting  *member
-	reserved float64 // for it
+	reserved float64 // share that is kept free for the waiting member
 }
 
-// newRound returns a round in which nothing is granted yet.
+// newRound returns a round without grants.
 func (d *Granter) newRound(now, end float64, pending []*member) *round {
 	r := &round{pending: pending, shares: make([]float64, len(pending)), remaining: d.newBudget(now, end, pending), waiting: d.longestWaiting(now)}
 	r.lastPeriod = len(r.remaining.available) - 1
@@ -91,7 +92,8 @@
 	return r
 }
 
-// raise raises a member's grant toward a share, as far as the budget and what is kept for the waiting member allow.
+// raise raises the grant of pending member k toward a target, as far as the budget and the share reserved for the waiting member
+// allow.
 func (r *round) raise(k int, target float64) {
 	free := r.remaining.available[r.lastPeriod]
 	if r.pending[k] != r.waiting {
@@ -100,7 +102,7 @@
 	r.remaining.raise(k, &r.shares[k], min(target, r.shares[k]+max(free, 0)))
 }
 
-// grantLeast grants each member the least share that is of use to it, or nothing.
+// grantLeast grants each member its smallest useful share or nothing.
 func (r *round) grantLeast() {
 	for k, m := range r.pending {
 		least := min(max(m.least, 0), m.need)
@@ -109,7 +111,7 @@
 			continue
 		}
 		if r.waiting != nil && m != r.waiting && m.lastShare() <= 0 {
-			continue // members without a share get none before the one that waits
+			continue // a member without a share gets none before the waiting member does
 		}
 		if r.raise(k, least); r.shares[k] >= least-shareTolerance {
 			if m.awaitedShare = 0; m == r.waiting {
@@ -117,17 +119,17 @@
 			}
 			continue
 		}
-		r.shares[k] = r.remaining.revert(k, r.shares[k]) // less than its least is of no use
+		r.shares[k] = r.remaining.revert(k, r.shares[k]) // a share below the smallest useful one is of no use
 		if r.waiting == nil && least <= r.maxGrantable {
 			r.waiting, r.reserved, m.awaitedShare = m, least, least
 		}
 	}
 }
 
-// renewHeld renews the shares that members have, all cut alike as far as the waiting member needs it: shares that moved between them
-// would leave it no room.
+// renewHeld renews the shares that members hold, all scaled down by the same factor as far as the waiting member needs it. Shares that
+// moved between those members would leave none for the waiting one.
 func (r *round) renewHeld() {
-	const slack = 1e-6 // of a quota, so that what is left is not short of what is waited for by a rounding
+	const slack = 1e-6 // share of a quota; keeps rounding from leaving slightly less than the awaited share
 	increase := 0.0
 	for k, m := range r.pending {
 		if r.shares[k] > 0 && m != r.waiting {
@@ -145,7 +147,7 @@
 	}
 }
 
-// grantNeeds grants what is left by what members still need, in proportion.
+// grantNeeds distributes the remaining budget in proportion to the members' unmet needs.
 func (r *round) grantNeeds() {
 	unmetNeed := 0.0
 	for k, m := range r.pending {
@@ -161,7 +163,7 @@
 	}
 }
 
-// grantSurplus grants what nobody needs in equal parts: a reserve for what comes between two rounds.
+// grantSurplus distributes the budget that no member needs in equal parts, as a reserve for needs that arise between two rounds.
 func (r *round) grantSurplus() {
 	free := r.remaining.available[r.lastPeriod]
 	if free <= shareTolerance {
@@ -173,7 +175,7 @@
 	}
 }
 
-// recordGrants records the grants of a round, which end then, and returns them.
+// recordGrants records the grants of a round, whose use counts until end, and returns them.
 func (d *Granter) recordGrants(now, end float64, r *round) (addressed []AddressedGrant) {
 	for k, m := range r.pending {
 		m.answeredTag = m.lastTag
@@ -189,15 +191,16 @@
 	return addressed
 }
 
-// budget is what new grants may be, at each time until they end: between two times the earlier grants in use are the same, and a
-// grant may take what is relinquished throughout, less what all members may be using by then.
+// budget is the share that new grants may take until they end. It is split into periods within which the earlier grants in use do not
+// change. New grants may take the shares that are relinquished until the end of the period, less all shares that members may be using
+// in it.
 type budget struct {
-	periodStarts []float64   // times; the first is now
-	available    []float64   // of what is relinquished, until the next time
-	heldBy       [][]float64 // by member that asks: what it may be using already
+	periodStarts []float64   // start times; the first is now
+	available    []float64   // share that can still be granted, by period
+	heldBy       [][]float64 // share that a member may be using already, by pending member and period
 }
 
-// newBudget returns the budget of grants from now until then.
+// newBudget returns the budget of grants from now until grantEnd.
 func (d *Granter) newBudget(now, grantEnd float64, pending []*member) (b budget) {
 	b.periodStarts = append(b.periodStarts, now)
 	for _, m := range d.members {
@@ -226,20 +229,20 @@
 	return b
 }
 
-// limit returns how far the grant of a member may be raised that is at give now.
+// limit returns the share to which the grant of a member can be raised; share is its current value.
 func (b *budget) limit(member int, share float64) float64 {
 	headroom := math.Inf(1)
 	for k, free := range b.available {
 		headroom = min(headroom, max(b.heldBy[member][k], share)+max(free, 0))
 	}
-	// Where less is relinquished than may be in use, nothing that outlives that is granted.
+	// If less is relinquished than may be in use in the last period, no further share may be granted that lasts into it.
 	if lastPeriod := len(b.available) - 1; b.available[lastPeriod] < 0 {
 		headroom = min(headroom, share)
 	}
 	return headroom
 }
 
-// raise raises a member's grant toward a share, as far as the budget allows.
+// raise raises a member's grant toward a target as far as the budget allows, and reduces the budget.
 func (b *budget) raise(member int, share *float64, target float64) {
 	if target = min(target, b.limit(member, *share)); target <= *share {
 		return
@@ -250,7 +253,7 @@
 	*share = target
 }
 
-// revert returns a member's grant to the budget, and 0.
+// revert gives a member's grant back to the budget and returns 0, the new share.
 func (b *budget) revert(member int, share float64) float64 {
 	for k, held := range b.heldBy[member] {
 		b.available[k] += max(share, held) - held
--- a/fleet/allocation/holder.go
+++ b/fleet/allocation/holder.go
@@ -5,27 +5,27 @@
 	"math"
 )
 
-// Holder is a member's account of one quota. It is not safe for concurrent use.
+// Holder tracks a member's share of one quota. It is not safe for concurrent use.
 type Holder struct {
 	terms             Terms
-	highestFence      uint64 // highest received
-	lastRound         uint64 // last announced under it
+	highestFence      uint64 // highest fence received
+	lastRound         uint64 // last round announced under highestFence
 	relinquishedUntil float64
-	sentTags          [16]sentTag // the latest, by tag
+	sentTags          [16]sentTag // the latest relinquishments; the index is the tag modulo the length
 	lastTag           uint64
-	appliedTag        uint64 // of the last grant that counts
+	appliedTag        uint64 // tag of the last accepted grant
 	share             float64
 	shareUntil        float64
 }
 
-// sentTag is when the relinquishment of a tag was sent.
+// sentTag is the tag of a relinquishment and the time at which it was sent.
 type sentTag struct {
 	tag uint64
 	at  float64
 }
 
-// NewHolder returns the account of a process that began at the given time. clean: no earlier process of its name can have
-// relinquished anything; else the equal share is not used until that would be over.
+// NewHolder returns the state of a process that started at startedAt. cleanStart means that no earlier process of the same name can
+// have relinquished anything. Otherwise the equal share is not used until any such relinquishment has expired.
 func NewHolder(t Terms, startedAt float64, cleanStart bool) *Holder {
 	h := &Holder{terms: t, relinquishedUntil: math.Inf(-1), shareUntil: math.Inf(-1)}
 	if !cleanStart {
@@ -34,16 +34,16 @@
 	return h
 }
 
-// Why a grant does not count.
+// Reasons for which Receive ignores a grant.
 var (
-	ErrStaleFence  = errors.New("a deal under an old fence")
-	ErrExpired     = errors.New("a deal whose life is over")
-	ErrUnsolicited = errors.New("a deal that answers no pledge of this process")
-	ErrBadShare    = errors.New("a deal whose part is none")
+	ErrStaleFence  = errors.New("the grant has a stale fence")
+	ErrExpired     = errors.New("the grant has expired")
+	ErrUnsolicited = errors.New("the grant answers no relinquishment of this process")
+	ErrBadShare    = errors.New("the share or the lifetime of the grant is invalid")
 )
 
-// Receive takes an owner's grant, or returns why it does not count. A higher fence is a new owner's, who grants only when no grant
-// of the last one is in use.
+// Receive applies an owner's grant, or returns the reason for which it is ignored. A higher fence belongs to a new owner, which makes
+// grants only after all grants of the previous owner have expired.
 func (h *Holder) Receive(now float64, grant Grant) error {
 	switch {
 	case grant.Fence < h.highestFence:
@@ -62,7 +62,7 @@
 	case !(grant.Share >= 0 && grant.Share <= 1) || !(grant.Lifetime >= 0):
 		return ErrBadShare
 	case grant.Tag <= h.appliedTag:
-		return nil // a newer grant counts
+		return nil // a newer grant has been applied
 	}
 	shareUntil := sent.at + h.terms.shortest(min(grant.Lifetime, h.terms.GrantLifetime))
 	if shareUntil <= now {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Relinquish gives the equal share up and returns the message that says so; ok is false where no round was announced. The share
-// counts as relinquished from now on, whether or not the message arrives.
+// Relinquish gives up the equal share and returns the message to send to the owner. ok is false if no round was announced. The share
+// is relinquished from now on, whether or not the message arrives.
 func (h *Holder) Relinquish(now, need, least float64) (msg Relinquishment, ok bool) {
 	if h.lastRound == 0 {
 		return msg, false
@@ -84,7 +84,7 @@
 	return Relinquishment{Fence: h.highestFence, Round: h.lastRound, Tag: h.lastTag, Need: need, Least: least, Members: h.terms.Members, Duration: h.terms.RelinquishFor}, true
 }
 
-// Share returns the share that may be used now. ok is false where nothing is relinquished: the equal share.
+// Share returns the share that may be used now. ok is false if the equal share is not relinquished; the member then uses that one.
 func (h *Holder) Share(now float64) (fraction float64, ok bool) {
 	switch {
 	case now < h.shareUntil:
@@ -95,22 +95,23 @@
 	return 0, false
 }
 
-// RelinquishUntil gives the equal share up until then at least: another process of this name may have relinquished it.
+// ExtendRelinquishment relinquishes the equal share at least until the given time, since another process of this name may have
+// relinquished it.
 func (h *Holder) RelinquishUntil(until float64) {
 	h.relinquishedUntil = max(h.relinquishedUntil, until)
 }
 
-// RelinquishedUntil returns until when the equal share is relinquished.
+// RelinquishedUntil returns the time until which the equal share is relinquished.
 func (h *Holder) RelinquishedUntil() float64 { return h.relinquishedUntil }
 
-// Terms sets the terms that the coordinators use.
+// SetTerms sets the terms that the coordinators use.
 func (h *Holder) Terms(t Terms) { h.terms = t }
 
-// Round returns the last round announced under the highest fence, or 0.
+// LastRound returns the last round announced under the highest fence, or 0.
 func (h *Holder) Round() uint64 { return h.lastRound }
 
-// Until returns when the last granted share ends.
+// ShareUntil returns the time at which the last granted share expires.
 func (h *Holder) Until() float64 { return h.shareUntil }
 
-// Fence returns the highest fence received.
+// HighestFence returns the highest fence received.
 func (h *Holder) Fence() uint64 { return h.highestFence }
--- a/fleet/allocation/terms.go
+++ b/fleet/allocation/terms.go
@@ -1,12 +1,13 @@
-// Package allocation moves shares of a quota between the members of a fleet by need: a cold server's budget, a tenant's quota. By
-// itself every member has the equal share. A member that relinquishes does without its equal share for a time; the quota's owner
-// grants what was relinquished to those that need it, for a time.
+// Package allocation moves shares of a quota, such as a cold server's budget or a tenant's quota, between the members of a fleet by
+// need. Without any messages each member has an equal share. A member can relinquish its equal share for a limited time. The owner of
+// the quota then grants the relinquished shares, also for a limited time, to the members that need them.
 //
-// The sum of what may be used never exceeds the quota, whichever process stops, restarts or receives late: each side counts every
-// duration from a time on its own clock that is surely early enough. The owner counts a relinquishment from when it opened the round
-// that it answers, a member counts a grant from when it sent the relinquishment that the grant answers.
+// The sum of the shares in use never exceeds the quota, whichever process stops, restarts or receives messages late, because each side
+// counts every duration from a time on its own clock that is certainly early enough. The owner counts a relinquishment from the time at
+// which it opened the round that the relinquishment answers. A member counts a grant from the time at which it sent the
+// relinquishment that the grant answers.
 //
-// The package does no I/O and has no clock. Times and durations are seconds, shares are fractions of the quota.
+// The package does no I/O and reads no clock. Times and durations are in seconds; shares are fractions of the quota.
 package allocation
 
 import (
@@ -17,17 +18,17 @@
 	"dunereach/fleet/registry"
 )
 
-// Terms are the terms of one kind of quota.
+// Terms are the parameters of one kind of quota, the same for its owner and all members.
 type Terms struct {
-	Members       int     // of equal shares
-	RelinquishFor float64 // seconds for which a member relinquishes its equal share, from when it says so
-	GrantLifetime float64 // seconds for which a grant may be used, from the relinquishment that it answers
-	Settle        float64 // seconds for which use still counts: the window of the quota's limit
+	Members       int     // number of equal shares
+	RelinquishFor float64 // seconds for which a member relinquishes its equal share, from when it sends the relinquishment
+	GrantLifetime float64 // seconds for which a grant may be used, from when the relinquishment that it answers was sent
+	Settle        float64 // seconds for which past use still counts: the time window of the quota's limit
 	Drift         float64 // fraction by which a clock may run fast or slow
 }
 
-// Standard returns terms under which a grant outlives three rounds of half a second, so that two may be lost, and a relinquishment
-// outlives a round's way there and back, a grant, and the window.
+// StandardTerms returns terms under which a grant lasts for three rounds of half a second, so that two rounds may be lost. A
+// relinquishment lasts for the round trip of a round's messages, a grant, and the time window of the limit.
 func Standard(members int, settle, drift float64) Terms {
 	const lifetime, roundTrip = 1.5, 1.5
 	t := Terms{Members: max(members, 1), GrantLifetime: lifetime, Settle: settle, Drift: drift}
@@ -35,51 +36,51 @@
 	return t
 }
 
-// Check returns what is wrong with terms, or nil.
+// Check returns an error if the terms are invalid.
 func (t Terms) Check() error {
 	switch {
 	case t.Members < 1 || t.Members > MaxMembers:
-		return fmt.Errorf("%d members: 1 to %d can be", t.Members, MaxMembers)
+		return fmt.Errorf("%d members: the number must be from 1 to %d", t.Members, MaxMembers)
 	case !(t.Drift >= 0 && t.Drift < 0.5):
-		return fmt.Errorf("a drift of %v", t.Drift)
+		return fmt.Errorf("clock drift %v is not from 0 to below 0.5", t.Drift)
 	case !(t.GrantLifetime > 0) || !(t.Settle >= 0) || !(t.shortest(t.RelinquishFor) > t.GrantLifetime+t.longest(t.Settle)) || math.IsInf(t.RelinquishFor, 0):
-		return errors.New("a pledge has to outlive a deal and the window")
+		return errors.New("a relinquishment must last longer than a grant and the time window of the limit")
 	}
 	return nil
 }
 
-// shortest and longest return how long a duration on one clock may last on another.
+// shortest and longest return the shortest and the longest time that a duration on one clock can take on another clock.
 func (t Terms) shortest(l float64) float64 { return l * (1 - t.Drift) / (1 + t.Drift) }
 func (t Terms) longest(l float64) float64  { return l * (1 + t.Drift) / (1 - t.Drift) }
 
-// Longest returns for how long a relinquishment may hold on any clock.
+// LongestRelinquishment returns the longest time that a relinquishment can last on any clock.
 func (t Terms) Longest() float64 { return t.longest(t.RelinquishFor) }
 
-// Bounds of one owner's account.
+// Limits of the state that an owner keeps of one quota.
 const (
-	// MaxMembers is how many members a quota can have.
+	// MaxMembers is the largest number of members that share a quota.
 	MaxMembers = registry.MostRouters
-	// maxIncarnations is how many processes of members are kept account of. A member that restarts is there twice until what its old
-	// process relinquished is over.
+	// maxIncarnations is the largest number of member incarnations that an owner tracks. A restarted member counts twice until the
+	// relinquishment of its old process expires.
 	maxIncarnations = registry.MostSessions
 )
 
-// Relinquishment is a member's message to the owner of a quota: it does without its equal share for a time.
+// Relinquishment is a member's message to the owner of a quota: the member does not use its equal share for a limited time.
 type Relinquishment struct {
-	Fence    uint64  `json:"fence"` // of the owner that it is sent to
-	Round    uint64  `json:"round"` // of that owner, which it answers
-	Tag      uint64  `json:"tag"`   // returned with the grant
-	Need     float64 `json:"need"`  // share that it has use for
-	Least    float64 `json:"least"` // least share that is of use to it
+	Fence    uint64  `json:"fence"` // of the owner that receives the message
+	Round    uint64  `json:"round"` // round of that owner that the message answers
+	Tag      uint64  `json:"tag"`   // the grant that answers the message returns it
+	Need     float64 `json:"need"`  // share that the member can use
+	Least    float64 `json:"least"` // smallest share that is useful to the member
 	Members  int     `json:"members"`
 	Duration float64 `json:"lays"` // seconds for which the equal share is relinquished
 }
 
-// Grant is an owner's message to a member: the share that it may use.
+// Grant is an owner's message to a member: the share that the member may use.
 type Grant struct {
 	Fence    uint64  `json:"fence"`
-	Round    uint64  `json:"round"` // to be answered by the next relinquishment
-	Tag      uint64  `json:"tag"`   // of the relinquishment that it answers; 0: only the round is announced
+	Round    uint64  `json:"round"` // the member's next relinquishment answers it
+	Tag      uint64  `json:"tag"`   // of the relinquishment that the grant answers; 0: the message only announces the round
 	Share    float64 `json:"part"`
 	Lifetime float64 `json:"life"`
 }
