--- a/fleet/allocation/allocation_test.go
+++ b/fleet/allocation/allocation_test.go
@@ -221,8 +221,8 @@
 	})
 }
 
-// TestNeedCase checks a case in which TestNeed once failed.
-func TestNeedCase(t *testing.T) { checkNeedIsServed(t, 3, 1.75/3) }
+// TestNeedRegression checks a case in which TestNeed once failed.
+func TestNeedRegression(t *testing.T) { checkNeedIsServed(t, 3, 1.75/3) }
 
 func checkNeedIsServed(t rapid.TB, n int, least float64) {
 	terms := Standard(n, 1, 0.05)
--- a/fleet/subset/options.go
+++ b/fleet/subset/options.go
@@ -5,29 +5,30 @@
 	"math"
 )
 
-// Options are the same at all routers.
+// Options are the parameters of the selection, the same at all routers except for what depends on the router's zone and region.
 type Options struct {
-	Size   int     // places of a router with the mean share of traffic
-	Room   float64 // part of the size that a subset may be larger by, so that loads are even: see Router.Planned
-	Widest int     // how many times as many a router may hold in need, a power of two; 1 or 0: it never widens
-	Near   float64 // part of a subset that is for the own zone, before the rest is dealt out over the whole pool
-	Region float64 // part that is for the own region, likewise
-	// ZonePart and RegionPart are the parts of the pool's weight that the own zone and the own region have, as the settings know
-	// them: by the list, a database that goes would move others. 0: not known, and no part is for the zone or the region.
+	Size   int     // databases in the subset of a router with the mean share of traffic
+	Room   float64 // fraction of the size by which a subset may be larger, to even out the loads; see Router.PlannedWeight
+	Widest int     // largest factor by which a subset may be widened, a power of two; 1 or 0: subsets are never widened
+	Near   float64 // fraction of a subset that is reserved for the own zone, before the rest is spread over the whole pool
+	Region float64 // the same for the own region
+	// ZoneWeightShare and RegionWeightShare are the fractions of the pool's weight in the own zone and the own region. They come from the
+	// settings: computed from the list, the removal of one database would move others. 0: unknown; no part of the subset is then
+	// reserved for the zone or the region.
 	ZonePart, RegionPart float64
 	Needs                []Need
-	Together             bool // databases of one cell are held together: a profile's repeats are dropped within a cell alone
+	Together             bool // databases of one cell are selected together, since duplicates of some profile are dropped within a cell only
 }
 
-// Bounds of the options.
+// Limits of the options.
 const (
 	MostSize   = 1 << 16
 	MostWidest = 64
 	MostNeeds  = 1 << 10
-	MostNear   = 0.9 // the rest is what a router has left when its zone is lost
+	MostNear   = 0.9 // the rest is what remains for a router whose zone fails
 )
 
-// Check tells what can't be carried out.
+// Check returns an error if the options are invalid.
 func (o *Options) Check() error {
 	switch {
 	case o.Size < 1 || o.Size > MostSize:
@@ -37,58 +38,60 @@
 	case o.Widest < 0 || o.Widest > MostWidest || o.Widest&(o.Widest-1) != 0:
 		return fmt.Errorf("widest: %d is not a power of two up to %d", o.Widest, MostWidest)
 	case !(o.Near >= 0 && o.Region >= 0 && o.Near+o.Region <= MostNear):
-		return fmt.Errorf("near: %v and region: %v are not both from 0, and %v at most together", o.Near, o.Region, MostNear)
+		return fmt.Errorf("near: %v and region: %v must not be negative and must add up to at most %v", o.Near, o.Region, MostNear)
 	case !(o.ZonePart >= 0 && o.ZonePart <= 1) || !(o.RegionPart >= 0 && o.RegionPart <= 1):
-		return fmt.Errorf("zones: the own zone has %v and the own region %v of the weight", o.ZonePart, o.RegionPart)
+		return fmt.Errorf("zones: the weight shares of the own zone (%v) and the own region (%v) are not from 0 to 1", o.ZonePart, o.RegionPart)
 	case len(o.Needs) > MostNeeds:
-		return fmt.Errorf("needs: %d are more than %d", len(o.Needs), MostNeeds)
+		return fmt.Errorf("needs: %d requirements are more than the maximum of %d", len(o.Needs), MostNeeds)
 	}
 	for n := range o.Needs {
-		if least := o.Needs[n].Least; least < 0 || least > MostSize {
-			return fmt.Errorf("needs/%d: a minimum of %d", n, least)
+		if minimum := o.Needs[n].Least; minimum < 0 || minimum > MostSize {
+			return fmt.Errorf("needs/%d: the minimum %d is out of range", n, minimum)
 		}
 	}
 	return nil
 }
 
-// nearness is how many databases beyond the own region one of the own zone and one of the own region count as. A subset then has
-// its rest, 1 - Near - Region, over the whole pool by weight, and the two parts over the own region and zone. Where each zone has
-// routers by its weight, the loads of all zones are the same.
-func (o *Options) nearness(r *Router) (zone, region float64) {
-	ofZone, ofRegion := 0.0, 0.0
-	rest := 1.0
+// localityFactors returns the factors by which the weights of databases in the own zone and in the rest of the own region are
+// multiplied, relative to databases outside the region. The fraction 1 - OwnZoneShare - OwnRegionShare of a subset is then spread
+// over the whole pool by weight, and the two shares over the own zone and the own region. If the routers are distributed over the
+// zones by weight, the loads of all zones are equal.
+func (o *Options) localityFactors(r *Router) (zoneFactor, regionFactor float64) {
+	zoneDensity, regionDensity := 0.0, 0.0
+	poolShare := 1.0
 	if r.Zone >= 0 && o.ZonePart > 0 {
-		ofZone = o.Near / o.ZonePart
-		rest -= o.Near
+		zoneDensity = o.Near / o.ZonePart
+		poolShare -= o.Near
 	}
 	if r.Region >= 0 && o.RegionPart > 0 {
-		ofRegion = o.Region / o.RegionPart
-		rest -= o.Region
+		regionDensity = o.Region / o.RegionPart
+		poolShare -= o.Region
 	}
-	return 1 + (ofZone+ofRegion)/rest, 1 + ofRegion/rest
+	return 1 + (zoneDensity+regionDensity)/poolShare, 1 + regionDensity/poolShare
 }
 
-// MostShare bounds how much larger than the mean a router's subset may be by its traffic.
+// MaxTrafficShare limits the share of traffic, relative to the mean, by which a router's subset is enlarged.
 const MostShare = 64
 
-// sizeOf is the size for a share of traffic relative to the mean router's. A router with little has no smaller one, since a small
-// subset serves badly whatever the load.
-func (o *Options) sizeOf(share float64) int {
+// sizeForShare returns the size of a subset for a share of traffic relative to the mean router's. A router with less traffic than
+// the mean does not get a smaller subset, since a small subset performs badly at any load.
+func (o *Options) sizeForShare(share float64) int {
 	if !(share > 1) {
 		share = 1
 	}
 	return int(math.Ceil(float64(o.Size) * min(share, MostShare)))
 }
 
-// mostPlaces is how many a router with the mean share of traffic holds at most at a width, needs aside.
-func (o Options) mostPlaces(width int) int { return o.mostPlacesOf(1, width) }
+// maxMembers returns the largest number of databases at a width that a router with the mean share of traffic selects, requirements
+// aside.
+func (o Options) maxMembers(width int) int { return o.maxMembersForShare(1, width) }
 
-// mostPlacesOf is the same for any share.
-func (o *Options) mostPlacesOf(share float64, width int) int {
-	return int(float64(o.sizeOf(share)*max(width, 1)) * (1 + o.Room))
+// maxMembersForShare returns the same for any share of traffic.
+func (o *Options) maxMembersForShare(share float64, width int) int {
+	return int(float64(o.sizeForShare(share)*max(width, 1)) * (1 + o.Room))
 }
 
-// CheckedWeight is a weight that can be used: what is not a number, not above zero or beyond 10^6 either way counts as 1.
+// NormalizeWeight returns the weight if it is valid, and otherwise 1.
 func CheckedWeight(w float64) float64 {
 	if !UsableWeight(w) {
 		return 1
@@ -96,18 +99,18 @@
 	return w
 }
 
-// UsableWeight tells whether a weight is taken as it is.
+// ValidWeight reports whether a weight can be used: it must be a number from 10^-6 to 10^6.
 func UsableWeight(w float64) bool {
 	const bound = 1e6
 	return w >= 1/bound && w <= bound
 }
 
-// ConnectionBudget is how many routers hold a database of the given part of the pool's weight at most, when that many routers all
-// hold that many places: the mean and the allowed unevenness.
-func ConnectionBudget(routers, size int, part float64) int {
-	mean := float64(routers) * float64(size) * part
-	return min(routers, int(math.Ceil(mean*Unevenness)))
+// ConnectionBudget returns the largest number of routers that select a database with the given fraction of the pool's weight if each
+// of the given number of routers selects size databases: the mean, increased by the allowed unevenness.
+func ConnectionBudget(routers, size int, weightShare float64) int {
+	meanRouters := float64(routers) * float64(size) * weightShare
+	return min(routers, int(math.Ceil(meanRouters*Unevenness)))
 }
 
-// Unevenness is how far the number of routers of a database may lie above the mean by weight.
+// MaxUnevenness is the largest ratio between the number of routers that select a database and the mean for its weight.
 const Unevenness = 1.15
--- a/fleet/subset/ranking.go
+++ b/fleet/subset/ranking.go
@@ -8,25 +8,25 @@
 
 // candidate is one database of a ranking.
 type candidate struct {
-	index int32
-	need  int16 // the first need that it is among the best for, or notNeeded
-	score float64
+	index       int32
+	requirement int16 // first requirement for which it is among the best candidates, or notRequired
+	score       float64
 }
 
-const notNeeded = -1
+const notRequired = -1
 
-// Ranking is the order in which a router prefers the databases of one list. It is not changed once made.
+// Ranking is the order in which a router prefers the databases of one list. It is immutable.
 type Ranking struct {
-	options    *Options
-	router     Router
-	databases  []Database
-	candidates []candidate // by score, best first, as far as sorted
-	needed     int
-	sorted     int // so many of the candidates are in order at least
-	effective  float64
+	options         *Options
+	router          Router
+	databases       []Database
+	candidates      []candidate // the first sortedCount by score, best first
+	requiredCount   int
+	sortedCount     int // minimum number of candidates that are in order
+	effectiveWeight float64
 }
 
-// Rank orders the pool for one router.
+// Rank ranks the pool for one router.
 func (p *Pool) Rank(options *Options, router Router) (*Ranking, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
@@ -36,34 +36,34 @@
 	scores := newScorer(options, &r.router)
 	for k := range p.entries {
 		e := &p.entries[k]
-		score, counts := scores.of(e, &p.databases[e.index])
-		r.candidates = append(r.candidates, candidate{e.index, notNeeded, score})
-		r.effective += counts
+		score, weight := scores.scoreOf(e, &p.databases[e.index])
+		r.candidates = append(r.candidates, candidate{e.index, notRequired, score})
+		r.effectiveWeight += weight
 	}
 	r.sort()
-	r.markNeeded()
+	r.markRequired()
 	return r, nil
 }
 
-// sort brings those in order that a subset at its widest may hold; the rest follows in no order.
+// sort orders the candidates that the widest subset may contain. The remaining ones follow in no particular order.
 func (r *Ranking) sort() {
-	r.sorted = min(r.options.mostPlacesOf(r.router.Share, r.options.Widest), len(r.candidates))
-	const spare = 1.5 // of the expected scores below the cut: a second pass is rare
-	cut := (float64(r.sorted)*spare + 16) / max(r.effective, math.SmallestNonzeroFloat64)
-	head := 0
+	r.sortedCount = min(r.options.maxMembersForShare(r.router.Share, r.options.Widest), len(r.candidates))
+	const headroom = 1.5 // factor on the expected number of scores below maxScore, so that a second pass over all candidates is rare
+	maxScore := (float64(r.sortedCount)*headroom + 16) / max(r.effectiveWeight, math.SmallestNonzeroFloat64)
+	belowMax := 0
 	for k := range r.candidates {
-		if r.candidates[k].score < cut {
-			r.candidates[head], r.candidates[k] = r.candidates[k], r.candidates[head]
-			head++
+		if r.candidates[k].score < maxScore {
+			r.candidates[belowMax], r.candidates[k] = r.candidates[k], r.candidates[belowMax]
+			belowMax++
 		}
 	}
-	if head < r.sorted {
-		head = len(r.candidates)
+	if belowMax < r.sortedCount {
+		belowMax = len(r.candidates)
 	}
-	slices.SortFunc(r.candidates[:head], r.compare)
+	slices.SortFunc(r.candidates[:belowMax], r.compare)
 }
 
-// compare orders by score; names decide between equal ones, so that the order of the list does not matter.
+// compare orders candidates by score. Names break ties, so that the order of the list does not matter.
 func (r *Ranking) compare(a, b candidate) int {
 	if a.score != b.score {
 		return cmp.Compare(a.score, b.score)
@@ -71,89 +71,91 @@
 	return cmp.Compare(r.databases[a.index].Name, r.databases[b.index].Name)
 }
 
-// markNeeded marks the best few of each need.
-func (r *Ranking) markNeeded() {
-	best := make([]int, 0, 8) // places of the best candidates so far, best first
+// markRequired marks the best candidates of each requirement.
+func (r *Ranking) markRequired() {
+	best := make([]int, 0, 8) // indices of the best candidates so far, best first
 	for n := range r.options.Needs {
 		best = r.bestFor(&r.options.Needs[n], best[:0])
 		for _, k := range best {
-			if c := &r.candidates[k]; c.need == notNeeded {
-				c.need = int16(n)
-				r.needed++
+			if c := &r.candidates[k]; c.requirement == notRequired {
+				c.requirement = int16(n)
+				r.requiredCount++
 			}
 		}
 	}
 }
 
-// bestFor appends the places of the best candidates of a need to an empty slice, best first.
-func (r *Ranking) bestFor(need *Need, best []int) []int {
-	if need.Least == 0 {
+// bestFor appends the indices of a requirement's best candidates to an empty slice, best first.
+func (r *Ranking) bestFor(requirement *Need, best []int) []int {
+	if requirement.Least == 0 {
 		return best
 	}
 	byRank := func(a, b int) int { return r.compare(r.candidates[a], r.candidates[b]) }
 	for k := range r.candidates {
-		if !need.covers(&r.databases[r.candidates[k].index]) {
+		if !requirement.covers(&r.databases[r.candidates[k].index]) {
 			continue
 		}
-		if len(best) == need.Least && byRank(k, best[len(best)-1]) > 0 {
+		if len(best) == requirement.Least && byRank(k, best[len(best)-1]) > 0 {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(best, k, byRank)
-		if best = slices.Insert(best, at, k); len(best) > need.Least {
-			best = best[:need.Least]
+		if best = slices.Insert(best, at, k); len(best) > requirement.Least {
+			best = best[:requirement.Least]
 		}
 	}
 	return best
 }
 
-// Len is the number of different databases.
+// Len returns the number of distinct databases.
 func (r *Ranking) Len() int { return len(r.candidates) }
 
-// Size is how many places the router has at a width, needs and room aside: 1 is the ordinary one, 2 twice as many, and so on. It
-// follows the router's share of the traffic and never passes the list.
+// Size returns the size of the router's subset at a width, requirements and size slack aside: width 1 is the ordinary size, 2 twice
+// as many databases, and so on. The size depends on the router's share of the traffic and never exceeds the list.
 func (r *Ranking) Size(width int) int {
 	width = min(max(width, 1), max(r.options.Widest, 1))
-	return min(r.options.sizeOf(r.router.Share)*width, len(r.candidates))
+	return min(r.options.sizeForShare(r.router.Share)*width, len(r.candidates))
 }
 
-// Effective is the weight of the pool as this router sees it: near databases count as several. It is what Router.Planned wants.
-func (r *Ranking) Effective() float64 { return r.effective }
+// EffectiveWeight returns the weight of the pool as this router sees it, with the weights of databases in its own zone and region
+// multiplied by their locality factors. It is the value for Router.PlannedWeight.
+func (r *Ranking) Effective() float64 { return r.effectiveWeight }
 
-// free is how many places there are beside the needed ones, and limit how many in all before the subset counts as grown. With room
-// the free places are for those below the score at which the planned pool would fill the size and half of the room, within the size
-// and its room: a router whose ranking is by chance dense at its head takes some more, one whose ranking is thin takes none of a worse
-// score, and so the databases' loads stay even.
-func (r *Ranking) free(size int) (free, limit int) {
-	room := int(float64(size) * r.options.Room)
-	if room == 0 || !(r.router.Planned > 0) {
-		return max(size-r.needed, 0), size
+// freePlaces returns the number of databases to select besides the required ones, and the limit above which the subset counts as
+// grown. With size slack, the free places go to databases whose scores are below the score at which the planned pool would fill the
+// size and half of the slack, within the size and its slack. A router whose ranking happens to be dense at its head selects some
+// more, and one whose ranking is sparse selects none with a worse score. This keeps the loads of the databases even.
+func (r *Ranking) freePlaces(size int) (freePlaces, limit int) {
+	slack := int(float64(size) * r.options.Room)
+	if slack == 0 || !(r.router.Planned > 0) {
+		return max(size-r.requiredCount, 0), size
 	}
-	cut := (float64(size) + float64(room)/2) / r.router.Planned
-	below := 0
-	for _, c := range r.candidates[:min(size+room, len(r.candidates))] {
-		if c.score >= cut {
+	maxScore := (float64(size) + float64(slack)/2) / r.router.Planned
+	belowMax := 0
+	for _, c := range r.candidates[:min(size+slack, len(r.candidates))] {
+		if c.score >= maxScore {
 			break
 		}
-		if c.need == notNeeded { // others are held whatever the cut is
-			below++
+		if c.requirement == notRequired { // required candidates are selected whatever their score
+			belowMax++
 		}
 	}
-	limit = size + room
-	return max(min(max(below, size-r.needed), limit-r.needed), 0), limit
+	limit = size + slack
+	return max(min(max(belowMax, size-r.requiredCount), limit-r.requiredCount), 0), limit
 }
 
-// Take gives the subset of a width: what the needs ask for, then the best of the ranking. A wider subset holds every narrower one.
+// Select returns the subset of a width: the databases that the requirements need, then the head of the ranking. A wider subset
+// contains every narrower one.
 func (r *Ranking) Take(width int) Choice {
-	free, limit := r.free(r.Size(width))
-	choice := Choice{Members: make([]Member, 0, free+r.needed), Grown: max(r.needed-limit, 0)}
+	freePlaces, limit := r.freePlaces(r.Size(width))
+	choice := Choice{Members: make([]Member, 0, freePlaces+r.requiredCount), Grown: max(r.requiredCount-limit, 0)}
 	for _, c := range r.candidates {
-		member := Member{Index: int(c.index), Reason: Needed, Need: int(c.need)}
-		if c.need == notNeeded {
-			if free == 0 {
+		member := Member{Index: int(c.index), Reason: Needed, Need: int(c.requirement)}
+		if c.requirement == notRequired {
+			if freePlaces == 0 {
 				continue
 			}
-			free--
-			member = Member{Index: int(c.index), Reason: Ranked, Need: notNeeded}
+			freePlaces--
+			member = Member{Index: int(c.index), Reason: Ranked, Need: notRequired}
 		}
 		member.Near = r.databases[c.index].Zone == r.router.Zone
 		choice.Members = append(choice.Members, member)
--- a/fleet/subset/score.go
+++ b/fleet/subset/score.go
@@ -4,73 +4,75 @@
 	"math"
 )
 
-// scorer gives databases their scores for one router: uniform in [0, 1), divided by weight and nearness, so that the part of
-// routers that hold a database is in proportion to both.
+// scorer computes the scores of databases for one router. A score is uniform in [0, 1), divided by the database's weight and
+// locality factor, so that the number of routers that select a database is proportional to both.
 type scorer struct {
-	router      *Router
-	near        float64 // a database of the own zone counts as this many
-	region      float64 // one of another zone of the own region
-	together    bool
-	placeless   bool
-	routerBlend uint64 // stands for the name of a router without a place
+	router       *Router
+	zoneFactor   float64 // for databases in the own zone
+	regionFactor float64 // for databases in the other zones of the own region
+	keepCells    bool
+	unnumbered   bool
+	routerHash   uint64 // hash of the name, used if the router has no number
 }
 
 func newScorer(o *Options, r *Router) scorer {
-	s := scorer{router: r, together: o.Together, placeless: r.Place < 0}
-	s.near, s.region = o.nearness(r)
-	if s.placeless {
-		s.routerBlend = hashOf(r.Name)
+	s := scorer{router: r, keepCells: o.Together, unnumbered: r.Place < 0}
+	s.zoneFactor, s.regionFactor = o.localityFactors(r)
+	if s.unnumbered {
+		s.routerHash = hashName(r.Name)
 	}
 	return s
 }
 
-// of is the score of a database, the lower, the sooner it is held, and how many databases of a far zone it counts as.
-func (s *scorer) of(e *entry, d *Database) (score, counts float64) {
-	counts = e.weight * s.nearnessOf(d)
-	if !s.together {
-		return unit(s.position(e.own, e.irrational)) / counts, counts
+// scoreOf returns the score of a database and its weight multiplied by the locality factor. Databases with lower scores are
+// preferred.
+func (s *scorer) scoreOf(e *entry, d *Database) (score, effectiveWeight float64) {
+	effectiveWeight = e.weight * s.localityFactor(d)
+	if !s.keepCells {
+		return unitInterval(s.position(e.nameHash, e.irrational)) / effectiveWeight, effectiveWeight
 	}
-	score = unit(s.position(e.cell, e.togetherBy)) / counts
-	// Databases of one cell stay side by side, in an order of their own.
-	return score + unit(s.position(e.own, e.irrational))*sliver, counts
+	score = unitInterval(s.position(e.cellHash, e.cellIrrational)) / effectiveWeight
+	// Databases of one cell stay adjacent; their own scores order them within the cell.
+	return score + unitInterval(s.position(e.nameHash, e.irrational))*cellOrderScale, effectiveWeight
 }
 
-// sliver orders databases of one cell, and is too little to mix two cells.
-const sliver = 1e-9
+// cellOrderScale scales the scores that order databases within one cell. It is small enough not to interleave two cells.
+const cellOrderScale = 1e-9
 
-// position is the place of this router in a database's sequence of routers.
-func (s *scorer) position(key, irrational uint64) uint64 {
-	if s.placeless {
-		return mix(key ^ s.routerBlend)
+// position returns the element of a database's sequence that belongs to this router.
+func (s *scorer) position(key, multiplier uint64) uint64 {
+	if s.unnumbered {
+		return mix(key ^ s.routerHash)
 	}
-	return irrational*uint64(s.router.Place) + mix(key+1)
+	return multiplier*uint64(s.router.Place) + mix(key+1)
 }
 
-func (s *scorer) nearnessOf(d *Database) float64 {
+// localityFactor returns the factor for the database's zone.
+func (s *scorer) localityFactor(d *Database) float64 {
 	switch {
 	case s.router.Zone >= 0 && d.Zone == s.router.Zone:
-		return s.near
+		return s.zoneFactor
 	case s.router.Region >= 0 && d.Region == s.router.Region:
-		return s.region
+		return s.regionFactor
 	}
 	return 1
 }
 
-// irrational is a number in (0, 1), in units of 2^-64, whose multiples fill the unit interval evenly: a continued fraction that
-// begins with ones and twos drawn by the key and ends with ones for ever, which makes it as badly approximated by fractions as
-// the golden ratio is. Different keys have different numbers, so that two databases share few routers.
+// irrational returns a number in (0, 1), in units of 2^-64, whose multiples fill the unit interval evenly. Its continued fraction
+// begins with ones and twos drawn from the key and continues with ones for ever, so the number is as badly approximated by fractions
+// as the golden ratio. Different keys have different numbers, so that two databases share few routers.
 func irrational(key uint64) uint64 {
-	const drawn = 8 // terms: 256 numbers
+	const drawnTerms = 8 // terms: 256 numbers
 	const golden = 0.6180339887498949
 	x := golden
-	for term := range drawn {
+	for term := range drawnTerms {
 		x = 1 / (float64(1+key>>term&1) + x)
 	}
 	return uint64(math.Ldexp(x, 64))
 }
 
-// hashOf is FNV-1a over the name, mixed: the same in every process and release.
-func hashOf(name string) uint64 {
+// hashName returns the mixed FNV-1a hash of a name, the same in every process and release.
+func hashName(name string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
 	for i := 0; i < len(name); i++ {
@@ -79,7 +81,7 @@
 	return mix(h)
 }
 
-// mix is the finalizer of MurmurHash3, by way of SplitMix64.
+// mix is the finalizer of SplitMix64, which derives from MurmurHash3's.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -87,8 +89,9 @@
 	return x ^ x>>31
 }
 
-// unit maps 64 bits to [0, 1).
-func unit(x uint64) float64 { return float64(x>>11) / (1 << 53) }
+// unitInterval maps 64 bits to [0, 1).
+func unitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
 
-// Spread is a router's own number in [0, 1), by which routers do at different times what they would else do at once.
-func Spread(router string) float64 { return unit(hashOf(router)) }
+// Jitter returns a number in [0, 1) that depends on the router's name. Routers use it to spread out in time actions that they would
+// otherwise take simultaneously.
+func Spread(router string) float64 { return unitInterval(hashName(router)) }
--- a/fleet/subset/subset.go
+++ b/fleet/subset/subset.go
@@ -1,48 +1,49 @@
-// Package subset chooses the databases that one router talks to, out of a pool that is too large for each router to talk to all
-// of it. Routers choose alone: each ranks the databases by a score that depends on nothing but the database's own name, weight
-// and place and the router's own, and holds the best of its ranking. A database that comes or goes therefore changes only the
-// subsets that hold it, a router that comes or goes changes no other router's subset, and routers whose lists are of different
-// age differ only in the databases that their lists differ in.
+// Package subset selects the databases that one router connects to, from a pool that is too large for every router to connect to all
+// of it. Routers select independently. Each ranks the databases by a score that depends only on the database's name, weight and
+// location and on the router's own identity, and selects the head of its ranking. A database that is added or removed therefore
+// changes only the subsets that contain it. A router that is added or removed changes no other router's subset. Routers with
+// different versions of the list differ only in the databases in which their lists differ.
 //
-// What evens out the load is the score. For one database the scores of routers 0, 1, 2, ... are a Kronecker sequence: multiples
-// of an irrational number of the database's own, modulo 1, which fill the unit interval evenly however many routers there are.
-// docs/design/subset.md weighs it against random subsets, rounds, rings and rendezvous hashing.
+// The score balances the load. For one database the scores of routers 0, 1, 2, ... are a Kronecker sequence: multiples of an
+// irrational number that depends on the database, modulo 1. Such a sequence fills the unit interval evenly for any number of
+// routers. docs/design/subset.md compares it with random subsets, rounds, rings and rendezvous hashing.
 //
-// The package decides; it holds no clock, socket or goroutine.
+// The package has no clock, socket or goroutine.
 package subset
 
 import "slices"
 
-// Database is one database of the list. Whether it is ready, drains, is unhealthy or was restarted does not matter: a database
-// keeps its place in a subset for as long as the list names it.
+// Database is one database of the list. Its state (ready, draining, unhealthy, restarted) does not matter here: a database keeps its
+// place in a subset for as long as it is in the list.
 type Database struct {
 	Name               string
 	Zone, Kind, Region int
-	Cell               int     // the group within a zone that drops repeats together
-	Weight             float64 // capacity relative to others; what CheckedWeight does not take counts as 1
+	Cell               int     // group within a zone that drops duplicate requests together
+	Weight             float64 // capacity relative to other databases; an invalid weight counts as 1, see NormalizeWeight
 }
 
-// Router is the router that chooses.
+// Router is the router that selects a subset.
 type Router struct {
-	Name   string  // ranks where Place is unknown
-	Place  int     // unique among the routers, best without gaps; negative: unknown, and loads are then uneven
-	Zone   int     // negative: unknown, no database is near
+	Name   string  // used for the ranking if Number is unknown
+	Place  int     // unique among the routers, preferably without gaps; negative: unknown, and the loads are then uneven
+	Zone   int     // negative: unknown, and no database is in the own zone
 	Region int     // negative: unknown
-	Share  float64 // traffic relative to the mean router's; 0: as the mean
-	// Planned is the pool's effective weight that sizes are evened out by, of this list or one not much different; 0: none, and all
-	// subsets have the same size.
+	Share  float64 // traffic relative to the mean router's; 0: the mean
+	// PlannedWeight is the pool's effective weight, for this list or a similar one, from which the size of the subset is adjusted to even
+	// out the loads. 0: none; all subsets then have the same size.
 	Planned float64
 }
 
-// Need is a set of databases of which every subset must have some: those of the zones and kinds named. Nil names all.
+// Requirement is a set of databases of which every subset must contain a minimum number: those in the listed zones and of the listed
+// kinds. Nil stands for all.
 type Need struct {
-	Name         string // for messages
+	Name         string // used in messages
 	Zones, Kinds []int
-	Outside      bool // the zones are those that do not count
+	Outside      bool // all zones except the listed ones count
 	Least        int
 }
 
-// covers tells whether the need is for this database.
+// covers reports whether the database counts for the requirement.
 func (n *Need) covers(d *Database) bool {
 	if n.Zones != nil && slices.Contains(n.Zones, d.Zone) == n.Outside {
 		return false
@@ -50,13 +51,13 @@
 	return n.Kinds == nil || slices.Contains(n.Kinds, d.Kind)
 }
 
-// Reason is why a database is in a subset.
+// Reason is the reason for which a database is in a subset.
 type Reason uint8
 
-// The reasons, strongest first.
+// The reasons; the first takes precedence.
 const (
-	Needed Reason = iota + 1 // without it a need would have fewer than its minimum
-	Ranked                   // it is among the best of the router's ranking
+	Needed Reason = iota + 1 // without the database a requirement would have fewer than its minimum
+	Ranked                   // the database is at the head of the router's ranking
 )
 
 func (r Reason) String() string {
@@ -66,58 +67,59 @@
 	return "ranked"
 }
 
-// Member is one place of a subset.
+// Member is one database of a subset.
 type Member struct {
-	Index  int // in the list of databases
+	Index  int // index in the list of databases
 	Reason Reason
-	Need   int // the first of the needs that asks for it, where it is Needed
+	Need   int // index of the first requirement that needs the database, if Reason is Required
 	Near   bool
 }
 
-// Choice is a subset, in the order of the list.
+// Selection is a subset, in the order of the list.
 type Choice struct {
 	Members []Member
-	Grown   int  // places beyond the size, since the needs take more
-	Whole   bool // it is the whole list
+	Grown   int  // number of databases beyond the size limit that the requirements add
+	Whole   bool // the subset contains the whole list
 }
 
-// Pool is a list of databases made ready to be ranked, for any number of routers. It is not changed once made.
+// Pool is a list of databases prepared for ranking, for any number of routers. It is immutable.
 type Pool struct {
-	databases []Database
-	entries   []entry
-	repeated  []string
+	databases  []Database
+	entries    []entry
+	duplicates []string
 }
 
-// entry is a database with what its scores are made of.
+// entry is a database with the values from which its scores are computed.
 type entry struct {
-	index      int32
-	own, cell  uint64 // hashes of its name, and of its zone and cell
-	irrational uint64
-	togetherBy uint64 // irrational of its cell
-	weight     float64
+	index              int32
+	nameHash, cellHash uint64 // hashes of its name and of its zone and cell
+	irrational         uint64
+	cellIrrational     uint64 // irrational number of its cell
+	weight             float64
 }
 
-// NewPool takes a list. A database that stands in it twice counts once, by its first entry. The list is kept and must not change.
+// NewPool prepares a list. A database that occurs twice counts once, by its first entry. The Pool keeps the list, which must not
+// change.
 func NewPool(databases []Database) *Pool {
 	p := &Pool{databases: databases, entries: make([]entry, 0, len(databases))}
 	seen := make(map[string]struct{}, len(databases))
 	for i := range databases {
 		d := &databases[i]
-		if _, twice := seen[d.Name]; twice {
-			p.repeated = append(p.repeated, d.Name)
+		if _, duplicate := seen[d.Name]; duplicate {
+			p.duplicates = append(p.duplicates, d.Name)
 			continue
 		}
 		seen[d.Name] = struct{}{}
-		e := entry{index: int32(i), own: hashOf(d.Name), weight: CheckedWeight(d.Weight)}
-		e.cell = mix(uint64(uint32(d.Zone))<<32 | uint64(uint32(d.Cell)))
-		e.irrational, e.togetherBy = irrational(e.own), irrational(e.cell)
+		e := entry{index: int32(i), nameHash: hashName(d.Name), weight: CheckedWeight(d.Weight)}
+		e.cellHash = mix(uint64(uint32(d.Zone))<<32 | uint64(uint32(d.Cell)))
+		e.irrational, e.cellIrrational = irrational(e.nameHash), irrational(e.cellHash)
 		p.entries = append(p.entries, e)
 	}
 	return p
 }
 
-// Len is the number of different databases.
+// Len returns the number of distinct databases.
 func (p *Pool) Len() int { return len(p.entries) }
 
-// Repeated are the names that stand in the list more than once.
-func (p *Pool) Repeated() []string { return p.repeated }
+// Duplicates returns the names that occur in the list again, once for each repetition.
+func (p *Pool) Repeated() []string { return p.duplicates }
--- a/fleet/subset/subset_test.go
+++ b/fleet/subset/subset_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The size that the fleet is designed for.
+// The fleet size for which the package is designed.
 const (
 	fleetRouters   = 1600
 	fleetDatabases = 3900
@@ -18,7 +18,7 @@
 	fleetRegions   = 2
 )
 
-// standard are the options that docs/design/subset.md gives figures for.
+// standard returns the options for which docs/design/subset.md gives figures.
 func standard(size int) Options {
 	return Options{Size: size, Room: 0.5, Widest: 4, Near: 0.5, Region: 0.2, ZonePart: 1.0 / fleetZones, RegionPart: 4.0 / fleetZones}
 }
@@ -39,7 +39,7 @@
 	return all
 }
 
-// fleetPool is a list of the designed size; the seed gives other names.
+// fleetPool returns a list of the designed size. The seed is part of the names.
 func fleetPool(seed string, weightOf func(i int) float64) []Database {
 	all := make([]Database, fleetDatabases)
 	for i := range all {
@@ -50,24 +50,24 @@
 	return all
 }
 
-func one(int) float64 { return 1 }
+func equalWeight(int) float64 { return 1 }
 
-// fleetRouter is router k of n, numbered zone by zone.
+// fleetRouter returns router k of n; routers are numbered zone by zone.
 func fleetRouter(k, n int) Router {
 	zone := k * fleetZones / n
 	return Router{Name: fmt.Sprint("router-", k), Place: k, Zone: zone, Region: regionOf(zone)}
 }
 
-// regional gives the options of a router's region.
-func regional(o Options, r Router) *Options {
+// withRegionPart returns the options for the router's region.
+func withRegionPart(o Options, r Router) *Options {
 	if r.Region == 1 {
 		o.RegionPart = 3.0 / fleetZones
 	}
 	return &o
 }
 
-// choose ranks with sizes evened out by this very list.
-func choose(t testing.TB, pool *Pool, o *Options, r Router) *Ranking {
+// rankPlanned ranks the pool with sizes adjusted to this pool's own effective weight.
+func rankPlanned(t testing.TB, pool *Pool, o *Options, r Router) *Ranking {
 	t.Helper()
 	ranking, err := pool.Rank(o, r)
 	if err != nil {
@@ -78,125 +78,126 @@
 }
 
 func namesOf(databases []Database, c Choice) []string {
-	var all []string
+	var names []string
 	for _, m := range c.Members {
-		all = append(all, databases[m.Index].Name)
+		names = append(names, databases[m.Index].Name)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// loads are the places that routers give each database.
-func loads(t testing.TB, databases []Database, o Options, routers []Router, width int) (places []int, total int) {
+// countMembers returns the number of routers that select each database, and the sum.
+func countMembers(t testing.TB, databases []Database, o Options, routers []Router, width int) (members []int, total int) {
 	pool := NewPool(databases)
-	places = make([]int, len(databases))
+	members = make([]int, len(databases))
 	for _, r := range routers {
-		c := choose(t, pool, regional(o, r), r).Take(width)
+		c := rankPlanned(t, pool, withRegionPart(o, r), r).Take(width)
 		total += len(c.Members)
 		for _, m := range c.Members {
-			places[m.Index]++
+			members[m.Index]++
 		}
 	}
-	return places, total
+	return members, total
 }
 
-// mostToMean compares the most loaded database, by weight, with the mean.
-func mostToMean(databases []Database, places []int, total int) float64 {
+// mostToMean returns the ratio between the load of the most loaded database and the mean, both by weight.
+func mostToMean(databases []Database, members []int, total int) float64 {
 	weight, most := 0.0, 0.0
 	for i, d := range databases {
 		weight += d.Weight
-		most = max(most, float64(places[i])/d.Weight)
+		most = max(most, float64(members[i])/d.Weight)
 	}
 	return most / (float64(total) / weight)
 }
 
-func fleetRouters1600() (all []Router) {
+func allFleetRouters() (all []Router) {
 	for k := range fleetRouters {
 		all = append(all, fleetRouter(k, fleetRouters))
 	}
 	return all
 }
 
-// TestSpreadAtFleetSize: the most loaded of 3,900 databases has at most 1.15 times the mean of routers, at the ordinary width and
-// where all routers have widened together, which is the connection budget.
+// TestSpreadAtFleetSize checks that the most loaded of 3,900 databases is selected by at most 1.15 times the mean number of routers,
+// and by no more than the connection budget, at the ordinary width and when all routers widen at the same time.
 func TestSpreadAtFleetSize(t *testing.T) {
-	routers := fleetRouters1600()
+	routers := allFleetRouters()
 	for _, seed := range []string{"a", "b", "c"} {
-		databases := fleetPool(seed, one)
+		databases := fleetPool(seed, equalWeight)
 		for _, width := range []int{1, 2, 4} {
-			places, total := loads(t, databases, standard(64), routers, width)
-			if got := mostToMean(databases, places, total); got > Unevenness {
-				t.Errorf("names %s, width %d: most to mean is %.3f", seed, width, got)
+			members, total := countMembers(t, databases, standard(64), routers, width)
+			if got := mostToMean(databases, members, total); got > Unevenness {
+				t.Errorf("names %s, width %d: the ratio of the largest load to the mean is %.3f", seed, width, got)
 			}
-			budget := ConnectionBudget(fleetRouters, standard(64).mostPlaces(width), 1.0/fleetDatabases)
-			if most := slices.Max(places); most > budget {
-				t.Errorf("names %s, width %d: %d routers hold one database, the budget is %d", seed, width, most, budget)
+			budget := ConnectionBudget(fleetRouters, standard(64).maxMembers(width), 1.0/fleetDatabases)
+			if most := slices.Max(members); most > budget {
+				t.Errorf("names %s, width %d: %d routers select the same database, the budget is %d", seed, width, most, budget)
 			}
 		}
 	}
 }
 
-// TestSpreadByWeight: databases of unequal weight have routers in proportion.
+// TestSpreadByWeight checks that databases of unequal weight are selected by proportional numbers of routers.
 func TestSpreadByWeight(t *testing.T) {
 	databases := fleetPool("weights", func(i int) float64 { return float64(1 + i%3) })
-	places, total := loads(t, databases, standard(64), fleetRouters1600(), 1)
+	members, total := countMembers(t, databases, standard(64), allFleetRouters(), 1)
 	for weight := 1.0; weight <= 3; weight++ {
 		held, count := 0, 0
 		for i, d := range databases {
 			if d.Weight == weight {
-				held += places[i]
+				held += members[i]
 				count++
 			}
 		}
 		mean := float64(total) * weight / 7800
 		if got := float64(held) / float64(count) / mean; math.Abs(got-1) > 0.02 {
-			t.Errorf("databases of weight %v have %.3f of the routers that they should", weight, got)
+			t.Errorf("databases of weight %v are selected by %.3f times the expected number of routers", weight, got)
 		}
 	}
-	// A light database has some fifteen routers, of which one is 7%.
-	if got := mostToMean(databases, places, total); got > 1.3 {
-		t.Errorf("most to mean by weight is %.3f", got)
+	// A light database is selected by about fifteen routers, so one router is 7%.
+	if got := mostToMean(databases, members, total); got > 1.3 {
+		t.Errorf("the ratio of the largest load to the mean, by weight, is %.3f", got)
 	}
 }
 
-// TestUnequalRouters: a few routers with twenty times the traffic hold twenty times as many, and the loads stay even.
+// TestUnequalRouters checks that a few routers with twenty times the traffic select twenty times as many databases, and that the
+// loads stay even.
 func TestUnequalRouters(t *testing.T) {
-	databases := fleetPool("busy", one)
-	routers := fleetRouters1600()
-	const busy = 2 * fleetZones // numbered one after the other
+	databases := fleetPool("busy", equalWeight)
+	routers := allFleetRouters()
+	const busy = 2 * fleetZones // with consecutive numbers
 	for k := fleetRouters - busy; k < fleetRouters; k++ {
 		routers[k].Share, routers[k].Zone = 20, k%fleetZones
 		routers[k].Region = regionOf(routers[k].Zone)
 	}
 	pool := NewPool(databases)
 	last := routers[fleetRouters-1]
-	if got := len(choose(t, pool, regional(standard(64), last), last).Take(1).Members); got < 20*64 {
-		t.Errorf("a router with twenty times the traffic holds %d", got)
+	if got := len(rankPlanned(t, pool, withRegionPart(standard(64), last), last).Take(1).Members); got < 20*64 {
+		t.Errorf("a router with twenty times the traffic selects %d databases", got)
 	}
-	places, total := loads(t, databases, standard(64), routers, 1)
-	if got := mostToMean(databases, places, total); got > Unevenness {
-		t.Errorf("most to mean is %.3f", got)
+	members, total := countMembers(t, databases, standard(64), routers, 1)
+	if got := mostToMean(databases, members, total); got > Unevenness {
+		t.Errorf("the ratio of the largest load to the mean is %.3f", got)
 	}
 }
 
-// TestNearAndFar: the own zone has its part, and each other zone some.
+// TestNearAndFar checks that a subset has the intended share in the own zone and enough databases outside the own zone and region.
 func TestNearAndFar(t *testing.T) {
-	databases := fleetPool("near", one)
+	databases := fleetPool("near", equalWeight)
 	pool := NewPool(databases)
-	near, places := 0, 0
+	near, members := 0, 0
 	shape := Shape{Zones: fleetZones, Kinds: 2}
-	for _, r := range fleetRouters1600() {
+	for _, r := range allFleetRouters() {
 		zones := [fleetZones]int{}
-		o := regional(standard(64), r)
+		o := withRegionPart(standard(64), r)
 		o.Needs = shape.Needs(r.Zone, zonesOf(r.Region), 4)
-		c := choose(t, pool, o, r).Take(1)
+		c := rankPlanned(t, pool, o, r).Take(1)
 		for _, m := range c.Members {
 			zones[databases[m.Index].Zone]++
 		}
 		near += zones[r.Zone]
-		places += len(c.Members)
+		members += len(c.Members)
 		if rest := len(c.Members) - zones[r.Zone]; rest < 16 {
-			t.Errorf("%s has %d left without its zone", r.Name, rest)
+			t.Errorf("%s has only %d databases outside its zone", r.Name, rest)
 		}
 		beyond := 0
 		for z, n := range zones {
@@ -205,27 +206,27 @@
 			}
 		}
 		if beyond < 4 {
-			t.Errorf("%s has %d left without its region", r.Name, beyond)
+			t.Errorf("%s has only %d databases outside its region", r.Name, beyond)
 		}
 	}
-	if got := float64(near) / float64(places); got < 0.55 || got > 0.65 {
-		t.Errorf("%.3f of the places are near", got)
+	if got := float64(near) / float64(members); got < 0.55 || got > 0.65 {
+		t.Errorf("fraction %.3f of the selected databases is in the own zone", got)
 	}
 }
 
-// TestUnequalZones: with zones of unequal size, told, the loads stay even.
+// TestUnequalZones checks that the loads stay even with zones of unequal size if the options state their sizes.
 func TestUnequalZones(t *testing.T) {
 	sizes := [fleetZones]int{1, 2, 3, 4, 5, 6, 9} // thirtieths
 	var zones []int
 	for z, n := range sizes {
 		zones = append(zones, slices.Repeat([]int{z}, n)...)
 	}
-	databases := fleetPool("zones", one)
+	databases := fleetPool("zones", equalWeight)
 	for i := range databases {
 		databases[i].Zone = zones[i%len(zones)]
 		databases[i].Region = regionOf(databases[i].Zone)
 	}
-	pool, places, total := NewPool(databases), make([]int, len(databases)), 0
+	pool, members, total := NewPool(databases), make([]int, len(databases)), 0
 	for k := range fleetRouters {
 		zone := zones[k*len(zones)/fleetRouters]
 		o := standard(64)
@@ -233,25 +234,25 @@
 		if regionOf(zone) == 1 {
 			o.RegionPart = 2.0 / 3
 		}
-		c := choose(t, pool, &o, Router{Place: k, Zone: zone, Region: regionOf(zone)}).Take(1)
+		c := rankPlanned(t, pool, &o, Router{Place: k, Zone: zone, Region: regionOf(zone)}).Take(1)
 		for _, m := range c.Members {
-			places[m.Index]++
+			members[m.Index]++
 			total++
 		}
 	}
-	if got := mostToMean(databases, places, total); got > 1.2 { // the smallest zone has 53 routers
-		t.Errorf("most to mean is %.3f", got)
+	if got := mostToMean(databases, members, total); got > 1.2 { // tolerance: the smallest zone has 53 routers
+		t.Errorf("the ratio of the largest load to the mean is %.3f", got)
 	}
 }
 
-// drawn is a small pool with its options, as properties draw them.
-type drawn struct {
+// drawnCase is a small pool with its options and router, as drawn by property tests.
+type drawnCase struct {
 	databases []Database
 	options   Options
 	router    Router
 }
 
-func draw(t *rapid.T, mostNeeds int) (d drawn) {
+func drawCase(t *rapid.T, maxRequirements int) (d drawnCase) {
 	zones, kinds := rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 3).Draw(t, "kinds")
 	for i := range rapid.IntRange(1, 120).Draw(t, "databases") {
 		zone := rapid.IntRange(0, zones-1).Draw(t, "zone")
@@ -260,20 +261,20 @@
 	}
 	d.options = Options{Size: rapid.IntRange(1, 24).Draw(t, "size"), Widest: 4, Near: 0.5, Region: 0.2, ZonePart: 1 / float64(zones),
 		RegionPart: float64(min(zones, 2)) / float64(zones), Room: rapid.SampledFrom([]float64{0, 0.25, 0.5}).Draw(t, "room"), Together: rapid.Bool().Draw(t, "together")}
-	for n := range rapid.IntRange(0, mostNeeds).Draw(t, "needs") {
+	for n := range rapid.IntRange(0, maxRequirements).Draw(t, "needs") {
 		d.options.Needs = append(d.options.Needs, Need{Name: fmt.Sprint(n), Zones: rapid.SampledFrom([][]int{nil, {0}, {0, 1}}).Draw(t, "in"),
 			Kinds: rapid.SampledFrom([][]int{nil, {0}, {1}}).Draw(t, "of"), Outside: rapid.Bool().Draw(t, "outside"),
 			Least: rapid.IntRange(0, 4).Draw(t, "least")})
 	}
 	d.router = Router{Name: "r", Place: rapid.IntRange(-1, 2000).Draw(t, "place"), Zone: rapid.IntRange(-1, zones-1).Draw(t, "at"),
 		Region: rapid.IntRange(-1, 1).Draw(t, "region"), Share: rapid.SampledFrom([]float64{0, 0.1, 1, 3}).Draw(t, "share")}
-	// Sizes are evened out by about this pool, so that most lie within the room.
+	// The planned weight is close to this pool's, so that most sizes lie within the slack.
 	planned := rapid.SampledFrom([]float64{0, 0.5, 0.95, 1, 1.05, 2}).Draw(t, "planned")
 	d.router.Planned = planned * d.rank(t, d.databases).Effective()
 	return d
 }
 
-func (d *drawn) rank(t *rapid.T, databases []Database) *Ranking {
+func (d *drawnCase) rank(t *rapid.T, databases []Database) *Ranking {
 	ranking, err := NewPool(databases).Rank(&d.options, d.router)
 	if err != nil {
 		t.Fatal(err)
@@ -281,11 +282,12 @@
 	return ranking
 }
 
-// TestOneDatabaseGone: what is not held moves nothing when it goes, or comes; what is held moves two places at most, or one more
-// than there are needs that it was among the best of.
+// TestOneDatabaseGone checks that removing a database does not change a subset that did not contain it. A subset that contained it
+// may change by at most two databases, or one more than the number of requirements that cover the removed database. Adding a
+// database is the same in reverse.
 func TestOneDatabaseGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t, 3)
+		d := drawCase(t, 3)
 		gone := rapid.IntRange(0, len(d.databases)-1).Draw(t, "gone")
 		without := slices.Delete(slices.Clone(d.databases), gone, gone+1)
 		for _, width := range []int{1, 2, 4} {
@@ -293,25 +295,25 @@
 			before, after := namesOf(d.databases, ranking.Take(width)), namesOf(without, d.rank(t, without).Take(width))
 			if !slices.Contains(before, d.databases[gone].Name) {
 				if !slices.Equal(before, after) {
-					t.Fatalf("width %d: a database that was not held goes, and %v becomes %v", width, before, after)
+					t.Fatalf("width %d: after the removal of a database that was not selected, %v becomes %v", width, before, after)
 				}
 				continue
 			}
-			asked := 0
+			covering := 0
 			for n := range d.options.Needs {
 				if d.options.Needs[n].Least > 0 && d.options.Needs[n].covers(&d.databases[gone]) {
-					asked++
+					covering++
 				}
 			}
-			left, entered := moved(before, after)
-			if bound := max(2, asked+1); max(left, entered) > bound {
-				t.Fatalf("width %d: %d left and %d entered, the bound is %d", width, left, entered, bound)
+			left, entered := countMoved(before, after)
+			if bound := max(2, covering+1); max(left, entered) > bound {
+				t.Fatalf("width %d: %d databases left and %d entered the subset, the bound is %d", width, left, entered, bound)
 			}
 		}
 	})
 }
 
-func moved(before, after []string) (left, entered int) {
+func countMoved(before, after []string) (left, entered int) {
 	for _, name := range before {
 		if !slices.Contains(after, name) {
 			left++
@@ -325,72 +327,74 @@
 	return left, entered
 }
 
-// needsMet checks that a choice has the minimum of each need, or all that there are.
-func (d *drawn) needsMet(t *rapid.T, c Choice) {
+// checkRequirements checks that a selection meets each requirement's minimum, or contains all databases that the requirement covers.
+func (d *drawnCase) checkRequirements(t *rapid.T, c Choice) {
 	for n := range d.options.Needs {
-		need := &d.options.Needs[n]
-		has, there := 0, 0
+		requirement := &d.options.Needs[n]
+		has, available := 0, 0
 		for _, m := range c.Members {
-			if need.covers(&d.databases[m.Index]) {
+			if requirement.covers(&d.databases[m.Index]) {
 				has++
 			}
 		}
 		for i := range d.databases {
-			if need.covers(&d.databases[i]) {
-				there++
+			if requirement.covers(&d.databases[i]) {
+				available++
 			}
 		}
-		if has < min(need.Least, there) {
-			t.Fatalf("need %d has %d of %d", n, has, min(need.Least, there))
+		if has < min(requirement.Least, available) {
+			t.Fatalf("requirement %d has %d of %d databases", n, has, min(requirement.Least, available))
 		}
 	}
 }
 
-// TestNeedsAreMet: each need has its minimum, or all that there are; a subset that grows for it says so; wider ones hold narrower.
+// TestNeedsAreMet checks that each requirement is met as far as the list allows, that a subset that grows beyond its limit reports
+// this, and that a wider subset contains every narrower one.
 func TestNeedsAreMet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t, 6)
+		d := drawCase(t, 6)
 		ranking := d.rank(t, d.databases)
 		narrower := []string{}
 		for _, width := range []int{1, 2, 4} {
 			c := ranking.Take(width)
-			d.needsMet(t, c)
+			d.checkRequirements(t, c)
 			size := min(ranking.Size(width), len(d.databases))
 			if len(c.Members) < size {
-				t.Fatalf("%d places, the size is %d", len(c.Members), size)
+				t.Fatalf("%d databases are selected, the size is %d", len(c.Members), size)
 			}
-			if most := max(int(float64(size)*(1+d.options.Room)), ranking.needed); len(c.Members) > most {
-				t.Fatalf("%d places, %d are the most", len(c.Members), most)
+			if maxMembers := max(int(float64(size)*(1+d.options.Room)), ranking.requiredCount); len(c.Members) > maxMembers {
+				t.Fatalf("%d databases are selected, the limit is %d", len(c.Members), maxMembers)
 			}
-			if _, limit := ranking.free(size); c.Grown != max(ranking.needed-limit, 0) {
-				t.Fatalf("grown by %d with %d needed", c.Grown, ranking.needed)
+			if _, limit := ranking.freePlaces(size); c.Grown != max(ranking.requiredCount-limit, 0) {
+				t.Fatalf("grown by %d with %d required databases", c.Grown, ranking.requiredCount)
 			}
 			names := namesOf(d.databases, c)
-			if left, _ := moved(narrower, names); left > 0 {
-				t.Fatalf("width %d lacks %d of the narrower one", width, left)
+			if left, _ := countMoved(narrower, names); left > 0 {
+				t.Fatalf("width %d lacks %d databases of the narrower subset", width, left)
 			}
 			narrower = names
 		}
 	})
 }
 
-// TestOrderOfTheListDoesNotMatter: nor does a database that stands in it twice.
+// TestOrderOfTheListDoesNotMatter checks that neither the order of the list nor a duplicate entry changes the subset.
 func TestOrderOfTheListDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t, 3)
-		mixed := rapid.Permutation(d.databases).Draw(t, "mixed")
-		mixed = append(mixed, mixed[0])
-		a, b := namesOf(d.databases, d.rank(t, d.databases).Take(1)), namesOf(mixed, d.rank(t, mixed).Take(1))
+		d := drawCase(t, 3)
+		permuted := rapid.Permutation(d.databases).Draw(t, "mixed")
+		permuted = append(permuted, permuted[0])
+		a, b := namesOf(d.databases, d.rank(t, d.databases).Take(1)), namesOf(permuted, d.rank(t, permuted).Take(1))
 		if !slices.Equal(a, b) {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("subset %v becomes %v after a reordering of the list", a, b)
 		}
 	})
 }
 
-// TestLostZone: without its zone no router has nothing, and each has its size again when the list lacks the zone.
+// TestLostZone checks that a router whose zone fails still has some databases, and that its subset has the full size again once the
+// list no longer contains the zone.
 func TestLostZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t, 0)
+		d := drawCase(t, 0)
 		shape := Shape{Zones: 4, Kinds: 3}
 		d.options.Needs = shape.Needs(d.router.Zone, nil, 1)
 		rest := slices.DeleteFunc(slices.Clone(d.databases), func(x Database) bool { return x.Zone == d.router.Zone })
@@ -401,33 +405,33 @@
 			}
 		}
 		if outside == 0 && len(rest) > 0 {
-			t.Fatal("all are in the own zone")
+			t.Fatal("all databases of the subset are in the own zone")
 		}
 		if got, want := len(d.rank(t, rest).Take(1).Members), min(d.options.Size, len(rest)); got < want {
-			t.Fatalf("%d places without the zone, %d wanted", got, want)
+			t.Fatalf("%d databases without the zone, want %d", got, want)
 		}
 	})
 }
 
-// TestOddWeights: a weight that is no number, zero or huge counts as 1, and moves nothing.
+// TestOddWeights checks that a weight that is NaN, infinite, out of range or not positive counts as 1.
 func TestOddWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t, 2)
+		d := drawCase(t, 2)
 		odd := slices.Clone(d.databases)
 		at := rapid.IntRange(0, len(odd)-1).Draw(t, "at")
 		odd[at].Weight = rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1), 1e308, 5e-324}).Draw(t, "weight")
 		plain := slices.Clone(odd)
 		plain[at].Weight = 1
 		if a, b := namesOf(odd, d.rank(t, odd).Take(1)), namesOf(plain, d.rank(t, plain).Take(1)); !slices.Equal(a, b) {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("subset %v with the invalid weight, %v with weight 1", a, b)
 		}
 	})
 }
 
 func TestOptionsCheck(t *testing.T) {
 	for _, c := range []struct {
-		change func(*Options)
-		says   string
+		change  func(*Options)
+		message string
 	}{
 		{func(o *Options) { o.Size = 0 }, "size: 0"},
 		{func(o *Options) { o.Size = MostSize + 1 }, "size"},
@@ -443,8 +447,8 @@
 	} {
 		o := standard(64)
 		c.change(&o)
-		if err := o.Check(); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%+v: %v, which should say %q", o, err, c.says)
+		if err := o.Check(); err == nil || !strings.Contains(err.Error(), c.message) {
+			t.Errorf("%+v: error %v does not contain %q", o, err, c.message)
 		}
 	}
 }
--- a/fleet/subset/width.go
+++ b/fleet/subset/width.go
@@ -1,16 +1,18 @@
 package subset
 
-// Room is how many databases a class of requests may run on, and how many of those can take a request now.
+// ClassCapacity is the number of databases on which a class of requests may run, and the number of those that can take a request
+// now.
 type Room struct{ Allowed, Usable int }
 
-// Summary is what a router can tell of the databases it holds, or of those of them that a narrower subset would hold.
+// Summary describes the databases that a router holds, or those that a narrower subset would hold.
 type Summary struct {
 	Held    int
-	Usable  int    // of them: ready, healthy, warm and not full
-	Classes []Room // by class; a class with none allowed in the whole list is left out by the caller
+	Usable  int    // databases of these that are ready, healthy, warm and not full
+	Classes []Room // by class; the caller omits a class that may run on no database of the whole list
 }
 
-// Short tells whether the databases are too few: fewer than half of them can be used, or a class has none or under half of its own.
+// Insufficient reports whether the usable databases are too few: fewer than half of those held, or for some class none or fewer than
+// half of those allowed.
 func (s *Summary) Short() bool {
 	if 2*s.Usable < s.Held {
 		return true
@@ -23,59 +25,62 @@
 	return false
 }
 
-// Times of a Width, in seconds.
+// Times of a WidthController, in seconds.
 const (
-	// WidenEvery is the time between two steps up. What was entered by the last one has had its first attempts by then.
+	// WidenInterval is the minimum time between two steps up. The databases that the last step added have had their first attempts by
+	// then.
 	WidenEvery = 1.0
-	// CalmFor is how long the narrower subset has to do before a step down: longer than a warm-up's worst minute of flapping.
+	// NarrowDelay is the time for which the narrower subset must be sufficient before a step down. It is longer than the worst minute of
+	// flapping during a warm-up.
 	CalmFor = 30.0
 )
 
-// Width is how many times its ordinary size a router's subset has. The zero value is the ordinary width.
+// WidthController controls the factor by which a router's subset exceeds its ordinary size. The zero value is the ordinary width.
 type Width struct {
-	doublings int
-	changedAt float64
-	calmFrom  float64
-	calm      bool
+	doublings       int
+	changedAt       float64
+	sufficientSince float64
+	sufficient      bool
 }
 
-// Factor is 1, 2, 4 and so on.
+// Factor returns the width: 1, 2, 4 and so on.
 func (w *Width) Factor() int { return 1 << w.doublings }
 
-// Step takes what is seen now: of the subset as it is, and of the one a step narrower. It widens at once, by one doubling a step, up
-// to widest; it narrows after a time of calm that spread, from 0 to 1, lengthens by up to a half, so that a fleet does not return at
-// once. It tells whether the width has changed.
-func (w *Width) Step(now float64, seen, narrower *Summary, widest int, spread float64) bool {
-	if seen.Short() {
-		w.calm = false
-		if 2*w.Factor() > widest || w.doublings > 0 && now-w.changedAt < WidenEvery {
+// Update takes the current state of the subset and of the one that is a step narrower, and reports whether the width has changed. If
+// the subset is insufficient it widens at once, by one doubling per call, up to maxWidth. It narrows after the narrower subset has
+// been sufficient for NarrowDelay, which jitter, from 0 to 1, lengthens by up to a half, so that the routers of a fleet do not all
+// narrow at the same time.
+func (w *Width) Step(now float64, current, narrower *Summary, maxWidth int, jitter float64) bool {
+	if current.Short() {
+		w.sufficient = false
+		if 2*w.Factor() > maxWidth || w.doublings > 0 && now-w.changedAt < WidenEvery {
 			return false
 		}
 		w.doublings, w.changedAt = w.doublings+1, now
 		return true
 	}
 	if w.doublings == 0 || narrower.Short() {
-		w.calm = false
+		w.sufficient = false
 		return false
 	}
-	if !w.calm {
-		w.calm, w.calmFrom = true, now
+	if !w.sufficient {
+		w.sufficient, w.sufficientSince = true, now
 	}
-	if now-w.calmFrom < CalmFor*(1+spread/2) {
+	if now-w.sufficientSince < CalmFor*(1+jitter/2) {
 		return false
 	}
-	w.doublings, w.changedAt, w.calm = w.doublings-1, now, false
+	w.doublings, w.changedAt, w.sufficient = w.doublings-1, now, false
 	return true
 }
 
-// replanAt is the change of a pool's effective weight at which sizes are evened out anew.
-const replanAt = 0.05
+// replanThreshold is the relative change of a pool's effective weight at which the sizes are adjusted to it.
+const replanThreshold = 0.05
 
-// Plan is the effective weight to even out by from now on: the one before, until the pool's has moved away from it by a twentieth.
-// Below that no change of the pool moves a place in a subset that does not hold the database in question.
-func Plan(before, effective float64) float64 {
-	if before > 0 && effective > before*(1-replanAt) && effective < before*(1+replanAt) {
-		return before
+// NextPlannedWeight returns the effective weight from which sizes are computed from now on: the planned one until the pool's weight
+// differs from it by a twentieth. Below that, no change of the pool changes a subset that does not contain the database in question.
+func Plan(planned, effective float64) float64 {
+	if planned > 0 && effective > planned*(1-replanThreshold) && effective < planned*(1+replanThreshold) {
+		return planned
 	}
 	return effective
 }
--- a/fleet/subset/width_test.go
+++ b/fleet/subset/width_test.go
@@ -8,98 +8,99 @@
 )
 
 var (
-	calm  = Summary{Held: 64, Usable: 60, Classes: []Room{{64, 60}, {4, 3}}}
-	short = Summary{Held: 64, Usable: 31}
+	sufficient   = Summary{Held: 64, Usable: 60, Classes: []Room{{64, 60}, {4, 3}}}
+	insufficient = Summary{Held: 64, Usable: 31}
 )
 
 func TestShort(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		seen Summary
-		want bool
+		name    string
+		summary Summary
+		want    bool
 	}{
-		{"all well", calm, false},
+		{"all well", sufficient, false},
 		{"half usable", Summary{Held: 64, Usable: 32}, false},
-		{"under half usable", short, true},
+		{"under half usable", insufficient, true},
 		{"a class has none", Summary{Held: 64, Usable: 60, Classes: []Room{{64, 60}, {1, 0}}}, true},
 		{"a class is barred", Summary{Held: 64, Usable: 60, Classes: []Room{{0, 0}}}, true},
 		{"a class has under half", Summary{Held: 64, Usable: 60, Classes: []Room{{9, 4}}}, true},
 		{"nothing held", Summary{}, false},
 	} {
-		if got := c.seen.Short(); got != c.want {
+		if got := c.summary.Short(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
 
-// TestWidth: a need widens at once, then by a step a second up to the most; calm narrows step by step.
+// TestWidth checks that an insufficient subset widens at once and then by one step a second up to the maximum, and that a sufficient
+// one narrows step by step.
 func TestWidth(t *testing.T) {
 	var w Width
-	now, spread := 100.0, 0.5
-	if !w.Step(now, &short, &short, 4, spread) || w.Factor() != 2 {
-		t.Fatalf("a need does not widen at once: %d", w.Factor())
+	now, jitter := 100.0, 0.5
+	if !w.Step(now, &insufficient, &insufficient, 4, jitter) || w.Factor() != 2 {
+		t.Fatalf("an insufficient subset is not widened at once: width %d", w.Factor())
 	}
-	if w.Step(now+WidenEvery/2, &short, &short, 4, spread) {
-		t.Fatal("it widens again before what entered could be tried")
+	if w.Step(now+WidenEvery/2, &insufficient, &insufficient, 4, jitter) {
+		t.Fatal("it widens again before the added databases could have been tried")
 	}
-	if !w.Step(now+WidenEvery, &short, &short, 4, spread) || w.Factor() != 4 {
-		t.Fatalf("it does not widen on: %d", w.Factor())
+	if !w.Step(now+WidenEvery, &insufficient, &insufficient, 4, jitter) || w.Factor() != 4 {
+		t.Fatalf("it does not widen further: width %d", w.Factor())
 	}
-	if w.Step(now+2*WidenEvery, &short, &short, 4, spread) {
-		t.Fatal("it widens past the most")
+	if w.Step(now+2*WidenEvery, &insufficient, &insufficient, 4, jitter) {
+		t.Fatal("it widens beyond the maximum")
 	}
 	now += 10
-	if w.Step(now, &calm, &short, 4, spread) || w.Step(now+2*CalmFor, &calm, &short, 4, spread) {
-		t.Fatal("it narrows though the narrower subset would not do")
+	if w.Step(now, &sufficient, &insufficient, 4, jitter) || w.Step(now+2*CalmFor, &sufficient, &insufficient, 4, jitter) {
+		t.Fatal("it narrows although the narrower subset would be insufficient")
 	}
 	now += 3 * CalmFor
-	w.Step(now, &calm, &calm, 4, spread)
-	if w.Step(now+CalmFor, &calm, &calm, 4, spread) {
-		t.Fatal("the spread is not waited for")
+	w.Step(now, &sufficient, &sufficient, 4, jitter)
+	if w.Step(now+CalmFor, &sufficient, &sufficient, 4, jitter) {
+		t.Fatal("it narrows before the jitter has passed")
 	}
-	if !w.Step(now+CalmFor*(1+spread/2), &calm, &calm, 4, spread) || w.Factor() != 2 {
-		t.Fatalf("calm does not narrow: %d", w.Factor())
+	if !w.Step(now+CalmFor*(1+jitter/2), &sufficient, &sufficient, 4, jitter) || w.Factor() != 2 {
+		t.Fatalf("a sufficient subset does not narrow: width %d", w.Factor())
 	}
 }
 
-// TestWidthStaysWithinBounds: whatever is seen, the width is a power of two up to the most, changes by one step, and never narrows
-// within the time of calm.
+// TestWidthStaysWithinBounds checks that the width is always a power of two up to the maximum, changes by one step at a time, and
+// does not narrow within NarrowDelay after the subset was insufficient.
 func TestWidthStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Width
-		now, lastShort := 0.0, math.Inf(-1)
+		now, lastInsufficient := 0.0, math.Inf(-1)
 		widest := rapid.SampledFrom([]int{0, 1, 2, 4, 8}).Draw(t, "widest")
-		seen := [...]*Summary{&calm, &short}
+		summaries := [...]*Summary{&sufficient, &insufficient}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 20).Draw(t, "pause")
-			here, narrower := rapid.IntRange(0, 1).Draw(t, "here"), rapid.IntRange(0, 1).Draw(t, "narrower")
-			if here == 1 {
-				lastShort = now
+			current, narrower := rapid.IntRange(0, 1).Draw(t, "here"), rapid.IntRange(0, 1).Draw(t, "narrower")
+			if current == 1 {
+				lastInsufficient = now
 			}
 			before := w.Factor()
-			changed := w.Step(now, seen[here], seen[narrower], widest, 0)
+			changed := w.Step(now, summaries[current], summaries[narrower], widest, 0)
 			after := w.Factor()
 			switch {
 			case changed != (before != after):
-				t.Fatalf("%d to %d is told as %v", before, after, changed)
+				t.Fatalf("a change of the width from %d to %d is reported as %v", before, after, changed)
 			case after > max(widest, 1):
-				t.Fatalf("width %d of at most %d", after, widest)
+				t.Fatalf("width %d, the maximum is %d", after, widest)
 			case after > 2*before || before > 2*after:
-				t.Fatalf("%d to %d in one step", before, after)
-			case after < before && now-lastShort < CalmFor:
-				t.Fatalf("it narrows %.1f s after a need", now-lastShort)
+				t.Fatalf("the width changes from %d to %d in one step", before, after)
+			case after < before && now-lastInsufficient < CalmFor:
+				t.Fatalf("it narrows %.1f s after the subset was insufficient", now-lastInsufficient)
 			}
 		}
 	})
 }
 
-// TestPlan: sizes are evened out anew only where the pool has moved by a twentieth.
+// TestPlan checks that the planned weight changes only if the pool's weight has changed by a twentieth.
 func TestPlan(t *testing.T) {
 	for _, c := range []struct{ before, effective, want float64 }{
 		{0, 3900, 3900}, {3900, 3899, 3900}, {3900, 3706, 3900}, {3900, 3700, 3700}, {3900, 4100, 4100}, {3900, 0, 0},
 	} {
 		if got := Plan(c.before, c.effective); got != c.want {
-			t.Errorf("plan of %v before and %v now: %v", c.before, c.effective, got)
+			t.Errorf("planned weight %v, effective weight %v: next planned weight %v", c.before, c.effective, got)
 		}
 	}
 }
