--- a/fleet/subset/subset_test.go
+++ b/fleet/subset/subset_test.go
@@ -180,11 +180,12 @@
 	}
 }
 
-// TestNearAndFar checks that a subset has the intended share in the own zone and enough databases outside the own zone and region.
-func TestNearAndFar(t *testing.T) {
+// TestZoneAndRegionShares checks that a subset has the intended share in the own zone and enough databases outside the own zone and
+// region.
+func TestZoneAndRegionShares(t *testing.T) {
 	databases := fleetPool("near", equalWeight)
 	pool := NewPool(databases)
-	near, members := 0, 0
+	inOwnZone, members := 0, 0
 	shape := Shape{Zones: fleetZones, Kinds: 2}
 	for _, r := range allFleetRouters() {
 		zones := [fleetZones]int{}
@@ -194,22 +195,22 @@
 		for _, m := range c.Members {
 			zones[databases[m.Index].Zone]++
 		}
-		near += zones[r.Zone]
+		inOwnZone += zones[r.Zone]
 		members += len(c.Members)
 		if rest := len(c.Members) - zones[r.Zone]; rest < 16 {
 			t.Errorf("%s has only %d databases outside its zone", r.Name, rest)
 		}
-		beyond := 0
+		otherRegions := 0
 		for z, n := range zones {
 			if regionOf(z) != r.Region {
-				beyond += n
+				otherRegions += n
 			}
 		}
-		if beyond < 4 {
-			t.Errorf("%s has only %d databases outside its region", r.Name, beyond)
+		if otherRegions < 4 {
+			t.Errorf("%s has only %d databases outside its region", r.Name, otherRegions)
 		}
 	}
-	if got := float64(near) / float64(members); got < 0.55 || got > 0.65 {
+	if got := float64(inOwnZone) / float64(members); got < 0.55 || got > 0.65 {
 		t.Errorf("fraction %.3f of the selected databases is in the own zone", got)
 	}
 }
@@ -348,9 +349,9 @@
 	}
 }
 
-// TestNeedsAreMet checks that each requirement is met as far as the list allows, that a subset that grows beyond its limit reports
+// TestRequirementsAreMet checks that each requirement is met as far as the list allows, that a subset that grows beyond its limit reports
 // this, and that a wider subset contains every narrower one.
-func TestNeedsAreMet(t *testing.T) {
+func TestRequirementsAreMet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawCase(t, 6)
 		ranking := d.rank(t, d.databases)
@@ -413,16 +414,16 @@
 	})
 }
 
-// TestOddWeights checks that a weight that is NaN, infinite, out of range or not positive counts as 1.
-func TestOddWeights(t *testing.T) {
+// TestInvalidWeights checks that a weight that is NaN, infinite, out of range or not positive counts as 1.
+func TestInvalidWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawCase(t, 2)
-		odd := slices.Clone(d.databases)
-		at := rapid.IntRange(0, len(odd)-1).Draw(t, "at")
-		odd[at].Weight = rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1), 1e308, 5e-324}).Draw(t, "weight")
-		plain := slices.Clone(odd)
-		plain[at].Weight = 1
-		if a, b := namesOf(odd, d.rank(t, odd).Take(1)), namesOf(plain, d.rank(t, plain).Take(1)); !slices.Equal(a, b) {
+		invalid := slices.Clone(d.databases)
+		at := rapid.IntRange(0, len(invalid)-1).Draw(t, "at")
+		invalid[at].Weight = rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1), 1e308, 5e-324}).Draw(t, "weight")
+		normalized := slices.Clone(invalid)
+		normalized[at].Weight = 1
+		if a, b := namesOf(invalid, d.rank(t, invalid).Take(1)), namesOf(normalized, d.rank(t, normalized).Take(1)); !slices.Equal(a, b) {
 			t.Fatalf("subset %v with the invalid weight, %v with weight 1", a, b)
 		}
 	})
--- a/fleet/subset/width_test.go
+++ b/fleet/subset/width_test.go
@@ -12,7 +12,7 @@
 	insufficient = Summary{Held: 64, Usable: 31}
 )
 
-func TestShort(t *testing.T) {
+func TestInsufficient(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		summary Summary
@@ -94,8 +94,8 @@
 	})
 }
 
-// TestPlan checks that the planned weight changes only if the pool's weight has changed by a twentieth.
-func TestPlan(t *testing.T) {
+// TestNextPlannedWeight checks that the planned weight changes only if the pool's weight has changed by a twentieth.
+func TestNextPlannedWeight(t *testing.T) {
 	for _, c := range []struct{ before, effective, want float64 }{
 		{0, 3900, 3900}, {3900, 3899, 3900}, {3900, 3706, 3900}, {3900, 3700, 3700}, {3900, 4100, 4100}, {3900, 0, 0},
 	} {
