--- a/fleet/lease/owner.go
+++ b/fleet/lease/owner.go
@@ -21,7 +21,7 @@
 // by the largest difference between both clocks. Their count therefore ends later, whichever process is suspended in between.
 func (t Terms) HolderDuration() float64 { return t.Lease * (1 - t.Drift) / (1 + t.Drift) }
 
-// LongestOnAnyClock returns the longest time that a duration on one process's clock can take on another process's clock.
+// Longest returns the longest time that a duration on one process's clock can take on another process's clock.
 func (t Terms) Longest(duration float64) float64 { return duration * (1 + t.Drift) / (1 - t.Drift) }
 
 // Claim states that a session owns a task under a fence.
