--- a/probing/hints.go
+++ b/probing/hints.go
@@ -48,7 +48,7 @@
 	foundAt         float64 // on this process's clock, at the latest
 	distrustedFence uint64  // highest fence whose finding an own probe has contradicted
 	postponedSince  float64 // since when own probes are postponed; 0: they are not
-	probeUsed       bool    // the early probe that a healthy finding allows has been made
+	earlyProbeUsed  bool    // the early probe that a healthy finding allows has been made
 	basis           Basis   // of the next probe
 }
 
@@ -60,78 +60,78 @@
 
 // Receive remembers a finding that an owner published under a fence. age is in seconds, counted from before the finding was
 // requested.
-func (b *Hints) Receive(now float64, fence uint64, f Finding, age float64) {
+func (h *Hints) Receive(now float64, fence uint64, received Finding, age float64) {
 	if !(age >= 0) || age > findingLifetime {
 		return
 	}
-	k := serverStart{f.Server, f.Start}
-	h := b.findings[k]
-	if h == nil {
-		if len(b.findings) >= maxFindings {
-			b.forget(now)
+	k := serverStart{received.Server, received.Start}
+	known := h.findings[k]
+	if known == nil {
+		if len(h.findings) >= maxFindings {
+			h.dropExpired(now)
 		}
-		if len(b.findings) >= maxFindings {
+		if len(h.findings) >= maxFindings {
 			return
 		}
-		h = &finding{}
-		b.findings[k] = h
+		known = &finding{}
+		h.findings[k] = known
 	}
-	if fence < h.fence || fence <= h.distrustedFence {
+	if fence < known.fence || fence <= known.distrustedFence {
 		return
 	}
-	if fence > h.fence || f.Healthy != h.healthy {
-		h.probeUsed = false
+	if fence > known.fence || received.Healthy != known.healthy {
+		known.earlyProbeUsed = false
 	}
-	h.fence, h.healthy, h.foundAt = fence, f.Healthy, now-age
+	known.fence, known.healthy, known.foundAt = fence, received.Healthy, now-age
 }
 
-// forget drops findings that have no effect any more.
-func (b *Hints) forget(now float64) {
-	for k, h := range b.findings {
-		if now-h.foundAt > maxPostponement {
-			delete(b.findings, k)
+// dropExpired drops findings that have no effect any more.
+func (h *Hints) dropExpired(now float64) {
+	for k, known := range h.findings {
+		if now-known.foundAt > maxPostponement {
+			delete(h.findings, k)
 		}
 	}
 }
 
 // NextProbe returns the time of this router's next probe of a server that it suspects. own is the time without hints.
-func (b *Hints) NextProbe(now float64, engine uint32, start, own float64) float64 {
-	h := b.findings[serverStart{engine, start}]
+func (h *Hints) NextProbe(now float64, server uint32, start, ownTime float64) float64 {
+	known := h.findings[serverStart{server, start}]
 	switch {
-	case h == nil:
-		return own
-	case now-h.foundAt > findingLifetime:
-		h.basis = StaleFinding
-		return own
-	case h.fence <= h.distrustedFence:
-		h.basis = DistrustedOwner
-		return own
-	case h.healthy:
-		h.basis = FoundHealthy
-		if h.postponedSince = 0; h.probeUsed {
-			return own
+	case known == nil:
+		return ownTime
+	case now-known.foundAt > findingLifetime:
+		known.basis = StaleFinding
+		return ownTime
+	case known.fence <= known.distrustedFence:
+		known.basis = DistrustedOwner
+		return ownTime
+	case known.healthy:
+		known.basis = FoundHealthy
+		if known.postponedSince = 0; known.earlyProbeUsed {
+			return ownTime
 		}
-		return min(own, now)
-	case now < own:
-		return own // not yet due, with or without the finding
+		return min(ownTime, now)
+	case now < ownTime:
+		return ownTime // not yet due, with or without the finding
 	}
-	h.basis = PostponedLong
-	if h.postponedSince == 0 {
-		h.postponedSince = own
+	known.basis = PostponedLong
+	if known.postponedSince == 0 {
+		known.postponedSince = ownTime
 	}
-	return max(own, min(h.postponedSince+maxPostponement, now+findingLifetime))
+	return max(ownTime, min(known.postponedSince+maxPostponement, now+findingLifetime))
 }
 
 // Probed reports the result of a probe by this router, and returns why it was due. A success that contradicts the owner's finding ends
 // the trust in that owner's findings on this start of the server.
-func (b *Hints) Probed(now float64, engine uint32, start float64, well bool) Basis {
-	h := b.findings[serverStart{engine, start}]
-	if h == nil {
+func (h *Hints) Probed(now float64, server uint32, start float64, answered bool) Basis {
+	known := h.findings[serverStart{server, start}]
+	if known == nil {
 		return NoFinding
 	}
-	h.postponedSince, h.probeUsed = 0, true
-	if now-h.foundAt <= findingLifetime && well != h.healthy && !h.healthy {
-		h.distrustedFence = max(h.distrustedFence, h.fence) // the server answers, though the owner reported that it does not
+	known.postponedSince, known.earlyProbeUsed = 0, true
+	if now-known.foundAt <= findingLifetime && answered != known.healthy && !known.healthy {
+		known.distrustedFence = max(known.distrustedFence, known.fence) // the server answers, though the owner reported that it does not
 	}
-	return h.basis
+	return known.basis
 }
--- a/probing/hints_test.go
+++ b/probing/hints_test.go
@@ -8,30 +8,30 @@
 	"pgregory.net/rapid"
 )
 
-// TestBounds: whatever findings say, in any order and under any fences, an engine that this router doubts is tried again by
+// TestPostponementIsBounded: whatever findings say, in any order and under any fences, an engine that this router doubts is tried again by
 // itself within what a hint may put off, and one "well" brings one trial forward.
-func TestBounds(t *testing.T) {
+func TestPostponementIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewHints()
-		own, waits := 1.0, 0.0
+		ownTime, postponed := 1.0, 0.0
 		for n := range 200 {
 			now := 1 + float64(n)*0.5
 			if rapid.Bool().Draw(t, "heard") {
 				b.Receive(now, rapid.Uint64Range(1, 4).Draw(t, "fence"), Finding{Server: 7, Start: 3, Healthy: rapid.Bool().Draw(t, "well")},
 					rapid.Float64Range(-1, 8).Draw(t, "age"))
 			}
-			if at := b.NextProbe(now, 7, 3, own); at > now {
-				if now >= own {
-					waits += 0.5
+			if at := b.NextProbe(now, 7, 3, ownTime); at > now {
+				if now >= ownTime {
+					postponed += 0.5
 				}
-				if waits > maxPostponement+1 {
-					t.Fatalf("put off for %v s", waits)
+				if postponed > maxPostponement+1 {
+					t.Fatalf("put off for %v s", postponed)
 				}
 				continue
 			}
-			waits = 0
+			postponed = 0
 			b.Probed(now, 7, 3, rapid.Bool().Draw(t, "answered"))
-			own = now + 3
+			ownTime = now + 3
 		}
 	})
 }
@@ -70,57 +70,57 @@
 // silentServer is a server that never answers, with a router that probes it and owners that report on it, all at drawn times.
 type silentServer struct {
 	*Hints
-	draw    *rand.Rand
-	fence   uint64
-	heardAt float64 // the next finding
-	own     float64 // the router's own time of its next probe
-	ends    float64 // of the probe that is out, 0: none is
+	rng           *rand.Rand
+	fence         uint64
+	nextFindingAt float64 // the next finding
+	nextProbeAt   float64 // the router's own time of its next probe
+	probeEndsAt   float64 // of the probe that is out, 0: none is
 }
 
 const silentStep = 0.05 // seconds
 
-func (s *silentServer) between(least, most float64) float64 {
-	return least + (most-least)*s.draw.Float64()
+func (s *silentServer) uniform(low, high float64) float64 {
+	return low + (high-low)*s.rng.Float64()
 }
 
-// hear has a finding arrive, and the next one within its lifetime.
-func (s *silentServer) hear(now float64) {
-	if now < s.heardAt {
+// deliverFinding has a finding arrive, and the next one within its lifetime.
+func (s *silentServer) deliverFinding(now float64) {
+	if now < s.nextFindingAt {
 		return
 	}
-	if s.draw.IntN(10) == 0 {
+	if s.rng.IntN(10) == 0 {
 		s.fence++ // another owner
 	}
-	age := s.between(0, 0.5)
+	age := s.uniform(0, 0.5)
 	s.Receive(now, s.fence, Finding{Server: 7, Start: 3}, age)
-	s.heardAt = now + s.between(0.5, findingLifetime-age-2*silentStep)
+	s.nextFindingAt = now + s.uniform(0.5, findingLifetime-age-2*silentStep)
 }
 
-// probe tells whether a probe begins now.
-func (s *silentServer) probe(now float64) bool {
-	if s.ends > 0 && now >= s.ends {
+// beginsProbe tells whether a beginsProbe begins now.
+func (s *silentServer) beginsProbe(now float64) bool {
+	if s.probeEndsAt > 0 && now >= s.probeEndsAt {
 		s.Probed(now, 7, 3, false)
-		s.own, s.ends = now+s.between(0.5, 3), 0
+		s.nextProbeAt, s.probeEndsAt = now+s.uniform(0.5, 3), 0
 		return false
 	}
-	if s.ends > 0 || s.NextProbe(now, 7, 3, s.own) > now {
+	if s.probeEndsAt > 0 || s.NextProbe(now, 7, 3, s.nextProbeAt) > now {
 		return false
 	}
-	s.ends = now + s.between(0.1, 5)
+	s.probeEndsAt = now + s.uniform(0.1, 5)
 	return true
 }
 
-// TestSpacing guards against probes that findings should have postponed: while an owner's findings arrive within their lifetime, under
+// TestProbeSpacing guards against probes that findings should have postponed: while an owner's findings arrive within their lifetime, under
 // owners that change, two probes of a server that does not answer are at least maxPostponement apart, however long each takes.
-func TestSpacing(t *testing.T) {
-	const cases, end = 10000, 60.0
-	for seed := range uint64(cases) {
-		s := silentServer{Hints: NewHints(), draw: rand.New(rand.NewPCG(seed, 1)), fence: 1}
-		s.own = s.between(0, 3)
+func TestProbeSpacing(t *testing.T) {
+	const seeds, end = 10000, 60.0
+	for seed := range uint64(seeds) {
+		s := silentServer{Hints: NewHints(), rng: rand.New(rand.NewPCG(seed, 1)), fence: 1}
+		s.nextProbeAt = s.uniform(0, 3)
 		last := math.Inf(-1)
 		for now := 0.0; now < end; now += silentStep {
-			s.hear(now)
-			if !s.probe(now) {
+			s.deliverFinding(now)
+			if !s.beginsProbe(now) {
 				continue
 			}
 			if now-last < maxPostponement {
@@ -134,16 +134,16 @@
 	}
 }
 
-// TestLiar: an owner that says every half second that a healthy engine does not answer can keep a router that doubts it from
+// TestFalseFindings: an owner that says every half second that a healthy engine does not answer can keep a router that doubts it from
 // trying it for a bounded time only.
-func TestLiar(t *testing.T) {
+func TestFalseFindings(t *testing.T) {
 	b := NewHints()
-	own := 1.0
+	ownTime := 1.0
 	for now := 1.0; now < 60; now += 0.5 {
 		b.Receive(now, 1, Finding{Server: 7, Start: 3}, 0)
-		if b.NextProbe(now, 7, 3, own) <= now {
-			if now > own+maxPostponement+1 {
-				t.Fatalf("tried %v s late", now-own)
+		if b.NextProbe(now, 7, 3, ownTime) <= now {
+			if now > ownTime+maxPostponement+1 {
+				t.Fatalf("tried %v s late", now-ownTime)
 			}
 			return
 		}
--- a/waittime/estimator.go
+++ b/waittime/estimator.go
@@ -45,18 +45,18 @@
 )
 
 // learn takes in one logarithm. above: the true value is greater than z by an unknown amount.
-func (t *tracker) learn(z float64, above bool) {
-	if above && z <= t.q50 {
+func (t *tracker) learn(z float64, censored bool) {
+	if censored && z <= t.q50 {
 		return // it could be on either side of both
 	}
 	t.n++
 	step := max(1.5/(t.n+3), minStep) * 2 * max(t.dev, 0.05)
-	if !above {
+	if !censored {
 		t.dev += max(1/t.n, 0.05) * (math.Abs(z-t.q50) - t.dev)
 	}
-	t.q50 += step * quantileStep(0.5, z <= t.q50 && !above)
-	if !above || z > t.q90 {
-		t.q90 += step * quantileStep(0.9, z <= t.q90 && !above)
+	t.q50 += step * quantileStep(0.5, z <= t.q50 && !censored)
+	if !censored || z > t.q90 {
+		t.q90 += step * quantileStep(0.9, z <= t.q90 && !censored)
 	}
 	if t.n < minTailCount { // a few say little of a tenth: as if they were normal, whose deviations are 0.8 of the spread in the mean
 		t.q90 = t.q50 + 1.28/0.8*t.dev
@@ -75,17 +75,17 @@
 // cell holds the corrections of one team and profile.
 type cell struct {
 	team, profile int
-	used          uint64
+	lastUsed      uint64
 	trackers      [kinds]tracker
 }
 
-// promise is what a client was told and what is still open of it.
-type promise struct {
+// prediction is what a client was told and what is still open of it.
+type prediction struct {
 	team, profile int
 	at            float64
 	base          [2]float64 // of Start and Answer
-	told          [2]Estimate
-	open          [2]bool
+	estimates     [2]Estimate
+	pending       [2]bool
 }
 
 // Accuracy is how predictions compared with actual times since the last audit.
@@ -95,40 +95,40 @@
 	Covered float64 // fraction at or under the predicted 90th percentile
 }
 
-// figures collect the accuracy of one team and kind.
-type figures struct {
+// accuracyCounts collect the accuracy of one team and kind.
+type accuracyCounts struct {
 	n, covered int
 	ratio      tracker
 }
 
 // Estimator holds one router's predictions and reservations. It is not safe for concurrent use.
 type Estimator struct {
-	cells        []cell // a hash table by team and profile; the least recently used make room
-	all          []cell // by profile, over all teams
-	clock        uint64
-	promises     []promise // by the request's slot
-	reservations []reservation
-	audits       map[int]*[kinds]figures
-	showRate     float64 // fraction of reservations that were redeemed
-	maxPause     float64 // longest pause that clients honor
+	cells            []cell // a hash table by team and profile; the least recently used make room
+	all              []cell // by profile, over all teams
+	useCounter       uint64
+	predictions      []prediction // by the request's slot
+	reservations     []reservation
+	outcomes         map[int]*[kinds]accuracyCounts
+	redeemedFraction float64 // fraction of reservations that were redeemed
+	maxPause         float64 // longest pause that clients honor
 }
 
 // Bounds.
 const (
-	maxCells        = 4096 // teams and profiles that wait at the same time; 400 bytes each
-	probeLength     = 8    // slots of the table that are tried for a key
-	maxAuditedTeams = 1024 // as many as an operator can read
-	maxReservations = 1024 // at a hundred rejections a second, more than any client's longest pause holds
+	maxCells         = 4096 // teams and profiles that wait at the same time; 400 bytes each
+	probeLength      = 8    // slots of the table that are tried for a key
+	maxAccuracyTeams = 1024 // as many as an operator can read
+	maxReservations  = 1024 // at a hundred rejections a second, more than any client's longest pause holds
 )
 
 // New returns an estimator for a number of profiles. longest is the longest pause in seconds that clients honor; 0: they are told
 // none.
-func New(profiles int, longest float64) *Estimator {
-	b := &Estimator{all: make([]cell, profiles), audits: map[int]*[kinds]figures{}, maxPause: longest, showRate: 0.5}
-	for k := range b.all {
-		b.all[k] = newCell(-1, k)
+func New(profiles int, longestPause float64) *Estimator {
+	e := &Estimator{all: make([]cell, profiles), outcomes: map[int]*[kinds]accuracyCounts{}, maxPause: longestPause, redeemedFraction: 0.5}
+	for k := range e.all {
+		e.all[k] = newCell(-1, k)
 	}
-	return b
+	return e
 }
 
 // newCell returns a cell with no observations.
@@ -141,123 +141,123 @@
 }
 
 // cell returns the cell of a team and profile. A new one takes the place of the least recently used of those that its key may have.
-func (b *Estimator) cell(team, profile int) *cell {
-	b.clock++
-	if b.cells == nil {
-		b.cells = make([]cell, maxCells)
-		for k := range b.cells {
-			b.cells[k].team = -2
+func (e *Estimator) cell(team, profile int) *cell {
+	e.useCounter++
+	if e.cells == nil {
+		e.cells = make([]cell, maxCells)
+		for k := range e.cells {
+			e.cells[k].team = -2
 		}
 	}
 	h := (uint64(team)*0x9e3779b97f4a7c15 + uint64(profile)*0xc2b2ae3d27d4eb4f) >> 20 // Fibonacci hashing (Knuth)
-	old := uint64(0)
+	oldest := uint64(0)
 	for k := range uint64(probeLength) {
-		c := &b.cells[(h+k)%maxCells]
+		c := &e.cells[(h+k)%maxCells]
 		if c.team == team && c.profile == profile {
-			c.used = b.clock
+			c.lastUsed = e.useCounter
 			return c
 		}
-		if c.used < b.cells[(h+old)%maxCells].used {
-			old = k
+		if c.lastUsed < e.cells[(h+oldest)%maxCells].lastUsed {
+			oldest = k
 		}
 	}
-	c := &b.cells[(h+old)%maxCells]
+	c := &e.cells[(h+oldest)%maxCells]
 	*c = newCell(team, profile)
-	c.used = b.clock
+	c.lastUsed = e.useCounter
 	return c
 }
 
 // Predict corrects the controller's own estimate, base, into what a client can be told.
-func (b *Estimator) Predict(k Kind, team, profile int, base float64) Estimate {
-	c, a := &b.cell(team, profile).trackers[k], &b.all[profile].trackers[k]
-	w := c.n / (c.n + poolingCount)
-	at := func(own, all float64) float64 {
-		return max((base+resolution)*math.Exp(w*own+(1-w)*all)-resolution, 0)
+func (e *Estimator) Predict(k Kind, team, profile int, base float64) Estimate {
+	c, a := &e.cell(team, profile).trackers[k], &e.all[profile].trackers[k]
+	weight := c.n / (c.n + poolingCount)
+	corrected := func(teamLog, all float64) float64 {
+		return max((base+resolution)*math.Exp(weight*teamLog+(1-weight)*all)-resolution, 0)
 	}
-	return Estimate{at(c.q50, a.q50), at(c.q90, a.q90)}
+	return Estimate{corrected(c.q50, a.q50), corrected(c.q90, a.q90)}
 }
 
 // Observe learns from the actual time of a request for which base was estimated. above: it took longer than actual, by an unknown
 // amount.
-func (b *Estimator) Observe(k Kind, team, profile int, base, actual float64, above bool) {
+func (e *Estimator) Observe(k Kind, team, profile int, base, actual float64, censored bool) {
 	z := math.Log((max(actual, 0) + resolution) / (max(base, 0) + resolution))
-	b.cell(team, profile).trackers[k].learn(z, above)
-	b.all[profile].trackers[k].learn(z, above)
+	e.cell(team, profile).trackers[k].learn(z, censored)
+	e.all[profile].trackers[k].learn(z, censored)
 }
 
 // Promise predicts the start and the completion of the request in the slot at, and remembers both until their outcomes are known.
 // base is the estimated wait for the first attempt, negative where it begins now; runs is how long the request then takes.
-func (b *Estimator) Promise(now float64, at int32, team, profile int, base float64, runs Estimate) (start, answer Estimate) {
-	for int(at) >= len(b.promises) {
-		b.promises = append(b.promises, promise{})
+func (e *Estimator) Promise(now float64, slot int32, team, profile int, base float64, processing Estimate) (start, completion Estimate) {
+	for int(slot) >= len(e.predictions) {
+		e.predictions = append(e.predictions, prediction{})
 	}
 	if base >= 0 {
-		start = b.Predict(Start, team, profile, base)
+		start = e.Predict(Start, team, profile, base)
 	}
-	whole := start.P50 + runs.P50
-	answer = b.Predict(Answer, team, profile, whole)
-	answer.P50, answer.P90 = max(answer.P50, start.P50), max(answer.P90, start.P90) // it can't complete before it starts
-	b.promises[at] = promise{team, profile, now, [2]float64{base, whole}, [2]Estimate{start, answer}, [2]bool{base >= 0, true}}
-	return start, answer
+	total := start.P50 + processing.P50
+	completion = e.Predict(Answer, team, profile, total)
+	completion.P50, completion.P90 = max(completion.P50, start.P50), max(completion.P90, start.P90) // it can't complete before it starts
+	e.predictions[slot] = prediction{team, profile, now, [2]float64{base, total}, [2]Estimate{start, completion}, [2]bool{base >= 0, true}}
+	return start, completion
 }
 
 // Fulfilled reports that a promised event has happened: the first attempt has begun, or the request has completed.
-func (b *Estimator) Fulfilled(now float64, at int32, k Kind) { b.close(now, at, k, false) }
+func (e *Estimator) Fulfilled(now float64, slot int32, k Kind) { e.resolve(now, slot, k, false) }
 
 // Over ends the open promises of a request that was given up: it would have waited longer than until now.
-func (b *Estimator) Over(now float64, at int32) {
-	b.close(now, at, Start, true)
-	b.close(now, at, Answer, true)
+func (e *Estimator) Over(now float64, slot int32) {
+	e.resolve(now, slot, Start, true)
+	e.resolve(now, slot, Answer, true)
 }
 
-// close ends one promise and learns from it.
-func (b *Estimator) close(now float64, at int32, k Kind, above bool) {
-	if int(at) >= len(b.promises) || !b.promises[at].open[k] {
+// resolve ends one promise and learns from it.
+func (e *Estimator) resolve(now float64, at int32, k Kind, censored bool) {
+	if int(at) >= len(e.predictions) || !e.predictions[at].pending[k] {
 		return
 	}
-	p := &b.promises[at]
-	p.open[k] = false
-	b.Observe(k, p.team, p.profile, p.base[k], now-p.at, above)
-	b.audit(k, p.team, p.told[k], now-p.at, above)
+	p := &e.predictions[at]
+	p.pending[k] = false
+	e.Observe(k, p.team, p.profile, p.base[k], now-p.at, censored)
+	e.countOutcome(k, p.team, p.estimates[k], now-p.at, censored)
 }
 
 // ObserveReturn learns from when a rejected request, whose client was told an estimate made from base, would have been admitted.
-func (b *Estimator) ObserveReturn(team, profile int, base float64, told Estimate, actual float64, above bool) {
-	b.Observe(Return, team, profile, base, actual, above)
-	b.audit(Return, team, told, actual, above)
+func (e *Estimator) ObserveReturn(team, profile int, base float64, predicted Estimate, actual float64, censored bool) {
+	e.Observe(Return, team, profile, base, actual, censored)
+	e.countOutcome(Return, team, predicted, actual, censored)
 }
 
-// audit counts one outcome for EachAudit.
-func (b *Estimator) audit(k Kind, team int, told Estimate, actual float64, above bool) {
-	f := b.audits[team]
-	if f == nil {
-		if len(b.audits) >= maxAuditedTeams {
+// countOutcome counts one outcome for EachAudit.
+func (e *Estimator) countOutcome(k Kind, team int, predicted Estimate, actual float64, censored bool) {
+	byKind := e.outcomes[team]
+	if byKind == nil {
+		if len(e.outcomes) >= maxAccuracyTeams {
 			return
 		}
-		f = &[kinds]figures{}
-		b.audits[team] = f
+		byKind = &[kinds]accuracyCounts{}
+		e.outcomes[team] = byKind
 	}
-	a := &f[k]
-	if above && actual <= told.P90 {
+	counts := &byKind[k]
+	if censored && actual <= predicted.P90 {
 		return // the outcome is not known
 	}
-	if a.n++; actual <= told.P90 && !above {
-		a.covered++
+	if counts.n++; actual <= predicted.P90 && !censored {
+		counts.covered++
 	}
-	a.ratio.learn(math.Log((actual+resolution)/(told.P50+resolution)), above)
+	counts.ratio.learn(math.Log((actual+resolution)/(predicted.P50+resolution)), censored)
 }
 
 // EachAudit calls each with the accuracy of one kind of prediction since the last call, by team in ascending order. It allocates.
-func (b *Estimator) EachAudit(k Kind, each func(team int, f Accuracy)) {
-	teams := make([]int, 0, len(b.audits))
-	for team := range b.audits {
+func (e *Estimator) EachAudit(k Kind, each func(team int, accuracy Accuracy)) {
+	teams := make([]int, 0, len(e.outcomes))
+	for team := range e.outcomes {
 		teams = append(teams, team)
 	}
 	slices.Sort(teams)
 	for _, team := range teams {
-		if a := &b.audits[team][k]; a.n > 0 {
-			each(team, Accuracy{a.n, math.Exp(a.ratio.q50), float64(a.covered) / float64(a.n)})
-			*a = figures{}
+		if counts := &e.outcomes[team][k]; counts.n > 0 {
+			each(team, Accuracy{counts.n, math.Exp(counts.ratio.q50), float64(counts.covered) / float64(counts.n)})
+			*counts = accuracyCounts{}
 		}
 	}
 }
@@ -285,70 +285,70 @@
 // share. base is the controller's own estimate of when the request would be admitted, load its thread seconds, part its team's share
 // of the threads. mark is the same for all retries of one request; 0: unknown, and nothing is reserved. A retry before its time is told
 // that time again. The estimate is the client's own wait; the pause is bounded by the longest that clients honor.
-func (b *Estimator) Refuse(now float64, mark uint64, team, profile int, base, load, part float64) (pause float64, e Estimate) {
-	e = b.Predict(Return, team, profile, base)
-	b.expire(now)
-	if k := b.findReservation(mark); k >= 0 && b.reservations[k].due > now {
-		return b.reservations[k].due - now, e
+func (e *Estimator) Refuse(now float64, requestKey uint64, team, profile int, base, load, share float64) (pause float64, estimate Estimate) {
+	estimate = e.Predict(Return, team, profile, base)
+	e.expire(now)
+	if k := e.findReservation(requestKey); k >= 0 && e.reservations[k].due > now {
+		return e.reservations[k].due - now, estimate
 	} else if k >= 0 {
-		b.reservations = slices.Delete(b.reservations, k, k+1)
+		e.reservations = slices.Delete(e.reservations, k, k+1)
 	}
-	due := now + e.P50
-	for _, s := range b.reservations {
+	due := now + estimate.P50
+	for _, s := range e.reservations {
 		if s.team == team {
-			due = max(due, s.due+s.load/max(part, 1e-3))
+			due = max(due, s.due+s.load/max(share, 1e-3))
 		}
 	}
-	if due > now+e.P90 { // clients that retry again and again must not delay the others of their team
-		due = now + e.P50
+	if due > now+estimate.P90 { // clients that retry again and again must not delay the others of their team
+		due = now + estimate.P50
 	}
 	due = max(due, now+MinPause)
-	if pause = due - now; mark == 0 || pause > b.maxPause || pause <= 0 || len(b.reservations) >= maxReservations {
-		return max(min(pause, b.maxPause), 0), e // it returns too early, and nothing is reserved
+	if pause = due - now; requestKey == 0 || pause > e.maxPause || pause <= 0 || len(e.reservations) >= maxReservations {
+		return max(min(pause, e.maxPause), 0), estimate // it returns too early, and nothing is reserved
 	}
-	k, _ := slices.BinarySearchFunc(b.reservations, due, func(s reservation, due float64) int { return cmp.Compare(s.due, due) })
-	b.reservations = slices.Insert(b.reservations, k, reservation{due, mark, team, load})
-	return pause, e
+	k, _ := slices.BinarySearchFunc(e.reservations, due, func(s reservation, due float64) int { return cmp.Compare(s.due, due) })
+	e.reservations = slices.Insert(e.reservations, k, reservation{due, requestKey, team, load})
+	return pause, estimate
 }
 
 // Booked reports whether a request arrives at the time that its client was told, and redeems the reservation.
-func (b *Estimator) Booked(now float64, mark uint64) bool {
-	b.expire(now)
-	k := b.findReservation(mark)
-	if k < 0 || b.reservations[k].due > now+earlyTolerance {
+func (e *Estimator) Booked(now float64, requestKey uint64) bool {
+	e.expire(now)
+	k := e.findReservation(requestKey)
+	if k < 0 || e.reservations[k].due > now+earlyTolerance {
 		return false
 	}
-	b.reservations = slices.Delete(b.reservations, k, k+1)
-	b.showRate += 0.02 * (1 - b.showRate)
+	e.reservations = slices.Delete(e.reservations, k, k+1)
+	e.redeemedFraction += 0.02 * (1 - e.redeemedFraction)
 	return true
 }
 
 // findReservation returns the index of a request's reservation, or -1.
-func (b *Estimator) findReservation(mark uint64) int {
-	if mark == 0 {
+func (e *Estimator) findReservation(key uint64) int {
+	if key == 0 {
 		return -1
 	}
-	return slices.IndexFunc(b.reservations, func(s reservation) bool { return s.requestKey == mark })
+	return slices.IndexFunc(e.reservations, func(s reservation) bool { return s.requestKey == key })
 }
 
 // ReservedLoad returns the capacity reserved for clients that are due now or soon, in thread seconds. A request without a reservation
 // counts it as queued before it, so that a client gains nothing by ignoring its time.
-func (b *Estimator) ReservedLoad(now float64) (load float64) {
-	b.expire(now)
-	for k := range b.reservations {
-		if b.reservations[k].due > now+lateTolerance {
+func (e *Estimator) ReservedLoad(now float64) (load float64) {
+	e.expire(now)
+	for k := range e.reservations {
+		if e.reservations[k].due > now+lateTolerance {
 			break
 		}
-		load += b.reservations[k].load
+		load += e.reservations[k].load
 	}
-	return load * b.showRate // many do not return: all of it would leave capacity unused
+	return load * e.redeemedFraction // many do not return: all of it would leave capacity unused
 }
 
 // expire drops the reservations whose time is over.
-func (b *Estimator) expire(now float64) {
+func (e *Estimator) expire(now float64) {
 	n := 0
-	for ; n < len(b.reservations) && b.reservations[n].due < now-lateTolerance; n++ {
-		b.showRate -= 0.02 * b.showRate
+	for ; n < len(e.reservations) && e.reservations[n].due < now-lateTolerance; n++ {
+		e.redeemedFraction -= 0.02 * e.redeemedFraction
 	}
-	b.reservations = slices.Delete(b.reservations, 0, n)
+	e.reservations = slices.Delete(e.reservations, 0, n)
 }
--- a/waittime/estimator_test.go
+++ b/waittime/estimator_test.go
@@ -16,11 +16,11 @@
 	os.Exit(m.Run())
 }
 
-// TestCovered: whatever factor the base is off by, and however the waits scatter, half of them come to lie under the median
+// TestQuantileCoverage: whatever factor the base is off by, and however the waits scatter, half of them come to lie under the median
 // that is told and nine in ten under the 90th percentile, for a team with many and for one with few.
-func TestCovered(t *testing.T) {
+func TestQuantileCoverage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		off := rapid.Float64Range(0.2, 8).Draw(t, "off")
+		factor := rapid.Float64Range(0.2, 8).Draw(t, "off")
 		scatter := rapid.Float64Range(0.05, 1.2).Draw(t, "scatter")
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		b := New(2, 1)
@@ -28,16 +28,16 @@
 		for k := range 6000 {
 			team := k % 3
 			base := 0.2 + 3*rnd.Float64()
-			actual := base * off * math.Exp(scatter*rnd.NormFloat64())
-			told := b.Predict(Start, team, 0, base)
+			actual := base * factor * math.Exp(scatter*rnd.NormFloat64())
+			predicted := b.Predict(Start, team, 0, base)
 			b.Observe(Start, team, 0, base, actual, false)
 			if k < 1500 {
 				continue
 			}
-			if n++; actual <= told.P50 {
+			if n++; actual <= predicted.P50 {
 				under50++
 			}
-			if actual <= told.P90 {
+			if actual <= predicted.P90 {
 				under90++
 			}
 		}
@@ -47,20 +47,20 @@
 	})
 }
 
-// TestGivenUp: waits that were cut short count as longer, not as what they were.
-func TestGivenUp(t *testing.T) {
+// TestCensoredWaits: waits that were cut short count as longer, not as what they were.
+func TestCensoredWaits(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	b := New(1, 1)
 	n, covered := 0.0, 0.0
 	for k := range 8000 {
-		actual, until := math.Exp(0.5*rnd.NormFloat64()), math.Inf(1)
-		told := b.Predict(Start, 0, 0, 1)
+		actual, givenUpAfter := math.Exp(0.5*rnd.NormFloat64()), math.Inf(1)
+		predicted := b.Predict(Start, 0, 0, 1)
 		if k%2 == 0 {
-			until = 0.3 // half of the clients have no more time
+			givenUpAfter = 0.3 // half of the clients have no more time
 		}
-		b.Observe(Start, 0, 0, 1, min(actual, until), actual > until)
+		b.Observe(Start, 0, 0, 1, min(actual, givenUpAfter), actual > givenUpAfter)
 		if k > 2000 {
-			if n++; actual <= told.P50 {
+			if n++; actual <= predicted.P50 {
 				covered++
 			}
 		}
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestReturns: each refused client is told a time to itself, a client that comes early is told the same again and gains no
+// TestReservations: each refused client is told a time to itself, a client that comes early is told the same again and gains no
 // second one, one that keeps to its time is known, and what is kept for those who don't come is let go.
-func TestReturns(t *testing.T) {
+func TestReservations(t *testing.T) {
 	b := New(1, 10)
 	for range 200 { // waits of two to three seconds, so that both quantiles are known
 		b.Observe(Return, 0, 0, 1, 2, false)
@@ -89,14 +89,14 @@
 	if b.Booked(1, 11) || b.Booked(first, 99) || b.Booked(first, 0) {
 		t.Error("an early or unknown command counts as booked")
 	}
-	if kept := b.ReservedLoad(first); kept <= 0 || kept > 0.2 {
-		t.Errorf("kept %.2f s of places", kept)
+	if reserved := b.ReservedLoad(first); reserved <= 0 || reserved > 0.2 {
+		t.Errorf("kept %.2f s of places", reserved)
 	}
 	if !b.Booked(first, 11) || b.Booked(first, 11) {
 		t.Error("a time is good once")
 	}
-	shows := b.showRate
-	if b.ReservedLoad(second+lateTolerance+1) != 0 || b.showRate >= shows {
+	before := b.redeemedFraction
+	if b.ReservedLoad(second+lateTolerance+1) != 0 || b.redeemedFraction >= before {
 		t.Error("what was kept for one that did not come is kept on")
 	}
 	// A thousand that ask again and again don't put a new one off past the 90th percentile.
@@ -113,20 +113,20 @@
 	}
 }
 
-// TestBounded: however many teams wait, the book holds the same.
-func TestBounded(t *testing.T) {
+// TestBoundedMemory: however many teams wait, the book holds the same.
+func TestBoundedMemory(t *testing.T) {
 	b := New(1, 10)
 	for team := range 100000 {
 		b.Observe(Start, team, 0, 1, 1, false)
 		b.ObserveReturn(team, 0, 1, Estimate{1, 2}, 1, false)
 	}
-	if len(b.cells) != maxCells || len(b.audits) > maxAuditedTeams {
-		t.Errorf("%d cells, %d audited", len(b.cells), len(b.audits))
+	if len(b.cells) != maxCells || len(b.outcomes) > maxAccuracyTeams {
+		t.Errorf("%d cells, %d audited", len(b.cells), len(b.outcomes))
 	}
 }
 
-// TestAudit: figures are of the promises kept since the last time.
-func TestAudit(t *testing.T) {
+// TestEachAccuracy: figures are of the promises kept since the last time.
+func TestEachAccuracy(t *testing.T) {
 	b := New(1, 1)
 	for k := range 100 {
 		b.ObserveReturn(3, 0, 1, Estimate{1, 2}, float64(1+k%10)/4, false) // to 2.5: eight in ten under 2
--- a/waittime/learned.go
+++ b/waittime/learned.go
@@ -12,19 +12,19 @@
 type Correction struct{ N, Q50, Q90, Dev float64 }
 
 // Learned returns the learned corrections, those over all teams first. Cells with fewer than three observations are left out.
-func (b *Estimator) Learned() (all []Learned) {
-	const some = 3 // observations: fewer than a new cell learns in its first seconds
-	for _, cells := range [][]cell{b.all, b.cells} {
+func (e *Estimator) Learned() (all []Learned) {
+	const minObservations = 3 // observations: fewer than a new cell learns in its first seconds
+	for _, cells := range [][]cell{e.all, e.cells} {
 		for k := range cells {
 			c := &cells[k]
 			l := Learned{Team: c.team, Profile: c.profile}
-			most := 0.0
+			observations := 0.0
 			for n := range c.trackers {
-				x := &c.trackers[n]
-				most = max(most, x.n)
-				l.Corrections[n] = Correction{x.n, x.q50, x.q90, x.dev}
+				t := &c.trackers[n]
+				observations = max(observations, t.n)
+				l.Corrections[n] = Correction{t.n, t.q50, t.q90, t.dev}
 			}
-			if c.team >= -1 && most >= some {
+			if c.team >= -1 && observations >= minObservations {
 				all = append(all, l)
 			}
 		}
@@ -33,18 +33,18 @@
 }
 
 // Restore takes over what an earlier process learned. A correction with a small N is soon overruled.
-func (b *Estimator) Restore(all []Learned) {
+func (e *Estimator) Restore(all []Learned) {
 	for _, l := range all {
-		if l.Profile < 0 || l.Profile >= len(b.all) {
+		if l.Profile < 0 || l.Profile >= len(e.all) {
 			continue
 		}
-		c := &b.all[l.Profile]
+		c := &e.all[l.Profile]
 		if l.Team >= 0 {
-			c = b.cell(l.Team, l.Profile)
+			c = e.cell(l.Team, l.Profile)
 		}
-		for n, x := range l.Corrections {
-			if x.N > 0 {
-				c.trackers[n] = tracker{n: x.N, q50: x.Q50, q90: max(x.Q90, x.Q50), dev: x.Dev}
+		for n, correction := range l.Corrections {
+			if correction.N > 0 {
+				c.trackers[n] = tracker{n: correction.N, q50: correction.Q50, q90: max(correction.Q90, correction.Q50), dev: correction.Dev}
 			}
 		}
 	}
--- a/warmstart/snapshot.go
+++ b/warmstart/snapshot.go
@@ -55,51 +55,51 @@
 
 // Half-lives and bounds of what is stored for other packages.
 const (
-	teamHalfLife  = 30.0  // seconds: others are served meanwhile, and a team that is ahead waits for about as long
-	waitHalfLife  = 600.0 // seconds: what predictions leave out depends on the load
-	maxWaitWeight = 10.0  // most that an earlier correction weighs, in observations
-	maxAhead      = 1e6   // core seconds over weight
-	maxTeams      = 20000 // as many as the operators' file may have
-	maxWaits      = 5120  // the cells of package waittime, and those over all teams
+	teamHalfLife            = 30.0  // seconds: others are served meanwhile, and a team that is ahead waits for about as long
+	waitCorrectionHalfLife  = 600.0 // seconds: what predictions leave out depends on the load
+	maxWaitCorrectionWeight = 10.0  // most that an earlier correction weighs, in observations
+	maxTeamLead             = 1e6   // core seconds over weight
+	maxTeams                = 20000 // as many as the operators' file may have
+	maxWaitCorrections      = 5120  // the cells of package waittime, and those over all teams
 )
 
 // Restore joins a snapshot and the journal's records since, each discounted by its own age. Of a record from before its snapshot,
 // or from another boot that gives no age, knowledge that lives for seconds is dropped.
-func Restore(k Snapshot, records []Record, now Timestamp, settings []uint64, rates []float64) (r Restored) {
-	quick := k.Quick
+func Restore(snapshot Snapshot, records []Record, now Timestamp, fingerprints []uint64, refillRates []float64) (r Restored) {
+	latest := snapshot.Quick
 	if n := len(records); n > 0 {
-		quick = records[n-1] // each is complete
+		latest = records[n-1] // each is complete
 	}
-	old, sure := now.Age(k.At)
-	slow := Believe(Knowledge{Profiles: k.Profiles}, old, sure, settings, rates)
-	age, known := now.Age(quick.At)
-	known = known && sure // an age known of the journal alone means that a clock was set in between
-	quick.Known.Profiles = nil
-	r.Beliefs = Believe(quick.Known, age, known, settings, rates)
-	r.Profiles, r.Why = slow.Profiles, append(slow.Why, r.Why...)
-	r.Serial, r.Age, r.Old, r.Sure = quick.Serial, age, old, known
+	snapshotAge, snapshotAgeKnown := now.Age(snapshot.At)
+	fromSnapshot := Believe(Knowledge{Profiles: snapshot.Profiles}, snapshotAge, snapshotAgeKnown, fingerprints, refillRates)
+	age, ageKnown := now.Age(latest.At)
+	ageKnown = ageKnown && snapshotAgeKnown // an age known of the journal alone means that a clock was set in between
+	latest.Known.Profiles = nil
+	r.Beliefs = Believe(latest.Known, age, ageKnown, fingerprints, refillRates)
+	r.Profiles, r.Why = fromSnapshot.Profiles, append(fromSnapshot.Why, r.Why...)
+	r.Serial, r.Age, r.Old, r.Sure = latest.Serial, age, snapshotAge, ageKnown
 	r.Teams = map[string]float64{}
-	if p := weight(age, teamHalfLife, known); p > 0 && len(quick.Teams) <= maxTeams {
-		for _, t := range quick.Teams {
-			if inRange(math.Abs(t.Ahead), 0, maxAhead) {
-				r.Teams[t.Name] = t.Ahead * p
+	if factor := weight(age, teamHalfLife, ageKnown); factor > 0 && len(latest.Teams) <= maxTeams {
+		for _, t := range latest.Teams {
+			if inRange(math.Abs(t.Ahead), 0, maxTeamLead) {
+				r.Teams[t.Name] = t.Ahead * factor
 			}
 		}
 	}
-	if p := weight(old, waitHalfLife, sure); p > 0 && len(k.Waits) <= maxWaits {
-		for _, w := range k.Waits {
-			if w.Profile < 0 || w.Profile >= len(settings) || w.Profile >= len(k.Profiles) || k.Profiles[w.Profile].Settings != settings[w.Profile] || len(w.Of) > 8 {
+	if factor := weight(snapshotAge, waitCorrectionHalfLife, snapshotAgeKnown); factor > 0 && len(snapshot.Waits) <= maxWaitCorrections {
+		for _, w := range snapshot.Waits {
+			if w.Profile < 0 || w.Profile >= len(fingerprints) || w.Profile >= len(snapshot.Profiles) || snapshot.Profiles[w.Profile].Settings != fingerprints[w.Profile] || len(w.Of) > 8 {
 				continue
 			}
-			all := Wait{Team: w.Team, Profile: w.Profile}
+			wait := Wait{Team: w.Team, Profile: w.Profile}
 			for _, c := range w.Of {
 				if !inRange(c.N, 0, 1e12) || !inRange(math.Abs(c.Q50), 0, 20) || !inRange(math.Abs(c.Q90), 0, 20) || !inRange(c.Dev, 0, 20) {
 					c = Correction{}
 				}
-				c.N = min(c.N, maxWaitWeight) * p
-				all.Of = append(all.Of, c)
+				c.N = min(c.N, maxWaitCorrectionWeight) * factor
+				wait.Of = append(wait.Of, c)
 			}
-			r.Waits = append(r.Waits, all)
+			r.Waits = append(r.Waits, wait)
 		}
 	}
 	return r
--- a/warmstart/snapshot_test.go
+++ b/warmstart/snapshot_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// TestPiecesHaveAges: what a record of the journal says is a second old though its snapshot is not, and each piece is believed so.
-func TestPiecesHaveAges(t *testing.T) {
+// TestRestoreDiscountsEachPart: what a record of the journal says is a second old though its snapshot is not, and each piece is believed so.
+func TestRestoreDiscountsEachPart(t *testing.T) {
 	settings, rates := []uint64{7}, []float64{2}
-	snap := Snapshot{At: Timestamp{Wall: 1000, Up: 500, Boot: "a"},
+	snapshot := Snapshot{At: Timestamp{Wall: 1000, Up: 500, Boot: "a"},
 		Profiles: []Profile{{Settings: 7, Work: 0.2, Seen: 100, Hinted: 10, Worked: 20, Slow: 1, Times: Times{Counts: []float64{100}, Sum: 20}}},
 		Quick:    Record{At: Timestamp{Wall: 1000, Up: 500, Boot: "a"}, Known: Knowledge{Engines: []Server{{ID: 1, Ill: true, Fails: 0.9, Pause: 1}}}},
 		Waits:    []Wait{{Profile: 0, Of: []Correction{{N: 100, Q50: 0.5, Q90: 1}}}, {Profile: 3}}}
 	records := []Record{{At: Timestamp{Wall: 1001, Up: 501, Boot: "a"}},
 		{At: Timestamp{Wall: 1600, Up: 1100, Boot: "a"}, Serial: 9, Teams: []Team{{"x", 4}, {"mad", math.Inf(1)}},
 			Known: Knowledge{Engines: []Server{{ID: 2, Ill: true, Fails: 0.9, Pause: 1}}, Tenants: []Tenant{{Left: -10, Rate: 2}}}}}
-	r := Restore(snap, records, Timestamp{Wall: 1601, Up: 1101, Boot: "a"}, settings, rates)
+	r := Restore(snapshot, records, Timestamp{Wall: 1601, Up: 1101, Boot: "a"}, settings, rates)
 	if len(r.Engines) != 1 || r.Engines[0].ID != 2 || !r.Engines[0].Ill || r.Serial != 9 {
 		t.Errorf("engines %+v, serial %d: the last record counts", r.Engines, r.Serial)
 	}
@@ -32,7 +32,7 @@
 		t.Errorf("waits %+v", r.Waits)
 	}
 	// A clock that went backwards since the snapshot: nothing of the quick part is believed, whatever the journal's own age.
-	r = Restore(snap, records, Timestamp{Wall: 900, Up: 10, Boot: "b"}, settings, rates)
+	r = Restore(snapshot, records, Timestamp{Wall: 900, Up: 10, Boot: "b"}, settings, rates)
 	if r.Sure || len(r.Engines) != 0 || !math.IsInf(r.Tenants[0].Left, 1) || len(r.Teams) != 0 {
 		t.Errorf("with no age: %+v", r)
 	}
@@ -40,13 +40,13 @@
 		t.Errorf("%v times of unknown age: a quarter of forty at most", n)
 	}
 	// A snapshot from a time that is still to come: the clock moved between, and the journal's own age may be as wrong.
-	ahead := snap
+	ahead := snapshot
 	ahead.At = Timestamp{Wall: 5000, Up: 9, Boot: "z"}
 	if r = Restore(ahead, records, Timestamp{Wall: 1601, Up: 1101, Boot: "a"}, settings, rates); r.Sure || len(r.Engines) != 0 || len(r.Teams) != 0 {
 		t.Errorf("with an age that only the journal knows: %+v", r)
 	}
 	// A profile that is another by now takes its waits with it.
-	if r = Restore(snap, nil, Timestamp{Wall: 1001, Up: 501, Boot: "a"}, []uint64{8}, rates); len(r.Waits) != 0 || len(r.Why) == 0 {
+	if r = Restore(snapshot, nil, Timestamp{Wall: 1001, Up: 501, Boot: "a"}, []uint64{8}, rates); len(r.Waits) != 0 || len(r.Why) == 0 {
 		t.Errorf("another profile: %+v", r)
 	}
 }
--- a/warmstart/warmstart.go
+++ b/warmstart/warmstart.go
@@ -19,28 +19,28 @@
 
 // Bounds on ages, in seconds.
 const (
-	slack  = 2.0          // by which clocks may differ before they are not trusted
-	maxAge = 30 * 86400.0 // anything older is of no use
+	clockTolerance = 2.0          // by which clocks may differ before they are not trusted
+	maxAge         = 30 * 86400.0 // anything older is of no use
 )
 
 // Age returns the seconds that have passed since an earlier time. ok is false where the clocks do not tell: they went backwards,
 // or one was set far ahead.
-func (m Timestamp) Age(then Timestamp) (seconds float64, ok bool) {
-	if m.Boot != "" && m.Boot == then.Boot {
-		if !(m.Up >= then.Up) {
+func (t Timestamp) Age(earlier Timestamp) (seconds float64, known bool) {
+	if t.Boot != "" && t.Boot == earlier.Boot {
+		if !(t.Up >= earlier.Up) {
 			return 0, false // not the same boot after all, or another machine's folder
 		}
-		up, wall := m.Up-then.Up, m.Wall-then.Wall
-		if math.Abs(wall-up) > slack {
+		up, wall := t.Up-earlier.Up, t.Wall-earlier.Wall
+		if math.Abs(wall-up) > clockTolerance {
 			return up, up <= maxAge // the wall clock was set in between, the other one was not
 		}
 		return up, up <= maxAge
 	}
-	age := m.Wall - then.Wall
+	age := t.Wall - earlier.Wall
 	if !(age >= 0 && age <= maxAge) {
 		return 0, false
 	}
-	if age < m.Up-slack { // the machine has been up for longer: its clock was set back since
+	if age < t.Up-clockTolerance { // the machine has been up for longer: its clock was set back since
 		return 0, false
 	}
 	return age, true
@@ -100,21 +100,21 @@
 
 // Half-lives of each kind of knowledge, in seconds, chosen by what each depends on.
 const (
-	timesHalfLife   = 600.0   // processing times change with load and release: an hour-old histogram is a hint
-	workHalfLife    = 86400.0 // the work of a profile's requests depends on its clients, and changes with their releases
-	biasHalfLife    = 86400.0 // the bias of clients' estimates: the same
-	slowHalfLife    = 20.0    // a slowdown depends on the load, which differs after a minute
-	troubleHalfLife = 15.0    // a server's trouble lasts for several probes
-	askedHalfLife   = 60.0    // this router's share of the traffic
-	cutHalfLife     = 1.75    // in which the give-up price doubles, as it does in package admission
+	processingTimesHalfLife = 600.0   // processing times change with load and release: an hour-old histogram is a hint
+	workHalfLife            = 86400.0 // the work of a profile's requests depends on its clients, and changes with their releases
+	biasHalfLife            = 86400.0 // the bias of clients' estimates: the same
+	slowdownHalfLife        = 20.0    // a slowdown depends on the load, which differs after a minute
+	healthHalfLife          = 15.0    // a server's trouble lasts for several probes
+	admittedWorkHalfLife    = 60.0    // this router's share of the traffic
+	cutoffDoublingTime      = 1.75    // in which the give-up price doubles, as it does in package admission
 )
 
 // Most that earlier knowledge may weigh, in samples: some tens of fresh samples overrule it.
 const (
-	maxTimesWeight   = 40.0
-	maxSeenWeight    = 10.0
-	minWeight        = 0.02 // below which knowledge is dropped
-	unknownAgeWeight = 0.25 // factor on knowledge of unknown age; knowledge that lives for seconds has none
+	maxProcessingTimesWeight = 40.0
+	maxWorkWeight            = 10.0
+	minWeight                = 0.02 // below which knowledge is dropped
+	unknownAgeWeight         = 0.25 // factor on knowledge of unknown age; knowledge that lives for seconds has none
 )
 
 // Beliefs is what a new process starts with: knowledge, with the weight that it still has.
@@ -124,78 +124,78 @@
 }
 
 // weight returns the weight of knowledge of an age and a half-life, 0 to 1. ok tells whether the age is known.
-func weight(age, halves float64, ok bool) float64 {
-	if !ok {
-		if halves < 300 {
+func weight(age, halfLife float64, ageKnown bool) float64 {
+	if !ageKnown {
+		if halfLife < 300 {
 			return 0
 		}
 		return unknownAgeWeight
 	}
-	if p := math.Exp2(-age / halves); p >= minWeight {
-		return p
+	if w := math.Exp2(-age / halfLife); w >= minWeight {
+		return w
 	}
 	return 0
 }
 
 // Believe discounts knowledge of an age in seconds; ok tells whether the age is known. settings are the fingerprints of the
 // present profiles, rates the tenants' quotas per second.
-func Believe(k Knowledge, age float64, ok bool, settings []uint64, rates []float64) (b Beliefs) {
-	ok = ok && age >= 0 && age <= maxAge
-	pass := func(format string, args ...any) {
-		const most = 16 // lines
-		if len(b.Why) < most {
+func Believe(known Knowledge, age float64, ageKnown bool, fingerprints []uint64, refillRates []float64) (b Beliefs) {
+	ageKnown = ageKnown && age >= 0 && age <= maxAge
+	addReason := func(format string, args ...any) {
+		const maxReasons = 16 // lines
+		if len(b.Why) < maxReasons {
 			b.Why = append(b.Why, fmt.Sprintf(format, args...))
 		}
 	}
-	if len(k.Profiles) > MaxProfiles || len(k.Engines) > MaxServers || len(k.Tenants) > MaxTenants {
-		pass("more than a router has: %d profiles, %d engines, %d tenants", len(k.Profiles), len(k.Engines), len(k.Tenants))
-		b.Pace, b.Profiles, b.Tenants = 1, make([]Profile, len(settings)), make([]Tenant, len(rates))
+	if len(known.Profiles) > MaxProfiles || len(known.Engines) > MaxServers || len(known.Tenants) > MaxTenants {
+		addReason("more than a router has: %d profiles, %d engines, %d tenants", len(known.Profiles), len(known.Engines), len(known.Tenants))
+		b.Pace, b.Profiles, b.Tenants = 1, make([]Profile, len(fingerprints)), make([]Tenant, len(refillRates))
 		return b
 	}
-	b.Profiles = make([]Profile, len(settings))
-	for n, p := range k.Profiles {
+	b.Profiles = make([]Profile, len(fingerprints))
+	for n, p := range known.Profiles {
 		switch {
-		case n >= len(settings):
-			pass("profile %d: there is none any more", n)
-		case p.Settings != settings[n]:
-			pass("profile %d: its settings changed", n)
+		case n >= len(fingerprints):
+			addReason("profile %d: there is none any more", n)
+		case p.Settings != fingerprints[n]:
+			addReason("profile %d: its settings changed", n)
 		default:
-			if why := p.fault(); why != "" {
-				pass("profile %d: %s", n, why)
+			if problem := p.invalidReason(); problem != "" {
+				addReason("profile %d: %s", n, problem)
 				continue
 			}
-			b.Profiles[n] = p.discounted(age, ok)
+			b.Profiles[n] = p.discounted(age, ageKnown)
 		}
 	}
-	trouble := weight(age, troubleHalfLife, ok)
-	for _, e := range k.Engines {
-		if !inRange(e.Start, 0, 1e12) || !inRange(e.Slow, 0, 1e3) || !inRange(e.Fails, 0, 1) || !inRange(e.Pause, 0, 60) {
-			pass("engine %d: figures out of range", e.ID)
+	healthWeight := weight(age, healthHalfLife, ageKnown)
+	for _, server := range known.Engines {
+		if !inRange(server.Start, 0, 1e12) || !inRange(server.Slow, 0, 1e3) || !inRange(server.Fails, 0, 1) || !inRange(server.Pause, 0, 60) {
+			addReason("engine %d: figures out of range", server.ID)
 			continue
 		}
-		if trouble == 0 {
+		if healthWeight == 0 {
 			continue
 		}
-		e.Slow, e.Fails = 1+(max(e.Slow, 1)-1)*weight(age, slowHalfLife/4, ok), e.Fails*trouble
-		if e.Ill = e.Ill && trouble >= 0.5; e.Ill || e.Slow > 1.05 {
-			b.Engines = append(b.Engines, e)
+		server.Slow, server.Fails = 1+(max(server.Slow, 1)-1)*weight(age, slowdownHalfLife/4, ageKnown), server.Fails*healthWeight
+		if server.Ill = server.Ill && healthWeight >= 0.5; server.Ill || server.Slow > 1.05 {
+			b.Engines = append(b.Engines, server)
 		}
 	}
-	b.Tenants = make([]Tenant, len(rates))
-	for n, rate := range rates {
-		b.Tenants[n] = Tenant{Left: math.Inf(1), Rate: rate} // full, where no debt is known
-		if n < len(k.Tenants) && ok && k.Tenants[n].Rate == rate && inRange(k.Tenants[n].Left, -1e9, 1e9) {
-			b.Tenants[n].Left = k.Tenants[n].Left + rate*age // a debt is paid by time
+	b.Tenants = make([]Tenant, len(refillRates))
+	for n, refillRate := range refillRates {
+		b.Tenants[n] = Tenant{Left: math.Inf(1), Rate: refillRate} // full, where no debt is known
+		if n < len(known.Tenants) && ageKnown && known.Tenants[n].Rate == refillRate && inRange(known.Tenants[n].Left, -1e9, 1e9) {
+			b.Tenants[n].Left = known.Tenants[n].Left + refillRate*age // a debt is paid by time
 		}
 	}
-	if b.Pace = 1; inRange(k.Pace, 0, 1e3) {
-		b.Pace = 1 + (max(k.Pace, 1)-1)*weight(age, slowHalfLife, ok)
+	if b.Pace = 1; inRange(known.Pace, 0, 1e3) {
+		b.Pace = 1 + (max(known.Pace, 1)-1)*weight(age, slowdownHalfLife, ageKnown)
 	}
-	if inRange(k.Cut, 1e-12, 1e12) && ok && age < 20*cutHalfLife {
-		b.Cut = k.Cut * math.Exp2(age/cutHalfLife)
+	if inRange(known.Cut, 1e-12, 1e12) && ageKnown && age < 20*cutoffDoublingTime {
+		b.Cut = known.Cut * math.Exp2(age/cutoffDoublingTime)
 	}
-	if p := weight(age, askedHalfLife, ok); p > 0 && inRange(k.Asked, 0, 1e12) && inRange(k.Span, 0, 1e6) {
-		b.Asked, b.Span = k.Asked*p, k.Span*p
+	if p := weight(age, admittedWorkHalfLife, ageKnown); p > 0 && inRange(known.Asked, 0, 1e12) && inRange(known.Span, 0, 1e6) {
+		b.Asked, b.Span = known.Asked*p, known.Span*p
 	}
 	return b
 }
@@ -203,8 +203,8 @@
 // inRange reports whether a number, which is not NaN, lies between bounds.
 func inRange(x, low, high float64) bool { return x >= low && x <= high }
 
-// fault returns what makes a profile's numbers impossible, or an empty string.
-func (p *Profile) fault() string {
+// invalidReason returns what makes a profile's numbers impossible, or an empty string.
+func (p *Profile) invalidReason() string {
 	switch {
 	case len(p.Times.Counts) > MaxBuckets:
 		return "too many buckets"
@@ -228,30 +228,30 @@
 }
 
 // discounted returns the profile with the weight that it has at an age.
-func (p Profile) discounted(age float64, ok bool) Profile {
-	scale := func(n, most, halves float64) float64 {
+func (p Profile) discounted(age float64, ageKnown bool) Profile {
+	scale := func(n, maxWeight, halfLife float64) float64 {
 		if n <= 0 {
 			return 0
 		}
-		return min(n*weight(age, halves, ok), most*weight(age, halves, ok)) / n
+		return min(n*weight(age, halfLife, ageKnown), maxWeight*weight(age, halfLife, ageKnown)) / n
 	}
-	f := scale(p.Times.N(), maxTimesWeight, timesHalfLife)
-	times := Times{Sum: p.Times.Sum * f}
+	timesScale := scale(p.Times.N(), maxProcessingTimesWeight, processingTimesHalfLife)
+	times := Times{Sum: p.Times.Sum * timesScale}
 	for _, c := range p.Times.Counts {
-		times.Counts = append(times.Counts, c*f)
+		times.Counts = append(times.Counts, c*timesScale)
 	}
 	p.Times = times
-	p.Seen *= scale(p.Seen, maxSeenWeight, workHalfLife)
+	p.Seen *= scale(p.Seen, maxWorkWeight, workHalfLife)
 	if p.Seen == 0 || p.Work == 0 {
 		p.Seen, p.Work = 0, 0
 	}
 	// The bias is a ratio of two sums: both shrink to what a few samples of the mean work would be.
-	most := maxSeenWeight * max(p.Work, 1e-9)
-	if b := scale(p.Worked, most, biasHalfLife); b > 0 && p.Hinted > 0 && inRange(p.Worked/p.Hinted, 0.01, 100) {
-		p.Hinted, p.Worked = p.Hinted*b, p.Worked*b
+	maxWeight := maxWorkWeight * max(p.Work, 1e-9)
+	if biasScale := scale(p.Worked, maxWeight, biasHalfLife); biasScale > 0 && p.Hinted > 0 && inRange(p.Worked/p.Hinted, 0.01, 100) {
+		p.Hinted, p.Worked = p.Hinted*biasScale, p.Worked*biasScale
 	} else {
 		p.Hinted, p.Worked = 0, 0
 	}
-	p.Slow = 1 + (max(p.Slow, 1)-1)*weight(age, slowHalfLife, ok)
+	p.Slow = 1 + (max(p.Slow, 1)-1)*weight(age, slowdownHalfLife, ageKnown)
 	return p
 }
--- a/warmstart/warmstart_test.go
+++ b/warmstart/warmstart_test.go
@@ -9,10 +9,10 @@
 
 func TestAge(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		now, then Timestamp
-		age       float64
-		ok        bool
+		name         string
+		now, earlier Timestamp
+		age          float64
+		ok           bool
 	}{
 		{"the same start", Timestamp{1000, 50, "a"}, Timestamp{990, 40, "a"}, 10, true},
 		{"the wall clock was set back meanwhile", Timestamp{500, 50, "a"}, Timestamp{990, 40, "a"}, 10, true},
@@ -23,41 +23,41 @@
 		{"a folder of another machine under the same name", Timestamp{1000, 5, "a"}, Timestamp{900, 400, "a"}, 0, false},
 		{"no number", Timestamp{math.NaN(), 5, "b"}, Timestamp{900, 400, "a"}, 0, false},
 	} {
-		if age, ok := c.now.Age(c.then); age != c.age || ok != c.ok {
+		if age, ok := c.now.Age(c.earlier); age != c.age || ok != c.ok {
 			t.Errorf("%s: %v %v, not %v %v", c.name, age, ok, c.age, c.ok)
 		}
 	}
 }
 
-func profile() Profile {
+func testProfile() Profile {
 	return Profile{Settings: 7, Work: 2, Seen: 100, Hinted: 300, Worked: 150, Slow: 3, Times: Times{Counts: []float64{0, 100, 300}, Sum: 500}}
 }
 
 // TestDiscount: what is minutes old weighs as few samples do, a day old next to nothing; what lives for seconds is gone.
 func TestDiscount(t *testing.T) {
-	at := func(age float64, ok bool) Profile {
-		return Believe(Knowledge{Profiles: []Profile{profile()}}, age, ok, []uint64{7}, nil).Profiles[0]
+	discountedAt := func(age float64, ageKnown bool) Profile {
+		return Believe(Knowledge{Profiles: []Profile{testProfile()}}, age, ageKnown, []uint64{7}, nil).Profiles[0]
 	}
 	for _, c := range []struct {
-		age               float64
-		n, seen, slow, rq float64
+		age                 float64
+		n, seen, slow, bias float64
 	}{{0, 40, 10, 3, 0.5}, {20, 39.1, 10, 2, 0.5}, {600, 20, 9.95, 1, 0.5}, {3600, 0, 9.71, 1, 0.5}, {86400, 0, 5, 1, 0.5}} {
-		p := at(c.age, true)
-		if n := p.Times.N(); math.Abs(n-c.n) > 0.7 || math.Abs(p.Seen-c.seen) > 0.05 || math.Abs(p.Slow-c.slow) > 0.01 || math.Abs(p.Worked/p.Hinted-c.rq) > 0.01 {
+		p := discountedAt(c.age, true)
+		if n := p.Times.N(); math.Abs(n-c.n) > 0.7 || math.Abs(p.Seen-c.seen) > 0.05 || math.Abs(p.Slow-c.slow) > 0.01 || math.Abs(p.Worked/p.Hinted-c.bias) > 0.01 {
 			t.Errorf("after %v s: %.1f times, %.2f answers, slowdown %.2f, bias %.2f", c.age, n, p.Seen, p.Slow, p.Worked/p.Hinted)
 		}
 	}
-	if p := at(0, false); p.Times.N() != 10 || p.Slow != 1 || p.Seen != 2.5 {
+	if p := discountedAt(0, false); p.Times.N() != 10 || p.Slow != 1 || p.Seen != 2.5 {
 		t.Errorf("of unknown age: %+v", p)
 	}
-	b := Believe(Knowledge{Profiles: []Profile{profile()}}, 1, true, []uint64{8}, nil)
+	b := Believe(Knowledge{Profiles: []Profile{testProfile()}}, 1, true, []uint64{8}, nil)
 	if b.Profiles[0].Seen != 0 || len(b.Why) != 1 {
 		t.Errorf("other settings: %+v", b)
 	}
 }
 
-// TestTrouble: an engine's trouble is believed for some seconds, and of its own start alone, which the caller compares.
-func TestTrouble(t *testing.T) {
+// TestServerHealthDecays: an engine's trouble is believed for some seconds, and of its own start alone, which the caller compares.
+func TestServerHealthDecays(t *testing.T) {
 	k := Knowledge{Engines: []Server{{ID: 1, Start: 50, Slow: 4, Fails: 0.8, Ill: true, Pause: 2}, {ID: 2, Slow: 1}}}
 	if b := Believe(k, 5, true, nil, nil); len(b.Engines) != 1 || !b.Engines[0].Ill || b.Engines[0].Start != 50 {
 		t.Errorf("after 5 s: %+v", b.Engines)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestDebts: a tenant's debt is paid by time; with another quota, or when nobody knows how long it was, it starts anew.
-func TestDebts(t *testing.T) {
+// TestTenantDebt: a tenant's debt is paid by time; with another quota, or when nobody knows how long it was, it starts anew.
+func TestTenantDebt(t *testing.T) {
 	k := Knowledge{Tenants: []Tenant{{Left: -20, Rate: 4}}}
 	if b := Believe(k, 3, true, nil, []float64{4}); b.Tenants[0].Left != -8 {
 		t.Errorf("%+v", b.Tenants)
@@ -85,36 +85,36 @@
 	}
 }
 
-// TestAnything: whatever is read, what is believed is finite, weighs no more than it may, and less the older it is.
-func TestAnything(t *testing.T) {
+// TestArbitraryKnowledge: whatever is read, what is believed is finite, weighs no more than it may, and less the older it is.
+func TestArbitraryKnowledge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		any := func(name string) float64 {
+		anyFloat := func(name string) float64 {
 			return rapid.OneOf(rapid.Float64Range(-10, 1000), rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), math.Inf(-1), math.Copysign(0, -1), 1e300, 5e-324})).Draw(t, name)
 		}
-		k := Knowledge{Cut: any("cut"), Pace: any("pace"), Asked: any("asked"), Span: any("span")}
+		k := Knowledge{Cut: anyFloat("cut"), Pace: anyFloat("pace"), Asked: anyFloat("asked"), Span: anyFloat("span")}
 		for range rapid.IntRange(0, 3).Draw(t, "profiles") {
-			p := Profile{Settings: 7, Work: any("work"), Seen: any("seen"), Hinted: any("hinted"), Worked: any("worked"), Slow: any("slow"), Times: Times{Sum: any("sum")}}
+			p := Profile{Settings: 7, Work: anyFloat("work"), Seen: anyFloat("seen"), Hinted: anyFloat("hinted"), Worked: anyFloat("worked"), Slow: anyFloat("slow"), Times: Times{Sum: anyFloat("sum")}}
 			for range rapid.IntRange(0, 5).Draw(t, "buckets") {
-				p.Times.Counts = append(p.Times.Counts, any("count"))
+				p.Times.Counts = append(p.Times.Counts, anyFloat("count"))
 			}
 			k.Profiles = append(k.Profiles, p)
 		}
 		for n := range rapid.IntRange(0, 3).Draw(t, "engines") {
-			k.Engines = append(k.Engines, Server{uint32(n), any("start"), any("slow"), any("fails"), rapid.Bool().Draw(t, "ill"), any("pause")})
+			k.Engines = append(k.Engines, Server{uint32(n), anyFloat("start"), anyFloat("slow"), anyFloat("fails"), rapid.Bool().Draw(t, "ill"), anyFloat("pause")})
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "tenants") {
-			k.Tenants = append(k.Tenants, Tenant{any("left"), any("rate")})
+			k.Tenants = append(k.Tenants, Tenant{anyFloat("left"), anyFloat("rate")})
 		}
-		age, known := any("age"), rapid.Bool().Draw(t, "known")
-		b := Believe(k, age, known, []uint64{7, 7}, []float64{3})
-		check := func(what string, x, low, high float64) {
+		age, ageKnown := anyFloat("age"), rapid.Bool().Draw(t, "known")
+		b := Believe(k, age, ageKnown, []uint64{7, 7}, []float64{3})
+		check := func(label string, x, low, high float64) {
 			if !(x >= low && x <= high) {
-				t.Fatalf("%s is believed to be %v", what, x)
+				t.Fatalf("%s is believed to be %v", label, x)
 			}
 		}
 		for _, p := range b.Profiles {
-			check("times", p.Times.N(), 0, maxTimesWeight+1e-6)
-			check("answers", p.Seen, 0, maxSeenWeight)
+			check("times", p.Times.N(), 0, maxProcessingTimesWeight+1e-6)
+			check("answers", p.Seen, 0, maxWorkWeight)
 			check("slowdown", p.Slow, 0, 1e3)
 			check("work", p.Work, 0, 1e6)
 			if p.Hinted > 0 {
@@ -128,7 +128,7 @@
 		check("pace", b.Pace, 1, 1e3)
 		check("price", b.Cut, 0, math.Inf(1))
 		check("asked", b.Asked, 0, 1e12)
-		if known && age >= 0 && age < 1e6 {
+		if ageKnown && age >= 0 && age < 1e6 {
 			older := Believe(k, age+60, true, []uint64{7, 7}, []float64{3})
 			for n, p := range older.Profiles {
 				if p.Times.N() > b.Profiles[n].Times.N()+1e-9 || p.Seen > b.Profiles[n].Seen+1e-9 {
