--- a/waittime/estimator.go
+++ b/waittime/estimator.go
@@ -1,12 +1,14 @@
-// Package waittime predicts how long requests will wait, as told to clients, and reserves capacity for rejected clients at the time
-// at which they were told to return. It takes the controller's own estimate (work queued before the request over thread places) as
-// a base, corrects it by what happened to earlier requests of the same team and profile, and gives a median and a 90th percentile.
+// Package waittime predicts the wait times that are reported to clients, and reserves capacity for rejected clients at
+// the time at which they were asked to retry. The base of a prediction is the controller's own estimate: the work
+// queued before the request, divided by the thread places. The package corrects this base by the actual times of
+// earlier requests of the same team and profile, and returns a median and a 90th percentile.
 //
 // The package does no I/O and has no clock. Times are seconds.
 //
-// The correction is a running quantile of the logarithm of actual over predicted time (stochastic approximation, Robbins and Monro
-// 1951; as an online guarantee of coverage: Gibbs and Candes, "Adaptive Conformal Inference Under Distribution Shift", 2021):
-// whatever the base leaves out, half of the waits come to lie under the median and nine in ten under the 90th percentile.
+// The correction is a running quantile of the logarithm of actual over predicted time (stochastic approximation,
+// Robbins and Monro 1951; as an online guarantee of coverage: Gibbs and Candes, "Adaptive Conformal Inference Under
+// Distribution Shift", 2021). Even if the base is biased, in the long run half of the waits are below the median and
+// nine in ten below the 90th percentile.
 package waittime
 
 import (
@@ -15,10 +17,10 @@
 	"slices"
 )
 
-// Estimate is the median and the 90th percentile of a time, in seconds from when it is made.
+// Estimate is the median and the 90th percentile of a predicted time, in seconds from the moment of the prediction.
 type Estimate struct{ P50, P90 float64 }
 
-// Kind is what a time is predicted for.
+// TimeKind is the kind of a predicted time.
 type Kind uint8
 
 // The kinds of times.
@@ -29,25 +31,26 @@
 	kinds
 )
 
-// String returns the kind's name in the log.
+// String returns the kind's name as it is logged.
 func (k Kind) String() string { return [...]string{"start", "answer", "return"}[k] }
 
-// tracker follows two quantiles of the logarithm of actual over predicted time.
+// tracker estimates two quantiles of the logarithm of actual over predicted time, and the mean deviation from the median.
 type tracker struct{ n, q50, q90, dev float64 }
 
-// Constants of learning.
+// Constants of the correction.
 const (
 	resolution    = 0.02         // seconds: smaller differences do not matter to a client
-	poolingCount  = 10           // observations at which a team's own correction weighs as much as that of all teams of its profile
-	initialSpread = math.Ln2 / 1 // of the 90th percentile over the median before anything is known: double
-	minTailCount  = 30           // observations from which the 90th percentile is tracked by itself
-	minStep       = 0.04         // weight of one observation in the long run: about the last 25 count
+	poolingCount  = 10           // observations at which a team's own correction weighs as much as that of all teams
+	initialSpread = math.Ln2 / 1 // logarithm of the 90th percentile over the median before any observation: a factor of 2
+	minTailCount  = 30           // observations from which the 90th percentile is tracked on its own
+	minStep       = 0.04         // long-run weight of one observation: about the last 25 observations determine the quantiles
 )
 
-// learn takes in one logarithm. above: the true value is greater than z by an unknown amount.
+// learn updates the quantiles with z, the logarithm of one ratio. If censored is set, the true value is greater than z
+// by an unknown amount.
 func (t *tracker) learn(z float64, censored bool) {
 	if censored && z <= t.q50 {
-		return // it could be on either side of both
+		return // the true value may be on either side of both quantiles
 	}
 	t.n++
 	step := max(1.5/(t.n+3), minStep) * 2 * max(t.dev, 0.05)
@@ -58,13 +61,16 @@
 	if !censored || z > t.q90 {
 		t.q90 += step * quantileStep(0.9, z <= t.q90 && !censored)
 	}
-	if t.n < minTailCount { // a few say little of a tenth: as if they were normal, whose deviations are 0.8 of the spread in the mean
+	if t.n < minTailCount {
+		// Too few observations to locate the 90th percentile. Assume a normal distribution: its 90th percentile lies
+		// 1.28 standard deviations above the median, and its mean absolute deviation is 0.8 standard deviations.
 		t.q90 = t.q50 + 1.28/0.8*t.dev
 	}
 	t.q90 = max(t.q90, t.q50)
 }
 
-// quantileStep is the direction and weight of a step toward the quantile q.
+// quantileStep returns the direction and weight of a step toward the quantile q. under: the observation is not above
+// the estimate.
 func quantileStep(q float64, under bool) float64 {
 	if under {
 		return q - 1
@@ -72,30 +78,31 @@
 	return q
 }
 
-// cell holds the corrections of one team and profile.
+// cell holds the corrections of one team and profile. Team -1 stands for all teams, -2 marks an unused cell of the hash table.
 type cell struct {
 	team, profile int
-	lastUsed      uint64
+	lastUsed      uint64 // value of Estimator.useCounter at the last access
 	trackers      [kinds]tracker
 }
 
-// prediction is what a client was told and what is still open of it.
+// prediction holds the times predicted for one request, and which of their outcomes are not yet known. Its arrays are
+// indexed by Start and Completion.
 type prediction struct {
 	team, profile int
-	at            float64
-	base          [2]float64 // of Start and Answer
+	at            float64 // time of the prediction
+	base          [2]float64
 	estimates     [2]Estimate
 	pending       [2]bool
 }
 
-// Accuracy is how predictions compared with actual times since the last audit.
+// Accuracy compares predictions with actual times, since the last call of EachAccuracy.
 type Accuracy struct {
-	Count   int     // of predictions whose outcome is known
+	Count   int     // predictions whose outcome is known
 	Ratio   float64 // running median of actual time over the predicted median
 	Covered float64 // fraction at or under the predicted 90th percentile
 }
 
-// accuracyCounts collect the accuracy of one team and kind.
+// accuracyCounts accumulates the accuracy of one team and kind.
 type accuracyCounts struct {
 	n, covered int
 	ratio      tracker
@@ -103,26 +110,26 @@
 
 // Estimator holds one router's predictions and reservations. It is not safe for concurrent use.
 type Estimator struct {
-	cells            []cell // a hash table by team and profile; the least recently used make room
-	all              []cell // by profile, over all teams
-	useCounter       uint64
-	predictions      []prediction // by the request's slot
-	reservations     []reservation
-	outcomes         map[int]*[kinds]accuracyCounts
-	redeemedFraction float64 // fraction of reservations that were redeemed
-	maxPause         float64 // longest pause that clients honor
+	cells            []cell                         // hash table keyed by team and profile; replaces the least recently used cells
+	all              []cell                         // indexed by profile, over all teams
+	useCounter       uint64                         // accesses to cells
+	predictions      []prediction                   // indexed by the request's slot
+	reservations     []reservation                  // in ascending order of their due times
+	outcomes         map[int]*[kinds]accuracyCounts // by team
+	redeemedFraction float64                        // running fraction of reservations that were redeemed
+	maxPause         float64                        // longest pause that clients honor
 }
 
 // Bounds.
 const (
-	maxCells         = 4096 // teams and profiles that wait at the same time; 400 bytes each
-	probeLength      = 8    // slots of the table that are tried for a key
-	maxAccuracyTeams = 1024 // as many as an operator can read
-	maxReservations  = 1024 // at a hundred rejections a second, more than any client's longest pause holds
+	maxCells         = 4096 // pairs of a team and a profile that wait at the same time; 400 bytes each
+	probeLength      = 8    // cells of the hash table that are searched for a key
+	maxAccuracyTeams = 1024 // more lines than this an operator can't read
+	maxReservations  = 1024 // more than accumulate during any client's longest pause at 100 rejections per second
 )
 
-// New returns an estimator for a number of profiles. longest is the longest pause in seconds that clients honor; 0: they are told
-// none.
+// New returns an estimator for a number of profiles. longestPause is the longest pause in seconds that clients honor;
+// with 0, no pause is reported to them.
 func New(profiles int, longestPause float64) *Estimator {
 	e := &Estimator{all: make([]cell, profiles), outcomes: map[int]*[kinds]accuracyCounts{}, maxPause: longestPause, redeemedFraction: 0.5}
 	for k := range e.all {
@@ -140,7 +147,8 @@
 	return c
 }
 
-// cell returns the cell of a team and profile. A new one takes the place of the least recently used of those that its key may have.
+// cell returns the cell of a team and profile. A new cell replaces the least recently used one among the probeLength
+// cells of its key.
 func (e *Estimator) cell(team, profile int) *cell {
 	e.useCounter++
 	if e.cells == nil {
@@ -167,7 +175,7 @@
 	return c
 }
 
-// Predict corrects the controller's own estimate, base, into what a client can be told.
+// Predict corrects base, the controller's own estimate, and returns the estimate that is reported to the client.
 func (e *Estimator) Predict(k Kind, team, profile int, base float64) Estimate {
 	c, a := &e.cell(team, profile).trackers[k], &e.all[profile].trackers[k]
 	weight := c.n / (c.n + poolingCount)
@@ -177,16 +185,17 @@
 	return Estimate{corrected(c.q50, a.q50), corrected(c.q90, a.q90)}
 }
 
-// Observe learns from the actual time of a request for which base was estimated. above: it took longer than actual, by an unknown
-// amount.
+// Observe learns from the actual time of a request for which base was estimated. If censored is set, the request took
+// longer than actual by an unknown amount.
 func (e *Estimator) Observe(k Kind, team, profile int, base, actual float64, censored bool) {
 	z := math.Log((max(actual, 0) + resolution) / (max(base, 0) + resolution))
 	e.cell(team, profile).trackers[k].learn(z, censored)
 	e.all[profile].trackers[k].learn(z, censored)
 }
 
-// Promise predicts the start and the completion of the request in the slot at, and remembers both until their outcomes are known.
-// base is the estimated wait for the first attempt, negative where it begins now; runs is how long the request then takes.
+// TrackRequest predicts the start and the completion of the request in a slot, and stores both predictions until their
+// outcomes are known. base is the estimated wait for the first attempt, negative if that begins now; processing is the
+// estimated time from the first attempt to completion.
 func (e *Estimator) Promise(now float64, slot int32, team, profile int, base float64, processing Estimate) (start, completion Estimate) {
 	for int(slot) >= len(e.predictions) {
 		e.predictions = append(e.predictions, prediction{})
@@ -196,21 +205,22 @@
 	}
 	total := start.P50 + processing.P50
 	completion = e.Predict(Answer, team, profile, total)
-	completion.P50, completion.P90 = max(completion.P50, start.P50), max(completion.P90, start.P90) // it can't complete before it starts
+	completion.P50, completion.P90 = max(completion.P50, start.P50), max(completion.P90, start.P90) // a request can't complete before it starts
 	e.predictions[slot] = prediction{team, profile, now, [2]float64{base, total}, [2]Estimate{start, completion}, [2]bool{base >= 0, true}}
 	return start, completion
 }
 
-// Fulfilled reports that a promised event has happened: the first attempt has begun, or the request has completed.
+// EventOccurred records that a predicted event has happened: the first attempt has begun, or the request has completed.
 func (e *Estimator) Fulfilled(now float64, slot int32, k Kind) { e.resolve(now, slot, k, false) }
 
-// Over ends the open promises of a request that was given up: it would have waited longer than until now.
+// RequestAbandoned resolves the pending predictions of a request that was given up. Their actual times are censored:
+// the request would have waited longer.
 func (e *Estimator) Over(now float64, slot int32) {
 	e.resolve(now, slot, Start, true)
 	e.resolve(now, slot, Answer, true)
 }
 
-// resolve ends one promise and learns from it.
+// resolve ends one pending prediction and learns from its outcome. at is the request's slot.
 func (e *Estimator) resolve(now float64, at int32, k Kind, censored bool) {
 	if int(at) >= len(e.predictions) || !e.predictions[at].pending[k] {
 		return
@@ -221,13 +231,14 @@
 	e.countOutcome(k, p.team, p.estimates[k], now-p.at, censored)
 }
 
-// ObserveReturn learns from when a rejected request, whose client was told an estimate made from base, would have been admitted.
+// ObserveReturn learns from the time after which a rejected request would have been admitted. predicted is the estimate
+// that was made for it from base.
 func (e *Estimator) ObserveReturn(team, profile int, base float64, predicted Estimate, actual float64, censored bool) {
 	e.Observe(Return, team, profile, base, actual, censored)
 	e.countOutcome(Return, team, predicted, actual, censored)
 }
 
-// countOutcome counts one outcome for EachAudit.
+// countOutcome counts one outcome for EachAccuracy.
 func (e *Estimator) countOutcome(k Kind, team int, predicted Estimate, actual float64, censored bool) {
 	byKind := e.outcomes[team]
 	if byKind == nil {
@@ -239,7 +250,7 @@
 	}
 	counts := &byKind[k]
 	if censored && actual <= predicted.P90 {
-		return // the outcome is not known
+		return // it is unknown on which side of the 90th percentile the actual time is
 	}
 	if counts.n++; actual <= predicted.P90 && !censored {
 		counts.covered++
@@ -247,7 +258,8 @@
 	counts.ratio.learn(math.Log((actual+resolution)/(predicted.P50+resolution)), censored)
 }
 
-// EachAudit calls each with the accuracy of one kind of prediction since the last call, by team in ascending order. It allocates.
+// EachAccuracy calls each with the accuracy of one kind of prediction since the last call, by team in ascending order.
+// It allocates.
 func (e *Estimator) EachAudit(k Kind, each func(team int, accuracy Accuracy)) {
 	teams := make([]int, 0, len(e.outcomes))
 	for team := range e.outcomes {
@@ -262,29 +274,32 @@
 	}
 }
 
-// reservation is the time at which a rejected client was told to return, and the capacity kept for it then.
+// reservation is the time at which a rejected client was asked to retry, and the capacity reserved for it at that time.
 type reservation struct {
-	due        float64
+	due        float64 // time of the retry
 	requestKey uint64
 	team       int
-	load       float64 // seconds of the places
+	load       float64 // thread seconds
 }
 
-// MinPause is the least pause that a refused client is told, in seconds: nothing changes sooner, and a client that is told to retry
-// at once retries again and again.
+// MinPause is the shortest pause reported to a rejected client, in seconds. Nothing changes within a shorter time, and
+// a client that is asked to retry at once retries again and again.
 const MinPause = 0.05
 
-// How exactly a refused client has to keep its time.
+// Tolerances around the due time of a reservation, in seconds.
 const (
-	earlyTolerance = 0.05 // seconds before its time that a client may return: clocks and networks differ
-	lateTolerance  = 0.5  // seconds after its time for which capacity stays reserved
+	earlyTolerance = 0.05 // how much earlier a client may retry: clocks and network delays differ
+	lateTolerance  = 0.5  // how long capacity stays reserved after the due time
 )
 
-// Refuse returns after how many seconds a rejected client should return, and reserves capacity for it then: between the median and
-// the 90th percentile of its wait, and after the earlier reservations of its team, each for the time that it takes of the team's
-// share. base is the controller's own estimate of when the request would be admitted, load its thread seconds, part its team's share
-// of the threads. mark is the same for all retries of one request; 0: unknown, and nothing is reserved. A retry before its time is told
-// that time again. The estimate is the client's own wait; the pause is bounded by the longest that clients honor.
+// Reject returns the pause in seconds after which a rejected client should retry, and reserves capacity for it at that
+// time. The due time lies between the median and the 90th percentile of the client's wait, after the earlier
+// reservations of the team, each of which occupies the team's share of the threads for its load; where these reach past
+// the 90th percentile, it is the median. base is the controller's own estimate of the wait until the request would be
+// admitted, load the request's thread seconds, share its team's share of the threads. requestKey is the same for all
+// retries of one request; if it is 0, the request is unknown and nothing is reserved. A retry before its due time gets
+// the rest of the same pause. The estimate is that of the client's own wait; the pause is at most the longest that
+// clients honor.
 func (e *Estimator) Refuse(now float64, requestKey uint64, team, profile int, base, load, share float64) (pause float64, estimate Estimate) {
 	estimate = e.Predict(Return, team, profile, base)
 	e.expire(now)
@@ -299,19 +314,20 @@
 			due = max(due, s.due+s.load/max(share, 1e-3))
 		}
 	}
-	if due > now+estimate.P90 { // clients that retry again and again must not delay the others of their team
+	if due > now+estimate.P90 { // clients that retry repeatedly must not delay the others of their team
 		due = now + estimate.P50
 	}
 	due = max(due, now+MinPause)
 	if pause = due - now; requestKey == 0 || pause > e.maxPause || pause <= 0 || len(e.reservations) >= maxReservations {
-		return max(min(pause, e.maxPause), 0), estimate // it returns too early, and nothing is reserved
+		return max(min(pause, e.maxPause), 0), estimate // no reservation: the client may retry too early
 	}
 	k, _ := slices.BinarySearchFunc(e.reservations, due, func(s reservation, due float64) int { return cmp.Compare(s.due, due) })
 	e.reservations = slices.Insert(e.reservations, k, reservation{due, requestKey, team, load})
 	return pause, estimate
 }
 
-// Booked reports whether a request arrives at the time that its client was told, and redeems the reservation.
+// RedeemReservation reports whether a request has a reservation and does not arrive too early for it, and if so removes
+// the reservation.
 func (e *Estimator) Booked(now float64, requestKey uint64) bool {
 	e.expire(now)
 	k := e.findReservation(requestKey)
@@ -331,8 +347,9 @@
 	return slices.IndexFunc(e.reservations, func(s reservation) bool { return s.requestKey == key })
 }
 
-// ReservedLoad returns the capacity reserved for clients that are due now or soon, in thread seconds. A request without a reservation
-// counts it as queued before it, so that a client gains nothing by ignoring its time.
+// ReservedLoad returns the capacity reserved for clients that are due now or within lateTolerance, in thread seconds.
+// For a request without a reservation it counts as work queued before it, so that a client gains nothing by ignoring
+// its due time.
 func (e *Estimator) ReservedLoad(now float64) (load float64) {
 	e.expire(now)
 	for k := range e.reservations {
@@ -341,10 +358,10 @@
 		}
 		load += e.reservations[k].load
 	}
-	return load * e.redeemedFraction // many do not return: all of it would leave capacity unused
+	return load * e.redeemedFraction // many clients do not retry: reserving for all of them would leave capacity unused
 }
 
-// expire drops the reservations whose time is over.
+// expire drops the reservations that were not redeemed in time.
 func (e *Estimator) expire(now float64) {
 	n := 0
 	for ; n < len(e.reservations) && e.reservations[n].due < now-lateTolerance; n++ {
--- a/waittime/estimator_test.go
+++ b/waittime/estimator_test.go
@@ -10,14 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// Properties are tried on the same cases every time; `make explore` tries others.
+// TestMain fixes the seed, so that properties are checked on the same cases in every run; `make explore` checks others.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-// TestQuantileCoverage: whatever factor the base is off by, and however the waits scatter, half of them come to lie under the median
-// that is told and nine in ten under the 90th percentile, for a team with many and for one with few.
+// TestQuantileCoverage guards against predictions that do not adapt to a biased base: for any constant factor between
+// base and actual time and any scatter, half of the waits are below the predicted median and nine in ten below the 90th
+// percentile.
 func TestQuantileCoverage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		factor := rapid.Float64Range(0.2, 8).Draw(t, "off")
@@ -47,7 +48,8 @@
 	})
 }
 
-// TestCensoredWaits: waits that were cut short count as longer, not as what they were.
+// TestCensoredWaits guards against a median that is too low because the waits of clients that gave up count as their
+// actual length instead of as longer.
 func TestCensoredWaits(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	b := New(1, 1)
@@ -56,7 +58,7 @@
 		actual, givenUpAfter := math.Exp(0.5*rnd.NormFloat64()), math.Inf(1)
 		predicted := b.Predict(Start, 0, 0, 1)
 		if k%2 == 0 {
-			givenUpAfter = 0.3 // half of the clients have no more time
+			givenUpAfter = 0.3 // every other client gives up this early
 		}
 		b.Observe(Start, 0, 0, 1, min(actual, givenUpAfter), actual > givenUpAfter)
 		if k > 2000 {
@@ -66,12 +68,13 @@
 		}
 	}
 	if math.Abs(covered/n-0.5) > 0.06 {
-		t.Errorf("%.3f under the median, with half of them given up", covered/n)
+		t.Errorf("%.3f under the median, with every other client giving up early", covered/n)
 	}
 }
 
-// TestReservations: each refused client is told a time to itself, a client that comes early is told the same again and gains no
-// second one, one that keeps to its time is known, and what is kept for those who don't come is let go.
+// TestReservations checks that rejected clients get different due times, that a retry before the due time gets the same
+// due time and no second reservation, that a retry at the due time redeems its reservation once, and that capacity
+// reserved for clients that do not retry is released.
 func TestReservations(t *testing.T) {
 	b := New(1, 10)
 	for range 200 { // waits of two to three seconds, so that both quantiles are known
@@ -81,39 +84,39 @@
 	first, e := b.Refuse(0, 11, 0, 0, 1, 0.1, 0.5)
 	second, _ := b.Refuse(0, 12, 0, 0, 1, 0.1, 0.5)
 	if first != e.P50 || math.Abs(second-first-0.2) > 1e-9 || second > e.P90 {
-		t.Fatalf("told %.2f and %.2f, estimate %v", first, second, e)
+		t.Fatalf("pauses %.2f and %.2f, estimate %v", first, second, e)
 	}
 	if again, _ := b.Refuse(0.5, 11, 0, 0, 1, 0.1, 0.5); math.Abs(again-(first-0.5)) > 1e-9 || len(b.reservations) != 2 {
-		t.Errorf("one that came early is told %.2f, %d are booked", again, len(b.reservations))
+		t.Errorf("early retry: pause %.2f, %d reservations", again, len(b.reservations))
 	}
 	if b.Booked(1, 11) || b.Booked(first, 99) || b.Booked(first, 0) {
-		t.Error("an early or unknown command counts as booked")
+		t.Error("an early or unknown request redeemed a reservation")
 	}
 	if reserved := b.ReservedLoad(first); reserved <= 0 || reserved > 0.2 {
-		t.Errorf("kept %.2f s of places", reserved)
+		t.Errorf("%.2f thread seconds reserved", reserved)
 	}
 	if !b.Booked(first, 11) || b.Booked(first, 11) {
-		t.Error("a time is good once")
+		t.Error("a reservation is not redeemed exactly once")
 	}
 	before := b.redeemedFraction
 	if b.ReservedLoad(second+lateTolerance+1) != 0 || b.redeemedFraction >= before {
-		t.Error("what was kept for one that did not come is kept on")
+		t.Error("the reservation of a client that did not retry is not released")
 	}
-	// A thousand that ask again and again don't put a new one off past the 90th percentile.
+	// The reservations of 2000 other rejected requests of the team do not delay a new client past its 90th percentile.
 	for k := range uint64(2000) {
 		b.Refuse(100, 1000+k, 0, 0, 1, 0.1, 0.5)
 	}
 	if pause, e := b.Refuse(100, 1, 0, 0, 1, 0.1, 0.5); pause > e.P90 || len(b.reservations) > maxReservations {
-		t.Errorf("told %.2f, 90th percentile %.2f, %d booked", pause, e.P90, len(b.reservations))
+		t.Errorf("pause %.2f, 90th percentile %.2f, %d reservations", pause, e.P90, len(b.reservations))
 	}
-	// More than clients honour is cut to that, and nothing is booked for it.
+	// A pause longer than clients honor is cut to their maximum, and nothing is reserved.
 	b = New(1, 0.5)
 	if pause, e := b.Refuse(0, 5, 0, 0, 3, 0.1, 1); pause != 0.5 || e.P50 < 2.5 || len(b.reservations) != 0 {
-		t.Errorf("told %.2f of %.2f, %d booked", pause, e.P50, len(b.reservations))
+		t.Errorf("pause %.2f, median %.2f, %d reservations", pause, e.P50, len(b.reservations))
 	}
 }
 
-// TestBoundedMemory: however many teams wait, the book holds the same.
+// TestBoundedMemory checks that the number of cells and of teams with accuracy counts stays bounded, for any number of teams.
 func TestBoundedMemory(t *testing.T) {
 	b := New(1, 10)
 	for team := range 100000 {
@@ -121,20 +124,20 @@
 		b.ObserveReturn(team, 0, 1, Estimate{1, 2}, 1, false)
 	}
 	if len(b.cells) != maxCells || len(b.outcomes) > maxAccuracyTeams {
-		t.Errorf("%d cells, %d audited", len(b.cells), len(b.outcomes))
+		t.Errorf("%d cells, %d teams with accuracy counts", len(b.cells), len(b.outcomes))
 	}
 }
 
-// TestEachAccuracy: figures are of the promises kept since the last time.
+// TestEachAccuracy checks the reported accuracy, and that each outcome is reported once.
 func TestEachAccuracy(t *testing.T) {
 	b := New(1, 1)
 	for k := range 100 {
-		b.ObserveReturn(3, 0, 1, Estimate{1, 2}, float64(1+k%10)/4, false) // to 2.5: eight in ten under 2
+		b.ObserveReturn(3, 0, 1, Estimate{1, 2}, float64(1+k%10)/4, false) // 0.25 to 2.5: eight in ten are at most 2
 	}
 	var got []Accuracy
 	b.EachAudit(Return, func(team int, f Accuracy) { got = append(got, f) })
 	if len(got) != 1 || got[0].Count != 100 || got[0].Covered != 0.8 || math.Abs(got[0].Ratio-1.37) > 0.3 {
 		t.Errorf("%+v", got)
 	}
-	b.EachAudit(Return, func(int, Accuracy) { t.Error("told twice") })
+	b.EachAudit(Return, func(int, Accuracy) { t.Error("reported twice") })
 }
--- a/waittime/learned.go
+++ b/waittime/learned.go
@@ -1,19 +1,19 @@
 package waittime
 
-// This file exports the learned corrections for a later process, and imports them.
+// This file exports the learned corrections for the process that runs after a restart, and imports them there.
 
-// Learned is the correction for one team and profile, by kind of time.
+// Learned holds the corrections for one team and profile, indexed by kind of time.
 type Learned struct {
-	Team, Profile int // Team -1: over all teams
+	Team, Profile int // team -1: over all teams
 	Corrections   [kinds]Correction
 }
 
-// Correction is the state of a tracker: observations, both quantiles of the logarithm, and the mean deviation.
+// Correction is the state of one tracker: the number of observations, both quantiles of the logarithm, and the mean deviation.
 type Correction struct{ N, Q50, Q90, Dev float64 }
 
 // Learned returns the learned corrections, those over all teams first. Cells with fewer than three observations are left out.
 func (e *Estimator) Learned() (all []Learned) {
-	const minObservations = 3 // observations: fewer than a new cell learns in its first seconds
+	const minObservations = 3 // a new cell has more after its first seconds
 	for _, cells := range [][]cell{e.all, e.cells} {
 		for k := range cells {
 			c := &cells[k]
@@ -32,7 +32,7 @@
 	return all
 }
 
-// Restore takes over what an earlier process learned. A correction with a small N is soon overruled.
+// Restore takes over corrections that an earlier process learned. New observations soon outweigh a correction with a small N.
 func (e *Estimator) Restore(all []Learned) {
 	for _, l := range all {
 		if l.Profile < 0 || l.Profile >= len(e.all) {
