--- a/warmstart/snapshot.go
+++ b/warmstart/snapshot.go
@@ -2,78 +2,81 @@
 
 import "math"
 
-// This file defines the pieces in which knowledge is stored, and joins them again, each discounted by its own age.
+// This file defines the parts in which knowledge is stored, a snapshot and journal records, and combines them on a
+// restart. Each part is discounted by its own age.
 
-// Snapshot is what changes slowly, with the latest record at that time.
+// Snapshot holds the knowledge that changes slowly, and the latest journal record at the time of the snapshot.
 type Snapshot struct {
 	At       Timestamp `cbor:"1,keyasint"`
 	Profiles []Profile `cbor:"2,keyasint"`
-	Quick    Record    `cbor:"3,keyasint"`
+	Quick    Record    `cbor:"3,keyasint"` // latest journal record
 	Waits    []Wait    `cbor:"4,keyasint,omitempty"`
 }
 
-// Record is what changes fast and costs most to lose. The journal holds such records; the last one counts.
+// JournalRecord holds the knowledge that changes fast and is most costly to lose. The journal is a sequence of such
+// records. Each is complete, so that only the last one is used.
 type Record struct {
 	At     Timestamp `cbor:"1,keyasint"`
 	Known  Knowledge `cbor:"2,keyasint"` // without profiles
 	Teams  []Team    `cbor:"3,keyasint,omitempty"`
-	Serial uint32    `cbor:"4,keyasint,omitempty"` // of the list of servers
-	Up     float64   `cbor:"5,keyasint,omitempty"` // seconds for which the process had run
+	Serial uint32    `cbor:"4,keyasint,omitempty"` // serial number of the server list
+	Up     float64   `cbor:"5,keyasint,omitempty"` // seconds since the start of the process
 }
 
-// Team is how far a team was ahead of its siblings, in work over weight.
+// TeamLead is the lead of a team's virtual time over that of its siblings.
 type Team struct {
 	Name  string  `cbor:"1,keyasint"`
-	Ahead float64 `cbor:"2,keyasint"`
+	Ahead float64 `cbor:"2,keyasint"` // core seconds over weight
 }
 
-// Wait is a correction of predicted waits, of a team (empty: over all) and a profile, by kind of time.
+// WaitCorrection holds the corrections of the wait times that package waittime predicts for a team and a profile.
 type Wait struct {
-	Team    string       `cbor:"1,keyasint,omitempty"`
+	Team    string       `cbor:"1,keyasint,omitempty"` // empty: over all teams
 	Profile int          `cbor:"2,keyasint"`
-	Of      []Correction `cbor:"3,keyasint"`
+	Of      []Correction `cbor:"3,keyasint"` // by kind of time
 }
 
-// Correction is a running pair of quantiles with the number of observations behind it.
+// Correction is the state of two running quantiles of the logarithm of actual over predicted time.
 type Correction struct {
-	N   float64 `cbor:"1,keyasint"`
+	N   float64 `cbor:"1,keyasint"` // observations
 	Q50 float64 `cbor:"2,keyasint"`
 	Q90 float64 `cbor:"3,keyasint"`
-	Dev float64 `cbor:"4,keyasint"`
+	Dev float64 `cbor:"4,keyasint"` // mean deviation
 }
 
-// Restored is what a new process starts with.
+// Restored is the state with which a new process starts.
 type Restored struct {
 	Beliefs
-	Teams  map[string]float64 // level by name, discounted
+	Teams  map[string]float64 // lead by name of the team, discounted
 	Waits  []Wait
-	Serial uint32
-	Age    float64 // of the newest piece, in seconds
-	Old    float64 // of the snapshot, in seconds
-	Sure   bool    // whether the ages are known
+	Serial uint32  // serial number of the server list
+	Age    float64 // age of the latest record, in seconds
+	Old    float64 // age of the snapshot, in seconds
+	Sure   bool    // both ages are known
 }
 
-// Half-lives and bounds of what is stored for other packages.
+// Half-lives and bounds of the knowledge that is stored for other packages.
 const (
-	teamHalfLife            = 30.0  // seconds: others are served meanwhile, and a team that is ahead waits for about as long
-	waitCorrectionHalfLife  = 600.0 // seconds: what predictions leave out depends on the load
-	maxWaitCorrectionWeight = 10.0  // most that an earlier correction weighs, in observations
+	teamHalfLife            = 30.0  // seconds: a team that is ahead waits for about this long while others are served
+	waitCorrectionHalfLife  = 600.0 // seconds: the error of the predictions depends on the load
+	maxWaitCorrectionWeight = 10.0  // weight of a restored correction, in observations
 	maxTeamLead             = 1e6   // core seconds over weight
-	maxTeams                = 20000 // as many as the operators' file may have
-	maxWaitCorrections      = 5120  // the cells of package waittime, and those over all teams
+	maxTeams                = 20000 // the most that the operators' configuration file may have
+	maxWaitCorrections      = 5120  // 4096 cells of package waittime, and 1024 over all teams, one for each profile
 )
 
-// Restore joins a snapshot and the journal's records since, each discounted by its own age. Of a record from before its snapshot,
-// or from another boot that gives no age, knowledge that lives for seconds is dropped.
+// Restore combines a snapshot and the journal records written since. Each part is discounted by its own age. If the age
+// of either is unknown, because a clock went backwards or was set far ahead, the fast-changing knowledge of the last
+// record is dropped.
 func Restore(snapshot Snapshot, records []Record, now Timestamp, fingerprints []uint64, refillRates []float64) (r Restored) {
 	latest := snapshot.Quick
 	if n := len(records); n > 0 {
-		latest = records[n-1] // each is complete
+		latest = records[n-1] // each record is complete
 	}
 	snapshotAge, snapshotAgeKnown := now.Age(snapshot.At)
 	fromSnapshot := Believe(Knowledge{Profiles: snapshot.Profiles}, snapshotAge, snapshotAgeKnown, fingerprints, refillRates)
 	age, ageKnown := now.Age(latest.At)
-	ageKnown = ageKnown && snapshotAgeKnown // an age known of the journal alone means that a clock was set in between
+	ageKnown = ageKnown && snapshotAgeKnown // if only the record's age is known, a clock was set in between
 	latest.Known.Profiles = nil
 	r.Beliefs = Believe(latest.Known, age, ageKnown, fingerprints, refillRates)
 	r.Profiles, r.Why = fromSnapshot.Profiles, append(fromSnapshot.Why, r.Why...)
--- a/warmstart/warmstart_test.go
+++ b/warmstart/warmstart_test.go
@@ -14,13 +14,13 @@
 		age          float64
 		ok           bool
 	}{
-		{"the same start", Timestamp{1000, 50, "a"}, Timestamp{990, 40, "a"}, 10, true},
-		{"the wall clock was set back meanwhile", Timestamp{500, 50, "a"}, Timestamp{990, 40, "a"}, 10, true},
-		{"another start", Timestamp{1000, 5, "b"}, Timestamp{900, 400, "a"}, 100, true},
-		{"the clock went backwards over a restart", Timestamp{800, 5, "b"}, Timestamp{900, 400, "a"}, 0, false},
-		{"it was set back, and the machine has been up for longer than it says", Timestamp{1000, 500, "b"}, Timestamp{900, 400, "a"}, 0, false},
-		{"it was set ahead by a year", Timestamp{1000 + 365*86400, 5, "b"}, Timestamp{900, 400, "a"}, 0, false},
-		{"a folder of another machine under the same name", Timestamp{1000, 5, "a"}, Timestamp{900, 400, "a"}, 0, false},
+		{"same boot", Timestamp{1000, 50, "a"}, Timestamp{990, 40, "a"}, 10, true},
+		{"same boot, the wall clock was set back", Timestamp{500, 50, "a"}, Timestamp{990, 40, "a"}, 10, true},
+		{"another boot", Timestamp{1000, 5, "b"}, Timestamp{900, 400, "a"}, 100, true},
+		{"another boot, the wall clock went backwards", Timestamp{800, 5, "b"}, Timestamp{900, 400, "a"}, 0, false},
+		{"the wall clock was set back, so that the uptime exceeds the age", Timestamp{1000, 500, "b"}, Timestamp{900, 400, "a"}, 0, false},
+		{"the wall clock was set ahead by a year", Timestamp{1000 + 365*86400, 5, "b"}, Timestamp{900, 400, "a"}, 0, false},
+		{"same boot ID, but the uptime went backwards", Timestamp{1000, 5, "a"}, Timestamp{900, 400, "a"}, 0, false},
 		{"no number", Timestamp{math.NaN(), 5, "b"}, Timestamp{900, 400, "a"}, 0, false},
 	} {
 		if age, ok := c.now.Age(c.earlier); age != c.age || ok != c.ok {
@@ -33,7 +33,9 @@
 	return Profile{Settings: 7, Work: 2, Seen: 100, Hinted: 300, Worked: 150, Slow: 3, Times: Times{Counts: []float64{0, 100, 300}, Sum: 500}}
 }
 
-// TestDiscount: what is minutes old weighs as few samples do, a day old next to nothing; what lives for seconds is gone.
+// TestDiscount checks how the weight of a profile's knowledge falls with its age: processing times lose their weight
+// within an hour, the mean work halves in a day, and the slowdown is gone after minutes. Knowledge of unknown age has a
+// quarter of the weight, and knowledge from other settings is dropped.
 func TestDiscount(t *testing.T) {
 	discountedAt := func(age float64, ageKnown bool) Profile {
 		return Believe(Knowledge{Profiles: []Profile{testProfile()}}, age, ageKnown, []uint64{7}, nil).Profiles[0]
@@ -44,19 +46,20 @@
 	}{{0, 40, 10, 3, 0.5}, {20, 39.1, 10, 2, 0.5}, {600, 20, 9.95, 1, 0.5}, {3600, 0, 9.71, 1, 0.5}, {86400, 0, 5, 1, 0.5}} {
 		p := discountedAt(c.age, true)
 		if n := p.Times.N(); math.Abs(n-c.n) > 0.7 || math.Abs(p.Seen-c.seen) > 0.05 || math.Abs(p.Slow-c.slow) > 0.01 || math.Abs(p.Worked/p.Hinted-c.bias) > 0.01 {
-			t.Errorf("after %v s: %.1f times, %.2f answers, slowdown %.2f, bias %.2f", c.age, n, p.Seen, p.Slow, p.Worked/p.Hinted)
+			t.Errorf("after %v s: %.1f processing times, %.2f completed requests, slowdown %.2f, bias %.2f", c.age, n, p.Seen, p.Slow, p.Worked/p.Hinted)
 		}
 	}
 	if p := discountedAt(0, false); p.Times.N() != 10 || p.Slow != 1 || p.Seen != 2.5 {
-		t.Errorf("of unknown age: %+v", p)
+		t.Errorf("unknown age: %+v", p)
 	}
 	b := Believe(Knowledge{Profiles: []Profile{testProfile()}}, 1, true, []uint64{8}, nil)
 	if b.Profiles[0].Seen != 0 || len(b.Why) != 1 {
-		t.Errorf("other settings: %+v", b)
+		t.Errorf("changed settings: %+v", b)
 	}
 }
 
-// TestServerHealthDecays: an engine's trouble is believed for some seconds, and of its own start alone, which the caller compares.
+// TestServerHealthDecays checks that the state of an unhealthy server is restored only for some seconds. It applies to
+// one start of the server; the caller compares the starts.
 func TestServerHealthDecays(t *testing.T) {
 	k := Knowledge{Engines: []Server{{ID: 1, Start: 50, Slow: 4, Fails: 0.8, Ill: true, Pause: 2}, {ID: 2, Slow: 1}}}
 	if b := Believe(k, 5, true, nil, nil); len(b.Engines) != 1 || !b.Engines[0].Ill || b.Engines[0].Start != 50 {
@@ -68,11 +71,12 @@
 		}
 	}
 	if b := Believe(k, 5, false, nil, nil); len(b.Engines) != 0 {
-		t.Errorf("of unknown age: %+v", b.Engines)
+		t.Errorf("unknown age: %+v", b.Engines)
 	}
 }
 
-// TestTenantDebt: a tenant's debt is paid by time; with another quota, or when nobody knows how long it was, it starts anew.
+// TestTenantDebt checks that a tenant's debt is paid off over time, and that the bucket starts full if the quota has
+// changed or the age of the debt is unknown.
 func TestTenantDebt(t *testing.T) {
 	k := Knowledge{Tenants: []Tenant{{Left: -20, Rate: 4}}}
 	if b := Believe(k, 3, true, nil, []float64{4}); b.Tenants[0].Left != -8 {
@@ -85,7 +89,8 @@
 	}
 }
 
-// TestArbitraryKnowledge: whatever is read, what is believed is finite, weighs no more than it may, and less the older it is.
+// TestArbitraryKnowledge checks that for any stored values, also invalid ones, the discounted values are within their
+// bounds, weigh at most the allowed maximum, and weigh less the older they are.
 func TestArbitraryKnowledge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		anyFloat := func(name string) float64 {
@@ -109,7 +114,7 @@
 		b := Believe(k, age, ageKnown, []uint64{7, 7}, []float64{3})
 		check := func(label string, x, low, high float64) {
 			if !(x >= low && x <= high) {
-				t.Fatalf("%s is believed to be %v", label, x)
+				t.Fatalf("%s is restored as %v", label, x)
 			}
 		}
 		for _, p := range b.Profiles {
@@ -122,8 +127,8 @@
 			}
 		}
 		for _, e := range b.Engines {
-			check("an engine's slowdown", e.Slow, 1, 1e3)
-			check("an engine's failures", e.Fails, 0, 1)
+			check("server slowdown", e.Slow, 1, 1e3)
+			check("server failures", e.Fails, 0, 1)
 		}
 		check("pace", b.Pace, 1, 1e3)
 		check("price", b.Cut, 0, math.Inf(1))
@@ -132,7 +137,7 @@
 			older := Believe(k, age+60, true, []uint64{7, 7}, []float64{3})
 			for n, p := range older.Profiles {
 				if p.Times.N() > b.Profiles[n].Times.N()+1e-9 || p.Seen > b.Profiles[n].Seen+1e-9 {
-					t.Fatalf("older weighs more: %+v, %+v", p, b.Profiles[n])
+					t.Fatalf("older knowledge weighs more: %+v, %+v", p, b.Profiles[n])
 				}
 			}
 		}
