--- a/probing/hints.go
+++ b/probing/hints.go
@@ -1,65 +1,66 @@
-// Package probing decides what a router does with the result of another router's probe of a suspected server.
+// Package probing decides how a router uses the result of another router's probe of a suspected server.
 //
-// One router, the owner of the probing task, probes for all; what it finds is a hint. A hint only moves the time of the probes that
-// this router itself makes of a server that it itself suspects: nothing that a faulty owner says makes a server suspected, or
-// trusted without a probe. Times are seconds on the caller's clock.
+// One router, the owner of the probing task, probes on behalf of all routers; its findings are hints. A hint only moves
+// the time of the probes that this router itself makes of a server that it itself suspects. A faulty owner can
+// therefore not make this router suspect a server, nor trust one without a probe. Times are seconds on the caller's
+// clock.
 package probing
 
-// Finding is the result of an owner's probe of one start of a server.
+// Finding is the result of the owner's last probe of one start of a server.
 type Finding struct {
 	Server  uint32  `json:"engine"`
 	Start   float64 `json:"start"`
-	Healthy bool    `json:"well"` // it answered the last probe
+	Healthy bool    `json:"well"` // the server answered the probe
 }
 
 // Bounds on the effect of hints.
 const (
-	findingLifetime = 4.0 // seconds: an owner renews a finding each second, so that three may be lost
-	maxPostponement = 8.0 // seconds that own probes are postponed in a row: the delay that a false finding can cause after a recovery
-	maxFindings     = 256 // starts of servers that are remembered
+	findingLifetime = 4.0 // seconds: an owner renews a finding every second, so that three in a row may be lost
+	maxPostponement = 8.0 // seconds by which own probes are postponed in a row, so the delay that false findings can cause after a recovery
+	maxFindings     = 256 // starts of servers for which findings are stored
 )
 
-// Basis is why a router's own probe of a suspected server was due.
+// ProbeReason is the reason why a router's own probe of a suspected server was due.
 type Basis uint8
 
 // The reasons for a probe.
 const (
-	NoFinding       Basis = iota // nobody has reported on the server: the router's own time counts
-	StaleFinding                 // the last finding is too old to count
-	DistrustedOwner              // a probe of this router has contradicted the owner
-	FoundHealthy                 // the owner reports that it answers
-	PostponedLong                // findings have postponed the probe for as long as they may
+	NoFinding       Basis = iota // there is no finding on the server, so the router's own time applied
+	StaleFinding                 // the last finding has expired
+	DistrustedOwner              // a probe by this router has contradicted the owner
+	FoundHealthy                 // the owner reports that the server answers
+	PostponedLong                // findings have postponed the probe for the maximum time
 )
 
 func (b Basis) String() string {
 	return [...]string{"no finding", "a stale finding", "a distrusted owner", "found healthy", "postponed long enough"}[b]
 }
 
-// serverStart names one start of a server.
+// serverStart identifies one start of a server.
 type serverStart struct {
 	server uint32
 	start  float64
 }
 
-// finding is what is remembered of the findings on one start of a server.
+// finding is the state of the findings on one start of a server.
 type finding struct {
-	fence           uint64
-	healthy         bool
-	foundAt         float64 // on this process's clock, at the latest
+	fence           uint64  // of the last finding
+	healthy         bool    // result of the last finding
+	foundAt         float64 // latest possible time of the last finding, on this process's clock
 	distrustedFence uint64  // highest fence whose finding an own probe has contradicted
-	postponedSince  float64 // since when own probes are postponed; 0: they are not
+	postponedSince  float64 // time from which own probes are postponed; 0: they are not
 	earlyProbeUsed  bool    // the early probe that a healthy finding allows has been made
-	basis           Basis   // of the next probe
+	basis           Basis   // reason for the next probe
 }
 
-// Hints remembers findings. It is not safe for concurrent use.
+// Hints stores the findings that a router has received. It is not safe for concurrent use.
 type Hints struct{ findings map[serverStart]*finding }
 
-// NewHints returns an empty memory.
+// NewHints returns Hints without findings.
 func NewHints() *Hints { return &Hints{findings: map[serverStart]*finding{}} }
 
-// Receive remembers a finding that an owner published under a fence. age is in seconds, counted from before the finding was
-// requested.
+// Receive stores a finding that an owner published under a fence. age is the finding's age in seconds, counted from
+// before it was requested.
 func (h *Hints) Receive(now float64, fence uint64, received Finding, age float64) {
 	if !(age >= 0) || age > findingLifetime {
 		return
@@ -85,7 +86,7 @@
 	known.fence, known.healthy, known.foundAt = fence, received.Healthy, now-age
 }
 
-// dropExpired drops findings that have no effect any more.
+// dropExpired drops findings that no longer have an effect.
 func (h *Hints) dropExpired(now float64) {
 	for k, known := range h.findings {
 		if now-known.foundAt > maxPostponement {
@@ -94,7 +95,8 @@
 	}
 }
 
-// NextProbe returns the time of this router's next probe of a server that it suspects. own is the time without hints.
+// NextProbe returns the time of this router's next probe of a server that it suspects. ownTime is the time of this
+// probe without findings.
 func (h *Hints) NextProbe(now float64, server uint32, start, ownTime float64) float64 {
 	known := h.findings[serverStart{server, start}]
 	switch {
@@ -113,7 +115,7 @@
 		}
 		return min(ownTime, now)
 	case now < ownTime:
-		return ownTime // not yet due, with or without the finding
+		return ownTime // the probe is not yet due even without the finding
 	}
 	known.basis = PostponedLong
 	if known.postponedSince == 0 {
@@ -122,8 +124,9 @@
 	return max(ownTime, min(known.postponedSince+maxPostponement, now+findingLifetime))
 }
 
-// Probed reports the result of a probe by this router, and returns why it was due. A success that contradicts the owner's finding ends
-// the trust in that owner's findings on this start of the server.
+// ProbeEnded processes the result of a probe by this router, and returns why the probe was due. If the server answered
+// although the owner reported that it does not, this owner's findings on this start of the server are no longer
+// trusted.
 func (h *Hints) Probed(now float64, server uint32, start float64, answered bool) Basis {
 	known := h.findings[serverStart{server, start}]
 	if known == nil {
@@ -131,7 +134,7 @@
 	}
 	known.postponedSince, known.earlyProbeUsed = 0, true
 	if now-known.foundAt <= findingLifetime && answered != known.healthy && !known.healthy {
-		known.distrustedFence = max(known.distrustedFence, known.fence) // the server answers, though the owner reported that it does not
+		known.distrustedFence = max(known.distrustedFence, known.fence)
 	}
 	return known.basis
 }
--- a/probing/hints_test.go
+++ b/probing/hints_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPostponementIsBounded: whatever findings say, in any order and under any fences, an engine that this router doubts is tried again by
-// itself within what a hint may put off, and one "well" brings one trial forward.
+// TestPostponementIsBounded checks that for any findings, in any order and under any fences, a router probes a
+// suspected server no later than maxPostponement after the time without findings.
 func TestPostponementIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewHints()
@@ -25,7 +25,7 @@
 					postponed += 0.5
 				}
 				if postponed > maxPostponement+1 {
-					t.Fatalf("put off for %v s", postponed)
+					t.Fatalf("probe postponed for %v s", postponed)
 				}
 				continue
 			}
@@ -36,54 +36,58 @@
 	})
 }
 
+// TestHints checks the effect of single findings: a healthy finding allows one early probe, an unhealthy one postpones
+// probes, and findings that are expired, on another start of the server, or from a distrusted owner are ignored.
 func TestHints(t *testing.T) {
 	b := NewHints()
 	if at := b.NextProbe(10, 7, 3, 12); at != 12 {
-		t.Errorf("nothing heard: %v", at)
+		t.Errorf("no finding: next probe at %v", at)
 	}
 	b.Receive(10, 1, Finding{7, 3, true}, 1)
 	if at := b.NextProbe(10, 7, 3, 12); at != 10 {
-		t.Errorf("found well: tried at %v", at)
+		t.Errorf("found healthy: next probe at %v", at)
 	}
 	if at := b.NextProbe(10, 7, 4, 12); at != 12 {
-		t.Errorf("another start of it: %v", at)
+		t.Errorf("another start of the server: next probe at %v", at)
 	}
 	b.Probed(10, 7, 3, false)
 	if at := b.NextProbe(10.1, 7, 3, 13); at != 13 {
-		t.Errorf("its one trial was made: %v", at)
+		t.Errorf("the early probe was used: next probe at %v", at)
 	}
 	b.Receive(14, 2, Finding{7, 3, false}, 0)
 	if at := b.NextProbe(14, 7, 3, 13); at <= 14 {
-		t.Errorf("found ill: tried at %v", at)
+		t.Errorf("found unhealthy: next probe at %v", at)
 	}
-	b.Probed(14, 7, 3, true) // by a command that had to go there
+	b.Probed(14, 7, 3, true) // by a request that could not go elsewhere
 	b.Receive(15, 2, Finding{7, 3, false}, 0)
 	if at := b.NextProbe(15, 7, 3, 14.5); at != 14.5 {
-		t.Errorf("an owner that was wrong is heeded: %v", at)
+		t.Errorf("the finding of a distrusted owner counts: next probe at %v", at)
 	}
 	b.Receive(16, 3, Finding{7, 3, false}, 9)
 	if at := b.NextProbe(16, 7, 3, 15); at != 15 {
-		t.Errorf("an old finding counts: %v", at)
+		t.Errorf("an expired finding counts: next probe at %v", at)
 	}
 }
 
-// silentServer is a server that never answers, with a router that probes it and owners that report on it, all at drawn times.
+// silentServer simulates a server that never answers, a router that probes it and owners that report on it, all at
+// random times.
 type silentServer struct {
 	*Hints
 	rng           *rand.Rand
 	fence         uint64
-	nextFindingAt float64 // the next finding
-	nextProbeAt   float64 // the router's own time of its next probe
-	probeEndsAt   float64 // of the probe that is out, 0: none is
+	nextFindingAt float64 // when the next finding arrives
+	nextProbeAt   float64 // the router's own time of its next probe, without findings
+	probeEndsAt   float64 // end of the current probe; 0: there is none
 }
 
-const silentStep = 0.05 // seconds
+const silentStep = 0.05 // seconds between simulated times
 
+// uniform returns a random number between low and high.
 func (s *silentServer) uniform(low, high float64) float64 {
 	return low + (high-low)*s.rng.Float64()
 }
 
-// deliverFinding has a finding arrive, and the next one within its lifetime.
+// deliverFinding delivers a finding if one is due, and schedules the next one within its lifetime.
 func (s *silentServer) deliverFinding(now float64) {
 	if now < s.nextFindingAt {
 		return
@@ -96,7 +100,7 @@
 	s.nextFindingAt = now + s.uniform(0.5, findingLifetime-age-2*silentStep)
 }
 
-// beginsProbe tells whether a beginsProbe begins now.
+// beginsProbe ends the current probe if it is due, and reports whether a probe begins now.
 func (s *silentServer) beginsProbe(now float64) bool {
 	if s.probeEndsAt > 0 && now >= s.probeEndsAt {
 		s.Probed(now, 7, 3, false)
@@ -110,8 +114,9 @@
 	return true
 }
 
-// TestProbeSpacing guards against probes that findings should have postponed: while an owner's findings arrive within their lifetime, under
-// owners that change, two probes of a server that does not answer are at least maxPostponement apart, however long each takes.
+// TestProbeSpacing guards against probes that findings should have postponed. While findings arrive within their
+// lifetime, also from changing owners, two probes of a server that does not answer are at least maxPostponement apart,
+// however long each takes.
 func TestProbeSpacing(t *testing.T) {
 	const seeds, end = 10000, 60.0
 	for seed := range uint64(seeds) {
@@ -134,8 +139,8 @@
 	}
 }
 
-// TestFalseFindings: an owner that says every half second that a healthy engine does not answer can keep a router that doubts it from
-// trying it for a bounded time only.
+// TestFalseFindings checks that an owner that reports every half second that a healthy server does not answer can delay
+// the probe of a router that suspects this server only for a bounded time.
 func TestFalseFindings(t *testing.T) {
 	b := NewHints()
 	ownTime := 1.0
@@ -143,10 +148,10 @@
 		b.Receive(now, 1, Finding{Server: 7, Start: 3}, 0)
 		if b.NextProbe(now, 7, 3, ownTime) <= now {
 			if now > ownTime+maxPostponement+1 {
-				t.Fatalf("tried %v s late", now-ownTime)
+				t.Fatalf("probed %v s late", now-ownTime)
 			}
 			return
 		}
 	}
-	t.Fatal("never tried")
+	t.Fatal("never probed")
 }
