--- a/probing/hints.go
+++ b/probing/hints.go
@@ -16,7 +16,7 @@
 // Bounds on the effect of hints.
 const (
 	findingLifetime = 4.0 // seconds: an owner renews a finding every second, so that three in a row may be lost
-	maxPostponement = 8.0 // seconds by which own probes are postponed in a row, so the delay that false findings can cause after a recovery
+	maxPostponement = 8.0 // seconds: longest postponement of own probes, so false findings delay a recovery by this much
 	maxFindings     = 256 // starts of servers for which findings are stored
 )
 
@@ -50,7 +50,7 @@
 	distrustedFence uint64  // highest fence whose finding an own probe has contradicted
 	postponedSince  float64 // time from which own probes are postponed; 0: they are not
 	earlyProbeUsed  bool    // the early probe that a healthy finding allows has been made
-	basis           Basis   // reason for the next probe
+	reason          Basis   // reason for the next probe
 }
 
 // Hints stores the findings that a router has received. It is not safe for concurrent use.
@@ -103,13 +103,13 @@
 	case known == nil:
 		return ownTime
 	case now-known.foundAt > findingLifetime:
-		known.basis = StaleFinding
+		known.reason = StaleFinding
 		return ownTime
 	case known.fence <= known.distrustedFence:
-		known.basis = DistrustedOwner
+		known.reason = DistrustedOwner
 		return ownTime
 	case known.healthy:
-		known.basis = FoundHealthy
+		known.reason = FoundHealthy
 		if known.postponedSince = 0; known.earlyProbeUsed {
 			return ownTime
 		}
@@ -117,7 +117,7 @@
 	case now < ownTime:
 		return ownTime // the probe is not yet due even without the finding
 	}
-	known.basis = PostponedLong
+	known.reason = PostponedLong
 	if known.postponedSince == 0 {
 		known.postponedSince = ownTime
 	}
@@ -136,5 +136,5 @@
 	if now-known.foundAt <= findingLifetime && answered != known.healthy && !known.healthy {
 		known.distrustedFence = max(known.distrustedFence, known.fence)
 	}
-	return known.basis
+	return known.reason
 }
--- a/waittime/estimator.go
+++ b/waittime/estimator.go
@@ -231,7 +231,7 @@
 	e.countOutcome(k, p.team, p.estimates[k], now-p.at, censored)
 }
 
-// ObserveReturn learns from the time after which a rejected request would have been admitted. predicted is the estimate
+// ObserveRetryAdmission learns from the time after which a rejected request would have been admitted. predicted is the estimate
 // that was made for it from base.
 func (e *Estimator) ObserveReturn(team, profile int, base float64, predicted Estimate, actual float64, censored bool) {
 	e.Observe(Return, team, profile, base, actual, censored)
