--- a/waittime/estimator.go
+++ b/waittime/estimator.go
@@ -210,7 +210,7 @@
 	return start, completion
 }
 
-// EventOccurred records that a predicted event has happened: the first attempt has begun, or the request has completed.
+// Occurred records that a predicted event has happened: the first attempt has begun, or the request has completed.
 func (e *Estimator) Fulfilled(now float64, slot int32, k Kind) { e.resolve(now, slot, k, false) }
 
 // RequestAbandoned resolves the pending predictions of a request that was given up. Their actual times are censored:
@@ -231,8 +231,8 @@
 	e.countOutcome(k, p.team, p.estimates[k], now-p.at, censored)
 }
 
-// ObserveRetryAdmission learns from the time after which a rejected request would have been admitted. predicted is the estimate
-// that was made for it from base.
+// ObserveRetryAdmission learns from the time after which a rejected request would have been admitted. predicted is the
+// estimate that was made for it from base.
 func (e *Estimator) ObserveReturn(team, profile int, base float64, predicted Estimate, actual float64, censored bool) {
 	e.Observe(Return, team, profile, base, actual, censored)
 	e.countOutcome(Return, team, predicted, actual, censored)
--- a/warmstart/warmstart.go
+++ b/warmstart/warmstart.go
@@ -47,7 +47,7 @@
 	return age, true
 }
 
-// Histogram is a histogram of processing times. The bounds of its buckets grow by a constant ratio.
+// Times is a histogram of processing times. The bounds of its buckets grow by a constant ratio.
 type Times struct {
 	Counts []float64 `cbor:"1,keyasint"`
 	Sum    float64   `cbor:"2,keyasint"`
