--- a/warmstart/warmstart.go
+++ b/warmstart/warmstart.go
@@ -220,7 +220,7 @@
 	return ""
 }
 
-// Count returns the number of samples in a histogram.
+// N returns the number of samples in a histogram.
 func (t *Times) N() (n float64) {
 	for _, c := range t.Counts {
 		n += c
