--- a/probing/hints_test.go
+++ b/probing/hints_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestPostponementIsBounded checks that for any findings, in any order and under any fences, a router probes a
-// suspected server no later than maxPostponement after the time without findings.
+// suspected server at most about maxPostponement later than without findings.
 func TestPostponementIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewHints()
