--- a/warmstart/snapshot.go
+++ b/warmstart/snapshot.go
@@ -2,104 +2,107 @@
 
 import "math"
 
-// This file defines the pieces in which knowledge is stored, and joins them again, each discounted by its own age.
+// This file defines the parts in which knowledge is stored, a snapshot and journal records, and combines them on a
+// restart. Each part is discounted by its own age.
 
-// Snapshot is what changes slowly, with the latest record at that time.
+// Snapshot holds the knowledge that changes slowly, and the latest journal record at the time of the snapshot.
 type Snapshot struct {
 	At       Timestamp `cbor:"1,keyasint"`
 	Profiles []Profile `cbor:"2,keyasint"`
-	Quick    Record    `cbor:"3,keyasint"`
+	Quick    Record    `cbor:"3,keyasint"` // latest journal record
 	Waits    []Wait    `cbor:"4,keyasint,omitempty"`
 }
 
-// Record is what changes fast and costs most to lose. The journal holds such records; the last one counts.
+// JournalRecord holds the knowledge that changes fast and is most costly to lose. The journal is a sequence of such
+// records. Each is complete, so that only the last one is used.
 type Record struct {
 	At     Timestamp `cbor:"1,keyasint"`
 	Known  Knowledge `cbor:"2,keyasint"` // without profiles
 	Teams  []Team    `cbor:"3,keyasint,omitempty"`
-	Serial uint32    `cbor:"4,keyasint,omitempty"` // of the list of servers
-	Up     float64   `cbor:"5,keyasint,omitempty"` // seconds for which the process had run
+	Serial uint32    `cbor:"4,keyasint,omitempty"` // serial number of the server list
+	Up     float64   `cbor:"5,keyasint,omitempty"` // seconds since the start of the process
 }
 
-// Team is how far a team was ahead of its siblings, in work over weight.
+// TeamLead is the lead of a team's virtual time over that of its siblings.
 type Team struct {
 	Name  string  `cbor:"1,keyasint"`
-	Ahead float64 `cbor:"2,keyasint"`
+	Ahead float64 `cbor:"2,keyasint"` // core seconds over weight
 }
 
-// Wait is a correction of predicted waits, of a team (empty: over all) and a profile, by kind of time.
+// WaitCorrection holds the corrections of the wait times that package waittime predicts for a team and a profile.
 type Wait struct {
-	Team    string       `cbor:"1,keyasint,omitempty"`
+	Team    string       `cbor:"1,keyasint,omitempty"` // empty: over all teams
 	Profile int          `cbor:"2,keyasint"`
-	Of      []Correction `cbor:"3,keyasint"`
+	Of      []Correction `cbor:"3,keyasint"` // by kind of time
 }
 
-// Correction is a running pair of quantiles with the number of observations behind it.
+// Correction is the state of two running quantiles of the logarithm of actual over predicted time.
 type Correction struct {
-	N   float64 `cbor:"1,keyasint"`
+	N   float64 `cbor:"1,keyasint"` // observations
 	Q50 float64 `cbor:"2,keyasint"`
 	Q90 float64 `cbor:"3,keyasint"`
-	Dev float64 `cbor:"4,keyasint"`
+	Dev float64 `cbor:"4,keyasint"` // mean deviation
 }
 
-// Restored is what a new process starts with.
+// Restored is the state with which a new process starts.
 type Restored struct {
 	Beliefs
-	Teams  map[string]float64 // level by name, discounted
+	Teams  map[string]float64 // lead by name of the team, discounted
 	Waits  []Wait
-	Serial uint32
-	Age    float64 // of the newest piece, in seconds
-	Old    float64 // of the snapshot, in seconds
-	Sure   bool    // whether the ages are known
+	Serial uint32  // serial number of the server list
+	Age    float64 // age of the latest record, in seconds
+	Old    float64 // age of the snapshot, in seconds
+	Sure   bool    // both ages are known
 }
 
-// Half-lives and bounds of what is stored for other packages.
+// Half-lives and bounds of the knowledge that is stored for other packages.
 const (
-	teamHalfLife  = 30.0  // seconds: others are served meanwhile, and a team that is ahead waits for about as long
-	waitHalfLife  = 600.0 // seconds: what predictions leave out depends on the load
-	maxWaitWeight = 10.0  // most that an earlier correction weighs, in observations
-	maxAhead      = 1e6   // core seconds over weight
-	maxTeams      = 20000 // as many as the operators' file may have
-	maxWaits      = 5120  // the cells of package waittime, and those over all teams
+	teamHalfLife            = 30.0  // seconds: a team that is ahead waits for about this long while others are served
+	waitCorrectionHalfLife  = 600.0 // seconds: the error of the predictions depends on the load
+	maxWaitCorrectionWeight = 10.0  // weight of a restored correction, in observations
+	maxTeamLead             = 1e6   // core seconds over weight
+	maxTeams                = 20000 // the most that the operators' configuration file may have
+	maxWaitCorrections      = 5120  // 4096 cells of package waittime, and 1024 over all teams, one for each profile
 )
 
-// Restore joins a snapshot and the journal's records since, each discounted by its own age. Of a record from before its snapshot,
-// or from another boot that gives no age, knowledge that lives for seconds is dropped.
-func Restore(k Snapshot, records []Record, now Timestamp, settings []uint64, rates []float64) (r Restored) {
-	quick := k.Quick
+// Restore combines a snapshot and the journal records written since. Each part is discounted by its own age. If the age
+// of either is unknown, because a clock went backwards or was set far ahead, the fast-changing knowledge of the last
+// record is dropped.
+func Restore(snapshot Snapshot, records []Record, now Timestamp, fingerprints []uint64, refillRates []float64) (r Restored) {
+	latest := snapshot.Quick
 	if n := len(records); n > 0 {
-		quick = records[n-1] // each is complete
+		latest = records[n-1] // each record is complete
 	}
-	old, sure := now.Age(k.At)
-	slow := Believe(Knowledge{Profiles: k.Profiles}, old, sure, settings, rates)
-	age, known := now.Age(quick.At)
-	known = known && sure // an age known of the journal alone means that a clock was set in between
-	quick.Known.Profiles = nil
-	r.Beliefs = Believe(quick.Known, age, known, settings, rates)
-	r.Profiles, r.Why = slow.Profiles, append(slow.Why, r.Why...)
-	r.Serial, r.Age, r.Old, r.Sure = quick.Serial, age, old, known
+	snapshotAge, snapshotAgeKnown := now.Age(snapshot.At)
+	fromSnapshot := Believe(Knowledge{Profiles: snapshot.Profiles}, snapshotAge, snapshotAgeKnown, fingerprints, refillRates)
+	age, ageKnown := now.Age(latest.At)
+	ageKnown = ageKnown && snapshotAgeKnown // if only the record's age is known, a clock was set in between
+	latest.Known.Profiles = nil
+	r.Beliefs = Believe(latest.Known, age, ageKnown, fingerprints, refillRates)
+	r.Profiles, r.Why = fromSnapshot.Profiles, append(fromSnapshot.Why, r.Why...)
+	r.Serial, r.Age, r.Old, r.Sure = latest.Serial, age, snapshotAge, ageKnown
 	r.Teams = map[string]float64{}
-	if p := weight(age, teamHalfLife, known); p > 0 && len(quick.Teams) <= maxTeams {
-		for _, t := range quick.Teams {
-			if inRange(math.Abs(t.Ahead), 0, maxAhead) {
-				r.Teams[t.Name] = t.Ahead * p
+	if factor := weight(age, teamHalfLife, ageKnown); factor > 0 && len(latest.Teams) <= maxTeams {
+		for _, t := range latest.Teams {
+			if inRange(math.Abs(t.Ahead), 0, maxTeamLead) {
+				r.Teams[t.Name] = t.Ahead * factor
 			}
 		}
 	}
-	if p := weight(old, waitHalfLife, sure); p > 0 && len(k.Waits) <= maxWaits {
-		for _, w := range k.Waits {
-			if w.Profile < 0 || w.Profile >= len(settings) || w.Profile >= len(k.Profiles) || k.Profiles[w.Profile].Settings != settings[w.Profile] || len(w.Of) > 8 {
+	if factor := weight(snapshotAge, waitCorrectionHalfLife, snapshotAgeKnown); factor > 0 && len(snapshot.Waits) <= maxWaitCorrections {
+		for _, w := range snapshot.Waits {
+			if w.Profile < 0 || w.Profile >= len(fingerprints) || w.Profile >= len(snapshot.Profiles) || snapshot.Profiles[w.Profile].Settings != fingerprints[w.Profile] || len(w.Of) > 8 {
 				continue
 			}
-			all := Wait{Team: w.Team, Profile: w.Profile}
+			wait := Wait{Team: w.Team, Profile: w.Profile}
 			for _, c := range w.Of {
 				if !inRange(c.N, 0, 1e12) || !inRange(math.Abs(c.Q50), 0, 20) || !inRange(math.Abs(c.Q90), 0, 20) || !inRange(c.Dev, 0, 20) {
 					c = Correction{}
 				}
-				c.N = min(c.N, maxWaitWeight) * p
-				all.Of = append(all.Of, c)
+				c.N = min(c.N, maxWaitCorrectionWeight) * factor
+				wait.Of = append(wait.Of, c)
 			}
-			r.Waits = append(r.Waits, all)
+			r.Waits = append(r.Waits, wait)
 		}
 	}
 	return r
