--- a/internal/backends/hold.go
+++ b/internal/backends/hold.go
@@ -19,9 +19,9 @@
 	if c.pool.writesHeld {
 		return
 	}
-	attempts := c.waiting
+	waiting := c.waiting
 	c.waiting = nil
-	for _, j := range attempts {
+	for _, j := range waiting {
 		c.writeAttempt(j)
 	}
 }
--- a/internal/backends/idle_test.go
+++ b/internal/backends/idle_test.go
@@ -62,12 +62,12 @@
 	list = append(list, admission.Entry{Engine: 2, State: admission.Ready})
 	p.Members(list, address)
 	if j := send(20, 5, 2); !j.Out() || len(lines) != 5 || !lines[3].finished || lines[0].finished {
-		t.Fatalf("out %v, %d connections, ended %v", j.Out(), len(lines), recorder.ends)
+		t.Fatalf("outstanding %v, %d connections, ends %v", j.Out(), len(lines), recorder.ends)
 	}
 	for id := uint32(6); id <= 8; id++ {
 		send(21, id, 1)
 	}
 	if j := send(22, 9, 2); j.Out() || recorder.ends[len(recorder.ends)-1] != admission.Unreachable {
-		t.Errorf("with nothing resting: out %v, ended %v", j.Out(), recorder.ends)
+		t.Errorf("without an idle connection: outstanding %v, ends %v", j.Out(), recorder.ends)
 	}
 }
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -112,7 +112,7 @@
 	parser            lineproto.Parser
 	outstanding       map[Ref]*Job
 	waiting           []*Job           // attempts that wait until the connection is established
-	spentIDs          map[Ref]struct{} // IDs that ended here without a result: a message under one is late and belongs to no other attempt
+	spent             map[Ref]struct{} // IDs that ended here without a result: a message under one is late and belongs to no other attempt
 	usedAt            float64
 	unwantedSince     float64 // since when all outstanding attempts are unwanted and not delivered, 0: not the case
 	dropUndeliveredAt float64 // bytes not delivered by then must not leave any more, 0: no limit
@@ -226,7 +226,7 @@
 		p.endLater(j, admission.TimedOut)
 		return
 	}
-	c := p.connFor(j, e)
+	c := p.conn(j, e)
 	if c == nil { // all connections are in use: nothing was written
 		p.endLater(j, admission.Unreachable)
 		return
@@ -239,13 +239,13 @@
 	}
 }
 
-// connFor returns a connection for an attempt: the one with the fewest outstanding attempts that has room, or a new
+// conn returns a connection for an attempt: the one with the fewest outstanding attempts that has room, or a new
 // one rather than one in use. Invalid input ends all attempts on its connection, and an incomplete message blocks all
 // messages behind it. New connections are opened up to an equal share of three quarters of the limit; the rest is for
 // closing connections and for new servers. Beyond that share attempts share connections. After an attempt ended on a
 // connection without its result, the request's next attempt uses another connection: a late message or a duplicate
 // may still come there under the same ID.
-func (p *Pool) connFor(j *Job, e *server) *conn {
+func (p *Pool) conn(j *Job, e *server) *conn {
 	var best *conn
 	connCount := 0
 	for _, c := range p.conns {
@@ -253,9 +253,9 @@
 			continue
 		}
 		connCount++
-		_, isOutstanding := c.outstanding[j.Ref]
-		_, spent := c.spentIDs[j.Ref]
-		if len(c.outstanding) < p.limits.Streams && !isOutstanding && !spent && (best == nil || len(c.outstanding) < len(best.outstanding)) {
+		_, outstanding := c.outstanding[j.Ref]
+		_, spent := c.spent[j.Ref]
+		if len(c.outstanding) < p.limits.Streams && !outstanding && !spent && (best == nil || len(c.outstanding) < len(best.outstanding)) {
 			best = c
 		}
 	}
@@ -265,7 +265,7 @@
 	if len(p.conns) >= p.limits.Conns && !p.closeLongestIdle() {
 		return nil
 	}
-	c := &conn{pool: p, server: j.Engine, outstanding: map[Ref]*Job{}, spentIDs: map[Ref]struct{}{}}
+	c := &conn{pool: p, server: j.Engine, outstanding: map[Ref]*Job{}, spent: map[Ref]struct{}{}}
 	c.line = p.dial(e.addr, c)
 	p.conns = append(p.conns, c)
 	return c
@@ -332,8 +332,8 @@
 
 // addSpentID records that an attempt has ended here without its result.
 func (c *conn) addSpentID(j *Job) {
-	c.spentIDs[j.Ref] = struct{}{}
-	if len(c.spentIDs) >= 10*c.pool.limits.Streams { // old IDs must not accumulate
+	c.spent[j.Ref] = struct{}{}
+	if len(c.spent) >= 10*c.pool.limits.Streams { // old IDs must not accumulate
 		c.retireFor(IDsSpent)
 	}
 }
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -13,10 +13,10 @@
 
 // harness acts as the pool's owner and creates its connections.
 type harness struct {
-	say   script.Say
-	pool  *Pool
-	jobs  map[uint32]*Job
-	conns []*fakeConn
+	say       script.Say
+	pool      *Pool
+	jobs      map[uint32]*Job
+	fakeConns []*fakeConn
 }
 
 // fakeConn is a fake connection. While it is stalled no appended bytes leave.
@@ -90,8 +90,8 @@
 	return func(t *testing.T, say script.Say) func([]string) {
 		y := &harness{say: say, jobs: map[uint32]*Job{}}
 		y.pool = New(y, Limits{Streams: 2, Conns: 4, Idle: 30, Stall: 0.25}, func(a netip.AddrPort, sink transport.Sink) Line {
-			w := &fakeConn{harness: y, number: len(y.conns) + 1, sink: sink}
-			y.conns = append(y.conns, w)
+			w := &fakeConn{harness: y, number: len(y.fakeConns) + 1, sink: sink}
+			y.fakeConns = append(y.fakeConns, w)
 			say("line %d dials %v", w.number, a)
 			return w
 		})
@@ -149,15 +149,15 @@
 	case "tidy":
 		y.pool.Tidy()
 	case "up":
-		y.conns[parseID(t, w[2])-1].sink.Up()
+		y.fakeConns[parseID(t, w[2])-1].sink.Up()
 	case "stalled":
-		l := y.conns[parseID(t, w[2])-1]
+		l := y.fakeConns[parseID(t, w[2])-1]
 		if l.stalled = len(w) < 4 || w[3] == "yes"; !l.stalled {
 			l.beginWrite()
 			l.written = l.appended
 		}
 	case "begun": // begins a write of all waiting bytes that does not end
-		l := y.conns[parseID(t, w[2])-1]
+		l := y.fakeConns[parseID(t, w[2])-1]
 		l.beginWrite()
 	case "withdraw":
 		y.pool.Withdraw(y.jobs[parseID(t, w[2])])
@@ -169,12 +169,12 @@
 			if byteByByte {
 				size = 1
 			}
-			y.conns[parseID(t, w[2])-1].sink.Feed([]byte(text[:size]))
+			y.fakeConns[parseID(t, w[2])-1].sink.Feed([]byte(text[:size]))
 		}
 	case "ends":
 		how := map[string]transport.Ending{"refused": transport.Refused, "never-up": transport.NeverUp,
 			"finished": transport.Finished, "reset": transport.Reset, "closed": transport.Closed}
-		y.conns[parseID(t, w[2])-1].sink.Ended(how[w[3]])
+		y.fakeConns[parseID(t, w[2])-1].sink.Ended(how[w[3]])
 	default:
 		t.Fatalf("%q", w)
 	}
@@ -185,8 +185,8 @@
 func TestTurnover(t *testing.T) {
 	y := &harness{say: func(string, ...any) {}, jobs: map[uint32]*Job{}}
 	y.pool = New(y, Limits{Streams: 2, Conns: 4, Idle: 30}, func(_ netip.AddrPort, sink transport.Sink) Line {
-		y.conns = append(y.conns, &fakeConn{harness: y, sink: sink})
-		return y.conns[len(y.conns)-1]
+		y.fakeConns = append(y.fakeConns, &fakeConn{harness: y, sink: sink})
+		return y.fakeConns[len(y.fakeConns)-1]
 	})
 	for k := range 1000 {
 		n := uint32(k + 1)
@@ -194,14 +194,14 @@
 		j := &Job{ID: n, Engine: n, Until: 9, Profile: "report"}
 		copy(j.Ref[:], "0000000000000000")
 		y.pool.Send(j)
-		y.conns[k].sink.Up()
-		y.conns[k].sink.Feed([]byte("0000000000000000 served count=1 5\r\na\tb\t\n\r\n"))
+		y.fakeConns[k].sink.Up()
+		y.fakeConns[k].sink.Feed([]byte("0000000000000000 served count=1 5\r\na\tb\t\n\r\n"))
 		if k > 0 {
-			y.conns[k-1].sink.Ended(transport.Closed)
+			y.fakeConns[k-1].sink.Ended(transport.Closed)
 		}
 	}
 	if len(y.pool.servers) != 1 || len(y.pool.conns) != 1 || len(y.pool.endedJobs) != 0 || len(y.pool.sparePages) > 1 {
-		t.Errorf("%d engines, %d connections, %d to be told, %d pages", len(y.pool.servers), len(y.pool.conns), len(y.pool.endedJobs), len(y.pool.sparePages))
+		t.Errorf("%d servers, %d connections, %d unreported ends, %d page buffers", len(y.pool.servers), len(y.pool.conns), len(y.pool.endedJobs), len(y.pool.sparePages))
 	}
 }
 
--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -56,7 +56,7 @@
 			state = admission.Draining
 		}
 		if !s.Addr.IsValid() || len(s.Text) == 0 {
-			problem = fmt.Errorf("engine %s: records are missing", uid)
+			problem = fmt.Errorf("server %s: address or text record is missing", uid)
 			e, addr, ok := f.current.find(f.serverNumbers[uid]) // an unknown name gives 0, which no server has
 			if !ok {
 				list.incomplete = true
@@ -69,7 +69,7 @@
 		zone, _, _ := strings.Cut(rest, ".")
 		e := admission.Entry{Zone: indexFold(f.zones, zone), Kind: -1, Weight: float64(s.Weight) / 10, State: state}
 		if err := f.parseTexts(&e, s.Text); err != nil || uid == "" || e.Zone < 0 || e.Kind < 0 {
-			problem = fmt.Errorf("engine %s left out: zone %q, text %q, address %v", uid, zone, s.Text, s.Addr)
+			problem = fmt.Errorf("server %s left out: zone %q, text %q, address %v", uid, zone, s.Text, s.Addr)
 			continue
 		}
 		e.Engine = f.number(uid)
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -49,7 +49,7 @@
 	zones, kinds  []string
 	serverNumbers map[string]uint32
 	serverNames   map[uint32]string
-	listTrust
+	trust
 	questionIDs   [64]uint16 // IDs of the last queries, ten a second: answers are accepted as long as a change may be in transit
 	questionCount int
 
@@ -82,7 +82,7 @@
 		}
 		for _, t := range event.Pool.Targets {
 			if err := f.applyTarget(list, t); err != nil {
-				return false, fmt.Errorf("known: notice %d: %v", n, err)
+				return false, fmt.Errorf("configuration: notice %d: %v", n, err)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 func (f *Follower) applyTarget(list *snapshot, t Target) error {
 	state, ok := states[t.State]
 	if !ok {
-		return fmt.Errorf("engine %s has state %q", t.UID, t.State)
+		return fmt.Errorf("server %s has unknown state %q", t.UID, t.State)
 	}
 	e := admission.Entry{Engine: f.number(t.UID), Kind: indexFold(f.kinds, t.Kind), Zone: indexFold(f.zones, t.Zone),
 		Cell: t.Cell, Weight: t.Weight, ReadyAt: t.BootMs / 1000, State: state}
@@ -114,7 +114,7 @@
 	}
 	addr, err := netip.ParseAddrPort(t.Endpoint)
 	if err != nil || e.Kind < 0 || e.Zone < 0 {
-		return fmt.Errorf("engine %s: endpoint %q, kind %q, zone %q", t.UID, t.Endpoint, t.Kind, t.Zone)
+		return fmt.Errorf("server %s: invalid endpoint %q, kind %q or zone %q", t.UID, t.Endpoint, t.Kind, t.Zone)
 	}
 	list.add(e, addr)
 	return nil
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -50,13 +50,13 @@
 		return k
 	}
 	if fresh, err := f.Start(notice(41, gone)); fresh || err != nil || state(f) != before {
-		t.Error("no news, but taken:", fresh, err, state(f))
+		t.Error("nothing new, but applied:", fresh, err, state(f))
 	}
 	if fresh, err := f.Start(notice(42, gone, Target{UID: "s-1", State: "ready"})); fresh || err == nil || state(f) != before {
-		t.Error("half of it can't be read, but taken:", fresh, err, state(f))
+		t.Error("partly invalid, but applied:", fresh, err, state(f))
 	}
 	if fresh, err := f.Start(notice(42, gone)); !fresh || err != nil || f.Rev() != 42 || len(f.List()) != 2 {
-		t.Error("news, but not taken:", fresh, err, state(f))
+		t.Error("new, but not applied:", fresh, err, state(f))
 	}
 }
 
@@ -91,7 +91,7 @@
 		t.Fatal(fresh, err, f.Rev())
 	}
 	if diff := cmp.Diff(before, f.List()); diff != "" {
-		t.Errorf("known and told differ (-known +told):\n%s", diff)
+		t.Errorf("configuration and answer differ (-configuration +answer):\n%s", diff)
 	}
 }
 
@@ -106,22 +106,22 @@
 	}
 	for what, msg := range map[string][]byte{"older": reply(slow, 40), "as old": reply(slow, 41), "not asked": reply(slow^1, 50, sameServers...)} {
 		if fresh, _ := f.Answer(msg); fresh || state(f) != was {
-			t.Errorf("%s: taken as news", what)
+			t.Errorf("%s: applied", what)
 		}
 	}
 	// Servers with invalid records are left out and reported; the rest of the list is applied.
 	news := reply(slow, 50, "s-1.north 0 40 std 2 0 10.1.0.9:4100", "s-2.east 0 40 odd 2 0 10.1.0.9:4100",
 		"s-00c41f7d.east 0 40 std 2 0 10.1.0.9:4100", "s-3.east 0 40 std 2 soon 10.1.0.9:4100")
 	if fresh, err := f.Answer(news); !fresh || err == nil || f.Ready() != 0 || len(f.List()) != 3 {
-		t.Error("by one answer all that it lacks gets nothing more:", fresh, err, state(f))
+		t.Error("after one answer the servers missing in it are still ready, or a new one is:", fresh, err, state(f))
 	}
 	for n := 2; n <= grantAfter; n++ {
 		if fresh, err := f.Answer(news); fresh != (n == grantAfter) || err == nil {
-			t.Error("by the last of some what is new is used:", n, fresh, err)
+			t.Error("a new server is not usable exactly from the last required answer on:", n, fresh, err)
 		}
 	}
 	if name := f.Name(f.number("s-00c41f7a")); name != "s-00c41f7a" {
-		t.Errorf("the log would call an engine that is gone %q", name)
+		t.Errorf("a server that is gone has the name %q", name)
 	}
 	want := "rev 50\ns-00c41f7d 10.1.0.9:4100 kind 0 zone 0 cell 2 weight 4 ready at 0 state 2\n"
 	if diff := cmp.Diff(want, state(f)); diff != "" {
@@ -154,7 +154,7 @@
 		t.Error(fresh, err, state(f))
 	}
 	if fresh, err := f.Answer(reply(ask(f), 49, sameServers...)); fresh || err != errOlder || f.List()[0].State != admission.Draining {
-		t.Error("an older list that comes late, while the newer is not whole:", fresh, err, state(f))
+		t.Error("an older list after a newer incomplete one:", fresh, err, state(f))
 	}
 	if fresh, err := f.Answer(reply(ask(f), 50, added...)); fresh || err != nil || len(f.List()) != 3 || f.Rev() != 50 {
 		t.Error(fresh, err, state(f))
@@ -181,7 +181,7 @@
 		}
 	}
 	if len(f.List()) != 1 || len(f.serverNames) > 1001 || len(f.serverNumbers) != len(f.serverNames) || len(f.usable.addrs) != 1 {
-		t.Errorf("%d engines, %d names, %d numbers, %d addresses", len(f.List()), len(f.serverNames), len(f.serverNumbers), len(f.usable.addrs))
+		t.Errorf("%d servers, %d names, %d numbers, %d addresses", len(f.List()), len(f.serverNames), len(f.serverNumbers), len(f.usable.addrs))
 	}
 }
 
@@ -215,7 +215,7 @@
 	bad["name too long"] = append(long, make([]byte, 40)...)
 	for what, msg := range bad {
 		if l, err := dns.Parse(msg, Record); err == nil {
-			t.Errorf("%s: read as %v", what, l)
+			t.Errorf("%s: parsed as %v", what, l)
 		}
 	}
 }
--- a/internal/discovery/trust.go
+++ b/internal/discovery/trust.go
@@ -40,18 +40,18 @@
 
 // Problems of an answer.
 var (
-	errUnexpectedID = errors.New("an answer to no question of ours")
+	errUnexpectedID = errors.New("answer matches no recent query")
 	errOlder        = errors.New("an older list")
-	errSameNumber   = errors.New("another list under the same number")
-	errReplaced     = errors.New("the list in hand was contradicted by all answers since: replaced")
+	errSameNumber   = errors.New("different list under the same number")
+	errReplaced     = errors.New("current list replaced: all answers since contradicted it")
 )
 
-// listTrust holds the reported lists and what they allow.
-type listTrust struct {
+// trust holds the reported lists and what they allow.
+type trust struct {
 	current        *snapshot // the current list
 	confirmed      bool      // several answers in a row, or the configuration, have reported the current list
 	answersAwaited int       // how many answers in a row have to agree before the current list is used completely
-	contradicting  *snapshot // the list of the last answer, if it contradicts the current one; nil if none has since the last that agreed
+	contrary       *snapshot // the list of the last answer, if it contradicts the current one; nil if none has since the last that agreed
 	votes          int       // answers in a row for the contradicting list
 	lastStale      bool      // the last answer was older than the current list, or empty: it may have come in place of one with a change
 	recent         history   // the lists of the last answers that counted
@@ -66,7 +66,7 @@
 }
 
 // recordDrains records the drains in a list.
-func (c *listTrust) recordDrains(list *snapshot) {
+func (c *trust) recordDrains(list *snapshot) {
 	for _, e := range list.entries {
 		if e.State == admission.Draining {
 			c.recordDrain(e, list.serial)
@@ -75,27 +75,27 @@
 }
 
 // recordDrain records that a server drains, or is gone, according to the list with that number.
-func (c *listTrust) recordDrain(e admission.Entry, serial uint32) {
+func (c *trust) recordDrain(e admission.Entry, serial uint32) {
 	if known, ok := c.drains[e.Engine]; ok && known.start == e.ReadyAt && known.serial >= serial {
 		return
 	}
 	c.drains[e.Engine] = drain{e.ReadyAt, serial}
 }
 
-// applyDrains returns a list in which servers are draining if a report that is as new or newer says so.
-func (c *listTrust) applyDrains(list *snapshot) *snapshot {
-	result := list
+// withDrains returns a list in which servers are draining if a report that is as new or newer says so.
+func (c *trust) withDrains(list *snapshot) *snapshot {
+	withDrains := list
 	for k, e := range list.entries {
 		d, ok := c.drains[e.Engine]
 		if !ok || e.State != admission.Ready || math.Abs(d.start-e.ReadyAt) > sameStart || d.serial < list.serial {
 			continue
 		}
-		if result == list {
-			result = list.clone()
+		if withDrains == list {
+			withDrains = list.clone()
 		}
-		result.entries[k].State = admission.Draining
+		withDrains.entries[k].State = admission.Draining
 	}
-	return result
+	return withDrains
 }
 
 // history holds the lists of the last answers except the newest, as many as are required for a server to be used.
@@ -108,8 +108,8 @@
 }
 
 // reset sets a list that needs no confirmation.
-func (c *listTrust) reset(list *snapshot) {
-	*c = listTrust{current: list, confirmed: true, usable: list, drains: map[uint32]drain{}}
+func (c *trust) reset(list *snapshot) {
+	*c = trust{current: list, confirmed: true, usable: list, drains: map[uint32]drain{}}
 	for range c.recent {
 		c.recent.push(list)
 	}
@@ -118,12 +118,10 @@
 
 // Unconfirmed reports whether the current list waits for other answers to agree, or the last answer may have hidden a
 // change.
-func (c *listTrust) Unsettled() bool {
-	return c.answersAwaited > 0 || c.contradicting != nil || c.lastStale
-}
+func (c *trust) Unsettled() bool { return c.answersAwaited > 0 || c.contrary != nil || c.lastStale }
 
 // update processes the list of an answer. fresh means that the usable list has changed.
-func (c *listTrust) update(list *snapshot) (fresh bool, err error) {
+func (c *trust) update(list *snapshot) (fresh bool, err error) {
 	switch {
 	case list.equal(c.current):
 		return c.agreed(), nil
@@ -134,8 +132,8 @@
 }
 
 // agreed records that an answer reported the current list.
-func (c *listTrust) agreed() (fresh bool) {
-	c.contradicting, c.votes, c.lastStale = nil, 0, false
+func (c *trust) agreed() (fresh bool) {
+	c.contrary, c.votes, c.lastStale = nil, 0, false
 	c.recent.push(c.current)
 	if c.answersAwaited = max(c.answersAwaited-1, 0); c.answersAwaited > 0 {
 		return false
@@ -146,20 +144,20 @@
 			c.recordDrain(e, c.current.serial)
 		}
 	}
-	return c.setUsable(c.applyDrains(c.current))
+	return c.setUsable(c.withDrains(c.current))
 }
 
 // adopt makes a list the current one, which waits for other answers to confirm it.
-func (c *listTrust) adopt(list *snapshot) (fresh bool) {
+func (c *trust) adopt(list *snapshot) (fresh bool) {
 	c.recordDrains(list)
-	fresh = c.setUsable(c.applyDrains(c.recent.permitted(c.usable, list)))
-	c.current, c.confirmed, c.contradicting, c.votes, c.answersAwaited, c.lastStale = list, false, nil, 0, grantAfter-1, false
+	fresh = c.setUsable(c.withDrains(c.recent.permitted(c.usable, list)))
+	c.current, c.confirmed, c.contrary, c.votes, c.answersAwaited, c.lastStale = list, false, nil, 0, grantAfter-1, false
 	c.recent.push(list)
 	return fresh
 }
 
 // contradicted processes a list that can't follow the current one.
-func (c *listTrust) contradicted(list *snapshot) (fresh bool, err error) {
+func (c *trust) contradicted(list *snapshot) (fresh bool, err error) {
 	err = errSameNumber
 	if list.serial < c.current.serial {
 		err = errOlder
@@ -168,9 +166,9 @@
 		c.lastStale = true
 		return false, err
 	}
-	isRepeat := c.contradicting != nil && list.equal(c.contradicting)
-	isLater := c.contradicting != nil && list.serial > c.contradicting.serial
-	if c.contradicting = list; !isRepeat && !isLater {
+	isRepeat := c.contrary != nil && list.equal(c.contrary)
+	isLater := c.contrary != nil && list.serial > c.contrary.serial
+	if c.contrary = list; !isRepeat && !isLater {
 		c.votes = 0
 	}
 	needed := outvoteNew
@@ -187,7 +185,7 @@
 }
 
 // setUsable sets the usable list and reports whether that changes anything.
-func (c *listTrust) setUsable(list *snapshot) (fresh bool) {
+func (c *trust) setUsable(list *snapshot) (fresh bool) {
 	fresh = !list.sameServers(c.usable) || !list.sameWeights(c.usable)
 	c.usable = list
 	return fresh
--- a/internal/discovery/trust_test.go
+++ b/internal/discovery/trust_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// answer passes a list to the follower as an answer of the name server. Servers are given by name; "-" marks those
+// answerWith passes a list to the follower as an answerWith of the name server. Servers are given by name; "-" marks those
 // that drain.
-func (f *Follower) answer(serial uint32, servers ...string) (fresh bool, err error) {
+func (f *Follower) answerWith(serial uint32, servers ...string) (fresh bool, err error) {
 	lines := make([]string, len(servers))
 	for k, name := range servers {
 		priority := 0
@@ -42,7 +42,7 @@
 func confirmedFollower(serial uint32, servers ...string) *Follower {
 	f := New([]string{"east"}, []string{"std"})
 	for range grantAfter + 1 { // the first has no earlier answer to agree with
-		f.answer(serial, servers...)
+		f.answerWith(serial, servers...)
 	}
 	return f
 }
@@ -58,26 +58,26 @@
 	}
 	ab, abDrains, abc := []string{"a", "b"}, []string{"a", "-b"}, []string{"a", "b", "c"}
 	for name, answers := range map[string][]answer{
-		"news: a drain at once, a new server by the last of some answers": {
+		"a drain applies at once, a new server after several answers": {
 			{2, []string{"a", "-b", "c"}, grantAfter, "a", "ac"}},
-		"events one after the other: each answer speaks for all servers that it has": {
+		"consecutive changes: each answer counts for all servers in it": {
 			{2, abc, 1, "", "ab"}, {3, abc, 1, "", "ab"}, {4, abc, 1, "", "ab"}, {5, []string{"a", "b", "c", "d"}, 1, "", "abc"},
 			{6, []string{"a", "-b", "c", "d"}, 1, "", "ac"}},
-		"a list of an earlier numbering, and the true one, which takes its place": {
+		"a list of an earlier numbering, replaced by the true one": {
 			{9, ab, 1, "", "ab"}, {1, abDrains, outvoteNew, "a", "a"}, {1, abDrains, grantAfter, "a", "a"}, {2, ab, grantAfter, "a", "ab"}},
-		"a list of an earlier numbering, and another under its number": {
+		"a list of an earlier numbering, then another under its number": {
 			{9, ab, 1, "", "ab"}, {9, abDrains, outvoteNew, "a", "a"}, {10, abc, grantAfter, "a", "abc"}},
-		"a list of an earlier numbering, and true ones that change": {
+		"a list of an earlier numbering, then true ones that change": {
 			{9, ab, 1, "", "ab"}, {2, abc, 1, "", "ab"}, {3, abc, 1, "", "ab"}, {4, []string{"a", "b", "c", "-d"}, 1, "", "ab"},
 			{5, []string{"-a", "b", "c"}, 1, "", "bc"}},
-		"stray and true in turn: the stray is not confirmed by its repetition": {
+		"stale and true lists alternate: repetition does not confirm the stale one": {
 			{9, ab, 1, "", "ab"}, {1, abDrains, 1, "", "a"}, {9, ab, grantAfter - 1, "a", "a"}, {1, abDrains, 1, "", "a"}, {9, ab, 1, "", "a"},
 			{1, abDrains, 1, "", "a"}},
-		"an older list, once the one in hand is confirmed: nothing changes": {
+		"an older list after the current one is confirmed changes nothing": {
 			{5, abDrains, grantAfter, "a", "a"}, {4, ab, 20, "a", "a"}, {5, abDrains, 1, "", "a"}},
-		"a name server that is behind for seconds, after a drain that one answer told": {
+		"a name server that is behind for seconds, after one answer reported a drain": {
 			{5, abDrains, 1, "", "a"}, {4, ab, 50, "a", "a"}, {5, abDrains, grantAfter, "a", "a"}, {6, ab, grantAfter, "a", "ab"}},
-		"a server that comes back under its name": {
+		"a server that returns under its name": {
 			{2, abDrains, grantAfter, "a", "a"}, {3, ab, grantAfter, "a", "ab"}},
 		"an empty list under the same number takes nothing away": {
 			{1, nil, 1, "", "ab"}, {1, ab, 1, "", "ab"}},
@@ -86,7 +86,7 @@
 			f := confirmedFollower(1, ab...)
 			for k, a := range answers {
 				for n := 1; n <= a.times; n++ {
-					fresh, err := f.answer(a.serial, a.servers...)
+					fresh, err := f.answerWith(a.serial, a.servers...)
 					want := a.until
 					if n == a.times {
 						want = a.want
@@ -105,18 +105,18 @@
 func TestOutvoted(t *testing.T) {
 	f := confirmedFollower(9, "a", "b")
 	for range 2 * outvoteConfirmed {
-		if _, err := f.answer(1, "a", "-b"); err != errOlder || !f.ready("b") || !f.Unsettled() {
+		if _, err := f.answerWith(1, "a", "-b"); err != errOlder || !f.ready("b") || !f.Unsettled() {
 			t.Fatal(err, f.readyNames("a", "b"))
 		}
 	}
 	for k := range outvoteConfirmed {
-		_, err := f.answer(9, "a", "-b", "c")
+		_, err := f.answerWith(9, "a", "-b", "c")
 		if (err == errReplaced) != (k == outvoteConfirmed-1) || f.readyNames("a", "b", "c") != "a" && err != errReplaced {
 			t.Fatal(k, err, f.readyNames("a", "b", "c"))
 		}
 	}
 	for range grantAfter - 1 {
-		f.answer(9, "a", "-b", "c")
+		f.answerWith(9, "a", "-b", "c")
 	}
 	if f.readyNames("a", "b", "c") != "ac" {
 		t.Errorf("ready %q", f.readyNames("a", "b", "c"))
@@ -127,7 +127,7 @@
 // permissions that the stale list lacks confirmation for.
 func TestConfigAfterStaleAnswer(t *testing.T) {
 	f := confirmedFollower(1, "a", "-b")
-	f.answer(5, "a", "b")
+	f.answerWith(5, "a", "b")
 	notice := Notice{Rev: 6}
 	notice.Pool = &struct {
 		All     bool     `json:"all"`
@@ -211,26 +211,26 @@
 				w.changeList(draw)
 			case what <= 5 && staleInARow < grantAfter-1:
 				k := rapid.IntRange(0, len(w.lists)-1).Draw(draw, "stray")
-				w.follower.answer(w.serials[k], w.lists[k]...)
+				w.follower.answerWith(w.serials[k], w.lists[k]...)
 				staleInARow++
 			default:
-				w.follower.answer(w.serial, w.servers...)
+				w.follower.answerWith(w.serial, w.servers...)
 				w.recordDrained()
 				staleInARow = 0
 			}
 			for name := range w.drained {
 				if w.follower.ready(name) {
-					draw.Fatalf("%s is used", name)
+					draw.Fatalf("%s is usable after a true answer reported its drain", name)
 				}
 			}
 		}
 		const answersNeeded = outvoteNew + 2*grantAfter
 		for range answersNeeded {
-			w.follower.answer(w.serial, w.servers...)
+			w.follower.answerWith(w.serial, w.servers...)
 		}
 		for _, name := range w.servers {
 			if name[0] != '-' && !w.follower.ready(name) {
-				draw.Fatalf("%s is not used after %d true answers", name, answersNeeded)
+				draw.Fatalf("%s is not usable after %d true answers", name, answersNeeded)
 			}
 		}
 	})
--- a/internal/lineproto/lines.go
+++ b/internal/lineproto/lines.go
@@ -1,5 +1,5 @@
-// Package lineproto reads and writes the servers' line protocol: lines of words that end in CR LF, some followed by a body of a
-// given length and CR LF. It does no I/O.
+// Package lineproto reads and writes the servers' line protocol: lines of words that end in CR LF, some followed by a
+// body of a given length and CR LF. It does no I/O.
 package lineproto
 
 import (
@@ -12,26 +12,27 @@
 )
 
 const (
-	maxLine = 1024     // an id, a word and some fields are far under it
-	maxBody = 16 << 10 // a page has 6,000 bytes at most
+	maxLine = 1024     // far more than an ID, a verb and some fields
+	maxBody = 16 << 10 // a page has at most 6,000 bytes
 )
 
-// Answer is one message of a server. Its bytes are valid during the call that passes it only.
+// Message is one message of a server. Its bytes are valid only during the call that passes it.
 type Answer struct{ ID, Word, Fields, Body []byte }
 
-// ErrGarbled is returned for a line that does not follow the protocol.
-var ErrGarbled = errors.New("line can't be read")
+// ErrMalformed is returned for a line that does not follow the protocol.
+var ErrGarbled = errors.New("malformed line")
 
-// Parser splits a stream of bytes into answers. It buffers only the bytes of an unfinished one.
+// Parser splits a stream of bytes into messages. It buffers only the bytes of an unfinished one.
 type Parser struct{ unfinished []byte }
 
-// Reader takes answers.
+// Handler receives messages.
 type Reader interface {
-	// Answer takes one; its false means that it can't be right, and nothing more is read.
+	// HandleMessage processes a message. It returns false for a message that cannot be valid; nothing more is read
+	// then.
 	Answer(a Answer) bool
 }
 
-// Feed calls the reader with each answer that is complete now.
+// Feed calls the handler with each message that is complete now.
 func (p *Parser) Feed(b []byte, to Reader) error {
 	if len(p.unfinished) > 0 {
 		p.unfinished = append(p.unfinished, b...)
@@ -54,10 +55,10 @@
 	return nil
 }
 
-// Half reports whether an unfinished answer is buffered.
+// HasPartial reports whether an unfinished message is buffered.
 func (p *Parser) Half() bool { return len(p.unfinished) > 0 }
 
-// parseAnswer reads one answer off the front; n is 0 where it is not whole.
+// parseAnswer parses the message at the start of b. n is 0 if it is incomplete.
 func parseAnswer(b []byte) (a Answer, n int, err error) {
 	end := bytes.Index(b[:min(len(b), maxLine)], []byte("\r\n"))
 	if end < 0 {
@@ -90,8 +91,8 @@
 	return Answer{words[0], words[1], words[2], b[from : n-2]}, n, nil
 }
 
-// An id or tag is of letters, digits and some signs, a word of letters; what else comes is noise, and what is behind
-// it can't be trusted.
+// An ID or tag consists of letters, digits and some punctuation, a verb of letters. Any other byte is noise, and
+// nothing after it can be trusted.
 func isLetter(c byte) bool { return c|0x20 >= 'a' && c|0x20 <= 'z' }
 
 func isTagChar(c byte) bool {
@@ -107,7 +108,7 @@
 	return true
 }
 
-// validFields is a list of names and values, or "-" for none.
+// validFields reports whether a list has names and values, or is "-" for none.
 func validFields(list []byte) bool {
 	if string(list) == "-" {
 		return true
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// Number parses a decimal count; ok is false where it is none.
+// ParseNumber parses a decimal count. ok is false if b is not one.
 func Number(b []byte) (n int, ok bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
@@ -151,10 +152,10 @@
 	return n, true
 }
 
-// The writers append one message each.
+// The functions below append one message each.
 
-// Fetch appends a request to run a query. A priority of 1 is the default and is left out; token is the key of a request that is
-// idempotent by key, or empty.
+// AppendFetch appends a request to run a query. A priority of 1 is the default and is left out; token is the key of a
+// request that is idempotent by key, or empty.
 func Fetch(b, id []byte, kind string, wait, priority int, token, statement []byte) []byte {
 	b = append(append(append(b, "fetch "...), id...), " kind="...)
 	b = strconv.AppendInt(append(append(b, kind...), ",ms="...), int64(wait), 10)
@@ -168,7 +169,8 @@
 	return append(append(append(b, "\r\n"...), statement...), "\r\n"...)
 }
 
-// Usable tells whether a text can stand as the value of a field: it would end the field, the word or the line otherwise.
+// ValidFieldValue reports whether a text can be the value of a field: some characters would end the field, the word
+// or the line.
 func Usable(value string) bool {
 	ends := func(r rune) bool {
 		return r == ',' || r == utf8.RuneError || unicode.IsSpace(r) || unicode.IsControl(r)
@@ -176,16 +178,16 @@
 	return value != "" && strings.IndexFunc(value, ends) < 0
 }
 
-// Abort appends a message that aborts a query of whose result nothing has come.
+// AppendAbort appends a message that aborts a query none of whose result has come.
 func Abort(b, id []byte) []byte { return append(append(append(b, "abort "...), id...), "\r\n"...) }
 
-// Done appends a message that releases the pages of a result that the server keeps.
+// AppendDone appends a message that releases the pages of a result kept by the server.
 func Done(b, id []byte) []byte { return append(append(append(b, "done "...), id...), "\r\n"...) }
 
-// Renice appends a message that changes a query's priority to n.
+// AppendRenice appends a message that changes a query's priority to n.
 func Renice(b, id []byte, n int) []byte { return appendNumbered(b, "renice ", id, n) }
 
-// More appends a message that asks for page n of a result.
+// AppendMore appends a message that requests page n of a result.
 func More(b, id []byte, n int) []byte { return appendNumbered(b, "more ", id, n) }
 
 func appendNumbered(b []byte, verb string, id []byte, n int) []byte {
--- a/internal/lineproto/lines_test.go
+++ b/internal/lineproto/lines_test.go
@@ -15,7 +15,7 @@
 	return string(a.Word) != "stop"
 }
 
-// feed gives what was read of a text, in pieces of a size, and how it ended.
+// feed parses a text in pieces of the given size and returns the messages and the error.
 func feed(text string, size int) string {
 	var p Parser
 	var r reader
@@ -28,7 +28,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	const bad = "line can't be read"
+	const bad = "malformed line"
 	for text, want := range map[string]string{
 		"7 served count=2,ticks=3.5 4\r\na\r\n\r\r\n8 overload - 0\r\n\r\n": "7 served count=2,ticks=3.5 \"a\\r\\n\\r\"\n8 overload - \"\"\n",
 		"7 served - 4\r\nab":                     "",
@@ -59,7 +59,7 @@
 	}
 }
 
-// FuzzFeed: in one piece or byte by byte, the same is read.
+// FuzzFeed: the same messages are read from a text in one piece and byte by byte.
 func FuzzFeed(f *testing.F) {
 	f.Add("7 served count=2 4\r\nabcd\r\n8 stop - 0\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -1,17 +1,17 @@
-// Package statement finds what the decisions need in an SQL statement: the group of tables that it reads or
-// writes. The statement itself is never changed.
+// Package statement extracts the group of the tables that an SQL statement reads or writes, which admission decisions
+// need. It never changes the statement.
 package statement
 
 import "bytes"
 
-// Group is the number behind the last underscore of the schema of the first table that a statement reads or
-// writes. A schema without a number, such as "staging", does not count. None found is 0 and false.
+// TableGroup returns the number after the last underscore in the schema of the first table that a statement reads or
+// writes. A schema without a number, such as "staging", is skipped. Without any group it returns 0 and false.
 func Group(sql []byte) (uint32, bool) {
 	s := scanner{sql: sql}
 	var (
-		expectTable bool   // a table's name may stand here
-		inTableList bool   // a comma leads to another
-		queryLevels uint64 // a bit for each open parenthesis: it holds a query, so that FROM in it names tables
+		expectTable bool   // a table's name may come next
+		inTableList bool   // a comma is followed by another table
+		queryLevels uint64 // one bit for each open parenthesis: set if it encloses a query, in which FROM precedes tables
 		previous    []byte // the token before
 	)
 	queryLevels = 1
@@ -52,7 +52,7 @@
 		}
 		expectTable = false
 		schema := t
-		for p := s.peek(); isWord(p, "."); p = s.peek() { // a database may stand before the schema
+		for p := s.peek(); isWord(p, "."); p = s.peek() { // a database may precede the schema
 			s.next()
 			next := s.next()
 			if !isName(next) {
@@ -69,7 +69,7 @@
 	return 0, false
 }
 
-// schemaNumber of a schema's name: the digits behind its last underscore.
+// schemaNumber returns the digits after the last underscore of a schema's name.
 func schemaNumber(schema []byte) (uint32, bool) {
 	schema = bytes.Trim(schema, `"`)
 	digits := schema[bytes.LastIndexByte(schema, '_')+1:]
@@ -86,7 +86,7 @@
 	return n, true
 }
 
-// isWord compares a token with one in lower case.
+// isWord compares a token with a lower-case word, ignoring the token's case.
 func isWord(t []byte, lower string) bool {
 	if len(t) != len(lower) {
 		return false
@@ -102,7 +102,7 @@
 	return true
 }
 
-// isName tells an identifier, quoted or not, from other tokens.
+// isName reports whether a token is an identifier, quoted or not.
 func isName(t []byte) bool { return len(t) > 0 && (isNameStart(t[0]) || t[0] == '"') }
 
 func isNameStart(c byte) bool {
@@ -113,8 +113,8 @@
 
 func isNamePart(c byte) bool { return isNameStart(c) || isDigit(c) || c == '$' }
 
-// scanner cuts SQL into tokens: names, numbers and single signs. A string comes out as one token that starts
-// with its quote or dollar; comments and white space come out not at all.
+// scanner splits SQL into tokens: names, numbers and single characters. A string is one token that starts with its
+// quote or dollar sign. Comments and white space are skipped.
 type scanner struct {
 	sql []byte
 	pos int
@@ -127,7 +127,7 @@
 	return t
 }
 
-// next is empty at the end.
+// next returns the next token, which is empty at the end.
 func (s *scanner) next() []byte {
 	s.skipBlank()
 	from := s.pos
@@ -151,7 +151,7 @@
 	return s.sql[from:s.pos]
 }
 
-// skipBlank passes over white space and comments: to the line's end, and nested blocks.
+// skipBlank skips white space, line comments and nested block comments.
 func (s *scanner) skipBlank() {
 	for s.pos < len(s.sql) {
 		rest := s.sql[s.pos:]
@@ -187,8 +187,8 @@
 	}
 }
 
-// skipQuoted passes over a skipQuoted run. A doubled quote stands for one, and what is behind a backslash for itself
-// where that escapes.
+// skipQuoted skips a quoted text. A doubled quote stands for one quote. With backslashEscapes, the character after a
+// backslash stands for itself.
 func (s *scanner) skipQuoted(q byte, backslashEscapes bool) {
 	for s.pos++; s.pos < len(s.sql); s.pos++ {
 		switch c := s.sql[s.pos]; {
@@ -204,7 +204,7 @@
 	s.pos = len(s.sql)
 }
 
-// skipDollarQuoted passes over $tag$ ... $tag$, if that is what stands here.
+// skipDollarQuoted skips a dollar-quoted string, $tag$ ... $tag$, and reports whether there is one.
 func (s *scanner) skipDollarQuoted() bool {
 	end := s.pos + 1
 	for end < len(s.sql) && (isNameStart(s.sql[end]) || isDigit(s.sql[end]) && end > s.pos+1) {
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// FuzzGroup: any bytes have a group or none.
+// FuzzGroup: no input may cause a panic.
 func FuzzGroup(f *testing.F) {
 	f.Add([]byte(`SELECT E'\' FROM "a_1"."b" -- /* $x$ (`))
 	f.Fuzz(func(t *testing.T, b []byte) { Group(b) })
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -89,10 +89,10 @@
 	lingering    atomic.Int64
 }
 
-// NewNet runs connections in a group until the context ends. room is the number of output bytes that may be queued in
-// all of them together; lingering is the limit of connections in a lingering close.
-func NewNet(ctx context.Context, group *errgroup.Group, inbox Inbox, room, lingering int64) *Net {
-	return &Net{ctx: ctx, group: group, inbox: inbox, maxBuffered: room, maxLingering: lingering}
+// NewNet runs connections in a group until the context ends. maxBuffered is the number of output bytes that may be queued in
+// all of them together; lingeringLimit is the limit of connections in a lingering close.
+func NewNet(ctx context.Context, group *errgroup.Group, inbox Inbox, maxBuffered, lingeringLimit int64) *Net {
+	return &Net{ctx: ctx, group: group, inbox: inbox, maxBuffered: maxBuffered, maxLingering: lingeringLimit}
 }
 
 // Lingering returns the number of connections in a lingering close.
@@ -130,8 +130,8 @@
 	peerClosed    bool // the other side has closed and reads nothing: no further write begins
 	writeFailed   bool // a write has failed: nothing leaves any more, and begunBytes is what the system had accepted by then
 
-	requests requestOffsets
-	raw      syscall.RawConn // of the socket, nil before there is one
+	requestOffsets requestOffsets
+	raw            syscall.RawConn // of the socket, nil before there is one
 }
 
 // withdrawnRange is a range of withdrawn bytes, from where they began.
@@ -142,9 +142,9 @@
 
 var errClosed, errUnreadable, errNotReading = errors.New("closed"), errors.New("garbled"), errors.New("stuffed")
 
-// New returns a connection that Start or Dial establishes. It ends when more than limit bytes of output are queued.
-func (n *Net) New(sink Sink, limit int) *Conn {
-	c := &Conn{net: n, sink: sink, maxQueued: limit, wakeWriter: make(chan struct{}, 1), writeTimeout: UsualPatience}
+// New returns a connection that Start or Dial establishes. It ends when more than maxQueued bytes of output are queued.
+func (n *Net) New(sink Sink, maxQueued int) *Conn {
+	c := &Conn{net: n, sink: sink, maxQueued: maxQueued, wakeWriter: make(chan struct{}, 1), writeTimeout: UsualPatience}
 	c.ctx, c.cancel = context.WithCancelCause(n.ctx)
 	return c
 }
@@ -224,7 +224,7 @@
 
 func (c *Conn) read(nc net.Conn, size int) Ending {
 	const maxDiscarded = 64 << 10 // bytes read in a lingering close: room for many usual requests, while a flood is cut off
-	buf, taken, left := make([]byte, size), make(chan struct{}, 1), maxDiscarded
+	buf, consumed, left := make([]byte, size), make(chan struct{}, 1), maxDiscarded
 	for {
 		n, err := nc.Read(buf)
 		if n > 0 && c.outputClosed.Load() {
@@ -232,9 +232,9 @@
 				return Closed
 			}
 		} else if n > 0 {
-			c.net.post(Entry{sink: c.sink, conn: c, kind: isData, data: buf[:n], consumed: taken})
+			c.net.post(Entry{sink: c.sink, conn: c, kind: isData, data: buf[:n], consumed: consumed})
 			select {
-			case <-taken:
+			case <-consumed:
 			case <-c.net.ctx.Done():
 				return Closed
 			}
@@ -264,32 +264,32 @@
 		for {
 			c.mu.Lock()
 			if c.peerClosed { // what is appended before the owner is notified has not left and can be withdrawn
-				finish := c.finishing
+				finishing := c.finishing
 				c.mu.Unlock()
-				if finish {
+				if finishing {
 					c.closeOutput(nc)
 					return
 				}
 				break
 			}
-			out, finish := c.out, c.finishing
+			out, finishing := c.out, c.finishing
 			c.out, c.begunBytes, c.withdrawn = spare[:0], c.appendedBytes, c.withdrawn[:0]
-			c.requests.writeBegun(len(out))
-			begun := c.begunBytes
+			c.requestOffsets.writeBegun(len(out))
+			begunBytes := c.begunBytes
 			c.mu.Unlock()
 			if spare = out; len(out) == 0 {
-				if finish {
+				if finishing {
 					c.closeOutput(nc)
 					return
 				}
 				break
 			}
 			nc.SetWriteDeadline(time.Now().Add(c.writeTimeout))
-			taken, err := nc.Write(out)
+			accepted, err := nc.Write(out)
 			c.net.buffered.Add(-int64(len(out)))
-			c.addAccepted(taken)
+			c.addAccepted(accepted)
 			if errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-				c.setWriteFailed(begun - int64(len(out)-taken))
+				c.setWriteFailed(begunBytes - int64(len(out)-accepted))
 				nc.Close() // this ends the reader as well
 				return
 			} else if err != nil {
@@ -342,7 +342,7 @@
 		c.out = append(c.out, b...)
 		c.appendedBytes += int64(len(b))
 		if request {
-			c.requests.waitingEnd = len(c.out)
+			c.requestOffsets.waitingEnd = len(c.out)
 		}
 		if c.net.buffered.Add(int64(len(b))) > c.net.maxBuffered || len(c.out) > c.maxQueued {
 			c.cancel(errNotReading)
@@ -386,7 +386,7 @@
 	}
 	if at+size <= len(c.out) { // otherwise the connection has ended and nothing leaves any more
 		c.out = append(c.out[:at], c.out[at+size:]...)
-		c.requests.withdraw(at, size)
+		c.requestOffsets.withdraw(at, size)
 		c.withdrawn = append(c.withdrawn, withdrawnRange{from, size})
 		c.net.buffered.Add(-int64(size))
 	}
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -87,12 +87,12 @@
 		part := make([]byte, 64<<10)
 		for k := 0; c.ctx.Err() == nil; k++ { // the kernel accepts some megabytes
 			if c.Append(part); n.buffered.Load() > 4<<20 {
-				t.Fatalf("%d bytes wait", n.buffered.Load())
+				t.Fatalf("%d bytes are queued", n.buffered.Load())
 			}
 		}
 		s.want(t, "does not read")
-		if used := n.buffered.Load(); used != 0 {
-			t.Errorf("%d bytes are counted of a connection that ended", used)
+		if buffered := n.buffered.Load(); buffered != 0 {
+			t.Errorf("%d bytes of a closed connection are still counted as queued", buffered)
 		}
 		other, o, there := dial(t, n, bound.limit)
 		other.Append([]byte("well"))
@@ -115,11 +115,11 @@
 	c.Finish()
 	got, err := io.ReadAll(there)
 	if err != nil || !bytes.Equal(got, text) {
-		t.Errorf("%d of %d bytes came, %v", len(got), len(text), err)
+		t.Errorf("%d of %d bytes arrived, %v", len(got), len(text), err)
 	}
 	s.want(t, "closed")
 	if !c.Begun(from) || c.Begun(int64(len(text))) {
-		t.Error("what left and what did not is not told apart")
+		t.Error("bytes that left and bytes that did not are not told apart")
 	}
 
 	_, s, there = dial(t, n, 1<<30)
@@ -200,7 +200,7 @@
 			c.Finish()
 			got, err := io.ReadAll(there)
 			if string(got) != "answer" || err != nil {
-				t.Errorf("the other side has %q, %v", got, err)
+				t.Errorf("the peer received %q, %v", got, err)
 			}
 			e.Deliver()
 			<-s // "two"
@@ -208,7 +208,7 @@
 			deliver()
 			s.want(t, "closed")
 			if n.lingering.Load() != 0 {
-				t.Error("it is still counted")
+				t.Error("the connection is still counted as lingering")
 			}
 		})
 	}
@@ -244,8 +244,8 @@
 func TestWithdraw(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		blocking := &blockingConn{halfSent: make(chan struct{}), unblock: make(chan struct{})}
-		unblock := sync.OnceFunc(func() { close(blocking.unblock) })
-		defer unblock()
+		release := sync.OnceFunc(func() { close(blocking.unblock) })
+		defer release()
 		_, c, _, there, _ := acceptedThrough(t, 4, func(conn *net.TCPConn) net.Conn {
 			blocking.TCPConn = conn
 			return blocking
@@ -254,7 +254,7 @@
 		first := c.Append(block)
 		<-blocking.halfSent
 		if c.Withdraw(first, len(block)) {
-			rt.Fatal("what has begun to leave was taken back")
+			rt.Fatal("bytes that had begun to leave were withdrawn")
 		}
 		type part struct {
 			from int64
@@ -269,7 +269,7 @@
 		withdrawn := rapid.Permutation(parts).Draw(rt, "back")[:rapid.IntRange(0, len(parts)).Draw(rt, "of them")]
 		for _, p := range withdrawn {
 			if !c.Withdraw(p.from, len(p.text)) {
-				rt.Fatal("what waits was not taken back")
+				rt.Fatal("queued bytes were not withdrawn")
 			}
 		}
 		for _, p := range parts {
@@ -277,17 +277,17 @@
 				want += p.text
 			}
 		}
-		unblock()
+		release()
 		c.Finish()
 		all, err := io.ReadAll(there)
 		if begun := len(all) - len(bytes.TrimLeft(all, ".")); begun != len(block) {
-			rt.Errorf("%d bytes of %d arrived of what had begun to leave", begun, len(block))
+			rt.Errorf("%d of the %d bytes that had begun to leave arrived", begun, len(block))
 		}
 		if got := string(bytes.TrimLeft(all, ".")); got != want || err != nil {
 			rt.Errorf("%q arrived, %v; want %q", got, err, want)
 		}
-		if used := c.net.buffered.Load(); used != 0 {
-			rt.Errorf("%d bytes are counted", used)
+		if buffered := c.net.buffered.Load(); buffered != 0 {
+			rt.Errorf("%d bytes are still counted as queued", buffered)
 		}
 		there.Close()
 	})
@@ -314,6 +314,6 @@
 		t.Errorf("%d bytes arrived, want %d", len(got), want.Len())
 	}
 	if taken == 0 {
-		t.Error("none was taken back")
+		t.Error("no part was withdrawn")
 	}
 }
--- a/internal/transport/delivery.go
+++ b/internal/transport/delivery.go
@@ -47,7 +47,7 @@
 func (c *Conn) Delivered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &c.requests
+	r := &c.requestOffsets
 	if r.lastEnd <= r.deliveredEnd {
 		return true
 	}
@@ -76,7 +76,7 @@
 // addAccepted records bytes that the system has accepted.
 func (c *Conn) addAccepted(size int) {
 	c.mu.Lock()
-	c.requests.acceptedBytes += int64(size)
+	c.requestOffsets.acceptedBytes += int64(size)
 	c.mu.Unlock()
 }
 
--- a/internal/transport/delivery_test.go
+++ b/internal/transport/delivery_test.go
@@ -28,31 +28,31 @@
 	const before = 1000
 	c.Append(make([]byte, before))
 	if !c.Delivered() {
-		t.Error("there is no request")
+		t.Error("not delivered without any request")
 	}
 	const size = 1 << 20 // the system accepts it, but the other side's window does not
 	c.AppendRequest(make([]byte, size))
-	waitUntil(t, "the system does not take it", func() bool { return c.accepted(before + size) })
+	waitUntil(t, "the system does not accept the request", func() bool { return c.accepted(before + size) })
 	if c.Delivered() {
-		t.Error("delivered to one that reads nothing")
+		t.Error("delivered although the peer reads nothing")
 	}
 	if _, err := io.CopyN(io.Discard, there, before+size); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "it is not delivered", c.Delivered)
+	waitUntil(t, "the request is not delivered", c.Delivered)
 	c.AppendRequest(make([]byte, undeliverable))
-	waitUntil(t, "no write is begun", func() bool { return c.Begun(before + size) })
+	waitUntil(t, "no write begins", func() bool { return c.Begun(before + size) })
 	if c.Delivered() {
-		t.Error("delivered while it is written")
+		t.Error("delivered during the write")
 	}
 	if _, err := io.CopyN(io.Discard, there, undeliverable); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "it is not delivered", c.Delivered)
+	waitUntil(t, "the request is not delivered", c.Delivered)
 	c.Append(make([]byte, undeliverable))
-	waitUntil(t, "no write is begun", func() bool { return c.Begun(before + size + undeliverable) })
+	waitUntil(t, "no write begins", func() bool { return c.Begun(before + size + undeliverable) })
 	if !c.Delivered() {
-		t.Error("what follows a request counts")
+		t.Error("bytes after a request count as undelivered")
 	}
 }
 
@@ -65,15 +65,15 @@
 	}{{10, false}, {undeliverable, true}} {
 		conn, s, there := dial(t, newTestNet(t, 1<<30), 1<<30)
 		conn.AppendRequest(make([]byte, c.size))
-		waitUntil(t, "no write is begun", func() bool { return conn.Begun(0) })
+		waitUntil(t, "no write begins", func() bool { return conn.Begun(0) })
 		if !c.reset {
-			waitUntil(t, "it is not delivered", conn.Delivered)
+			waitUntil(t, "the request is not delivered", conn.Delivered)
 		}
 		conn.Drop()
 		s.want(t, "closed")
 		got, err := io.ReadAll(there)
 		if (err != nil) != c.reset || (len(got) == c.size) == c.reset {
-			t.Errorf("%d bytes of %d came, and then %v", len(got), c.size, err)
+			t.Errorf("%d of %d bytes arrived, then %v", len(got), c.size, err)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	p.waiting = append(p.waiting[:k], p.waiting[k+1:]...)
 }
 
-func (p *requestModel) begin() {
+func (p *requestModel) writeBegun() {
 	for k, n := range p.waiting {
 		if n.request {
 			p.modelLastEnd = p.modelBegun + int64(totalSize(p.waiting[:k+1]))
@@ -129,10 +129,10 @@
 					p.withdraw(k)
 				}
 			case 3:
-				p.begin()
+				p.writeBegun()
 			}
 			if p.begunBytes != p.modelBegun || p.lastEnd < p.modelLastEnd || p.lastEnd > p.modelBegun {
-				draw.Fatalf("the last request ends at %d of %d, and is taken to end at %d of %d", p.modelLastEnd, p.modelBegun, p.lastEnd, p.begunBytes)
+				draw.Fatalf("the last request ends at %d of %d, but the tracked end is %d of %d", p.modelLastEnd, p.modelBegun, p.lastEnd, p.begunBytes)
 			}
 		}
 	})
--- a/internal/transport/pending.go
+++ b/internal/transport/pending.go
@@ -44,7 +44,7 @@
 func (c *Conn) OutputPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &c.requests
+	r := &c.requestOffsets
 	return len(c.out) > 0 || r.acceptedBytes < r.begunBytes || unacknowledged(c.raw) > 0
 }
 
--- a/internal/transport/pending_test.go
+++ b/internal/transport/pending_test.go
@@ -12,14 +12,14 @@
 func TestPendingInputAndOutput(t *testing.T) {
 	_, c, s, there, deliver := acceptedConn(t, 4)
 	if c.InputPending() || c.OutputPending() {
-		t.Error("nothing has been sent")
+		t.Error("input or output is pending before anything was sent")
 	}
 	there.Write([]byte("x"))
 	waitUntil(t, "input is not pending", c.InputPending)
 	deliver()
 	s.want(t, "fed x")
 	if c.InputPending() {
-		t.Error("input is pending that the owner has been given")
+		t.Error("input is pending after its delivery to the owner")
 	}
 	c.Append(make([]byte, undeliverable))
 	if !c.OutputPending() {
@@ -58,9 +58,9 @@
 	there.Write([]byte("x"))
 	waitUntil(t, "input does not end the silence", func() bool { return ArrivalOf(here).Silent < wait-step })
 	if got := ArrivalOf(here).Bytes; got != 1 {
-		t.Errorf("%d bytes have come, want 1", got)
+		t.Errorf("%d bytes have arrived, want 1", got)
 	}
 	if here, _ := net.Pipe(); ArrivalOf(here).Silent != 0 {
-		t.Error("what is no socket is silent")
+		t.Error("a connection that is no socket has a silent time")
 	}
 }
--- a/internal/transport/reset_test.go
+++ b/internal/transport/reset_test.go
@@ -21,7 +21,7 @@
 func (c *Conn) accepted(size int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.acceptedBytes >= size
+	return c.requestOffsets.acceptedBytes >= size
 }
 
 // TestAppendAfterReset: bytes appended after the other side has reset the connection, but before the reader sees the
@@ -36,13 +36,13 @@
 	late := c.Append([]byte("late"))
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		dead := c.writeFailed
+		writeFailed := c.writeFailed
 		c.mu.Unlock()
-		if dead {
+		if writeFailed {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("no write has failed")
+			t.Fatal("no write failed")
 		}
 	}
 	behind := c.Append([]byte("behind"))
@@ -50,14 +50,14 @@
 		t.Errorf("begun: %v before the reset, %v and %v after it", c.Begun(first), c.Begun(late), c.Begun(behind))
 	}
 	if c.Withdraw(first, 4) || !c.Withdraw(late, 4) || !c.Withdraw(behind, 6) {
-		t.Error("what left was withdrawn, or what did not was not")
+		t.Error("bytes that left were withdrawn, or bytes that did not leave were not")
 	}
 	deliver()
 	s.want(t, "fed x")
 	deliver()
 	s.want(t, "reset")
-	if used := c.net.buffered.Load(); used != 0 {
-		t.Errorf("%d bytes are counted", used)
+	if buffered := c.net.buffered.Load(); buffered != 0 {
+		t.Errorf("%d bytes are still counted as queued", buffered)
 	}
 }
 
@@ -77,7 +77,7 @@
 		time.Sleep(500 * time.Millisecond)
 		c.Finish()
 		if got, err := io.Copy(io.Discard, there); got != size || err != nil {
-			t.Errorf("%d of %d bytes came, %v", got, size, err)
+			t.Errorf("%d of %d bytes arrived, %v", got, size, err)
 		}
 	}
 }
