--- a/internal/backends/observer.go
+++ b/internal/backends/observer.go
@@ -7,10 +7,10 @@
 type Observer interface {
 	// ServerChanged reports a server's new state, how many of its attempts were withdrawn before any byte had left,
 	// and how many continue.
-	ServerChanged(engine uint32, from, to admission.State, withdrawn, running int)
+	ServerChanged(server uint32, from, to admission.State, withdrawn, running int)
 	// ConnectionClosing reports that a connection accepts no more attempts and closes, and how many attempts are
 	// outstanding on it.
-	Closing(engine uint32, why CloseReason, out int)
+	Closing(server uint32, why CloseReason, out int)
 	// AttemptWriting reports that an attempt's bytes are handed to its connection.
 	Writing(j *Job)
 }
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -1,6 +1,5 @@
 // Package backends sends attempts to servers and returns their results. It manages connections, streams and pages of
-// results. It makes no admission or routing decisions, and accesses connections only through the Connection
-// interface.
+// results. It makes no admission or routing decisions, and uses connections only through the interface Connection.
 package backends
 
 import (
@@ -35,18 +34,18 @@
 
 	Pages        [][]byte // valid until AttemptEnded returns
 	Work, Memory float64
-	Unsent       bool // no byte had left
-
-	outstanding     bool
-	withdrawalAsked bool // a withdrawal was requested, but bytes may have left
-	endPending      bool // the attempt has ended and the owner is not notified yet
-	end             admission.End
-	conn            *conn
-	written         bool
-	offset          int64 // position of its bytes in the connection's output
-	size            int   // number of its bytes
-	pagesReceived   int
-	lastPageAt      float64 // when the newest page came
+	Unsent       bool // no byte of it had left
+
+	outstanding         bool
+	withdrawalRequested bool // a withdrawal was requested, but bytes may have left
+	endPending          bool // the attempt has ended and the owner is not notified yet
+	end                 admission.End
+	conn                *conn
+	written             bool
+	offset              int64 // position of its bytes in the connection's output
+	size                int   // number of its bytes
+	pagesReceived       int
+	lastPageAt          float64 // when the newest page came
 }
 
 // Outstanding reports whether the attempt's end has not been reported yet.
@@ -56,7 +55,7 @@
 type Owner interface {
 	Ended(j *Job, end admission.End)
 	Noted(j *Job, kind admission.NoteKind, value float64)
-	Lost(engine uint32, how transport.Ending)
+	Lost(server uint32, how transport.Ending)
 }
 
 // Connection takes the bytes sent to a server.
@@ -81,16 +80,16 @@
 
 // Pool holds the listed servers and the connections to them. Only the owner's goroutine may use it.
 type Pool struct {
-	owner      Owner
-	limits     Limits
-	dial       func(addr netip.AddrPort, sink transport.Sink) Line
-	servers    map[uint32]*server
-	conns      []*conn
-	endedJobs  []*Job // attempts that ended within a call from the owner
-	sparePages [][]byte
-	scratch    []byte
-	now        float64
-	writesHeld bool // no attempt is written
+	owner         Owner
+	limits        Limits
+	dial          func(addr netip.AddrPort, sink transport.Sink) Line
+	servers       map[uint32]*server
+	conns         []*conn
+	endedAttempts []*Job // attempts that ended within a call from the owner
+	sparePages    [][]byte
+	scratch       []byte
+	now           float64
+	writesHeld    bool // no attempt is written
 
 	observer Observer
 	hasList  bool // a server list has been received, so changes to it are reported
@@ -105,14 +104,14 @@
 type conn struct {
 	pool              *Pool
 	server            uint32
-	line              Line
+	connection        Line
 	up                bool
 	unreadable        bool // the input is invalid
 	retired           bool // accepts no more attempts and closes when none is outstanding
 	parser            lineproto.Parser
 	outstanding       map[Ref]*Job
 	waiting           []*Job           // attempts that wait until the connection is established
-	spent             map[Ref]struct{} // IDs that ended here without a result: a message under one is late and belongs to no other attempt
+	spent             map[Ref]struct{} // IDs that ended here without a result: later messages under them are late
 	usedAt            float64
 	unwantedSince     float64 // since when all outstanding attempts are unwanted and not delivered, 0: not the case
 	dropUndeliveredAt float64 // bytes not delivered by then must not leave any more, 0: no limit
@@ -173,9 +172,9 @@
 		}
 		c.retireFor(ServerLeft)
 		if !c.up {
-			c.line.Drop()
+			c.connection.Drop()
 		}
-		for _, j := range c.sortedJobs() {
+		for _, j := range c.sortedAttempts() {
 			if c.withdraw(j) {
 				p.endLater(j, admission.Unreachable)
 				withdrawn++
@@ -183,7 +182,7 @@
 		}
 		running += len(c.outstanding)
 		const writeGrace = 0.1 // seconds: enough for a writer that is only behind, and shorter than any drain's grace
-		if c.dropUndeliveredAt == 0 && !c.line.Delivered() {
+		if c.dropUndeliveredAt == 0 && !c.connection.Delivered() {
 			c.dropUndeliveredAt = p.now + writeGrace
 		}
 		c.finishIfIdle()
@@ -192,7 +191,7 @@
 }
 
 // withdraw takes an attempt back if none of its bytes has left. The check and the removal are one atomic step.
-func (c *conn) withdraw(j *Job) bool { return !j.written || c.line.Withdraw(j.offset, j.size) }
+func (c *conn) withdraw(j *Job) bool { return !j.written || c.connection.Withdraw(j.offset, j.size) }
 
 // stalledSince reports whether a message or the pages of a result have made no progress since the given time. The
 // server has the whole result when it sends the first page.
@@ -205,16 +204,16 @@
 	return c.partialSince > 0 && c.partialSince < since
 }
 
-// sortedJobs returns the connection's outstanding attempts in the order in which the requests came to the admission
+// sortedAttempts returns the connection's outstanding attempts in the order in which the requests came to the admission
 // module.
-func (c *conn) sortedJobs() []*Job {
+func (c *conn) sortedAttempts() []*Job {
 	return slices.SortedFunc(maps.Values(c.outstanding), func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // Send sends an attempt to its server.
 func (p *Pool) Send(j *Job) {
 	j.outstanding, j.endPending, j.written, j.conn, j.pagesReceived, j.Pages = true, false, false, nil, 0, j.Pages[:0]
-	j.withdrawalAsked = false
+	j.withdrawalRequested = false
 	j.Work, j.Memory, j.Unsent = 0, 0, false
 	e := p.servers[j.Engine]
 	if e == nil || e.state != admission.Ready {
@@ -266,7 +265,7 @@
 		return nil
 	}
 	c := &conn{pool: p, server: j.Engine, outstanding: map[Ref]*Job{}, spent: map[Ref]struct{}{}}
-	c.line = p.dial(e.addr, c)
+	c.connection = p.dial(e.addr, c)
 	p.conns = append(p.conns, c)
 	return c
 }
@@ -286,13 +285,13 @@
 	c.pool.observer.Writing(j)
 	waitMillis := int(math.Ceil((j.Until - c.pool.now) * 1000))
 	c.pool.scratch = lineproto.Fetch(c.pool.scratch[:0], j.Ref[:], j.Profile, max(waitMillis, 1), j.Level, j.Token, j.Statement)
-	j.offset, j.size = c.line.AppendRequest(c.pool.scratch), len(c.pool.scratch)
+	j.offset, j.size = c.connection.AppendRequest(c.pool.scratch), len(c.pool.scratch)
 }
 
 // writeControl writes a message that was assembled in the pool's scratch buffer.
 func (c *conn) writeControl(b []byte) {
 	c.pool.scratch = b
-	c.line.Append(b)
+	c.connection.Append(b)
 }
 
 // Withdraw ends an attempt of which no byte has left. Any other continues if it arrives soon.
@@ -305,7 +304,7 @@
 		p.endLater(j, admission.Moot)
 		return
 	}
-	j.withdrawalAsked = true
+	j.withdrawalRequested = true
 }
 
 // Abandon ends an outstanding attempt. If it was written, it is withdrawn or cancelled on the wire before another
@@ -349,7 +348,7 @@
 	if j.outstanding && !j.endPending {
 		j.unlink()
 		j.endPending, j.end = true, end
-		p.endedJobs = append(p.endedJobs, j)
+		p.endedAttempts = append(p.endedAttempts, j)
 	}
 }
 
@@ -371,7 +370,7 @@
 
 func (c *conn) finishIfIdle() {
 	if c.retired && len(c.outstanding) == 0 {
-		c.line.Finish()
+		c.connection.Finish()
 	}
 }
 
@@ -389,13 +388,13 @@
 
 // ReportEnds reports the attempts that ended within the owner's own calls, until there are none.
 func (p *Pool) Settle() {
-	for k := 0; k < len(p.endedJobs); k++ {
-		j := p.endedJobs[k]
+	for k := 0; k < len(p.endedAttempts); k++ {
+		j := p.endedAttempts[k]
 		p.freePages(j)
 		j.outstanding = false
 		p.owner.Ended(j, j.end)
 	}
-	p.endedJobs = p.endedJobs[:0]
+	p.endedAttempts = p.endedAttempts[:0]
 }
 
 // CloseIdle closes idle connections before the servers do, so that no attempt is sent to a connection while the
@@ -434,18 +433,18 @@
 func (c *conn) closeUnreadable() {
 	c.unreadable, c.partialSince = true, 0
 	c.retireFor(Unreadable)
-	c.line.Bad()
+	c.connection.Bad()
 }
 
 func (c *conn) Ended(how transport.Ending) {
-	if how == transport.Finished { // a server that closes its side sends no more messages and reads nothing that leaves from now on
+	if how == transport.Finished { // the server sends no more messages and reads nothing that leaves from now on
 		c.retireFor(ServerClosed)
-		for _, j := range c.sortedJobs() {
+		for _, j := range c.sortedAttempts() {
 			if c.withdraw(j) {
 				c.pool.endLater(j, admission.Moot)
 			}
 		}
-		c.line.Drop()
+		c.connection.Drop()
 		return
 	}
 	p := c.pool
@@ -458,7 +457,7 @@
 	if len(c.outstanding) > 0 {
 		p.owner.Lost(c.server, how)
 	}
-	for _, j := range c.sortedJobs() {
-		p.endLater(j, endOfConnection(how, j.written && c.line.Begun(j.offset)))
+	for _, j := range c.sortedAttempts() {
+		p.endLater(j, endOfConnection(how, j.written && c.connection.Begun(j.offset)))
 	}
 }
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -15,7 +15,7 @@
 type harness struct {
 	say       script.Say
 	pool      *Pool
-	jobs      map[uint32]*Job
+	attempts  map[uint32]*Job
 	fakeConns []*fakeConn
 }
 
@@ -84,11 +84,11 @@
 func (y *harness) Noted(j *Job, kind admission.NoteKind, value float64) {
 	y.say("%d/%d note %d %g", j.ID, j.Number, kind, value)
 }
-func (y *harness) Lost(engine uint32, how transport.Ending) { y.say("engine %d lost: %v", engine, how) }
+func (y *harness) Lost(server uint32, how transport.Ending) { y.say("engine %d lost: %v", server, how) }
 
 func play(byteByByte bool) func(*testing.T, script.Say) func([]string) {
 	return func(t *testing.T, say script.Say) func([]string) {
-		y := &harness{say: say, jobs: map[uint32]*Job{}}
+		y := &harness{say: say, attempts: map[uint32]*Job{}}
 		y.pool = New(y, Limits{Streams: 2, Conns: 4, Idle: 30, Stall: 0.25}, func(a netip.AddrPort, sink transport.Sink) Line {
 			w := &fakeConn{harness: y, number: len(y.fakeConns) + 1, sink: sink}
 			y.fakeConns = append(y.fakeConns, w)
@@ -126,22 +126,22 @@
 			return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 4100)
 		})
 	case "send": // id server deadline
-		j := y.jobs[parseID(t, w[2])]
+		j := y.attempts[parseID(t, w[2])]
 		if j == nil {
 			j = &Job{ID: parseID(t, w[2]), Number: -1, Profile: "report", Statement: []byte("SELECT 1"), Level: 1}
 			copy(j.Ref[:], "00000000000000"+w[2])
-			y.jobs[j.ID] = j
+			y.attempts[j.ID] = j
 		}
 		j.Number++
 		j.Engine, j.At = parseID(t, w[3]), now
 		j.Until, _ = strconv.ParseFloat(w[4], 64)
 		y.pool.Send(j)
 	case "give-up":
-		y.pool.GiveUp(y.jobs[parseID(t, w[2])], admission.TimedOut)
+		y.pool.GiveUp(y.attempts[parseID(t, w[2])], admission.TimedOut)
 	case "unwanted":
-		y.jobs[parseID(t, w[2])].Unwanted = true
+		y.attempts[parseID(t, w[2])].Unwanted = true
 	case "renice":
-		j := y.jobs[parseID(t, w[2])]
+		j := y.attempts[parseID(t, w[2])]
 		j.Level = int(parseID(t, w[3]))
 		y.pool.Renice(j)
 	case "unstick":
@@ -160,9 +160,9 @@
 		l := y.fakeConns[parseID(t, w[2])-1]
 		l.beginWrite()
 	case "withdraw":
-		y.pool.Withdraw(y.jobs[parseID(t, w[2])])
+		y.pool.Withdraw(y.attempts[parseID(t, w[2])])
 	case "leave-by":
-		y.jobs[parseID(t, w[2])].LeaveBy, _ = strconv.ParseFloat(w[3], 64)
+		y.attempts[parseID(t, w[2])].LeaveBy, _ = strconv.ParseFloat(w[3], 64)
 	case "says": // line, words in which "@7" becomes the full ID, and "|" an end of line
 		text := strings.NewReplacer("@", "00000000000000", "|", "\r\n", "~", "\t", ";", "\n").Replace(strings.Join(w[3:], " "))
 		for size := len(text); len(text) > 0; text = text[size:] {
@@ -183,7 +183,7 @@
 // TestTurnover guards against a leak: however many servers come and go, some at the same address, the pool keeps
 // nothing of them.
 func TestTurnover(t *testing.T) {
-	y := &harness{say: func(string, ...any) {}, jobs: map[uint32]*Job{}}
+	y := &harness{say: func(string, ...any) {}, attempts: map[uint32]*Job{}}
 	y.pool = New(y, Limits{Streams: 2, Conns: 4, Idle: 30}, func(_ netip.AddrPort, sink transport.Sink) Line {
 		y.fakeConns = append(y.fakeConns, &fakeConn{harness: y, sink: sink})
 		return y.fakeConns[len(y.fakeConns)-1]
@@ -200,8 +200,8 @@
 			y.fakeConns[k-1].sink.Ended(transport.Closed)
 		}
 	}
-	if len(y.pool.servers) != 1 || len(y.pool.conns) != 1 || len(y.pool.endedJobs) != 0 || len(y.pool.sparePages) > 1 {
-		t.Errorf("%d servers, %d connections, %d unreported ends, %d page buffers", len(y.pool.servers), len(y.pool.conns), len(y.pool.endedJobs), len(y.pool.sparePages))
+	if len(y.pool.servers) != 1 || len(y.pool.conns) != 1 || len(y.pool.endedAttempts) != 0 || len(y.pool.sparePages) > 1 {
+		t.Errorf("%d servers, %d connections, %d unreported ends, %d page buffers", len(y.pool.servers), len(y.pool.conns), len(y.pool.endedAttempts), len(y.pool.sparePages))
 	}
 }
 
--- a/internal/backends/undelivered.go
+++ b/internal/backends/undelivered.go
@@ -20,9 +20,9 @@
 		if c.dropUndeliveredAt > 0 && p.now >= c.dropUndeliveredAt {
 			c.dropUndeliveredAt, undelivered = 0, true
 		}
-		if undelivered && !c.line.Delivered() {
+		if undelivered && !c.connection.Delivered() {
 			c.retireFor(Undelivered)
-			c.line.Drop()
+			c.connection.Drop()
 		} else {
 			c.dropUnwanted()
 		}
@@ -32,7 +32,7 @@
 // withdrawExpired withdraws attempts whose time to leave is over. It reports whether any has left in time, and must
 // therefore have arrived.
 func (c *conn) withdrawExpired() (haveLeft bool) {
-	for _, j := range c.sortedJobs() {
+	for _, j := range c.sortedAttempts() {
 		if j.LeaveBy == 0 || c.pool.now+UnstickEvery < j.LeaveBy {
 			continue
 		}
@@ -52,14 +52,14 @@
 	const minUnwanted = 0.9 * UnstickEvery
 	now := c.pool.now
 	switch {
-	case !c.allUnwanted() || c.line.Delivered():
+	case !c.allUnwanted() || c.connection.Delivered():
 		c.unwantedSince = 0
 	case c.unwantedSince == 0:
 		c.unwantedSince = now
 	case now-c.unwantedSince >= minUnwanted:
 		c.retireFor(Undelivered)
-		c.line.Drop()
-		for _, j := range c.sortedJobs() {
+		c.connection.Drop()
+		for _, j := range c.sortedAttempts() {
 			c.pool.endLater(j, admission.Cancelled)
 		}
 	}
@@ -68,7 +68,7 @@
 // allUnwanted reports whether the clients of all outstanding attempts have disconnected or closed their sides.
 func (c *conn) allUnwanted() bool {
 	for _, j := range c.outstanding {
-		if !j.written || !j.Unwanted && !j.withdrawalAsked {
+		if !j.written || !j.Unwanted && !j.withdrawalRequested {
 			return false
 		}
 	}
--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -12,11 +12,11 @@
 	"dunereach/internal/dns"
 )
 
-// HandleAnswer processes an answer of the name server. fresh means that the usable list has changed. An error reports
+// HandleAnswer processes an answer of the name server. changed means that the usable list has changed. An error reports
 // a problem, but the answer may have been applied nevertheless: servers with invalid records are left out, as
 // rejecting the whole list would ignore the drains in it, and the error names the last of them. A server that is
 // listed without its own records is not gone: it stays as it was known.
-func (f *Follower) Answer(msg []byte) (fresh bool, err error) {
+func (f *Follower) Answer(msg []byte) (changed bool, err error) {
 	parsed, err := dns.Parse(msg, Record)
 	if err != nil {
 		return false, Unread{err}
@@ -28,7 +28,7 @@
 		return f.agreed(), f.lastProblem
 	}
 	list, problem := f.buildList(parsed)
-	fresh, err = f.update(list)
+	changed, err = f.update(list)
 	if list.equal(f.current) {
 		f.lastAgreed, f.lastProblem = append(f.lastAgreed[:0], msg[idSize:]...), problem
 	}
@@ -36,7 +36,7 @@
 	if err == nil {
 		err = problem
 	}
-	return fresh, err
+	return changed, err
 }
 
 // UnreadableAnswer is the error of an answer that can't be parsed or answers no query of this router. Any other error
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -50,7 +50,7 @@
 	serverNumbers map[string]uint32
 	serverNames   map[uint32]string
 	trust
-	questionIDs   [64]uint16 // IDs of the last queries, ten a second: answers are accepted as long as a change may be in transit
+	questionIDs   [64]uint16 // IDs of the last queries, ten a second, kept as long as an answer may be in transit
 	questionCount int
 
 	lastAgreed  []byte // the last message that matched the current list, without its ID
@@ -66,7 +66,7 @@
 
 // ApplyConfig applies the events of the configuration in order: those that are new, or none if one is invalid. The
 // configuration needs no confirmation, unlike an answer.
-func (f *Follower) Start(k Known) (fresh bool, err error) {
+func (f *Follower) Start(k Known) (hasNew bool, err error) {
 	previous := f.current.serial
 	list := f.current.clone()
 	for n, event := range k.Notices {
@@ -87,15 +87,15 @@
 		}
 	}
 	list.serial = max(list.serial, k.Rev)
-	fresh = list.serial > previous
+	hasNew = list.serial > previous
 	switch {
-	case previous == 0 || fresh && f.confirmed:
+	case previous == 0 || hasNew && f.confirmed:
 		f.reset(list)
-	case fresh: // the change builds on a list that is not confirmed
+	case hasNew: // the change builds on a list that is not confirmed
 		f.adopt(list)
 	}
 	f.lastAgreed = nil
-	return fresh, nil
+	return hasNew, nil
 }
 
 var states = map[string]admission.State{"ready": admission.Ready, "draining": admission.Draining, "gone": admission.Gone}
@@ -141,10 +141,10 @@
 }
 
 // Name returns the ID of a server as listed.
-func (f *Follower) Name(engine uint32) string { return f.serverNames[engine] }
+func (f *Follower) Name(server uint32) string { return f.serverNames[server] }
 
 // Addr returns the address at which a server listens.
-func (f *Follower) Addr(engine uint32) netip.AddrPort { return f.usable.addr(engine) }
+func (f *Follower) Addr(server uint32) netip.AddrPort { return f.usable.addr(server) }
 
 // List returns all servers that are ready or draining. Attempts may be sent to those that are ready.
 func (f *Follower) List() []admission.Entry { return f.usable.entries }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -21,8 +21,8 @@
 		{"uid":"s-00c41f7b","endpoint":"10.1.0.8:4100","az":"west","model":"big","pod_group":1,"state":"draining","capacity_hint":8,"boot_ms":0},
 		{"uid":"s-00c41f7c","endpoint":"10.1.0.7:4100","az":"east","model":"big","pod_group":1,"state":"ready","capacity_hint":8,"boot_ms":1700000000500}]}}]}`
 
-func reply(id uint16, serial uint32, engines ...string) []byte {
-	return fake.Reply(id, serial, Record, engines...)
+func reply(id uint16, serial uint32, servers ...string) []byte {
+	return fake.Reply(id, serial, Record, servers...)
 }
 
 func configuredFollower(t *testing.T) *Follower {
@@ -133,8 +133,8 @@
 // If the server was unknown, the list is applied again when it is complete.
 func TestRecordsMissing(t *testing.T) {
 	f := configuredFollower(t)
-	cut := func(serial uint32, drop int, engines ...string) []byte { // changes the type of the record with that index, counted from 0
-		msg := reply(ask(f), serial, engines...)
+	cut := func(serial uint32, drop int, servers ...string) []byte { // changes the type of the record with that index, counted from 0
+		msg := reply(ask(f), serial, servers...)
 		at := len(dns.Query(nil, 0, Record))
 		for range drop {
 			at += 12 + int(binary.BigEndian.Uint16(msg[at+10:]))
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -42,27 +42,27 @@
 }
 
 // remove removes a server if it is listed.
-func (s *snapshot) remove(engine uint32) {
-	k, ok := s.positions[engine]
+func (s *snapshot) remove(server uint32) {
+	k, ok := s.positions[server]
 	if !ok {
 		return
 	}
 	s.entries, s.addrs = slices.Delete(s.entries, k, k+1), slices.Delete(s.addrs, k, k+1)
-	delete(s.positions, engine)
+	delete(s.positions, server)
 	for ; k < len(s.entries); k++ {
 		s.positions[s.entries[k].Engine] = k
 	}
 }
 
 // has reports whether a server is listed.
-func (s *snapshot) has(engine uint32) bool {
-	_, ok := s.positions[engine]
+func (s *snapshot) has(server uint32) bool {
+	_, ok := s.positions[server]
 	return ok
 }
 
 // find returns a server's entry.
-func (s *snapshot) find(engine uint32) (e admission.Entry, addr netip.AddrPort, ok bool) {
-	k, ok := s.positions[engine]
+func (s *snapshot) find(server uint32) (e admission.Entry, addr netip.AddrPort, ok bool) {
+	k, ok := s.positions[server]
 	if !ok {
 		return e, addr, false
 	}
@@ -70,8 +70,8 @@
 }
 
 // addr returns the address of a server, the zero address if it is not listed.
-func (s *snapshot) addr(engine uint32) netip.AddrPort {
-	_, addr, _ := s.find(engine)
+func (s *snapshot) addr(server uint32) netip.AddrPort {
+	_, addr, _ := s.find(server)
 	return addr
 }
 
--- a/internal/discovery/trust.go
+++ b/internal/discovery/trust.go
@@ -51,9 +51,9 @@
 	current        *snapshot // the current list
 	confirmed      bool      // several answers in a row, or the configuration, have reported the current list
 	answersAwaited int       // how many answers in a row have to agree before the current list is used completely
-	contrary       *snapshot // the list of the last answer, if it contradicts the current one; nil if none has since the last that agreed
+	contrary       *snapshot // list of the last contradicting answer, nil: none since the last that agreed
 	votes          int       // answers in a row for the contradicting list
-	lastStale      bool      // the last answer was older than the current list, or empty: it may have come in place of one with a change
+	lastStale      bool      // the last answer was older than the current list, or empty, and may hide a change
 	recent         history   // the lists of the last answers that counted
 	usable         *snapshot // what may be used
 	drains         map[uint32]drain
@@ -120,8 +120,8 @@
 // change.
 func (c *trust) Unsettled() bool { return c.answersAwaited > 0 || c.contrary != nil || c.lastStale }
 
-// update processes the list of an answer. fresh means that the usable list has changed.
-func (c *trust) update(list *snapshot) (fresh bool, err error) {
+// update processes the list of an answer. changed means that the usable list has changed.
+func (c *trust) update(list *snapshot) (changed bool, err error) {
 	switch {
 	case list.equal(c.current):
 		return c.agreed(), nil
@@ -132,7 +132,7 @@
 }
 
 // agreed records that an answer reported the current list.
-func (c *trust) agreed() (fresh bool) {
+func (c *trust) agreed() (changed bool) {
 	c.contrary, c.votes, c.lastStale = nil, 0, false
 	c.recent.push(c.current)
 	if c.answersAwaited = max(c.answersAwaited-1, 0); c.answersAwaited > 0 {
@@ -148,21 +148,21 @@
 }
 
 // adopt makes a list the current one, which waits for other answers to confirm it.
-func (c *trust) adopt(list *snapshot) (fresh bool) {
+func (c *trust) adopt(list *snapshot) (changed bool) {
 	c.recordDrains(list)
-	fresh = c.setUsable(c.withDrains(c.recent.permitted(c.usable, list)))
+	changed = c.setUsable(c.withDrains(c.recent.permitted(c.usable, list)))
 	c.current, c.confirmed, c.contrary, c.votes, c.answersAwaited, c.lastStale = list, false, nil, 0, grantAfter-1, false
 	c.recent.push(list)
-	return fresh
+	return changed
 }
 
 // contradicted processes a list that can't follow the current one.
-func (c *trust) contradicted(list *snapshot) (fresh bool, err error) {
+func (c *trust) contradicted(list *snapshot) (changed bool, err error) {
 	err = errSameNumber
 	if list.serial < c.current.serial {
 		err = errOlder
 	}
-	if c.confirmed && (err == errOlder || len(list.entries) == 0) { // late according to all that is known, or all servers gone without an event
+	if c.confirmed && (err == errOlder || len(list.entries) == 0) { // late, or all servers gone without an event
 		c.lastStale = true
 		return false, err
 	}
@@ -185,10 +185,10 @@
 }
 
 // setUsable sets the usable list and reports whether that changes anything.
-func (c *trust) setUsable(list *snapshot) (fresh bool) {
-	fresh = !list.sameServers(c.usable) || !list.sameWeights(c.usable)
+func (c *trust) setUsable(list *snapshot) (changed bool) {
+	changed = !list.sameServers(c.usable) || !list.sameWeights(c.usable)
 	c.usable = list
-	return fresh
+	return changed
 }
 
 // permitted returns what the last answers and the newest permit together: a server is ready if all of them list the
@@ -210,9 +210,9 @@
 }
 
 // has reports whether any of the lists has a server.
-func (h *history) has(engine uint32) bool {
+func (h *history) has(server uint32) bool {
 	for _, list := range h {
-		if list.has(engine) {
+		if list.has(server) {
 			return true
 		}
 	}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Ending is how a connection ended.
+// Ending is the way in which a connection ended.
 type Ending uint8
 
 // The ways in which a connection ends.
@@ -52,7 +52,7 @@
 	data     []byte
 	how      Ending
 	consumed chan<- struct{}
-	readyAt  time.Time // when it was ready for the owner
+	readyAt  time.Time // when it became ready for the owner
 }
 
 // Age returns how long the entry has waited.
@@ -80,7 +80,7 @@
 
 // Network is what connections share: their owner, the memory for queued output, and the limit of lingering closes.
 type Net struct {
-	ctx          context.Context // once it is done nobody takes entries any more
+	ctx          context.Context // once it is done entries are no longer consumed
 	group        *errgroup.Group
 	inbox        Inbox
 	maxBuffered  int64
@@ -89,8 +89,8 @@
 	lingering    atomic.Int64
 }
 
-// NewNet runs connections in a group until the context ends. maxBuffered is the number of output bytes that may be queued in
-// all of them together; lingeringLimit is the limit of connections in a lingering close.
+// NewNetwork runs connections in a group until the context ends. maxBuffered is the number of output bytes that may be
+// queued in all of them together; lingeringLimit is the limit of connections in a lingering close.
 func NewNet(ctx context.Context, group *errgroup.Group, inbox Inbox, maxBuffered, lingeringLimit int64) *Net {
 	return &Net{ctx: ctx, group: group, inbox: inbox, maxBuffered: maxBuffered, maxLingering: lingeringLimit}
 }
@@ -223,7 +223,7 @@
 }
 
 func (c *Conn) read(nc net.Conn, size int) Ending {
-	const maxDiscarded = 64 << 10 // bytes read in a lingering close: room for many usual requests, while a flood is cut off
+	const maxDiscarded = 64 << 10 // bytes read in a lingering close: many usual requests; a flood is cut off
 	buf, consumed, left := make([]byte, size), make(chan struct{}, 1), maxDiscarded
 	for {
 		n, err := nc.Read(buf)
@@ -331,7 +331,7 @@
 	tcp.CloseWrite()
 }
 
-// Append queues bytes and returns their position in the output, for WriteBegun. The connection ends when its own
+// Append queues bytes and returns their position in the output, for Begun. The connection ends when its own
 // limit of queued bytes or that of all connections together is exceeded.
 func (c *Conn) Append(b []byte) (from int64) { return c.append(b, false) }
 
@@ -360,7 +360,7 @@
 	}
 }
 
-// WriteBegun reports whether any byte from a position on may have left.
+// Begun reports whether any byte from a position on may have left.
 func (c *Conn) Begun(from int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -404,5 +404,5 @@
 // Drop closes the connection at once.
 func (c *Conn) Drop() { c.cancel(errClosed) }
 
-// DropUnreadable closes the connection at once because of invalid input.
+// Bad closes the connection at once because of invalid input.
 func (c *Conn) Bad() { c.cancel(errUnreadable) }
