--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -104,7 +104,7 @@
 type conn struct {
 	pool              *Pool
 	server            uint32
-	connection        Line
+	socket            Line
 	up                bool
 	unreadable        bool // the input is invalid
 	retired           bool // accepts no more attempts and closes when none is outstanding
@@ -172,7 +172,7 @@
 		}
 		c.retireFor(ServerLeft)
 		if !c.up {
-			c.connection.Drop()
+			c.socket.Drop()
 		}
 		for _, j := range c.sortedAttempts() {
 			if c.withdraw(j) {
@@ -182,7 +182,7 @@
 		}
 		running += len(c.outstanding)
 		const writeGrace = 0.1 // seconds: enough for a writer that is only behind, and shorter than any drain's grace
-		if c.dropUndeliveredAt == 0 && !c.connection.Delivered() {
+		if c.dropUndeliveredAt == 0 && !c.socket.Delivered() {
 			c.dropUndeliveredAt = p.now + writeGrace
 		}
 		c.finishIfIdle()
@@ -191,7 +191,7 @@
 }
 
 // withdraw takes an attempt back if none of its bytes has left. The check and the removal are one atomic step.
-func (c *conn) withdraw(j *Job) bool { return !j.written || c.connection.Withdraw(j.offset, j.size) }
+func (c *conn) withdraw(j *Job) bool { return !j.written || c.socket.Withdraw(j.offset, j.size) }
 
 // stalledSince reports whether a message or the pages of a result have made no progress since the given time. The
 // server has the whole result when it sends the first page.
@@ -265,7 +265,7 @@
 		return nil
 	}
 	c := &conn{pool: p, server: j.Engine, outstanding: map[Ref]*Job{}, spent: map[Ref]struct{}{}}
-	c.connection = p.dial(e.addr, c)
+	c.socket = p.dial(e.addr, c)
 	p.conns = append(p.conns, c)
 	return c
 }
@@ -285,13 +285,13 @@
 	c.pool.observer.Writing(j)
 	waitMillis := int(math.Ceil((j.Until - c.pool.now) * 1000))
 	c.pool.scratch = lineproto.Fetch(c.pool.scratch[:0], j.Ref[:], j.Profile, max(waitMillis, 1), j.Level, j.Token, j.Statement)
-	j.offset, j.size = c.connection.AppendRequest(c.pool.scratch), len(c.pool.scratch)
+	j.offset, j.size = c.socket.AppendRequest(c.pool.scratch), len(c.pool.scratch)
 }
 
 // writeControl writes a message that was assembled in the pool's scratch buffer.
 func (c *conn) writeControl(b []byte) {
 	c.pool.scratch = b
-	c.connection.Append(b)
+	c.socket.Append(b)
 }
 
 // Withdraw ends an attempt of which no byte has left. Any other continues if it arrives soon.
@@ -370,7 +370,7 @@
 
 func (c *conn) finishIfIdle() {
 	if c.retired && len(c.outstanding) == 0 {
-		c.connection.Finish()
+		c.socket.Finish()
 	}
 }
 
@@ -433,7 +433,7 @@
 func (c *conn) closeUnreadable() {
 	c.unreadable, c.partialSince = true, 0
 	c.retireFor(Unreadable)
-	c.connection.Bad()
+	c.socket.Bad()
 }
 
 func (c *conn) Ended(how transport.Ending) {
@@ -444,7 +444,7 @@
 				c.pool.endLater(j, admission.Moot)
 			}
 		}
-		c.connection.Drop()
+		c.socket.Drop()
 		return
 	}
 	p := c.pool
@@ -458,6 +458,6 @@
 		p.owner.Lost(c.server, how)
 	}
 	for _, j := range c.sortedAttempts() {
-		p.endLater(j, endOfConnection(how, j.written && c.connection.Begun(j.offset)))
+		p.endLater(j, endOfConnection(how, j.written && c.socket.Begun(j.offset)))
 	}
 }
--- a/internal/backends/undelivered.go
+++ b/internal/backends/undelivered.go
@@ -20,9 +20,9 @@
 		if c.dropUndeliveredAt > 0 && p.now >= c.dropUndeliveredAt {
 			c.dropUndeliveredAt, undelivered = 0, true
 		}
-		if undelivered && !c.connection.Delivered() {
+		if undelivered && !c.socket.Delivered() {
 			c.retireFor(Undelivered)
-			c.connection.Drop()
+			c.socket.Drop()
 		} else {
 			c.dropUnwanted()
 		}
@@ -52,13 +52,13 @@
 	const minUnwanted = 0.9 * UnstickEvery
 	now := c.pool.now
 	switch {
-	case !c.allUnwanted() || c.connection.Delivered():
+	case !c.allUnwanted() || c.socket.Delivered():
 		c.unwantedSince = 0
 	case c.unwantedSince == 0:
 		c.unwantedSince = now
 	case now-c.unwantedSince >= minUnwanted:
 		c.retireFor(Undelivered)
-		c.connection.Drop()
+		c.socket.Drop()
 		for _, j := range c.sortedAttempts() {
 			c.pool.endLater(j, admission.Cancelled)
 		}
