--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -84,7 +84,7 @@
 func (y *harness) Noted(j *Job, kind admission.NoteKind, value float64) {
 	y.say("%d/%d note %d %g", j.ID, j.Number, kind, value)
 }
-func (y *harness) Lost(server uint32, how transport.Ending) { y.say("engine %d lost: %v", server, how) }
+func (y *harness) Lost(id uint32, how transport.Ending) { y.say("engine %d lost: %v", id, how) }
 
 func play(byteByByte bool) func(*testing.T, script.Say) func([]string) {
 	return func(t *testing.T, say script.Say) func([]string) {
