--- a/internal/mutation/planted_test.go
+++ b/internal/mutation/planted_test.go
@@ -96,7 +96,7 @@
 	{"no resting connection makes room", "internal/backends/pool.go", "&& !p.closeLongestIdle()", "", "./internal/backends"},
 	{"a stall is said each second", "internal/router/stalled.go", "\ts.said = true\n", "", "./internal/router"},
 	{"the highest number is the newest list", "internal/discovery/trust.go", "if c.votes++; c.votes >= needed {", "if c.votes++; c.votes < 0*needed {", "./internal/discovery"},
-	{"one answer gives permission", "internal/discovery/trust.go", "fresh = c.setUsable(c.withDrains(c.recent.permitted(c.usable, list)))", "fresh = c.setUsable(list)", "./internal/discovery"},
+	{"one answer gives permission", "internal/discovery/trust.go", "changed = c.setUsable(c.withDrains(c.recent.permitted(c.usable, list)))", "changed = c.setUsable(list)", "./internal/discovery"},
 	{"a contradiction takes nothing away", "internal/discovery/trust.go", "return c.setUsable(restricted(c.usable, list)), err", "return false, err", "./internal/discovery"},
 	{"a stray that comes again is confirmed", "internal/discovery/trust.go", "c.answersAwaited = grantAfter // those", "c.answersAwaited = 1 // those", "./internal/discovery"},
 	{"a name server that is behind takes a drain back", "internal/discovery/trust.go", "|| d.serial < list.serial {", "|| true {", "./internal/discovery"},
