--- a/internal/transport/reset_test.go
+++ b/internal/transport/reset_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// unread makes a connection whose reader has not come to what lies behind the first bytes, until deliver is called.
-func unread(t *testing.T) (c *Conn, s sink, reset func(), deliver func()) {
-	_, c, s, there, deliver := accepted(t, 4)
+// connWithUnreadInput makes a connection whose reader waits with its first bytes, and so does not see what follows,
+// until deliver is called.
+func connWithUnreadInput(t *testing.T) (c *Conn, s sink, reset func(), deliver func()) {
+	_, c, s, there, deliver := acceptedConn(t, 4)
 	there.Write([]byte("x"))
 	return c, s, func() {
 		there.SetLinger(0)
@@ -16,32 +17,32 @@
 	}, deliver
 }
 
-// tookAll tells whether the system has taken so many bytes.
-func (c *Conn) tookAll(size int64) bool {
+// accepted reports whether the system has accepted that many bytes.
+func (c *Conn) accepted(size int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.taken >= size
+	return c.requestOffsets.acceptedBytes >= size
 }
 
-// TestResetUnread: what is appended once the other side has reset the connection, and before the reader comes to that, has not left: it
-// can be withdrawn, and does not count as begun. What was written before it counts.
-func TestResetUnread(t *testing.T) {
-	c, s, reset, deliver := unread(t)
+// TestAppendAfterReset: bytes appended after the other side has reset the connection, but before the reader sees the
+// reset, have not left. They can be withdrawn and do not count as begun. Bytes written before the reset do.
+func TestAppendAfterReset(t *testing.T) {
+	c, s, reset, deliver := connWithUnreadInput(t)
 	first := c.Append([]byte("left"))
-	for !c.tookAll(first + 4) {
+	for !c.accepted(first + 4) {
 		time.Sleep(time.Millisecond)
 	}
 	reset()
 	late := c.Append([]byte("late"))
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		dead := c.dead
+		writeFailed := c.writeFailed
 		c.mu.Unlock()
-		if dead {
+		if writeFailed {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("no write has failed")
+			t.Fatal("no write failed")
 		}
 	}
 	behind := c.Append([]byte("behind"))
@@ -49,22 +50,23 @@
 		t.Errorf("begun: %v before the reset, %v and %v after it", c.Begun(first), c.Begun(late), c.Begun(behind))
 	}
 	if c.Withdraw(first, 4) || !c.Withdraw(late, 4) || !c.Withdraw(behind, 6) {
-		t.Error("what left was withdrawn, or what did not was not")
+		t.Error("bytes that left were withdrawn, or bytes that did not leave were not")
 	}
 	deliver()
 	s.want(t, "fed x")
 	deliver()
 	s.want(t, "reset")
-	if used := c.net.used.Load(); used != 0 {
-		t.Errorf("%d bytes are counted", used)
+	if buffered := c.net.buffered.Load(); buffered != 0 {
+		t.Errorf("%d bytes are still counted as queued", buffered)
 	}
 }
 
-// TestPatience: a connection whose other side takes nothing ends once its patience is over, and not before: all arrives then.
-func TestPatience(t *testing.T) {
-	const size = 32 << 20 // more than the system takes
+// TestWriteTimeout: a connection whose other side reads nothing ends after its write timeout and not before. With a
+// longer timeout everything arrives.
+func TestWriteTimeout(t *testing.T) {
+	const size = 32 << 20 // more than the system accepts
 	for _, patience := range []time.Duration{100 * time.Millisecond, time.Hour} {
-		n := owner(t, 1<<30)
+		n := newTestNet(t, 1<<30)
 		c, s, there := dial(t, n, 1<<30)
 		c.Patience(patience)
 		c.Append(make([]byte, size))
@@ -75,7 +77,7 @@
 		time.Sleep(500 * time.Millisecond)
 		c.Finish()
 		if got, err := io.Copy(io.Discard, there); got != size || err != nil {
-			t.Errorf("%d of %d bytes came, %v", got, size, err)
+			t.Errorf("%d of %d bytes arrived, %v", got, size, err)
 		}
 	}
 }
