--- a/cmd/dunedemo/main.go
+++ b/cmd/dunedemo/main.go
@@ -34,8 +34,8 @@
 	f.IntVar(&o.Flood, "clerks", 120, "clients that look up without end")
 	root.AddCommand(&cobra.Command{Use: "fleet", Short: "Three keepers and four routers: an owner is killed, another ended", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return demo.Fleet(filepath.Dir(self), os.Stdout) }})
-	ctx, forget := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer forget()
+	ctx, stopNotify := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stopNotify()
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "dunedemo:", err)
 		os.Exit(1)
--- a/cmd/dunefleet/main.go
+++ b/cmd/dunefleet/main.go
@@ -17,9 +17,9 @@
 )
 
 func main() {
-	with := cli.With{Words: agentdriver.Words(), Fleet: func(c config.Config, log *zap.Logger) (router.Fleet, error) { return agentdriver.New(c, log) },
-		State: func(set operator.State, name string, log *zap.Logger) router.State { return state.New(set, name, log) }}
-	if err := cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, with); err != nil {
+	extensions := cli.With{Words: agentdriver.Words(), Fleet: func(c config.Config, log *zap.Logger) (router.Fleet, error) { return agentdriver.New(c, log) },
+		State: func(cfg operator.State, name string, log *zap.Logger) router.State { return state.New(cfg, name, log) }}
+	if err := cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, extensions); err != nil {
 		if !cli.Said(err) {
 			fmt.Fprintln(os.Stderr, "dunereach:", err)
 		}
--- a/cmd/duneshow/hollow.go
+++ b/cmd/duneshow/hollow.go
@@ -25,7 +25,7 @@
 		command.AddCommand(&cobra.Command{Use: part.Name, Short: part.About, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			rows, err := part.Run(routers)
 			if err == nil && !measure.Print(os.Stdout, rows) {
-				err = errShort
+				err = errBelowBound
 			}
 			return err
 		}})
--- a/cmd/duneshow/main.go
+++ b/cmd/duneshow/main.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-var errShort = errors.New("a figure falls short of its bound")
+var errBelowBound = errors.New("a figure falls short of its bound")
 
 func main() {
 	root := &cobra.Command{Use: "duneshow", Short: "Measure one subsystem and say whether it holds", SilenceUsage: true,
@@ -48,7 +48,7 @@
 			}
 			rows, err := measure.Explore(from, count, length)
 			if err == nil && !measure.Print(os.Stdout, rows) {
-				err = errShort
+				err = errBelowBound
 			}
 			return err
 		}})
@@ -72,16 +72,16 @@
 			if _, err := fmt.Sscan(args[0]+" "+args[1], &from, &count); err != nil {
 				return err
 			}
-			broken, planned, real, plans, err := measure.DrawnDays(from, count)
+			broken, planned, offered, plans, err := measure.DrawnDays(from, count)
 			if err != nil {
 				return err
 			}
 			for _, b := range broken {
 				fmt.Println(b)
 			}
-			fmt.Printf("%d days, %d plans: planned at most %.4f of a zone, really offered %.4f; %d days with a rule broken\n", count, plans, planned, real, len(broken))
+			fmt.Printf("%d days, %d plans: planned at most %.4f of a zone, really offered %.4f; %d days with a rule broken\n", count, plans, planned, offered, len(broken))
 			if len(broken) > 0 {
-				return errShort
+				return errBelowBound
 			}
 			return nil
 		}})
@@ -123,7 +123,7 @@
 			return err
 		}
 		if !measure.Print(os.Stdout, rows) {
-			return errShort
+			return errBelowBound
 		}
 		return nil
 	}
--- a/cmd/duneshow/scale.go
+++ b/cmd/duneshow/scale.go
@@ -37,17 +37,17 @@
 
 // runScale runs parts one after another, so that none disturbs another's times, and prints all of them before it fails.
 func runScale(parts []scale.Part, short bool) error {
-	good := true
+	passed := true
 	for _, part := range parts {
 		fmt.Printf("# %s: %s\n", part.Name, part.About)
 		rows, err := part.Run(short)
 		if err != nil {
 			return fmt.Errorf("%s: %w", part.Name, err)
 		}
-		good = measure.Print(os.Stdout, rows) && good
+		passed = measure.Print(os.Stdout, rows) && passed
 	}
-	if !good {
-		return errShort
+	if !passed {
+		return errBelowBound
 	}
 	return nil
 }
--- a/internal/benchwire/frames.go
+++ b/internal/benchwire/frames.go
@@ -15,7 +15,7 @@
 	eventSize  = 48
 	actionSize = 24
 	entrySize  = 23
-	headSize   = 12 // of a batch, after its length
+	headerSize = 12 // of a batch, after its length
 )
 
 var be = binary.BigEndian
@@ -40,7 +40,7 @@
 		return b, fmt.Errorf("frame length cut short after %d bytes", n)
 	}
 	size := be.Uint32(head[:])
-	if size < headSize {
+	if size < headerSize {
 		return b, fmt.Errorf("frame of %d bytes is shorter than its header", size)
 	}
 	buf.Reset()
@@ -53,20 +53,20 @@
 	}
 	p := buf.Bytes()
 	count := uint64(be.Uint32(p[8:]))
-	if count*eventSize > uint64(len(p)-headSize) {
+	if count*eventSize > uint64(len(p)-headerSize) {
 		return b, fmt.Errorf("%d records do not fit a frame of %d bytes", count, size)
 	}
 	b.clock = f64(p)
 	if math.IsNaN(b.clock) || math.IsInf(b.clock, 0) {
 		return b, fmt.Errorf("clock is not a number")
 	}
-	end := headSize + int(count)*eventSize
-	b.events, b.tail = p[headSize:end], p[end:]
+	end := headerSize + int(count)*eventSize
+	b.events, b.tail = p[headerSize:end], p[end:]
 	return b, nil
 }
 
-// ref resolves an offset and a length (in units of unit bytes) into the tail.
-func (b *batch) ref(field []byte, unit uint64) ([]byte, error) {
+// tailSlice resolves an offset and a length (in units of unit bytes) into the tail.
+func (b *batch) tailSlice(field []byte, unit uint64) ([]byte, error) {
 	off, n := uint64(be.Uint32(field)), uint64(be.Uint32(field[4:]))*unit
 	if off+n > uint64(len(b.tail)) {
 		return nil, fmt.Errorf("tail bytes %d to %d lie beyond its %d", off, off+n, len(b.tail))
@@ -78,25 +78,25 @@
 type reply struct {
 	head, tail []byte
 	router     uint32 // the instance that acts
-	named      uint32 // the instance last named in this reply
-	isNamed    bool
+	lastNamed  uint32 // the instance last named in this reply
+	anyNamed   bool
 }
 
 func (o *reply) reset() {
 	o.head = append(o.head[:0], 0, 0, 0, 0, 0, 0, 0, 0)
-	o.tail, o.isNamed = o.tail[:0], false
+	o.tail, o.anyNamed = o.tail[:0], false
 }
 
-// record starts a zero-filled action of the acting instance and gives its fields.
-func (o *reply) record(code byte) []byte {
-	if !o.isNamed || o.named != o.router {
-		o.isNamed, o.named = true, o.router
-		be.PutUint32(o.blank(10), o.router)
+// action starts a zero-filled action of the acting instance and gives its fields.
+func (o *reply) action(code byte) []byte {
+	if !o.anyNamed || o.lastNamed != o.router {
+		o.anyNamed, o.lastNamed = true, o.router
+		be.PutUint32(o.appendAction(10), o.router)
 	}
-	return o.blank(code)
+	return o.appendAction(code)
 }
 
-func (o *reply) blank(code byte) []byte {
+func (o *reply) appendAction(code byte) []byte {
 	n := len(o.head)
 	var zero [actionSize]byte
 	o.head = append(o.head, zero[:]...)
--- a/internal/benchwire/serve.go
+++ b/internal/benchwire/serve.go
@@ -15,20 +15,20 @@
 
 // router is one hosted instance. It shares nothing but the reply that its actions are written to.
 type router struct {
-	id       uint32
-	mind     *admission.Brain
-	profiles int
-	fields   []string // order of load report values
-	load     admission.Load
-	out      *reply
+	id         uint32
+	controller *admission.Brain
+	profiles   int
+	fields     []string // order of load report values
+	load       admission.Load
+	out        *reply
 }
 
 type server struct {
-	routers map[uint32]*router
-	pages   [16][]admission.Entry
-	set     [16]bool
-	out     reply
-	now     float64 // seconds
+	routers  map[uint32]*router
+	lists    [16][]admission.Entry
+	received [16]bool
+	out      reply
+	now      float64 // seconds
 }
 
 // Serve answers batches until the input ends.
@@ -42,7 +42,7 @@
 		}
 		if err == nil {
 			s.out.reset()
-			err = s.play(&b)
+			err = s.processBatch(&b)
 		}
 		if err != nil {
 			return fmt.Errorf("batch %d: %v", n, err)
@@ -53,7 +53,7 @@
 	}
 }
 
-func (s *server) play(b *batch) error {
+func (s *server) processBatch(b *batch) error {
 	s.now = b.clock * ms
 	var r *router
 	selected, id := false, uint32(0)
@@ -65,7 +65,7 @@
 			selected, id = true, be.Uint32(e[1:])
 			r = s.routers[id]
 		case 120: // SnapshotRows
-			err = s.page(b, e)
+			err = s.readList(b, e)
 		case 10: // Init
 			if !selected {
 				err = fmt.Errorf("operation Init before any Select")
@@ -79,7 +79,7 @@
 				delete(s.routers, id)
 				r = nil
 			} else {
-				err = s.event(b, e, r)
+				err = s.handleEvent(b, e, r)
 			}
 		default:
 			err = fmt.Errorf("unknown event")
@@ -91,16 +91,16 @@
 	return nil
 }
 
-func (s *server) page(b *batch, e []byte) error {
-	page := be.Uint16(e[1:])
-	if int(page) >= len(s.pages) {
-		return fmt.Errorf("list number %d", page)
+func (s *server) readList(b *batch, e []byte) error {
+	listNumber := be.Uint16(e[1:])
+	if int(listNumber) >= len(s.lists) {
+		return fmt.Errorf("list number %d", listNumber)
 	}
-	rows, err := b.ref(e[3:], entrySize)
+	rows, err := b.tailSlice(e[3:], entrySize)
 	if err != nil {
 		return err
 	}
-	list := s.pages[page][:0]
+	list := s.lists[listNumber][:0]
 	for ; len(rows) > 0; rows = rows[entrySize:] {
 		state := admission.Gone
 		switch rows[16] {
@@ -118,45 +118,45 @@
 			Zone: int(be.Uint16(rows[17:])), Engine: be.Uint32(rows[19:]),
 		})
 	}
-	s.pages[page], s.set[page] = list, true
+	s.lists[listNumber], s.received[listNumber] = list, true
 	return nil
 }
 
 func (s *server) start(b *batch, e []byte, id uint32) (*router, error) {
-	text, err := b.ref(e[9:], 1)
+	text, err := b.tailSlice(e[9:], 1)
 	if err != nil {
 		return nil, err
 	}
-	set, err := settings.Parse(text, be.Uint64(e[1:]))
+	parsed, err := settings.Parse(text, be.Uint64(e[1:]))
 	if err != nil {
 		return nil, err
 	}
-	r := &router{id: id, profiles: len(set.Profiles), fields: set.LoadFields, out: &s.out}
+	r := &router{id: id, profiles: len(parsed.Profiles), fields: parsed.LoadFields, out: &s.out}
 	s.routers[id] = r
 	s.out.router = id
-	r.guard(func() { r.mind = admission.New(set.Brain, s.now, r) })
+	r.recoverPanic(func() { r.controller = admission.New(parsed.Brain, s.now, r) })
 	return r, nil
 }
 
-// guard turns a panic of the module into GiveIn.
-func (r *router) guard(call func()) {
-	defer r.caught()
+// recoverPanic turns a panic of the module into GiveIn.
+func (r *router) recoverPanic(call func()) {
+	defer r.reportPanic()
 	call()
 }
 
-func (r *router) caught() {
+func (r *router) reportPanic() {
 	if p := recover(); p != nil {
-		r.out.attach(r.out.record(90), fmt.Sprint(p))
+		r.out.attach(r.out.action(90), fmt.Sprint(p))
 	}
 }
 
-func (s *server) event(b *batch, e []byte, r *router) error {
+func (s *server) handleEvent(b *batch, e []byte, r *router) error {
 	s.out.router = r.id
-	if r.mind == nil {
+	if r.controller == nil {
 		return nil // it gave in while starting
 	}
-	defer r.caught()
-	m, now := r.mind, s.now
+	defer r.reportPanic()
+	m, now := r.controller, s.now
 	switch e[0] {
 	case 20: // PeersKnown
 		scopes := [4]admission.Scope{admission.Delta, admission.Cached, admission.Full, admission.FailedAsk}
@@ -165,11 +165,11 @@
 		}
 		var list []admission.Entry
 		if e[1] != 3 {
-			page := be.Uint16(e[6:])
-			if int(page) >= len(s.pages) || !s.set[page] {
-				return fmt.Errorf("list number %d was never given", page)
+			listNumber := be.Uint16(e[6:])
+			if int(listNumber) >= len(s.lists) || !s.received[listNumber] {
+				return fmt.Errorf("list number %d was never given", listNumber)
 			}
-			list = s.pages[page]
+			list = s.lists[listNumber]
 		}
 		m.Members(now, scopes[e[1]], list)
 	case 30: // WorkItem
@@ -192,10 +192,10 @@
 	case 50: // Outcome
 		o := admission.Outcome{
 			ID: be.Uint32(e[1:]), Lag: f64(e[7:]) * ms, Over: e[15] != 0,
-			Engine: be.Uint32(e[20:]), Send: int(be.Uint16(e[24:])), Load: r.report(e[26:]),
+			Engine: be.Uint32(e[20:]), Send: int(be.Uint16(e[24:])), Load: r.parseLoad(e[26:]),
 		}
 		var err error
-		if o.End, err = end(be.Uint16(e[5:])); err != nil {
+		if o.End, err = parseEnd(be.Uint16(e[5:])); err != nil {
 			return err
 		}
 		if cost := be.Uint32(e[16:]); o.End == admission.Answered && cost > 0 {
@@ -207,13 +207,13 @@
 	case 70: // Due
 		m.Woken(now, be.Uint64(e[1:]))
 	case 80: // Pong
-		how, err := end(be.Uint16(e[1:]))
+		how, err := parseEnd(be.Uint16(e[1:]))
 		if err != nil {
 			return err
 		}
-		m.Probed(now, be.Uint32(e[11:]), how, f64(e[3:])*ms, r.report(e[15:]))
+		m.Probed(now, be.Uint32(e[11:]), how, f64(e[3:])*ms, r.parseLoad(e[15:]))
 	case 90: // FromPeer
-		data, err := b.ref(e[5:], 1)
+		data, err := b.tailSlice(e[5:], 1)
 		if err != nil {
 			return err
 		}
@@ -227,15 +227,15 @@
 	return nil
 }
 
-func end(code uint16) (admission.End, error) {
+func parseEnd(code uint16) (admission.End, error) {
 	if code%10 != 0 || code < 10 || code > 80 {
 		return 0, fmt.Errorf("unknown outcome %d", code)
 	}
 	return admission.End(code/10 - 1), nil
 }
 
-// report reads a load report; the result is good until the next.
-func (r *router) report(e []byte) *admission.Load {
+// parseLoad reads a load parseLoad; the result is good until the next.
+func (r *router) parseLoad(e []byte) *admission.Load {
 	n := int(e[0])
 	if n == 0 || n > 4 || n > len(r.fields) {
 		return nil
@@ -265,54 +265,54 @@
 // The calls out, each one record of the reply.
 
 func (r *router) Send(id, engine uint32, limit, _ float64) { // what is sent has left
-	f := r.out.record(30)
+	f := r.out.action(30)
 	be.PutUint32(f, id)
 	be.PutUint64(f[4:], millis(limit))
 	be.PutUint32(f[12:], engine)
 }
 
 func (r *router) Shed(id uint32, pause float64) {
-	f := r.out.record(50)
+	f := r.out.action(50)
 	be.PutUint32(f, id)
 	be.PutUint64(f[4:], millis(pause))
 }
 
-func (r *router) Fail(id uint32) { be.PutUint32(r.out.record(140), id) }
+func (r *router) Fail(id uint32) { be.PutUint32(r.out.action(140), id) }
 
 func (r *router) Cancel(id uint32, send int) {
-	f := r.out.record(100)
+	f := r.out.action(100)
 	be.PutUint32(f, id)
 	be.PutUint16(f[4:], uint16(send))
 }
 
 func (r *router) Withdraw(uint32, int) {}
 
-func (r *router) Probe(engine uint32) { be.PutUint32(r.out.record(70), engine) }
+func (r *router) Probe(engine uint32) { be.PutUint32(r.out.action(70), engine) }
 
 func (r *router) Priority(id uint32, level int, grant float64) {
-	f := r.out.record(110)
+	f := r.out.action(110)
 	be.PutUint32(f, id)
 	f[4] = byte(level)
 	be.PutUint32(f[5:], math.Float32bits(float32(grant)))
 }
 
 func (r *router) Wake(after float64, token uint64) {
-	f := r.out.record(60)
+	f := r.out.action(60)
 	be.PutUint64(f, millis(max(after, 0)))
 	be.PutUint64(f[8:], token)
 }
 
 func (r *router) Tell(peer int, data []byte) {
-	f := r.out.record(130)
+	f := r.out.action(130)
 	be.PutUint16(f, uint16(peer)) // -1 sets every bit: all peers
 	r.out.attach(f[2:], string(data))
 }
 
 func (r *router) Watch(on bool) {
-	if f := r.out.record(80); on {
+	if f := r.out.action(80); on {
 		f[0] = 1
 	}
 }
 
 func (r *router) Told(uint32, waittime.Kind, waittime.Estimate) {} // the wire has no place for it
-func (r *router) Log(text string)                               { r.out.attach(r.out.record(40), text) }
+func (r *router) Log(text string)                               { r.out.attach(r.out.action(40), text) }
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -14,12 +14,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const boot = `{"Balancers":2,"Me":0,"Classes":[{"Aim":800,"Deadline":4000,"Effect":"safe","Worth":1}],"Tick":5,
+const initSettings = `{"Balancers":2,"Me":0,"Classes":[{"Aim":800,"Deadline":4000,"Effect":"safe","Worth":1}],"Tick":5,
 	"Limits":{"SendCap":6},"Later":{"Unknown":1}}`
 
 func pad(s string, size int) string { return s + strings.Repeat("00", size-len(s)/2) }
 
-func hx32(v int) string {
+func hex32(v int) string {
 	var b [4]byte
 	be.PutUint32(b[:], uint32(v))
 	return hex.EncodeToString(b[:])
@@ -27,12 +27,12 @@
 
 // frame builds a batch of events, given in hex, and a tail.
 func frame(tail string, events ...string) []byte {
-	body := "40c06e2000000000" + hx32(len(events))
+	body := "40c06e2000000000" + hex32(len(events))
 	for _, e := range events {
 		body += pad(e, eventSize)
 	}
 	body += hex.EncodeToString([]byte(tail))
-	return mustHex(hx32(len(body)/2) + body)
+	return mustHex(hex32(len(body)/2) + body)
 }
 
 func serve(t *testing.T, in ...[]byte) (string, error) {
@@ -43,16 +43,16 @@
 }
 
 const (
-	selectR = "8200000003"
-	workR   = "1e5d3a91c400000091f03b7c55d20a64406e0000000000004028000000000000" + "43c0000041300000" + "01"
+	selectEvent = "8200000003"
+	workEvent   = "1e5d3a91c400000091f03b7c55d20a64406e0000000000004028000000000000" + "43c0000041300000" + "01"
 )
 
 var (
-	initR = "0a0000000000000001" + "00000000" + hx32(len(boot))
-	page  = "780000" + hx32(len(boot)) + "00000002"
-	cache = "1401000000290000"
+	initEvent  = "0a0000000000000001" + "00000000" + hex32(len(initSettings))
+	listEvent  = "780000" + hex32(len(initSettings)) + "00000002"
+	peersEvent = "1401000000290000"
 	// The page's own list: two engines, ready.
-	rows = string(mustHex("00003f8000000000000000000000000003000003124a07" + "00003fc0000040b7d4000000000000000300002c9011f2"))
+	listRows = string(mustHex("00003f8000000000000000000000000003000003124a07" + "00003fc0000040b7d4000000000000000300002c9011f2"))
 )
 
 func mustHex(s string) []byte {
@@ -63,19 +63,19 @@
 	return b
 }
 
-// TestPageFrames plays the wire page's own frames, byte for byte.
-func TestPageFrames(t *testing.T) {
+// TestDocumentedFrames plays the wire page's own frames, byte for byte.
+func TestDocumentedFrames(t *testing.T) {
 	got, err := serve(t, mustHex("0000000c40c06e200000000000000000"))
 	if diff := cmp.Diff("0000000000000000", got); diff != "" || err != nil {
 		t.Errorf("empty batch: %v\n%s", err, diff)
 	}
 	// A start with its list, then a command: its wake and its send to the page's engine.
-	got, err = serve(t, frame(boot+rows, selectR, initR, page, cache), frame("", selectR, workR))
+	got, err = serve(t, frame(initSettings+listRows, selectEvent, initEvent, listEvent, peersEvent), frame("", selectEvent, workEvent))
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := got[len(got)-2*(8+3*actionSize):]
-	want := "00000003" + hx32(3*actionSize) + pad("0a00000003", actionSize) +
+	want := "00000003" + hex32(3*actionSize) + pad("0a00000003", actionSize) +
 		pad("3c"+"406cc00000000000"+"000000015d3a91c4", actionSize) +
 		pad("1e5d3a91c4"+"406e000000000000"+"03124a07", actionSize)
 	if diff := cmp.Diff(want, second); diff != "" {
@@ -111,11 +111,11 @@
 	}
 }
 
-// TestHaltAndStartAgain: a restart in one batch forgets everything; a late outcome is ignored; a list number is
+// TestHaltAndRestart: a restart in one batch forgets everything; a late outcome is ignored; a list number is
 // taken as it stands at its event.
-func TestHaltAndStartAgain(t *testing.T) {
+func TestHaltAndRestart(t *testing.T) {
 	outcome := "325d3a91c4000a4032800000000000010001106003124a07"
-	got, err := serve(t, frame(boot+rows, selectR, initR, page, cache, workR, "64", initR, cache, outcome))
+	got, err := serve(t, frame(initSettings+listRows, selectEvent, initEvent, listEvent, peersEvent, workEvent, "64", initEvent, peersEvent, outcome))
 	if err != nil || strings.Count(got, "1e5d3a91c4") != 1 {
 		t.Errorf("%v, reply %s", err, got)
 	}
@@ -135,22 +135,22 @@
 
 // TestBadInput: one plain line, no panic, and nothing allocated for what is only claimed.
 func TestBadInput(t *testing.T) {
-	good := frame(boot+rows, selectR, initR, page, cache)
+	good := frame(initSettings+listRows, selectEvent, initEvent, listEvent, peersEvent)
 	for name, in := range map[string][]byte{
 		"cut length":   {0, 0},
 		"cut frame":    good[:len(good)-3],
 		"huge length":  mustHex("ffffffff40c06e2000000000"),
 		"short frame":  mustHex("00000003000000"),
 		"absurd count": mustHex("0000000c40c06e2000000000ffffffff"),
-		"bad code":     frame("", selectR, "07"),
-		"no instance":  frame("", workR),
-		"tail beyond":  frame("", selectR, "0a0000000000000001"+"00000000"+"ffffffff"),
+		"bad code":     frame("", selectEvent, "07"),
+		"no instance":  frame("", workEvent),
+		"tail beyond":  frame("", selectEvent, "0a0000000000000001"+"00000000"+"ffffffff"),
 		"rows beyond":  frame("", "78000000000000ffffffff"),
 		"page number":  frame("", "780099"),
-		"unset page":   frame(boot, selectR, initR, "1402000000000005"),
-		"bad settings": frame("{", selectR, "0a0000000000000001"+"0000000000000001"),
-		"bad class":    frame(boot, selectR, initR, "1e0000000109"),
-		"bad outcome":  frame(boot, selectR, initR, "320000000100ff"),
+		"unset page":   frame(initSettings, selectEvent, initEvent, "1402000000000005"),
+		"bad settings": frame("{", selectEvent, "0a0000000000000001"+"0000000000000001"),
+		"bad class":    frame(initSettings, selectEvent, initEvent, "1e0000000109"),
+		"bad outcome":  frame(initSettings, selectEvent, initEvent, "320000000100ff"),
 	} {
 		if _, err := serve(t, in); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", name, err)
@@ -162,9 +162,9 @@
 }
 
 func FuzzServe(f *testing.F) {
-	f.Add(frame(boot+rows, selectR, initR, page, cache, workR))
-	f.Add(frame(boot, selectR, initR, "64", workR))
-	f.Add(frame("", selectR, "46000000000000004d"))
+	f.Add(frame(initSettings+listRows, selectEvent, initEvent, listEvent, peersEvent, workEvent))
+	f.Add(frame(initSettings, selectEvent, initEvent, "64", workEvent))
+	f.Add(frame("", selectEvent, "46000000000000004d"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		_ = Serve(bytes.NewReader(in), io.Discard) // must come back, with or without an error
 	})
@@ -177,7 +177,7 @@
 	be.PutUint32(e[1:], math.Float32bits(0.5))
 	be.PutUint32(e[5:], math.Float32bits(12))
 	r := &router{fields: []string{"cpu", "active"}}
-	if diff := cmp.Diff(&admission.Load{Held: 12, Waiting: -1, Cores: 0.5, Memory: -1, Disks: -1}, r.report(e[:])); diff != "" {
+	if diff := cmp.Diff(&admission.Load{Held: 12, Waiting: -1, Cores: 0.5, Memory: -1, Disks: -1}, r.parseLoad(e[:])); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -21,8 +21,8 @@
 // Version of this source; the changelog says what came when.
 const Version = "0.2.0-dev"
 
-// unusable is a fault in what the operator wrote, as against one of the program or the machine.
-type unusable struct{ error }
+// configError is a fault in what the operator wrote, as against one of the program or the machine.
+type configError struct{ error }
 
 // Status is the status that a program ends with on an error: 2 where check found a fault, what a companion ended with,
 // else 1.
@@ -31,7 +31,7 @@
 	if errors.As(err, &c) {
 		return c.ExitCode()
 	}
-	var u unusable
+	var u configError
 	if errors.As(err, &u) {
 		return 2
 	}
@@ -52,10 +52,10 @@
 }
 
 // Run carries out one command line.
-func Run(args []string, env func(string) string, out, log io.Writer, with With) error {
+func Run(args []string, env func(string) string, out, log io.Writer, extensions With) error {
 	operatorFile := env(operator.Variable)
-	load := func() (config.Config, error) { return config.Load(env, operatorFile, check) }
-	serving := func(*cobra.Command, []string) error { return serve(load, with, log) }
+	load := func() (config.Config, error) { return config.Load(env, operatorFile, checkOperatorFile) }
+	serveCommand := func(*cobra.Command, []string) error { return serve(load, extensions, log) }
 	root := &cobra.Command{
 		Use:   "dunereach",
 		Short: "An admission controller for queries on a pool of engines",
@@ -74,12 +74,12 @@
 		Example: `  make demo                                              # a router with stand-ins for all it talks to
   BALANCER_CONFIG=deploy/example.json dunereach check
   BALANCER_CONFIG=deploy/example.json dunereach serve --operator deploy/operator.json`,
-		Args: cobra.NoArgs, RunE: serving, SilenceErrors: true, SilenceUsage: true,
+		Args: cobra.NoArgs, RunE: serveCommand, SilenceErrors: true, SilenceUsage: true,
 	}
 	root.PersistentFlags().StringVar(&operatorFile, "operator", operatorFile,
 		"the operators' file (default: what "+operator.Variable+" names)")
 	root.AddCommand(&cobra.Command{
-		Use: "serve", Short: "Serve until SIGTERM, as with no command at all", Args: cobra.NoArgs, RunE: serving,
+		Use: "serve", Short: "Serve until SIGTERM, as with no command at all", Args: cobra.NoArgs, RunE: serveCommand,
 	}, &cobra.Command{
 		Use: "check", Short: "Read configuration and operators' file and say what is wrong with them",
 		Long: `Check reads what serve would read and starts nothing. Where something is wrong it says in one line what and where, and
@@ -88,7 +88,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			c, err := load()
 			if err != nil {
-				return unusable{err}
+				return configError{err}
 			}
 			if f := c.Operator.Fleet; f != nil {
 				fmt.Fprintf(out, "fleet: %d keepers\n", len(f.Keepers))
@@ -104,13 +104,13 @@
 		Use: "expect", Short: "Check routing expectations without sending traffic (dunereach expect --help)",
 		DisableFlagParsing: true, // dunecheck's
 		RunE: func(_ *cobra.Command, args []string) error {
-			return companion(append([]string{"expect"}, args...), out, log)
+			return runChecker(append([]string{"expect"}, args...), out, log)
 		},
 	}, &cobra.Command{
 		Use: "state", Short: "Look at what routers keep in a folder (dunereach state --help)",
 		DisableFlagParsing: true, // dunecheck's
 		RunE: func(_ *cobra.Command, args []string) error {
-			return companion(append([]string{"state"}, args...), out, log)
+			return runChecker(append([]string{"state"}, args...), out, log)
 		},
 	}, &cobra.Command{
 		Use: "schema", Short: "Print the JSON schema of the operators' file", Args: cobra.NoArgs,
@@ -125,12 +125,12 @@
 			return err
 		},
 	})
-	if with.Words == nil {
-		with.Words = &cobra.Command{Use: "fleet", Short: "See and steer work done on behalf of all routers (dunereach fleet --help)",
+	if extensions.Words == nil {
+		extensions.Words = &cobra.Command{Use: "fleet", Short: "See and steer work done on behalf of all routers (dunereach fleet --help)",
 			DisableFlagParsing: true, // dunefleet's
-			RunE:               func(*cobra.Command, []string) error { return become(fleetProgram, args) }}
+			RunE:               func(*cobra.Command, []string) error { return execProgram(fleetProgram, args) }}
 	}
-	root.AddCommand(with.Words)
+	root.AddCommand(extensions.Words)
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(log)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,7 +34,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-type file struct {
+type configFile struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
 	Seed       string          `json:"seed"`
@@ -76,7 +76,7 @@
 
 // Parse reads the file's text.
 func Parse(text []byte, name, listen string) (c Config, err error) {
-	var f file
+	var f configFile
 	if err = json.Unmarshal(text, &f); err != nil {
 		return c, fmt.Errorf("configuration: %v", err)
 	}
--- a/internal/dns/dns.go
+++ b/internal/dns/dns.go
@@ -46,25 +46,25 @@
 }
 
 var (
-	errShort  = errors.New("message ends early")
-	errName   = errors.New("name can't be read")
-	errAnswer = errors.New("no answer to such a question")
-	errCode   = errors.New("the server answers with an error")
-	errCut    = errors.New("truncated")
-	errSerial = errors.New("no serial")
+	errShort        = errors.New("message ends early")
+	errName         = errors.New("name can't be read")
+	errNoMatch      = errors.New("no answer to such a question")
+	errResponseCode = errors.New("the server answers with an error")
+	errTruncated    = errors.New("truncated")
+	errSerial       = errors.New("no serial")
 )
 
-// header is the length of a message's header, recordHead that of the fixed fields behind a record's owner (RFC 1035, 4.1).
+// headerSize is the length of a message's headerSize, recordHeaderSize that of the fixed fields behind a record's owner (RFC 1035, 4.1).
 const (
-	header     = 12
-	recordHead = 10
+	headerSize       = 12
+	recordHeaderSize = 10
 )
 
 // Flags of a header.
 const (
-	flagResponse  = 0x8000
-	flagTruncated = 0x0200
-	maskCode      = 0x000f
+	flagResponse     = 0x8000
+	flagTruncated    = 0x0200
+	maskResponseCode = 0x000f
 )
 
 // Parse reads a whole answer to a Query for a name. It does not check that its ID was asked. Where it returns an error, the list holds
@@ -80,7 +80,7 @@
 			return p.list, err
 		}
 	}
-	if !p.serial {
+	if !p.hasSerial {
 		return p.list, errSerial
 	}
 	for k := range p.list.Services {
@@ -92,36 +92,36 @@
 
 // parser reads one message.
 type parser struct {
-	msg    []byte
-	name   string // that was asked for
-	at     int    // offset of what is read next
-	list   List
-	serial bool                  // the list has one
-	addrs  map[string]netip.Addr // by owner, as the texts
-	texts  map[string][]string
+	msg       []byte
+	name      string // that was asked for
+	at        int    // offset of what is read next
+	list      List
+	hasSerial bool                  // the list has one
+	addrs     map[string]netip.Addr // by owner, as the texts
+	texts     map[string][]string
 }
 
 // question reads the header and the question, which has to be the one of Query.
 func (p *parser) question() error {
-	if len(p.msg) < header {
+	if len(p.msg) < headerSize {
 		return errShort
 	}
 	flags := be.Uint16(p.msg[2:])
 	p.list.ID = be.Uint16(p.msg)
 	switch {
 	case flags&flagResponse == 0 || be.Uint16(p.msg[4:]) != 1:
-		return errAnswer
+		return errNoMatch
 	case flags&flagTruncated != 0:
-		return errCut
-	case flags&maskCode != 0:
-		return errCode
+		return errTruncated
+	case flags&maskResponseCode != 0:
+		return errResponseCode
 	}
-	asked, at, err := readName(p.msg, header)
+	questionName, at, err := readName(p.msg, headerSize)
 	if err != nil {
 		return err
 	}
-	if asked != p.name || len(p.msg) < at+4 || be.Uint16(p.msg[at:]) != typeSRV || be.Uint16(p.msg[at+2:]) != classIN {
-		return errAnswer
+	if questionName != p.name || len(p.msg) < at+4 || be.Uint16(p.msg[at:]) != typeSRV || be.Uint16(p.msg[at+2:]) != classIN {
+		return errNoMatch
 	}
 	p.at = at + 4
 	return nil
@@ -133,11 +133,11 @@
 	if err != nil {
 		return err
 	}
-	if len(p.msg) < at+recordHead {
+	if len(p.msg) < at+recordHeaderSize {
 		return errShort
 	}
 	kind, class, size := be.Uint16(p.msg[at:]), be.Uint16(p.msg[at+2:]), int(be.Uint16(p.msg[at+8:]))
-	at += recordHead
+	at += recordHeaderSize
 	if len(p.msg) < at+size {
 		return errShort
 	}
@@ -152,7 +152,7 @@
 	case kind == typeTXT:
 		return p.text(owner, data)
 	case kind == typeSOA:
-		return p.authority(at)
+		return p.soa(at)
 	}
 	return nil
 }
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// authority reads the serial of an SOA record, behind two names.
-func (p *parser) authority(at int) error {
+// soa reads the serial of an SOA record, behind two names.
+func (p *parser) soa(at int) error {
 	_, after, err := readName(p.msg, at)
 	if err == nil {
 		_, after, err = readName(p.msg, after)
@@ -199,7 +199,7 @@
 	if after+20 != p.at {
 		return errShort
 	}
-	p.list.Serial, p.serial = be.Uint32(p.msg[after:]), true
+	p.list.Serial, p.hasSerial = be.Uint32(p.msg[after:]), true
 	return nil
 }
 
@@ -207,7 +207,7 @@
 // that none can form a loop.
 func readName(msg []byte, at int) (name string, end int, err error) {
 	var b [255]byte
-	n, lowest := 0, at
+	n, pointerLimit := 0, at
 	for end = -1; ; {
 		if at >= len(msg) {
 			return "", 0, errShort
@@ -244,10 +244,10 @@
 				end = at + 2
 			}
 			to := int(be.Uint16(msg[at:]) & 0x3fff)
-			if to >= lowest {
+			if to >= pointerLimit {
 				return "", 0, errName
 			}
-			at, lowest = to, to
+			at, pointerLimit = to, to
 		default:
 			return "", 0, errName
 		}
--- a/internal/jobrunner/runner.go
+++ b/internal/jobrunner/runner.go
@@ -76,10 +76,10 @@
 }
 
 // ObserveLateness reports by how many seconds the process's own timers were late. It is safe for concurrent use and never blocks.
-func (r *Runner) ObserveLateness(by float64) {
+func (r *Runner) ObserveLateness(seconds float64) {
 	for {
-		was := r.lateness.Load()
-		if !(by > math.Float64frombits(was)) || r.lateness.CompareAndSwap(was, math.Float64bits(by)) {
+		previous := r.lateness.Load()
+		if !(seconds > math.Float64frombits(previous)) || r.lateness.CompareAndSwap(previous, math.Float64bits(seconds)) {
 			return
 		}
 	}
@@ -87,16 +87,16 @@
 
 // Run runs jobs until the context is done and then the last runs of those with RunAtShutdown. It returns true when all have ended,
 // false when patience has passed before.
-func (r *Runner) Run(ctx context.Context, patience time.Duration) (finished bool) {
+func (r *Runner) Run(ctx context.Context, timeout time.Duration) (finished bool) {
 	cancels := map[int]context.CancelFunc{}
 	all, stop := context.WithCancel(context.Background())
 	defer stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	asked, over := ctx.Done(), (<-chan time.Time)(nil)
+	shutdown, timedOut := ctx.Done(), (<-chan time.Time)(nil)
 	for {
-		if by := math.Float64frombits(r.lateness.Swap(0)); by > 0 {
-			r.scheduler.ObserveLateness(r.now(), by)
+		if late := math.Float64frombits(r.lateness.Swap(0)); late > 0 {
+			r.scheduler.ObserveLateness(r.now(), late)
 		}
 		cancel, wait := r.scheduler.Expired(r.now())
 		for _, k := range cancel {
@@ -123,17 +123,17 @@
 		case d := <-r.completions:
 			cancels[d.job]()
 			delete(cancels, d.job)
-			fails := r.scheduler.Failures(d.job)
+			failuresBefore := r.scheduler.Failures(d.job)
 			r.scheduler.Done(r.now(), d.job, d.usage)
-			if n := r.scheduler.Failures(d.job); n > 0 || fails > 0 {
+			if n := r.scheduler.Failures(d.job); n > 0 || failuresBefore > 0 {
 				r.reportFailure(r.names[d.job], n, d.err)
 			}
-		case <-asked:
+		case <-shutdown:
 			for _, k := range r.scheduler.Shutdown(r.now()) {
 				cancels[k]()
 			}
-			asked, over = nil, time.After(patience)
-		case <-over:
+			shutdown, timedOut = nil, time.After(timeout)
+		case <-timedOut:
 			go func() { // runs that go on must not block here; they end with the process
 				for range r.completions {
 				}
--- a/internal/jobrunner/runner_test.go
+++ b/internal/jobrunner/runner_test.go
@@ -9,23 +9,23 @@
 	"dunereach/jobs"
 )
 
-// TestRuns: what is asked for runs, a failure is told once with its count, and the last run comes when the context ends.
-func TestRuns(t *testing.T) {
-	type word struct {
+// TestRequestFailureAndShutdownRuns: what is asked for runs, a failure is told once with its count, and the last run comes when the context ends.
+func TestRequestFailureAndShutdownRuns(t *testing.T) {
+	type failureReport struct {
 		times int
 		err   error
 	}
-	failed := make(chan word, 10)
-	r := New(jobs.Limits{}, func(_ string, n int, err error) { failed <- word{n, err} })
+	reports := make(chan failureReport, 10)
+	r := New(jobs.Limits{}, func(_ string, n int, err error) { reports <- failureReport{n, err} })
 	ran := make(chan string, 10)
-	wrong := errors.New("no disk")
+	errNoDisk := errors.New("no disk")
 	first := true
-	ask := r.Add(jobs.Job{Name: "a"}, func(_ context.Context, m *Meter) error {
+	request := r.Add(jobs.Job{Name: "a"}, func(_ context.Context, m *Meter) error {
 		m.Wrote(10)
 		ran <- "a"
 		if first {
 			first = false
-			return wrong
+			return errNoDisk
 		}
 		return nil
 	})
@@ -39,17 +39,17 @@
 		r.Run(ctx, 10*time.Second)
 		close(ended)
 	}()
-	ask()
+	request()
 	if got := <-ran; got != "a" {
 		t.Fatal(got)
 	}
-	if w := <-failed; w.times != 1 || !errors.Is(w.err, wrong) {
+	if w := <-reports; w.times != 1 || !errors.Is(w.err, errNoDisk) {
 		t.Fatalf("told %+v", w)
 	}
 	if got := <-ran; got != "a" { // tried again by itself
 		t.Fatal(got)
 	}
-	if w := <-failed; w.times != 0 || w.err != nil {
+	if w := <-reports; w.times != 0 || w.err != nil {
 		t.Fatalf("told %+v of the success after it", w)
 	}
 	cancel()
@@ -59,18 +59,18 @@
 	<-ended
 }
 
-// TestStuck: a run that ends for nobody does not hold the process up for longer than its patience, and one with a limit is told.
-func TestStuck(t *testing.T) {
+// TestStuckRunAndTimeout: a run that ends for nobody does not hold the process up for longer than its patience, and one with a limit is told.
+func TestStuckRunAndTimeout(t *testing.T) {
 	r := New(jobs.Limits{Parallel: 2}, func(string, int, error) {})
-	told, release := make(chan bool), make(chan bool)
+	timedOut, release := make(chan bool), make(chan bool)
 	limited := r.Add(jobs.Job{Name: "limited", Timeout: 0.02}, func(ctx context.Context, _ *Meter) error {
 		<-ctx.Done()
-		close(told)
+		close(timedOut)
 		return nil
 	})
-	began := make(chan bool)
+	started := make(chan bool)
 	stuck := r.Add(jobs.Job{Name: "stuck"}, func(context.Context, *Meter) error {
-		close(began)
+		close(started)
 		<-release
 		return nil
 	})
@@ -83,8 +83,8 @@
 	}()
 	limited()
 	stuck()
-	<-told
-	<-began
+	<-timedOut
+	<-started
 	cancel()
 	select {
 	case <-ended:
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -124,9 +124,9 @@
 
 // Spec is what the file says of teams, as package budgets takes it; tenants are the settings' names.
 func (f *File) Spec(tenants []string) (s fairshare.Spec, err error) {
-	or := func(p *float64, standard float64) float64 {
+	orDefault := func(p *float64, defaultValue float64) float64 {
 		if p == nil {
-			return standard
+			return defaultValue
 		}
 		return *p
 	}
@@ -135,8 +135,8 @@
 		b = *f.Budgets
 	}
 	s = fairshare.Spec{Default: b.Default, ByCall: b.ByCall, Turns: b.Turns == nil || *b.Turns,
-		Ageing:  or(b.Ageing, 0.1), // behind an endless flood of their own team 0.34 of reports left at 0.07, 0.74 here, 0.95 at 0.14
-		Changes: or(b.Changes, 20), // a second: some hundred sends run, and a wave of some seconds may lower each
+		Ageing:  orDefault(b.Ageing, 0.1), // behind an endless flood of their own team 0.34 of reports left at 0.07, 0.74 here, 0.95 at 0.14
+		Changes: orDefault(b.Changes, 20), // a second: some hundred sends run, and a wave of some seconds may lower each
 		// Lowered work that spills holds its memory for longer than what it gives up is worth.
 		GuardSpill: b.GuardSpill == nil || *b.GuardSpill}
 	for i, t := range f.Teams {
--- a/internal/operator/schema/schema.go
+++ b/internal/operator/schema/schema.go
@@ -26,19 +26,19 @@
 
 // Operator is the schema of the operators' file.
 func Operator() ([]byte, error) {
-	return of(&operator.File{}, "dunereach: the operators' file", boundLengths)
+	return emit(&operator.File{}, "dunereach: the operators' file", boundDurations)
 }
 
 // Expectations is the schema of a file of routing expectations.
-func Expectations() ([]byte, error) { return of(&expect.File{}, "dunereach: routing expectations") }
+func Expectations() ([]byte, error) { return emit(&expect.File{}, "dunereach: routing expectations") }
 
 // Scenarios is the schema of a script of faults.
 func Scenarios() ([]byte, error) {
-	return of(&scenario.File{}, "dunereach: a script of faults for a fleet")
+	return emit(&scenario.File{}, "dunereach: a script of faults for a fleet")
 }
 
-func of(file any, title string, adjust ...func(*reflector.Schema)) ([]byte, error) {
-	r := reflector.Reflector{Anonymous: true, ExpandedStruct: true, Mapper: mapped}
+func emit(file any, title string, adjust ...func(*reflector.Schema)) ([]byte, error) {
+	r := reflector.Reflector{Anonymous: true, ExpandedStruct: true, Mapper: durationSchema}
 	s := r.Reflect(file)
 	s.Title = title
 	for _, f := range adjust {
@@ -57,7 +57,7 @@
 	if err := check(deploy.OperatorSchema, text); err != nil {
 		return err
 	}
-	return checkLengths(text)
+	return checkDurations(text)
 }
 
 // CheckExpectations reads a text of a file of expectations, likewise.
@@ -66,7 +66,7 @@
 // CheckScenario reads a text of a script of faults, likewise.
 func CheckScenario(text []byte) error { return check(deploy.ScenarioSchema, text) }
 
-func check(by, text []byte) error {
+func check(schemaText, text []byte) error {
 	if !utf8.Valid(text) {
 		return errors.New("it is not UTF-8")
 	}
@@ -78,11 +78,11 @@
 	if err != nil {
 		return err
 	}
-	schema, err := compile(by)
+	schema, err := compile(schemaText)
 	if err != nil {
 		return fmt.Errorf("schema: %v", err)
 	}
-	return first(schema.Validate(value))
+	return firstError(schema.Validate(value))
 }
 
 func compile(text []byte) (*jsonschema.Schema, error) {
@@ -97,23 +97,23 @@
 	return c.Compile("schema.json")
 }
 
-// first is the cause that stands first in the file, as one line: its place there and what is wrong.
-func first(err error) error {
+// firstError is the cause that stands firstError in the file, as one line: its place there and what is wrong.
+func firstError(err error) error {
 	var v *jsonschema.ValidationError
 	if !errors.As(err, &v) {
 		return err
 	}
 	var all []*jsonschema.ValidationError
-	var leaves func(v *jsonschema.ValidationError)
-	leaves = func(v *jsonschema.ValidationError) {
+	var collectLeaves func(v *jsonschema.ValidationError)
+	collectLeaves = func(v *jsonschema.ValidationError) {
 		if len(v.Causes) == 0 {
 			all = append(all, v)
 		}
 		for _, c := range v.Causes {
-			leaves(c)
+			collectLeaves(c)
 		}
 	}
-	leaves(v)
+	collectLeaves(v)
 	slices.SortStableFunc(all, func(a, b *jsonschema.ValidationError) int {
 		return slices.CompareFunc(a.InstanceLocation, b.InstanceLocation, func(x, y string) int {
 			if len(x) != len(y) && strings.Trim(x+y, "0123456789") == "" { // places in a list, by number
--- a/internal/operator/schema/schema_test.go
+++ b/internal/operator/schema/schema_test.go
@@ -11,36 +11,36 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestInStep: the file that the programs carry is what the types make. `make schema` writes it anew.
-func TestInStep(t *testing.T) {
+// TestSchemaFilesUpToDate: the file that the programs carry is what the types make. `make schema` writes it anew.
+func TestSchemaFilesUpToDate(t *testing.T) {
 	for _, s := range []struct {
-		file []byte
-		of   func() ([]byte, error)
+		file     []byte
+		generate func() ([]byte, error)
 	}{{deploy.OperatorSchema, Operator}, {deploy.ExpectationSchema, Expectations}, {deploy.ScenarioSchema, Scenarios}} {
-		made, err := s.of()
+		generated, err := s.generate()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(string(s.file), string(made)); diff != "" {
+		if diff := cmp.Diff(string(s.file), string(generated)); diff != "" {
 			t.Errorf("a schema under deploy/ is not what the types make (-file +types):\n%s", diff)
 		}
 	}
 }
 
-// TestTexts checks each line of the scripts as a text, and prints what is said of it.
-func TestTexts(t *testing.T) {
-	script.Compare(t, func(t *testing.T, text string) string { return script.Lines(text, said) })
+// TestOperatorFileErrors checks each line of the scripts as a text, and prints what is said of it.
+func TestOperatorFileErrors(t *testing.T) {
+	script.Compare(t, func(t *testing.T, text string) string { return script.Lines(text, checkResult) })
 }
 
-func said(line string) string {
+func checkResult(line string) string {
 	if err := Check([]byte(line)); err != nil {
 		return err.Error()
 	}
 	return "good"
 }
 
-// TestScenarios: the scripts that are kept are what the schema says.
-func TestScenarios(t *testing.T) {
+// TestScenarioFilesMatchSchema: the scripts that are kept are what the schema says.
+func TestScenarioFilesMatchSchema(t *testing.T) {
 	files, err := filepath.Glob("../../../emulator/scenario/files/*.json")
 	if err != nil || len(files) < 15 {
 		t.Fatal(files, err)
--- a/internal/operator/schema/write/main.go
+++ b/internal/operator/schema/write/main.go
@@ -9,12 +9,12 @@
 )
 
 func main() {
-	for path, of := range map[string]func() ([]byte, error){
+	for path, generate := range map[string]func() ([]byte, error){
 		"deploy/operator.schema.json":    schema.Operator,
 		"deploy/expectation.schema.json": schema.Expectations,
 		"deploy/scenario.schema.json":    schema.Scenarios,
 	} {
-		text, err := of()
+		text, err := generate()
 		if err == nil {
 			err = os.WriteFile(path, text, 0o644)
 		}
--- a/internal/operator/subset.go
+++ b/internal/operator/subset.go
@@ -32,22 +32,22 @@
 
 // What stands where the section is silent.
 const (
-	standardRoom   = 0.5
-	standardWidest = 4
-	standardNear   = 0.5
-	standardRegion = 0.2
-	standardLeast  = 2
+	defaultRoom   = 0.5
+	defaultWidest = 4
+	defaultNear   = 0.5
+	defaultRegion = 0.2
+	defaultLeast  = 2
 )
 
-func valueOr[T any](p *T, standard T) T {
+func orDefault[T any](p *T, defaultValue T) T {
 	if p == nil {
-		return standard
+		return defaultValue
 	}
 	return *p
 }
 
 // PlaceOf is the place of the router at a position of the list.
-func (s *Subset) PlaceOf(position int) int { return valueOr(s.Routers[position].Place, position) }
+func (s *Subset) PlaceOf(position int) int { return orDefault(s.Routers[position].Place, position) }
 
 // Find gives the position of a router in the list, -1 where it is not there.
 func (s *Subset) Find(name string) int {
@@ -55,7 +55,7 @@
 }
 
 // LeastOf is the minimum that every need has.
-func (s *Subset) LeastOf() int { return valueOr(s.Least, standardLeast) }
+func (s *Subset) LeastOf() int { return orDefault(s.Least, defaultLeast) }
 
 // RegionsOf gives the region of each zone, numbered in the order of zones; nil: no regions are named.
 func (f *File) RegionsOf(zones []string) []int {
@@ -67,7 +67,7 @@
 		return nil
 	}
 	numbers := map[string]int{}
-	of := make([]int, len(zones))
+	regionOf := make([]int, len(zones))
 	for z, name := range zones {
 		region := ""
 		for k, zones := range regions {
@@ -78,40 +78,40 @@
 		if _, known := numbers[region]; !known {
 			numbers[region] = len(numbers)
 		}
-		of[z] = numbers[region]
+		regionOf[z] = numbers[region]
 	}
-	return of
+	return regionOf
 }
 
 // ZonePartsOf gives the part of the pool's weight that each zone has.
 func (s *Subset) ZonePartsOf(zones []string) []float64 {
-	parts, sum := make([]float64, len(zones)), 0.0
+	shares, sum := make([]float64, len(zones)), 0.0
 	for z, name := range zones {
-		if parts[z] = s.Zones[name]; len(s.Zones) == 0 {
-			parts[z] = 1
+		if shares[z] = s.Zones[name]; len(s.Zones) == 0 {
+			shares[z] = 1
 		}
-		sum += parts[z]
+		sum += shares[z]
 	}
-	for z := range parts {
-		parts[z] /= sum
+	for z := range shares {
+		shares[z] /= sum
 	}
-	return parts
+	return shares
 }
 
 // SubsetOptions are the options of a router whose zone and region have these parts of the pool's weight; needs are the caller's. A
 // pool of one zone or one region has no near part.
-func (f *File) SubsetOptions(zonePart, regionPart float64) subset.Options {
+func (f *File) SubsetOptions(zoneShare, regionShare float64) subset.Options {
 	s := f.Subset
-	o := subset.Options{Size: s.Size, Room: valueOr(s.Room, standardRoom), Widest: s.Widest, Near: valueOr(s.Near, standardNear)}
+	o := subset.Options{Size: s.Size, Room: orDefault(s.Room, defaultRoom), Widest: s.Widest, Near: orDefault(s.Near, defaultNear)}
 	if o.Widest == 0 {
-		o.Widest = standardWidest
+		o.Widest = defaultWidest
 	}
-	o.Region = valueOr(s.Region, min(standardRegion, max(subset.MostNear-o.Near, 0)))
-	if zonePart < 1 {
-		o.ZonePart = zonePart
+	o.Region = orDefault(s.Region, min(defaultRegion, max(subset.MostNear-o.Near, 0)))
+	if zoneShare < 1 {
+		o.ZonePart = zoneShare
 	}
-	if regionPart < 1 {
-		o.RegionPart = regionPart
+	if regionShare < 1 {
+		o.RegionPart = regionShare
 	}
 	return o
 }
@@ -150,7 +150,7 @@
 		}
 	}
 	for _, name := range zones {
-		if _, told := s.Zones[name]; !told && len(s.Zones) > 0 {
+		if _, found := s.Zones[name]; !found && len(s.Zones) > 0 {
 			return fmt.Errorf("/subset/zones: zone %q of the settings is missing", name)
 		}
 	}
@@ -161,10 +161,10 @@
 func (s *Subset) checkRouters(zones []string) error {
 	names, places := map[string]int{}, map[int]int{}
 	for k, r := range s.Routers {
-		if first, twice := names[r.Name]; twice {
+		if first, duplicate := names[r.Name]; duplicate {
 			return fmt.Errorf("/subset/routers/%d/name: %q is the name of router %d of the list too", k, r.Name, first)
 		}
-		if first, twice := places[s.PlaceOf(k)]; twice {
+		if first, duplicate := places[s.PlaceOf(k)]; duplicate {
 			return fmt.Errorf("/subset/routers/%d/place: %d is the place of %q too", k, s.PlaceOf(k), s.Routers[first].Name)
 		}
 		if !slices.Contains(zones, r.Zone) {
--- a/internal/script/build.go
+++ b/internal/script/build.go
@@ -9,7 +9,7 @@
 
 // Programs builds programs of this repository for a package's tests, runs them, and ends the process with their status. Where the
 // programs lie is told to at first.
-func Programs(m *testing.M, at func(dir string), packages ...string) {
+func Programs(m *testing.M, setDir func(dir string), packages ...string) {
 	dir, err := os.MkdirTemp("", "dunereach")
 	if err == nil {
 		var out []byte
@@ -21,7 +21,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	at(dir)
+	setDir(dir)
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -20,35 +20,35 @@
 
 // Play plays all scripts of testdata, each way that start is given, and compares with what is kept. start makes
 // what plays one line.
-func Play(t *testing.T, starts ...func(t *testing.T, say Say) (step func(words []string))) {
-	var ways []func(*testing.T, string) string
-	for _, start := range starts {
-		ways = append(ways, func(t *testing.T, text string) string { return play(t, text, start) })
+func Play(t *testing.T, variants ...func(t *testing.T, printf Say) (step func(words []string))) {
+	var traces []func(*testing.T, string) string
+	for _, start := range variants {
+		traces = append(traces, func(t *testing.T, text string) string { return play(t, text, start) })
 	}
-	Compare(t, ways...)
+	Compare(t, traces...)
 }
 
 // Compare compares each file of testdata with what each way makes of its text.
-func Compare(t *testing.T, ways ...func(t *testing.T, text string) string) {
+func Compare(t *testing.T, variants ...func(t *testing.T, text string) string) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no scripts: %v", err)
 	}
 	for _, file := range files {
-		kept, err := os.ReadFile(file)
+		want, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for n, way := range ways {
+		for n, trace := range variants {
 			t.Run(fmt.Sprint(filepath.Base(file), n), func(t *testing.T) {
-				got := way(t, string(kept))
+				got := trace(t, string(want))
 				if *update && n == 0 {
-					kept = []byte(got)
-					if err := os.WriteFile(file, kept, 0o644); err != nil {
+					want = []byte(got)
+					if err := os.WriteFile(file, want, 0o644); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if diff := cmp.Diff(string(kept), got); diff != "" {
+				if diff := cmp.Diff(string(want), got); diff != "" {
 					t.Errorf("it acts otherwise (-kept +now):\n%s", diff)
 				}
 			})
@@ -72,7 +72,7 @@
 }
 
 // Lines gives a text back with what each of its lines came to, indented below it.
-func Lines(text string, of func(line string) string) string {
+func Lines(text string, result func(line string) string) string {
 	var out strings.Builder
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, " ") {
@@ -80,7 +80,7 @@
 		}
 		out.WriteString(line)
 		if line = strings.TrimSuffix(line, "\n"); line != "" && line[0] != '#' {
-			fmt.Fprintf(&out, "    %s\n", of(line))
+			fmt.Fprintf(&out, "    %s\n", result(line))
 		}
 	}
 	return out.String()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,10 +74,10 @@
 }
 
 // negative finds a figure that can't be under zero and is, and tells where it stands.
-func (b *bootInfo) negative() (at string, v float64) {
+func (b *bootInfo) negative() (place string, v float64) {
 	find := func(where string, value float64) {
-		if at == "" && value < 0 {
-			at, v = where, value
+		if place == "" && value < 0 {
+			place, v = where, value
 		}
 	}
 	for i, c := range b.Classes {
@@ -101,7 +101,7 @@
 	find("/Limits/MaxRetryAfter", b.Limits.MaxRetryAfter)
 	find("/Obligations/WarmUp", b.Obligations.WarmUp)
 	find("/Obligations/Fall", b.Obligations.Fall)
-	return at, v
+	return place, v
 }
 
 // Parse turns the settings' JSON into the module's settings and the rest.
@@ -110,8 +110,8 @@
 	if err = json.Unmarshal(text, &b); err != nil {
 		return all, fmt.Errorf("settings: %v", err)
 	}
-	if at, v := b.negative(); at != "" {
-		return all, fmt.Errorf("settings: %s: %v is negative", at, v)
+	if place, v := b.negative(); place != "" {
+		return all, fmt.Errorf("settings: %s: %v is negative", place, v)
 	}
 	if b.Balancers > 1<<16 || b.Me < 0 {
 		return all, fmt.Errorf("settings: instance %d of %d", b.Me, b.Balancers)
--- a/internal/subsets/subsets.go
+++ b/internal/subsets/subsets.go
@@ -14,24 +14,24 @@
 
 // Setup is what all routers have in common.
 type Setup struct {
-	file    *operator.File
-	zones   []string
-	regions []int // by zone; nil: not known
-	shape   subset.Shape
-	parts   []float64 // of the pool's weight, by zone
-	byCell  bool
+	file       *operator.File
+	zones      []string
+	regions    []int // by zone; nil: not known
+	shape      subset.Shape
+	zoneShares []float64 // of the pool's weight, by zone
+	singleCell bool
 }
 
 // New reads a configuration whose operators' file has a section subset.
 func New(cfg *config.Config) *Setup {
 	s := &Setup{file: &cfg.Operator, zones: cfg.Settings.Zones, regions: cfg.Operator.RegionsOf(cfg.Settings.Zones)}
-	s.parts = cfg.Operator.Subset.ZonePartsOf(s.zones)
+	s.zoneShares = cfg.Operator.Subset.ZonePartsOf(s.zones)
 	s.shape = subset.Shape{Zones: len(s.zones), Kinds: len(cfg.Settings.Kinds)}
 	for k, p := range cfg.Settings.Brain.Profiles {
 		s.shape.Placements = append(s.shape.Placements, subset.Placement{Name: cfg.Settings.Profiles[k], Zones: p.Zones, Kinds: p.Kinds})
 		if p.Effect == admission.Uniqued {
 			s.shape.ByZone = s.shape.ByZone || p.Group == admission.GroupZone
-			s.byCell = s.byCell || p.Group == admission.GroupCell
+			s.singleCell = s.singleCell || p.Group == admission.GroupCell
 		}
 	}
 	return s
@@ -57,40 +57,40 @@
 	case cfg.Settings.Brain.Routers > 1:
 		r.Place = cfg.Settings.Brain.Me
 	}
-	return s.chooser(r)
+	return s.newChooser(r)
 }
 
 // Listed is a router of the section's list.
 func (s *Setup) Listed(position int) Chooser {
 	r := s.file.Subset.Routers[position]
-	return s.chooser(subset.Router{Name: r.Name, Place: s.file.Subset.PlaceOf(position), Zone: slices.Index(s.zones, r.Zone), Share: r.Share})
+	return s.newChooser(subset.Router{Name: r.Name, Place: s.file.Subset.PlaceOf(position), Zone: slices.Index(s.zones, r.Zone), Share: r.Share})
 }
 
-// chooser gives a router its options.
-func (s *Setup) chooser(r subset.Router) Chooser {
+// newChooser gives a router its options.
+func (s *Setup) newChooser(r subset.Router) Chooser {
 	if r.Region = -1; r.Zone >= len(s.zones) {
 		r.Zone = -1
 	}
 	if s.regions != nil && r.Zone >= 0 {
 		r.Region = s.regions[r.Zone]
 	}
-	var region []int // zones of the router's own
-	zonePart, regionPart := 0.0, 0.0
-	if r.Zone >= 0 && r.Zone < len(s.parts) {
-		zonePart = s.parts[r.Zone]
+	var regionZones []int // zones of the router's own
+	zoneShare, regionShare := 0.0, 0.0
+	if r.Zone >= 0 && r.Zone < len(s.zoneShares) {
+		zoneShare = s.zoneShares[r.Zone]
 	}
 	for z := range s.zones {
 		if r.Region >= 0 && s.regions[z] == r.Region {
-			region = append(region, z)
-			regionPart += s.parts[z]
+			regionZones = append(regionZones, z)
+			regionShare += s.zoneShares[z]
 		}
 	}
-	if len(region) == len(s.zones) {
-		regionPart = 1
+	if len(regionZones) == len(s.zones) {
+		regionShare = 1
 	}
-	o := s.file.SubsetOptions(zonePart, regionPart)
-	o.Needs = s.shape.Needs(r.Zone, region, s.file.Subset.LeastOf())
-	o.Together = s.byCell
+	o := s.file.SubsetOptions(zoneShare, regionShare)
+	o.Needs = s.shape.Needs(r.Zone, regionZones, s.file.Subset.LeastOf())
+	o.Together = s.singleCell
 	return Chooser{o, r}
 }
 
--- a/internal/thrift/frames.go
+++ b/internal/thrift/frames.go
@@ -13,14 +13,14 @@
 var be = binary.BigEndian
 
 // Frames splits a stream of bytes into frames. It buffers only the bytes of an unfinished one.
-type Frames struct{ kept []byte }
+type Frames struct{ buffered []byte }
 
 // Feed calls each with every frame that is complete now, or returns an error where one is too long. A frame is valid during the
 // call only.
 func (f *Frames) Feed(b []byte, each func(frame []byte) error) error {
-	if len(f.kept) > 0 {
-		f.kept = append(f.kept, b...)
-		b = f.kept
+	if len(f.buffered) > 0 {
+		f.buffered = append(f.buffered, b...)
+		b = f.buffered
 	}
 	for len(b) >= 4 {
 		n := be.Uint32(b)
@@ -35,14 +35,14 @@
 		}
 		b = b[4+n:]
 	}
-	if f.kept = append(f.kept[:0], b...); len(f.kept) == 0 && cap(f.kept) > 16<<10 {
-		f.kept = nil // one long call must not hold memory for the life of its connection
+	if f.buffered = append(f.buffered[:0], b...); len(f.buffered) == 0 && cap(f.buffered) > 16<<10 {
+		f.buffered = nil // one long call must not hold memory for the life of its connection
 	}
 	return nil
 }
 
 // Kept returns the number of buffered bytes.
-func (f *Frames) Kept() int { return len(f.kept) }
+func (f *Frames) Kept() int { return len(f.buffered) }
 
 // Type of a value on the wire.
 type Type byte
@@ -75,7 +75,7 @@
 	Oneway    Kind = 4
 )
 
-const strict = 0x80010000
+const versionStrict = 0x80010000
 
 // Reader reads values from a frame. After the first that can't be read all values are zero and Bad is set.
 type Reader struct {
@@ -88,7 +88,7 @@
 
 func (r *Reader) fail() { r.Bad, r.b = true, nil }
 
-func (r *Reader) take(n int) []byte {
+func (r *Reader) next(n int) []byte {
 	if n < 0 || n > len(r.b) {
 		r.fail()
 		return nil
@@ -100,7 +100,7 @@
 
 // U8 reads a byte.
 func (r *Reader) U8() byte {
-	if v := r.take(1); v != nil {
+	if v := r.next(1); v != nil {
 		return v[0]
 	}
 	return 0
@@ -108,7 +108,7 @@
 
 // U16 reads an unsigned 16-bit integer, as field ids are.
 func (r *Reader) U16() uint16 {
-	if v := r.take(2); v != nil {
+	if v := r.next(2); v != nil {
 		return be.Uint16(v)
 	}
 	return 0
@@ -116,19 +116,19 @@
 
 // I32 reads a signed 32-bit integer.
 func (r *Reader) I32() int32 {
-	if v := r.take(4); v != nil {
+	if v := r.next(4); v != nil {
 		return int32(be.Uint32(v))
 	}
 	return 0
 }
 
 // Bytes are a string or binary; they stay the frame's.
-func (r *Reader) Bytes() []byte { return r.take(int(r.I32())) }
+func (r *Reader) Bytes() []byte { return r.next(int(r.I32())) }
 
 // Message reads the head of a frame.
 func (r *Reader) Message() (kind Kind, name []byte, seq int32) {
 	v := uint32(r.I32())
-	if v&0xffff0000 != strict {
+	if v&0xffff0000 != versionStrict {
 		r.fail()
 		return
 	}
@@ -158,22 +158,22 @@
 func (r *Reader) Skip(t Type) { r.skip(t, 0) }
 
 func (r *Reader) skip(t Type, depth int) {
-	const deepest = 32 // levels: no sender nests so far, and a stack must not grow by a frame's content
-	if depth > deepest {
+	const maxDepth = 32 // levels: no sender nests so far, and a stack must not grow by a frame's content
+	if depth > maxDepth {
 		r.fail()
 		return
 	}
 	switch t {
 	case Bool, Byte:
-		r.take(1)
+		r.next(1)
 	case I16:
-		r.take(2)
+		r.next(2)
 	case I32:
-		r.take(4)
+		r.next(4)
 	case Double, I64:
-		r.take(8)
+		r.next(8)
 	case UUID:
-		r.take(16)
+		r.next(16)
 	case String:
 		r.Bytes()
 	case Struct:
@@ -202,7 +202,7 @@
 // Begin starts a message's frame in the place of what b held; the other writers append to it, and End ends it.
 func Begin(b []byte, kind Kind, name string, seq int32) []byte {
 	b = append(b[:0], 0, 0, 0, 0)
-	b = be.AppendUint32(b, strict|uint32(kind))
+	b = be.AppendUint32(b, versionStrict|uint32(kind))
 	b = AppendBytes(b, name)
 	return be.AppendUint32(b, uint32(seq))
 }
