--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Benchlink hosts the decision module on the bench's wire: standard input to standard output.
+// Benchlink hosts admission controllers for the simulator: it reads batches of events on standard input and writes the actions to
+// standard output.
 package main
 
 import (
--- a/cmd/dunecheck/main.go
+++ b/cmd/dunecheck/main.go
@@ -1,7 +1,6 @@
-// Dunecheck does for the router what needs libraries that would cost it memory: it checks a text of the operators' file,
-// given on standard input, against the schema, with `expect` tries routing expectations, and with `state` looks at what routers
-// keep. Status 2 and one line on standard error where something can't be read, 1 where expectations do not hold or a folder is
-// damaged.
+// Dunecheck does the checks for the router whose libraries would cost the router memory. It checks the text of an operators' file on
+// standard input against the schema; `expect` checks routing expectations, and `state` inspects the state that routers keep. It exits
+// with status 2 and one line on standard error if something can't be read, and with status 1 if expectations fail or a folder is damaged.
 package main
 
 import (
@@ -18,7 +17,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "dunecheck", Short: "Check the operators' file (standard input), routing expectations or what routers keep",
+	root := &cobra.Command{Use: "dunecheck", Short: "Check the operators' file (on standard input), routing expectations or the state that routers keep",
 		SilenceErrors: true, SilenceUsage: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			text, err := io.ReadAll(os.Stdin)
 			if err != nil {
--- a/cmd/dunedemo/main.go
+++ b/cmd/dunedemo/main.go
@@ -1,4 +1,4 @@
-// Dunedemo runs a router with stand-ins for all it talks to and tells how two teams fared.
+// Dunedemo runs a router with fakes for all that it connects to and prints the results of the clients of two teams.
 package main
 
 import (
@@ -17,22 +17,22 @@
 
 func main() {
 	var o demo.Options
-	root := &cobra.Command{Use: "dunedemo", Short: "Run a router with stand-ins for all it talks to", Args: cobra.NoArgs,
-		Long: `Dunedemo starts a router on loopback with a stand-in name server, model engines and the clients of two teams, for some
-seconds, and ends in a table of what became of their commands. It needs nothing but the programs of this repository.`,
+	root := &cobra.Command{Use: "dunedemo", Short: "Run a router with fakes for all that it connects to", Args: cobra.NoArgs,
+		Long: `Dunedemo starts a router on loopback with a fake name server, simulated database servers and the clients of two teams.
+It runs for some seconds and prints a table with the outcomes of their requests. It needs only the programs of this repository.`,
 		SilenceErrors: true, SilenceUsage: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return demo.Run(c.Context(), o, os.Stdout)
 		}}
 	self, _ := os.Executable()
 	f := root.Flags()
-	f.StringVar(&o.Router, "router", filepath.Join(filepath.Dir(self), "dunereach"), "the router's program")
+	f.StringVar(&o.Router, "router", filepath.Join(filepath.Dir(self), "dunereach"), "path of the router's program")
 	o.Seconds = 10
-	f.Var((*seconds.Flag)(&o.Seconds), "seconds", "how long the clients ask: 30s, 1m, or a number of seconds")
-	f.IntVar(&o.Engines, "engines", 2, "model engines of four cores")
-	f.IntVar(&o.Planner, "planners", 6, "clients that ask for reports, one at a time each")
-	f.IntVar(&o.Flood, "clerks", 120, "clients that look up without end")
-	root.AddCommand(&cobra.Command{Use: "fleet", Short: "Three keepers and four routers: an owner is killed, another ended", Args: cobra.NoArgs,
+	f.Var((*seconds.Flag)(&o.Seconds), "seconds", "how long the clients send requests: 30s, 1m, or a number of seconds")
+	f.IntVar(&o.Engines, "engines", 2, "number of simulated servers, each with four cores")
+	f.IntVar(&o.Planner, "planners", 6, "number of clients that request reports, one at a time each")
+	f.IntVar(&o.Flood, "clerks", 120, "number of clients that send lookups continuously")
+	root.AddCommand(&cobra.Command{Use: "fleet", Short: "Run three coordinators and four routers; kill one owner and stop another", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return demo.Fleet(filepath.Dir(self), os.Stdout) }})
 	ctx, stopNotify := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stopNotify()
--- a/cmd/dunefleet/main.go
+++ b/cmd/dunefleet/main.go
@@ -1,5 +1,5 @@
-// Dunefleet is the router with its part in the fleet and what it keeps in a folder. Dunereach becomes it where the operators' file has a
-// section fleet or state.
+// Dunefleet is the router with fleet membership and with state kept in a folder. Dunereach execs it if the operators' file has a section
+// fleet or state.
 package main
 
 import (
--- a/cmd/dunereach/main.go
+++ b/cmd/dunereach/main.go
@@ -1,4 +1,4 @@
-// Dunereach is one router: it takes commands from clients and has engines answer them.
+// Dunereach is one router: it accepts requests from clients and forwards them to database servers.
 package main
 
 import (
--- a/cmd/duneshow/main.go
+++ b/cmd/duneshow/main.go
@@ -1,4 +1,5 @@
-// Duneshow measures one subsystem and says whether it holds: `duneshow budgets`. Status 1: a figure falls short.
+// Duneshow measures one subsystem and checks the results against their bounds, for example `duneshow budgets`. It exits with status 1 if
+// a result misses its bound.
 package main
 
 import (
@@ -12,15 +13,15 @@
 	"github.com/spf13/cobra"
 )
 
-var errBelowBound = errors.New("a figure falls short of its bound")
+var errBelowBound = errors.New("a measured value misses its bound")
 
 func main() {
-	root := &cobra.Command{Use: "duneshow", Short: "Measure one subsystem and say whether it holds", SilenceUsage: true,
+	root := &cobra.Command{Use: "duneshow", Short: "Measure one subsystem and check the results against their bounds", SilenceUsage: true,
 		SilenceErrors: true}
 	for _, s := range measure.All {
 		root.AddCommand(subsystemCommand(s))
 	}
-	root.AddCommand(&cobra.Command{Use: "fleet-seeds FROM COUNT SECONDS", Short: "Play drawn faults of a fleet on virtual time and print figures as JSON",
+	root.AddCommand(&cobra.Command{Use: "fleet-seeds FROM COUNT SECONDS", Short: "Simulate a fleet with random faults in virtual time and print the results as JSON",
 		Args: cobra.ExactArgs(3), RunE: func(_ *cobra.Command, args []string) error {
 			var from, count uint64
 			if _, err := fmt.Sscan(args[0]+" "+args[1], &from, &count); err != nil {
@@ -36,7 +37,7 @@
 			}
 			return err
 		}})
-	root.AddCommand(&cobra.Command{Use: "fleet-explore FROM COUNT SECONDS", Short: "Play drawn faults of a fleet on virtual time, on all cores; fails where one has something wrong or they took too long",
+	root.AddCommand(&cobra.Command{Use: "fleet-explore FROM COUNT SECONDS", Short: "Simulate a fleet with random faults in virtual time, on all cores; fails if a run breaks a rule or the runs take too long",
 		Args: cobra.ExactArgs(3), RunE: func(_ *cobra.Command, args []string) error {
 			var from, count uint64
 			if _, err := fmt.Sscan(args[0]+" "+args[1], &from, &count); err != nil {
@@ -52,9 +53,9 @@
 			}
 			return err
 		}})
-	root.AddCommand(&cobra.Command{Use: "state-writer DIR", Short: "Write to a folder until it is killed (a part of state)", Args: cobra.ExactArgs(1),
+	root.AddCommand(&cobra.Command{Use: "state-writer DIR", Short: "Write state to a folder until killed (used by the command state)", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return measure.WriteState(args[0]) }})
-	root.AddCommand(&cobra.Command{Use: "state-late with|without SECONDS", Short: "Print how late an owner's timers are at p99 (a part of state)", Args: cobra.ExactArgs(2),
+	root.AddCommand(&cobra.Command{Use: "state-late with|without SECONDS", Short: "Print the 99th percentile of timer lateness in an owner (used by the command state)", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			length, err := seconds.Parse(args[1])
 			if err != nil {
@@ -66,7 +67,7 @@
 			}
 			return err
 		}})
-	root.AddCommand(&cobra.Command{Use: "zone-days FROM COUNT", Short: "Play drawn days of zones by shares; fails where one breaks a rule", Args: cobra.ExactArgs(2),
+	root.AddCommand(&cobra.Command{Use: "zone-days FROM COUNT", Short: "Simulate random days of zone faults by shares of load; fails if a day breaks a rule", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var from, count uint64
 			if _, err := fmt.Sscan(args[0]+" "+args[1], &from, &count); err != nil {
@@ -85,7 +86,7 @@
 			}
 			return nil
 		}})
-	root.AddCommand(&cobra.Command{Use: "zone-charts FOLDER", Short: "Write time lines of three days of zones as pictures", Args: cobra.ExactArgs(1),
+	root.AddCommand(&cobra.Command{Use: "zone-charts FOLDER", Short: "Write charts of three simulated days of zone faults", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			tables, err := measure.Charts(args[0])
 			if err == nil {
@@ -93,7 +94,7 @@
 			}
 			return err
 		}})
-	root.AddCommand(&cobra.Command{Use: "soak-fleet MINUTES", Short: "Play drawn faults over five keepers and forty routers, as processes", Args: cobra.ExactArgs(1),
+	root.AddCommand(&cobra.Command{Use: "soak-fleet MINUTES", Short: "Run five coordinators and forty routers as processes under random faults", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var minutes float64
 			if _, err := fmt.Sscan(args[0], &minutes); err != nil {
@@ -108,11 +109,11 @@
 	}
 }
 
-// subsystemCommand measures one subsystem.
+// subsystemCommand returns the command that measures one subsystem.
 func subsystemCommand(subsystem measure.Subsystem) *cobra.Command {
 	short := false
 	command := &cobra.Command{Use: subsystem.Name, Short: subsystem.About, Args: cobra.NoArgs}
-	command.Flags().BoolVar(&short, "short", false, "the form that CI runs: fewer cases, the same bounds")
+	command.Flags().BoolVar(&short, "short", false, "run the short form used by CI: fewer cases, the same bounds")
 	command.RunE = func(*cobra.Command, []string) error {
 		run := subsystem.Run
 		if short {
--- a/cmd/duneshow/scale.go
+++ b/cmd/duneshow/scale.go
@@ -10,14 +10,14 @@
 	"github.com/spf13/cobra"
 )
 
-// scaleCommand measures how cost grows with the size of a fleet, all parts or those named.
+// scaleCommand returns the command that measures how cost grows with the size of a fleet, for all parts or the named ones.
 func scaleCommand() *cobra.Command {
 	short := false
 	command := &cobra.Command{
 		Use:   "scale [PART ...]",
 		Short: "Measure how cost grows with the size of a fleet; parts are datapath, service, primary, control and subset",
 	}
-	command.Flags().BoolVar(&short, "short", false, "the form that CI runs: smaller sizes, under half a minute a part")
+	command.Flags().BoolVar(&short, "short", false, "run the short form used by CI: smaller sizes, under half a minute per part")
 	command.RunE = func(_ *cobra.Command, names []string) error {
 		parts := scale.Parts
 		if len(names) > 0 {
@@ -35,7 +35,8 @@
 	return command
 }
 
-// runScale runs parts one after another, so that none disturbs another's times, and prints all of them before it fails.
+// runScale runs parts one after another, so that they don't disturb each other's timings. It prints the results of all parts before it
+// fails.
 func runScale(parts []scale.Part, short bool) error {
 	passed := true
 	for _, part := range parts {
--- a/internal/benchwire/serve.go
+++ b/internal/benchwire/serve.go
@@ -13,12 +13,12 @@
 
 const ms = 1e-3
 
-// router is one hosted instance. It shares nothing but the reply that its actions are written to.
+// router is one hosted instance. Instances share only the reply that their actions are appended to.
 type router struct {
 	id         uint32
 	controller *admission.Brain
 	profiles   int
-	fields     []string // order of load report values
+	fields     []string // names of the load report values, in order
 	load       admission.Load
 	out        *reply
 }
@@ -31,7 +31,7 @@
 	now      float64 // seconds
 }
 
-// Serve answers batches until the input ends.
+// Serve reads batches of events and writes a reply to each, until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
 	s := server{routers: map[uint32]*router{}}
 	var buf bytes.Buffer
@@ -94,7 +94,7 @@
 func (s *server) readList(b *batch, e []byte) error {
 	listNumber := be.Uint16(e[1:])
 	if int(listNumber) >= len(s.lists) {
-		return fmt.Errorf("list number %d", listNumber)
+		return fmt.Errorf("invalid list number %d", listNumber)
 	}
 	rows, err := b.tailSlice(e[3:], entrySize)
 	if err != nil {
@@ -110,7 +110,7 @@
 		case 3:
 			state = admission.Ready
 		default:
-			return fmt.Errorf("entry with status %d", rows[16])
+			return fmt.Errorf("entry with unknown status %d", rows[16])
 		}
 		list = append(list, admission.Entry{
 			Kind: int(be.Uint16(rows)), Weight: f32(rows[2:]), ReadyAt: f64(rows[6:]) * ms,
@@ -138,7 +138,7 @@
 	return r, nil
 }
 
-// recoverPanic turns a panic of the module into GiveIn.
+// recoverPanic calls a function of the controller and reports a panic as a GiveIn action.
 func (r *router) recoverPanic(call func()) {
 	defer r.reportPanic()
 	call()
@@ -153,7 +153,7 @@
 func (s *server) handleEvent(b *batch, e []byte, r *router) error {
 	s.out.router = r.id
 	if r.controller == nil {
-		return nil // it gave in while starting
+		return nil // the controller panicked at its start
 	}
 	defer r.reportPanic()
 	m, now := r.controller, s.now
@@ -161,13 +161,13 @@
 	case 20: // PeersKnown
 		scopes := [4]admission.Scope{admission.Delta, admission.Cached, admission.Full, admission.FailedAsk}
 		if e[1] > 3 {
-			return fmt.Errorf("list scope %d", e[1])
+			return fmt.Errorf("invalid list scope %d", e[1])
 		}
 		var list []admission.Entry
 		if e[1] != 3 {
 			listNumber := be.Uint16(e[6:])
 			if int(listNumber) >= len(s.lists) || !s.received[listNumber] {
-				return fmt.Errorf("list number %d was never given", listNumber)
+				return fmt.Errorf("list %d was not received before", listNumber)
 			}
 			list = s.lists[listNumber]
 		}
@@ -181,10 +181,10 @@
 			c.Cost = f64(e[24:]) * ms
 		}
 		if c.Profile >= r.profiles {
-			return fmt.Errorf("class %d of %d", c.Profile, r.profiles)
+			return fmt.Errorf("class %d does not exist, there are %d", c.Profile, r.profiles)
 		}
 		if math.IsNaN(c.TimeLeft) || math.IsNaN(c.Cost) {
-			return fmt.Errorf("a time is not a number")
+			return fmt.Errorf("time left or cost is not a number")
 		}
 		m.Command(now, c)
 	case 40: // UnderWay
@@ -234,7 +234,7 @@
 	return admission.End(code/10 - 1), nil
 }
 
-// parseLoad reads a load parseLoad; the result is good until the next.
+// parseLoad reads a load report. The result is valid until the next call.
 func (r *router) parseLoad(e []byte) *admission.Load {
 	n := int(e[0])
 	if n == 0 || n > 4 || n > len(r.fields) {
@@ -259,12 +259,12 @@
 	return &r.load
 }
 
-// millis writes seconds as the wire's milliseconds, in whole microseconds as the simulator counts.
+// millis encodes seconds as milliseconds, rounded to whole microseconds as in the simulator.
 func millis(seconds float64) uint64 { return math.Float64bits(math.Round(seconds*1e6) / 1e3) }
 
-// The calls out, each one record of the reply.
+// The methods of admission.Host. Each appends one action to the reply, except those that the protocol has no action for.
 
-func (r *router) Send(id, engine uint32, limit, _ float64) { // what is sent has left
+func (r *router) Send(id, engine uint32, limit, _ float64) { // attempts leave at once, so the latest start does not matter
 	f := r.out.action(30)
 	be.PutUint32(f, id)
 	be.PutUint64(f[4:], millis(limit))
@@ -314,5 +314,5 @@
 	}
 }
 
-func (r *router) Told(uint32, waittime.Kind, waittime.Estimate) {} // the wire has no place for it
+func (r *router) Told(uint32, waittime.Kind, waittime.Estimate) {} // the protocol has no action for it
 func (r *router) Log(text string)                               { r.out.attach(r.out.action(40), text) }
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -51,7 +51,7 @@
 	initEvent  = "0a0000000000000001" + "00000000" + hex32(len(initSettings))
 	listEvent  = "780000" + hex32(len(initSettings)) + "00000002"
 	peersEvent = "1401000000290000"
-	// The page's own list: two engines, ready.
+	// The list of the protocol's documentation: two servers, both ready.
 	listRows = string(mustHex("00003f8000000000000000000000000003000003124a07" + "00003fc0000040b7d4000000000000000300002c9011f2"))
 )
 
@@ -63,13 +63,13 @@
 	return b
 }
 
-// TestDocumentedFrames plays the wire page's own frames, byte for byte.
+// TestDocumentedFrames checks the example frames of the protocol's documentation, byte for byte.
 func TestDocumentedFrames(t *testing.T) {
 	got, err := serve(t, mustHex("0000000c40c06e200000000000000000"))
 	if diff := cmp.Diff("0000000000000000", got); diff != "" || err != nil {
 		t.Errorf("empty batch: %v\n%s", err, diff)
 	}
-	// A start with its list, then a command: its wake and its send to the page's engine.
+	// A start with a list, then a request: the reply wakes the instance later and sends the request to a server of the list.
 	got, err = serve(t, frame(initSettings+listRows, selectEvent, initEvent, listEvent, peersEvent), frame("", selectEvent, workEvent))
 	if err != nil {
 		t.Fatal(err)
@@ -79,9 +79,9 @@
 		pad("3c"+"406cc00000000000"+"000000015d3a91c4", actionSize) +
 		pad("1e5d3a91c4"+"406e000000000000"+"03124a07", actionSize)
 	if diff := cmp.Diff(want, second); diff != "" {
-		t.Errorf("command of the page:\n%s", diff)
+		t.Errorf("reply to the documented request:\n%s", diff)
 	}
-	// Every call out, as the page prints it.
+	// Every action, as printed in the documentation.
 	var o reply
 	o.reset()
 	o.router = 3
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestHaltAndRestart: a restart in one batch forgets everything; a late outcome is ignored; a list number is
-// taken as it stands at its event.
+// TestHaltAndRestart: a halt and a restart in one batch drop all state, so that an outcome of an attempt from before is ignored; a list
+// number refers to the list as it is at the time of the event.
 func TestHaltAndRestart(t *testing.T) {
 	outcome := "325d3a91c4000a4032800000000000010001106003124a07"
 	got, err := serve(t, frame(initSettings+listRows, selectEvent, initEvent, listEvent, peersEvent, workEvent, "64", initEvent, peersEvent, outcome))
@@ -133,7 +133,7 @@
 	}
 }
 
-// TestBadInput: one plain line, no panic, and nothing allocated for what is only claimed.
+// TestBadInput: invalid input leads to an error of one line and not to a panic, and a false length allocates nothing.
 func TestBadInput(t *testing.T) {
 	good := frame(initSettings+listRows, selectEvent, initEvent, listEvent, peersEvent)
 	for name, in := range map[string][]byte{
@@ -166,11 +166,11 @@
 	f.Add(frame(initSettings, selectEvent, initEvent, "64", workEvent))
 	f.Add(frame("", selectEvent, "46000000000000004d"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		_ = Serve(bytes.NewReader(in), io.Discard) // must come back, with or without an error
+		_ = Serve(bytes.NewReader(in), io.Discard) // must return, with or without an error
 	})
 }
 
-// TestLoadReport: values stand in the order of the settings.
+// TestLoadReport: the values of a load report are in the order that the settings give.
 func TestLoadReport(t *testing.T) {
 	var e [17]byte
 	e[0] = 2
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,5 +1,5 @@
-// Package boottime reads the clock that leases are counted on: it only advances, and goes on while the machine sleeps, which
-// the usual monotonic clock does not.
+// Package boottime reads the clock that leases are measured with. It is monotonic and, unlike the usual monotonic clock, also advances
+// while the machine is suspended.
 package boottime
 
 import (
@@ -10,11 +10,11 @@
 
 var start = time.Now()
 
-// Now in seconds since the machine started.
+// Now returns the seconds since the machine was booted.
 func Now() float64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return 1e6 + time.Since(start).Seconds() // a system without it: a lease may seem to run on after a sleep of the machine
+		return 1e6 + time.Since(start).Seconds() // no CLOCK_BOOTTIME: after a suspension of the machine an expired lease may seem valid
 	}
 	return float64(t.Sec) + float64(t.Nsec)/1e9
 }
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -1,5 +1,5 @@
-// Package cli is the router's command line. With no words it serves as its environment says, which is how the
-// platform starts it.
+// Package cli implements the router's command line. Without arguments the router serves with the configuration that its
+// environment names, which is how the platform starts it.
 package cli
 
 import (
@@ -18,14 +18,14 @@
 	"go.uber.org/zap"
 )
 
-// Version of this source; the changelog says what came when.
+// Version of this source; the changelog lists the changes of each version.
 const Version = "0.2.0-dev"
 
-// configError is a fault in what the operator wrote, as against one of the program or the machine.
+// configError marks an error in a file that the operator wrote, as opposed to a fault of the program or the machine.
 type configError struct{ error }
 
-// Status is the status that a program ends with on an error: 2 where check found a fault, what a companion ended with,
-// else 1.
+// ExitStatus returns the exit status for an error: that of the program that was run, where its failure is the error; 2
+// where the check command found an error in a file; else 1.
 func Status(err error) int {
 	var c *exec.ExitError
 	if errors.As(err, &c) {
@@ -38,52 +38,52 @@
 	return 1
 }
 
-// Said tells whether a companion has said already what is wrong.
+// AlreadyReported reports whether the error is the failure of another program, which has printed its own error message.
 func Said(err error) bool {
 	var c *exec.ExitError
 	return errors.As(err, &c)
 }
 
-// With is what a program is linked with beside the router.
+// Extensions are the parts that only some programs link beside the router.
 type With struct {
-	Fleet func(config.Config, *zap.Logger) (router.Fleet, error)              // a router's part in the fleet; nil: dunefleet has it
-	State func(set operator.State, name string, log *zap.Logger) router.State // what it keeps in a folder; nil: dunefleet has it
-	Words *cobra.Command                                                      // `fleet` and what follows it
+	Fleet func(config.Config, *zap.Logger) (router.Fleet, error)              // the router's membership in the fleet; nil: only dunefleet has it
+	State func(set operator.State, name string, log *zap.Logger) router.State // the state kept in a folder; nil: only dunefleet has it
+	Words *cobra.Command                                                      // the command `fleet` with its subcommands
 }
 
-// Run carries out one command line.
+// Run executes one command line.
 func Run(args []string, env func(string) string, out, log io.Writer, extensions With) error {
 	operatorFile := env(operator.Variable)
 	load := func() (config.Config, error) { return config.Load(env, operatorFile, checkOperatorFile) }
 	serveCommand := func(*cobra.Command, []string) error { return serve(load, extensions, log) }
 	root := &cobra.Command{
 		Use:   "dunereach",
-		Short: "An admission controller for queries on a pool of engines",
-		Long: `Dunereach is one router. It takes commands from clients, decides for each whether, when and where it runs, has an
-engine run it, and passes the result back.
+		Short: "An admission controller for queries on a pool of database servers",
+		Long: `Dunereach runs one router. The router accepts requests from clients, decides for each request whether, when and on
+which server it runs, sends it to that server, and returns the result to the client.
 
-It is told where it is by its environment:
+It is configured by environment variables:
 
-  BALANCER_CONFIG      the configuration: limits, name server, engines known at the start, settings
-  BALANCER_NAME        its name, in place of the file's
-  BALANCER_LISTEN      address and port for clients, in place of the file's
-  DUNEREACH_OPERATOR   the operators' own file; none: everything that it could name is off
-  DUNEREACH_LOG_LEVEL  debug: a line on every attempt, none left out; info, the default; warn; error
+  BALANCER_CONFIG      path of the configuration file: limits, name server, servers known at the start, settings
+  BALANCER_NAME        name of this router; overrides the file
+  BALANCER_LISTEN      address and port for clients; overrides the file
+  DUNEREACH_OPERATOR   path of the operators' file; if unset, all subsystems that it configures are off
+  DUNEREACH_LOG_LEVEL  debug (one line per attempt, without sampling), info (the default), warn or error
 
-With no command it serves. SIGHUP has it read both files again, SIGTERM ends it once all is answered.`,
-		Example: `  make demo                                              # a router with stand-ins for all it talks to
+Without a command it serves. SIGHUP reloads both files. SIGTERM stops the router after all requests are answered.`,
+		Example: `  make demo                                              # a router with fakes for all that it connects to
   BALANCER_CONFIG=deploy/example.json dunereach check
   BALANCER_CONFIG=deploy/example.json dunereach serve --operator deploy/operator.json`,
 		Args: cobra.NoArgs, RunE: serveCommand, SilenceErrors: true, SilenceUsage: true,
 	}
 	root.PersistentFlags().StringVar(&operatorFile, "operator", operatorFile,
-		"the operators' file (default: what "+operator.Variable+" names)")
+		"path of the operators' file (default: the value of "+operator.Variable+")")
 	root.AddCommand(&cobra.Command{
-		Use: "serve", Short: "Serve until SIGTERM, as with no command at all", Args: cobra.NoArgs, RunE: serveCommand,
+		Use: "serve", Short: "Serve until SIGTERM (the default command)", Args: cobra.NoArgs, RunE: serveCommand,
 	}, &cobra.Command{
-		Use: "check", Short: "Read configuration and operators' file and say what is wrong with them",
-		Long: `Check reads what serve would read and starts nothing. Where something is wrong it says in one line what and where, and
-ends with status 2.`,
+		Use: "check", Short: "Check the configuration and the operators' file",
+		Long: `Check reads the files that serve would read and starts nothing. If a file is invalid it prints one line with the place
+and the cause, and exits with status 2.`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			c, err := load()
@@ -91,7 +91,7 @@
 				return configError{err}
 			}
 			if f := c.Operator.Fleet; f != nil {
-				fmt.Fprintf(out, "fleet: %d keepers\n", len(f.Keepers))
+				fmt.Fprintf(out, "fleet: %d coordinators\n", len(f.Keepers))
 			}
 			if s := c.Operator.State; s != nil {
 				fmt.Fprintf(out, "state: kept in %s\n", s.Folder)
@@ -102,13 +102,13 @@
 		},
 	}, &cobra.Command{
 		Use: "expect", Short: "Check routing expectations without sending traffic (dunereach expect --help)",
-		DisableFlagParsing: true, // dunecheck's
+		DisableFlagParsing: true, // dunecheck parses the flags
 		RunE: func(_ *cobra.Command, args []string) error {
 			return runChecker(append([]string{"expect"}, args...), out, log)
 		},
 	}, &cobra.Command{
-		Use: "state", Short: "Look at what routers keep in a folder (dunereach state --help)",
-		DisableFlagParsing: true, // dunecheck's
+		Use: "state", Short: "Inspect the state that routers keep in a folder (dunereach state --help)",
+		DisableFlagParsing: true, // dunecheck parses the flags
 		RunE: func(_ *cobra.Command, args []string) error {
 			return runChecker(append([]string{"state"}, args...), out, log)
 		},
@@ -126,8 +126,8 @@
 		},
 	})
 	if extensions.Words == nil {
-		extensions.Words = &cobra.Command{Use: "fleet", Short: "See and steer work done on behalf of all routers (dunereach fleet --help)",
-			DisableFlagParsing: true, // dunefleet's
+		extensions.Words = &cobra.Command{Use: "fleet", Short: "Inspect and control the tasks that routers do for the whole fleet (dunereach fleet --help)",
+			DisableFlagParsing: true, // dunefleet parses the flags
 			RunE:               func(*cobra.Command, []string) error { return execProgram(fleetProgram, args) }}
 	}
 	root.AddCommand(extensions.Words)
--- a/internal/cli/platform_test.go
+++ b/internal/cli/platform_test.go
@@ -10,9 +10,9 @@
 	"dunereach/internal/config"
 )
 
-// The fleet's platform refuses other programs (fork and exec answer ENOSYS). As `run` starts the router, with no
-// operators' file, reading the configuration and taking it again at SIGHUP must start none. The test binary has no
-// dunecheck beside it, so any start would come back as an error; the second half shows that it does.
+// TestNoProgramStartedWithoutOperatorsFile: the fleet's platform forbids other programs (fork and exec return ENOSYS). Without an
+// operators' file, as the platform starts the router, loading the configuration and reloading it at SIGHUP must therefore start none.
+// The test binary has no dunecheck in its folder, so any start would return an error; the second half of the test shows that it does.
 func TestNoProgramStartedWithoutOperatorsFile(t *testing.T) {
 	configFile := filepath.Join("..", "..", "deploy", "example.json")
 	env := func(k string) string {
@@ -20,10 +20,10 @@
 	}
 	cfg, err := config.Load(env, "", checkOperatorFile)
 	if err != nil {
-		t.Fatalf("without an operators' file the configuration is read in-process: %v", err)
+		t.Fatalf("loading without an operators' file: %v", err)
 	}
 	if err := checkExpectations(context.Background(), cfg); err != nil {
-		t.Fatalf("without an operators' file SIGHUP starts no check: %v", err)
+		t.Fatalf("checking expectations without an operators' file: %v", err)
 	}
 
 	operatorFile := filepath.Join(t.TempDir(), "operator.json")
@@ -32,6 +32,6 @@
 	}
 	_, err = config.Load(env, operatorFile, checkOperatorFile)
 	if err == nil || !strings.Contains(err.Error(), "dunecheck") {
-		t.Fatalf("an operators' file is checked by the program beside: got %v", err)
+		t.Fatalf("loading with an operators' file but without dunecheck: got %v, want an error that names dunecheck", err)
 	}
 }
--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -17,9 +17,9 @@
 	"dunereach/internal/config"
 )
 
-// checkOperatorFile has the program beside this one checkOperatorFile a text of the operators' file.
+// checkOperatorFile runs dunecheck, which lies in the same folder as this program, on the text of an operators' file.
 func checkOperatorFile(fileText []byte) error {
-	const timeout = 10 * time.Second // some hundred times what it takes for the largest file
+	const timeout = 10 * time.Second // some hundred times as long as checking the largest file takes
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	self, err := os.Executable()
@@ -33,9 +33,9 @@
 	case err == nil:
 		return nil
 	case errors.Is(err, os.ErrNotExist):
-		return errors.New("it can't be checked: dunecheck is not beside dunereach")
+		return errors.New("it can't be checked: dunecheck is missing from the folder of dunereach")
 	case ctx.Err() != nil:
-		return fmt.Errorf("checking it took over %v", timeout)
+		return fmt.Errorf("checking it took longer than %v", timeout)
 	case stderr.Len() > 0:
 		return errors.New(strings.TrimSpace(stderr.String()))
 	default:
@@ -43,21 +43,21 @@
 	}
 }
 
-// fleetProgram is the router with its part in the fleet, and with what it keeps in a folder: HTTP would cost the router 2 MB at rest and
-// what writes to a disk 1 MB, and the platform has no use for either.
+// fleetProgram is the router with fleet membership and with state kept in a folder. It is a program of its own because the HTTP code
+// would cost the router 2 MB of memory at rest and the code that writes state to disk 1 MB, and the platform uses neither.
 const fleetProgram = "dunefleet"
 
-// execProgram the program beside this one: the process stays the same, so whoever started it notices nothing.
+// execProgram replaces this process by a program in the same folder. The process id stays the same, so a supervisor sees no restart.
 func execProgram(name string, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(filepath.Dir(self), name)
-	return fmt.Errorf("%s, beside dunereach: %v", name, syscall.Exec(path, append([]string{path}, args...), os.Environ()))
+	return fmt.Errorf("%s, in the folder of dunereach: %v", name, syscall.Exec(path, append([]string{path}, args...), os.Environ()))
 }
 
-// runChecker runs the program beside this one, with its words and what it prints.
+// runChecker runs dunecheck with the given arguments and passes its output on.
 func runChecker(args []string, out, log io.Writer) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -68,8 +68,8 @@
 	return c.Run()
 }
 
-// checkExpectations has the program beside this one try the expectations of a configuration, where the operators' file asks for it. It takes
-// a process of its own, so that the one that serves waits for nothing and lends no memory.
+// checkExpectations runs dunecheck on the routing expectations of a configuration, where the operators' file asks for it. A process
+// of its own keeps the work and its memory out of the process that serves.
 func checkExpectations(ctx context.Context, c config.Config) error {
 	expect := c.Operator.Expect
 	if expect == nil || !expect.Refuse {
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	const defaultSeconds, defaultMB = 60, 256 // eighty expectations take some seconds on four cores, and 60 MB
+	const defaultSeconds, defaultMB = 60, 256 // 80 expectations take some seconds on four cores, and 60 MB
 	timeout := time.Duration(cmp.Or(expect.Seconds, defaultSeconds) * 1e9)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -19,28 +19,28 @@
 )
 
 func serve(load func() (config.Config, error), extensions With, out io.Writer) error {
-	// First of all: a signal that comes before the router serves must not end it where it stands. Several SIGHUPs in a row are one.
+	// Handlers are installed first, so that a signal during the start does not kill the process. Several SIGHUPs in a row cause one reload.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	// The first signal asks for an orderly end, which more of SIGTERM don't disturb; a second interrupt ends at once.
+	// The first signal starts a graceful shutdown. Further SIGTERMs have no effect on it; a second interrupt ends the process at once.
 	stopping, stopNotify := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stopNotify()
 	context.AfterFunc(stopping, func() { signal.Reset(os.Interrupt) })
-	terminations := make(chan os.Signal, 1) // the same signals once more, for handOver
+	terminations := make(chan os.Signal, 1) // the same signals again, for execUnlessSignalled
 	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
-	signal.Ignore(syscall.SIGPIPE) // one who reads the log no more must not end the router
+	signal.Ignore(syscall.SIGPIPE) // a log reader that closes its pipe must not end the router
 	cfg, err := loadUnlessStopped(stopping, load)
-	if err != nil || stopping.Err() != nil { // asked to end before it serves: nothing has been taken
+	if err != nil || stopping.Err() != nil { // stopped before it serves: no request has been accepted
 		return err
 	}
 	if cfg.Operator.Fleet != nil && extensions.Fleet == nil || cfg.Operator.State != nil && extensions.State == nil {
-		signal.Ignore(syscall.SIGHUP) // kept over exec; the files are read after it
+		signal.Ignore(syscall.SIGHUP) // stays ignored across exec; the new program reads the files anyway
 		return execUnlessSignalled(stopNotify, terminations, func() error { return execProgram(fleetProgram, os.Args[1:]) })
 	}
 	if n := int(math.Ceil(cfg.Limits.Cores)); n > 0 {
 		runtime.GOMAXPROCS(n)
 	}
-	if mb := cfg.Limits.MemoryMB; mb > 0 { // the rest is for the kernel's buffers and the program itself
+	if mb := cfg.Limits.MemoryMB; mb > 0 { // 40 % is left for the kernel's buffers and the program itself
 		debug.SetMemoryLimit(int64(mb * (1 << 20) * 0.6))
 	}
 	level, err := logs.ParseLevel(os.Getenv(logs.LevelVariable))
@@ -62,8 +62,8 @@
 	if s := cfg.Operator.State; s != nil {
 		state = extensions.State(*s, cfg.Name, log)
 	}
-	// Neither can be called back from a file that nobody writes or a log that nobody reads, so the process's end does not wait for
-	// them but for a while: they end with it.
+	// Reading a file that nobody writes, or writing a log that nobody reads, can't be interrupted. Shutdown therefore waits for the log
+	// writer only for a limited time and not for reload; both end with the process.
 	logWritten := make(chan struct{})
 	go func() {
 		defer close(logWritten)
@@ -72,7 +72,7 @@
 	go reload(ctx, load, hangups, reloaded, log)
 	err = router.Serve(ctx, stopping.Done(), reloaded, cfg, fleet, state, log)
 	cancel()
-	const logFlushTimeout = time.Second // for the log's last lines: a reader that is only slow has them by then
+	const logFlushTimeout = time.Second // enough for a slow log reader to receive the last lines
 	select {
 	case <-logWritten:
 	case <-time.After(logFlushTimeout):
@@ -80,12 +80,12 @@
 	return err
 }
 
-// execUnlessSignalled calls what puts another program in this one's place. A signal that asks for the end is never lost with the handlers, which the
-// new program does not have: one that came before ends this one here, and one that comes later ends the process where it stands, as
-// nothing has been taken yet.
+// execUnlessSignalled calls exec, which replaces this program by another one. Exec drops the signal handlers, and no stop signal may be
+// lost with them: after a signal that came before, the function returns without exec; a later signal kills the process by default, which
+// is safe because no request has been accepted yet.
 func execUnlessSignalled(stopNotify func(), terminations chan os.Signal, exec func() error) error {
-	stopNotify()              // who listens beside endings, so that the next line gives the signals up
-	signal.Stop(terminations) // and waits until what has come is delivered
+	stopNotify()              // removes the other handler, so that the next line restores the default action of the signals
+	signal.Stop(terminations) // also waits until pending signals are delivered
 	select {
 	case <-terminations:
 		return nil
@@ -94,7 +94,8 @@
 	}
 }
 
-// loadUnlessStopped reads the files for the start. To be asked to end comes before that: what is read from may never come.
+// loadUnlessStopped reads the files at the start. It returns early when the stopping context ends, because a read may block forever, for
+// example on a pipe that nobody writes to.
 func loadUnlessStopped(stopping context.Context, load func() (config.Config, error)) (cfg config.Config, err error) {
 	done := make(chan struct{})
 	go func() { // ends with the process at the latest
@@ -109,11 +110,11 @@
 	}
 }
 
-// reload reads the files again at each signal and hands them on; those that can't be read change nothing. A file may be
-// half written when the signal comes, so it is read again for a while. Harm: one that is wrong is read some times over.
+// reload reads the files again at each SIGHUP and passes a valid configuration on; an invalid one changes nothing. A file may be half
+// written when the signal comes, so reading is retried for a while. The cost is that an invalid file is read several times.
 func reload(ctx context.Context, load func() (config.Config, error), hangups <-chan os.Signal,
 	reloaded chan<- config.Config, log *zap.Logger) {
-	const retryInterval, maxAttempts = 100 * time.Millisecond, 20 // what writes a file has written it within two seconds
+	const retryInterval, maxAttempts = 100 * time.Millisecond, 20 // a file that is being written should be complete within two seconds
 	var retry <-chan time.Time
 	attemptsLeft := 0
 	for {
--- a/internal/cli/signal_test.go
+++ b/internal/cli/signal_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-const signalTimeVariable = "DUNEREACH_TEST_HANDS_OVER" // when the signal comes: before, while
+const signalTimeVariable = "DUNEREACH_TEST_HANDS_OVER" // when the signal is sent: "before" or "while" the program execs
 
-// TestMain has a copy of this program hand over, as a process of its own.
+// TestMain runs execUnlessSignalled in a child process when the variable is set.
 func TestMain(m *testing.M) {
 	when := os.Getenv(signalTimeVariable)
 	if when == "" {
@@ -25,12 +25,12 @@
 	if when == "before" {
 		signalSelf()
 	}
-	err := execUnlessSignalled(stopNotify, terminations, func() error { // the instant of the exec
+	err := execUnlessSignalled(stopNotify, terminations, func() error { // in place of exec
 		if when == "while" {
 			signalSelf()
 			time.Sleep(10 * time.Second)
 		}
-		os.Exit(3) // it would serve on
+		os.Exit(3) // the new program would serve
 		return nil
 	})
 	if err == nil && stopping.Err() != nil {
@@ -39,8 +39,8 @@
 	os.Exit(4)
 }
 
-// TestSignalAtExec: SIGTERM just before another program takes the process over ends it well, and in the instant of that ends it at
-// once; it is lost neither time.
+// TestSignalAtExec guards against a lost SIGTERM when the process execs another program: just before exec it leads to a clean exit, and
+// during exec it kills the process.
 func TestSignalAtExec(t *testing.T) {
 	for when, want := range map[string]syscall.WaitStatus{"before": 0, "while": syscall.WaitStatus(syscall.SIGTERM), "never": 3 << 8} {
 		t.Run(when, func(t *testing.T) {
@@ -48,7 +48,7 @@
 			c.Env = append(os.Environ(), signalTimeVariable+"="+when)
 			c.Run()
 			if got := c.ProcessState.Sys().(syscall.WaitStatus); got != want {
-				t.Errorf("it ended with %#x, want %#x", int(got), int(want))
+				t.Errorf("wait status %#x, want %#x", int(got), int(want))
 			}
 		})
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a router is told at its start: the environment, and the JSON file that it names.
+// Package config reads the configuration of a router: environment variables and the JSON file that they name.
 package config
 
 import (
@@ -23,11 +23,11 @@
 	Known      discovery.Known
 	Settings   settings.Settings
 	Operator   operator.File
-	Files      [2]string      // that this was read from: the configuration's and the operators'
-	Budgets    fairshare.Spec // what the operators' file says of teams
+	Files      [2]string      // paths that were read: the configuration's and the operators'
+	Budgets    fairshare.Spec // the teams of the operators' file
 }
 
-// Limits of the machine. Zero: none.
+// Limits are the resources that the router may use. Zero means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -44,12 +44,12 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration and the operators' file, where one is named; the environment's name and address come
-// before the file's. check checks the text of the operators' file.
+// Load reads the configuration and the operators' file, where one is named. Name and address in the environment override those of
+// the file. check validates the text of the operators' file.
 func Load(env func(string) string, operatorFile string, check func([]byte) error) (c Config, err error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
-		return c, fmt.Errorf("BALANCER_CONFIG names no file")
+		return c, fmt.Errorf("BALANCER_CONFIG is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return c, nil
 }
 
-// Parse reads the file's text.
+// Parse reads the text of a configuration file; a non-empty name or listen overrides the file's.
 func Parse(text []byte, name, listen string) (c Config, err error) {
 	var f configFile
 	if err = json.Unmarshal(text, &f); err != nil {
--- a/internal/dns/dns.go
+++ b/internal/dns/dns.go
@@ -1,5 +1,5 @@
-// Package dns writes the question for the records that list the servers and parses the answer (RFC 1035; SRV records, RFC 2782). It
-// does no I/O.
+// Package dns writes the DNS query for the records that list the database servers and parses the response (RFC 1035; SRV records, RFC
+// 2782). It does no I/O.
 package dns
 
 import (
@@ -21,21 +21,21 @@
 
 // Service is one server: its SRV record with the A and TXT records of its target.
 type Service struct {
-	Name             string // target, lower case, without the last dot
+	Name             string // the target in lower case, without the trailing dot
 	Priority, Weight uint16
 	Port             uint16
-	Addr             netip.Addr // not valid: there was no A record
+	Addr             netip.Addr // the zero Addr if there was no A record
 	Text             []string
 }
 
-// List is a parsed answer.
+// List is a parsed response.
 type List struct {
 	ID       uint16
 	Serial   uint32
 	Services []Service
 }
 
-// Query appends a question for the SRV records of a name.
+// AppendQuery appends a query for the SRV records of a name.
 func Query(b []byte, id uint16, name string) []byte {
 	b = be.AppendUint16(b, id)
 	b = append(b, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0) // recursion desired, one question
@@ -48,27 +48,28 @@
 var (
 	errShort        = errors.New("message ends early")
 	errName         = errors.New("name can't be read")
-	errNoMatch      = errors.New("no answer to such a question")
-	errResponseCode = errors.New("the server answers with an error")
+	errNoMatch      = errors.New("response does not match the query")
+	errResponseCode = errors.New("name server returned an error code")
 	errTruncated    = errors.New("truncated")
-	errSerial       = errors.New("no serial")
+	errSerial       = errors.New("response has no SOA record")
 )
 
-// headerSize is the length of a message's headerSize, recordHeaderSize that of the fixed fields behind a record's owner (RFC 1035, 4.1).
+// headerSize is the length of a message's header, recordHeaderSize that of the fixed fields after a record's owner name (RFC 1035,
+// section 4.1).
 const (
 	headerSize       = 12
 	recordHeaderSize = 10
 )
 
-// Flags of a header.
+// Bits of the flags in a header.
 const (
 	flagResponse     = 0x8000
 	flagTruncated    = 0x0200
 	maskResponseCode = 0x000f
 )
 
-// Parse reads a whole answer to a Query for a name. It does not check that its ID was asked. Where it returns an error, the list holds
-// what was read before.
+// Parse reads a complete response to a query for the SRV records of a name. It does not check the response's ID. If it returns an error,
+// the list holds the records read before.
 func Parse(msg []byte, name string) (list List, err error) {
 	p := parser{msg: msg, name: name, addrs: map[string]netip.Addr{}, texts: map[string][]string{}}
 	if err := p.question(); err != nil {
@@ -90,18 +91,18 @@
 	return p.list, nil
 }
 
-// parser reads one message.
+// parser holds the state while one message is read.
 type parser struct {
 	msg       []byte
-	name      string // that was asked for
-	at        int    // offset of what is read next
+	name      string // the name of the query
+	at        int    // offset of the next record
 	list      List
-	hasSerial bool                  // the list has one
-	addrs     map[string]netip.Addr // by owner, as the texts
+	hasSerial bool                  // an SOA record was read
+	addrs     map[string]netip.Addr // by owner name, like texts
 	texts     map[string][]string
 }
 
-// question reads the header and the question, which has to be the one of Query.
+// question reads the header and the question, which must be the one of the query.
 func (p *parser) question() error {
 	if len(p.msg) < headerSize {
 		return errShort
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// record reads the next record. Those of other classes and types are passed over.
+// record reads the next record. Records of other classes and types are skipped.
 func (p *parser) record() error {
 	owner, at, err := readName(p.msg, p.at)
 	if err != nil {
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// service reads the data of an SRV record, which begins at an offset.
+// service reads the data of an SRV record, which begins at offset at.
 func (p *parser) service(at int, data []byte) error {
 	if len(data) < 7 {
 		return errShort
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// soa reads the serial of an SOA record, behind two names.
+// soa reads the serial of an SOA record, which follows two names.
 func (p *parser) soa(at int) error {
 	_, after, err := readName(p.msg, at)
 	if err == nil {
@@ -203,8 +204,8 @@
 	return nil
 }
 
-// readName reads a name, compressed or not, and returns the offset behind it. Each pointer must lead further back than the last, so
-// that none can form a loop.
+// readName reads a name, compressed or not, and returns the offset after it. Each compression pointer must point further back than the
+// previous one, so that pointers can't form a loop.
 func readName(msg []byte, at int) (name string, end int, err error) {
 	var b [255]byte
 	n, pointerLimit := 0, at
--- a/internal/jobrunner/runner.go
+++ b/internal/jobrunner/runner.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Run runs jobs until the context is done and then the last runs of those with RunAtShutdown. It returns true when all have ended,
-// false when patience has passed before.
+// Run runs jobs until the context is done, and then runs those with RunAtShutdown a last time. It returns true when all runs have ended,
+// or false if the timeout after the context's end passes first.
 func (r *Runner) Run(ctx context.Context, timeout time.Duration) (finished bool) {
 	cancels := map[int]context.CancelFunc{}
 	all, stop := context.WithCancel(context.Background())
--- a/internal/jobrunner/runner_test.go
+++ b/internal/jobrunner/runner_test.go
@@ -9,7 +9,8 @@
 	"dunereach/jobs"
 )
 
-// TestRequestFailureAndShutdownRuns: what is asked for runs, a failure is told once with its count, and the last run comes when the context ends.
+// TestRequestFailureAndShutdownRuns: a requested job runs, its failure is reported once with the number of failures and retried, the
+// success after it is reported too, and a job with RunAtShutdown runs when the context ends.
 func TestRequestFailureAndShutdownRuns(t *testing.T) {
 	type failureReport struct {
 		times int
@@ -44,13 +45,13 @@
 		t.Fatal(got)
 	}
 	if w := <-reports; w.times != 1 || !errors.Is(w.err, errNoDisk) {
-		t.Fatalf("told %+v", w)
+		t.Fatalf("reported %+v", w)
 	}
-	if got := <-ran; got != "a" { // tried again by itself
+	if got := <-ran; got != "a" { // retried without a request
 		t.Fatal(got)
 	}
 	if w := <-reports; w.times != 0 || w.err != nil {
-		t.Fatalf("told %+v of the success after it", w)
+		t.Fatalf("reported %+v for the success after the failure", w)
 	}
 	cancel()
 	if got := <-ran; got != "last" {
@@ -59,7 +60,8 @@
 	<-ended
 }
 
-// TestStuckRunAndTimeout: a run that ends for nobody does not hold the process up for longer than its patience, and one with a limit is told.
+// TestStuckRunAndTimeout: a run that ignores its context delays the end of Run by no more than the timeout of Run, and the context of a
+// run that exceeds its own timeout is cancelled.
 func TestStuckRunAndTimeout(t *testing.T) {
 	r := New(jobs.Limits{Parallel: 2}, func(string, int, error) {})
 	timedOut, release := make(chan bool), make(chan bool)
@@ -89,6 +91,6 @@
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
-		t.Fatal("it waits for what is stuck")
+		t.Fatal("Run waits for the stuck run")
 	}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs makes the router's log: lines of JSON for the people on call, bounded on a bad day. It never
-// makes the one who logs wait.
+// Package logs makes the router's log: lines of JSON, sampled so that a flood of messages stays bounded. Logging never blocks the
+// caller.
 package logs
 
 import (
@@ -13,13 +13,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Writer passes lines on from a goroutine of its own. Lines that find no room are dropped and counted.
+// Writer passes lines on from a goroutine of its own. While its buffer is full, lines are dropped and counted.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewWriter has room for some lines: what a bad second brings after sampling.
+// NewWriter returns a writer whose buffer holds the lines of a busy second after sampling.
 func NewWriter() *Writer { return &Writer{lines: make(chan []byte, 256)} }
 
 func (w *Writer) Write(b []byte) (int, error) {
@@ -31,7 +31,7 @@
 	return len(b), nil
 }
 
-// Run writes lines until the context ends, and then those that wait. It tells of dropped ones where they lack.
+// Run writes lines until the context ends, and then the buffered ones. Where lines were dropped, it writes a line with their number.
 func (w *Writer) Run(ctx context.Context, out io.Writer) {
 	for {
 		select {
@@ -49,10 +49,10 @@
 	}
 }
 
-// LevelVariable names the environment variable for the least level that is logged; info where it is not set.
+// LevelVariable is the environment variable with the lowest level that is logged; the default is info.
 const LevelVariable = "DUNEREACH_LOG_LEVEL"
 
-// ParseLevel reads a level of the log; "" is info.
+// ParseLevel parses a log level; the empty string is info.
 func ParseLevel(text string) (zapcore.Level, error) {
 	if text == "" {
 		return zap.InfoLevel, nil
@@ -64,9 +64,9 @@
 	return level, nil
 }
 
-// New is a logger of JSON lines. Of lines with the same message a second's first ten are kept, then each
-// hundredth: an engine's restart cuts that many connections, a storm of bad clients sends far more. At level
-// debug all are kept, to follow single requests.
+// New returns a logger of JSON lines. Lines with the same message are sampled: in each second the first ten are kept, then every
+// hundredth. Ten covers the connections that a server's restart closes; a flood of faulty clients causes far more lines. At level debug
+// all lines are kept, so that single requests can be followed.
 func New(w io.Writer, level zapcore.Level) *zap.Logger {
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.ISO8601TimeEncoder
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// blockedReader is a reader of the log that has to be waited for.
+// blockedReader is a log output whose writes block until unblock is closed.
 type blockedReader struct {
 	strings.Builder
 	writeBegan, unblock chan struct{}
@@ -18,7 +18,7 @@
 	return s.Builder.Write(b)
 }
 
-// TestBlockedReader: who logs is not held up by a reader of the log that is, and the log tells how much it lacks.
+// TestBlockedReader: a blocked log output does not block the callers of the logger, and the log says how many lines were dropped.
 func TestBlockedReader(t *testing.T) {
 	w, out := NewWriter(), &blockedReader{writeBegan: make(chan struct{}, 1000), unblock: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -34,6 +34,6 @@
 	<-ended
 	if got := out.String(); !strings.HasPrefix(got, "first\n{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"lines\":7}\nmore\n") ||
 		strings.Count(got, "more\n") != cap(w.lines) {
-		t.Errorf("the log has %q", got)
+		t.Errorf("log is %q", got)
 	}
 }
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -6,15 +6,15 @@
 	"net/netip"
 )
 
-// Check returns an error for an address that coordinators may not listen on or be called at: only loopback and private ranges are
+// CheckPrivate returns an error for an address that coordinators may not listen on or be called at: only loopback and private ranges are
 // allowed. Coordinators and routers do not authenticate each other, so whoever reaches the port could end sessions and take tasks.
 func Check(addr string) error {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return fmt.Errorf("%q is no address with a port: %v", addr, err)
+		return fmt.Errorf("%q is not an address with a port: %v", addr, err)
 	}
 	if ip := a.Addr().Unmap(); !ip.IsLoopback() && !ip.IsPrivate() {
-		return fmt.Errorf("%s is neither a loopback nor a private address: keepers and routers trust whoever reaches them", addr)
+		return fmt.Errorf("%s is neither a loopback nor a private address: coordinators and routers do not authenticate their peers", addr)
 	}
 	return nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operators' own file: settings of this program that the platform does not know, a section a
-// subsystem, all of them optional. A file without a section leaves its subsystem off.
+// Package operator reads the operators' file: settings of this program that the platform does not know, with one optional section for
+// each subsystem. A subsystem whose section is missing is off.
 package operator
 
 import (
@@ -14,10 +14,11 @@
 	"dunereach/internal/seconds"
 )
 
-// Variable names the file where no flag does.
+// Variable is the environment variable with the path of the file; a flag overrides it.
 const Variable = "DUNEREACH_OPERATOR"
 
-// File is all sections. The schema in deploy/operator.schema.json is made from these types.
+// File holds all sections. The schema in deploy/operator.schema.json is generated from these types: their names and the texts in the
+// tags appear in it.
 type File struct {
 	Schema  string   `json:"$schema,omitempty" jsonschema:"description=Where the schema lies; editors use it. The router does not."`
 	Teams   []Team   `json:"teams,omitempty" jsonschema:"maxItems=20000,description=The teams that compete for engines as a tree: an organisation with franchisees under it and teams under those. Empty or absent: no budgets."`
@@ -29,7 +30,7 @@
 	Expect  *Expect  `json:"expect,omitempty" jsonschema:"description=Whether a new configuration must hold its expectations."`
 }
 
-// Team is one node of the tree.
+// Team is one node in the tree of teams.
 type Team struct {
 	Name    string   `json:"name" jsonschema:"minLength=1,maxLength=100,description=Unique in the file."`
 	Under   string   `json:"under,omitempty" jsonschema:"description=The name of what it belongs to. Absent: the top."`
@@ -40,7 +41,7 @@
 	Tenants []string `json:"tenants,omitempty" jsonschema:"description=Tenants of the platform's settings whose commands are this team's. Only for teams with none under them."`
 }
 
-// Budgets is how the budgets act.
+// Budgets configures how team budgets are applied.
 type Budgets struct {
 	Default    string   `json:"default" jsonschema:"minLength=1,description=The team of commands whose tenant has none or whose call names an unknown one."`
 	ByCall     bool     `json:"by_call,omitempty" jsonschema:"description=Whether the field 'team' of a call names its team."`
@@ -50,12 +51,13 @@
 	GuardSpill *bool    `json:"guard_spill,omitempty" jsonschema:"description=Whether sends that spill to disk are never lowered and are raised again. Absent: true."`
 }
 
-// Waits is what clients are told.
+// Waits configures which waiting times clients are sent.
 type Waits struct {
 	Fields bool `json:"fields" jsonschema:"description=Whether answers and refusals carry wait_p50 and wait_p90 and waited in milliseconds."`
 }
 
-// Fleet is a router's part in work on behalf of all. How long leases are is agreed among the keepers, when their record begins.
+// Fleet configures this router's membership in the fleet. The length of leases is not set here: the coordinators fix it when the
+// registry is created.
 type Fleet struct {
 	Keepers []string            `json:"keepers" jsonschema:"minItems=1,maxItems=9,description=Addresses and ports of the keepers. Loopback or private ones only."`
 	Zone    string              `json:"zone,omitempty" jsonschema:"maxLength=120,description=This router's zone; owners near a work's place come first. Absent: the settings' zone."`
@@ -67,7 +69,7 @@
 	Folder  string              `json:"folder,omitempty" jsonschema:"description=Where fences are kept that must outlive the process. Absent: a router that restarts leaves cold engines alone for some five seconds."`
 }
 
-// State is what a router remembers over a restart. All but the folder may be absent.
+// State configures the state that a router keeps across restarts. Only the folder is required.
 type State struct {
 	Folder   string         `json:"folder" jsonschema:"minLength=1,description=Where the files lie; routers of different names may share it."`
 	Snapshot seconds.Length `json:"snapshot_s,omitempty" jsonschema:"description=Time between two snapshots of all that is known: 30s or a number of seconds. Absent: 30."`
@@ -77,7 +79,7 @@
 	Bytes    float64        `json:"bytes_s,omitempty" jsonschema:"minimum=0,description=Bytes a second that writing may take. Absent: 1048576."`
 }
 
-// Check tells what the schema can't.
+// Check makes the checks of the section that the schema can't express.
 func (f *Fleet) Check() error {
 	if f == nil {
 		return nil
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// Expect is what becomes of a new configuration that fails its expectations.
+// Expect configures whether a new configuration that fails its expectations is rejected.
 type Expect struct {
 	Folder  string         `json:"folder" jsonschema:"minLength=1,description=Where the expectations lie."`
 	Refuse  bool           `json:"refuse" jsonschema:"description=Whether SIGHUP takes no configuration that fails them."`
@@ -103,8 +105,8 @@
 	Memory  float64        `json:"memory_mb,omitempty" jsonschema:"minimum=0,description=What the checking program aims to keep to. Absent: 256."`
 }
 
-// Load reads a file. No path: no file, all subsystems off. The text is checked against the schema by what is given, which
-// is a program of its own where a router reads: the library takes over 2 MB at rest.
+// Load reads a file. With an empty path there is no file and all subsystems are off. check validates the text against the schema; the
+// router runs another program for it, because the schema library takes over 2 MB at rest.
 func Load(path string, check func(text []byte) error) (f File, err error) {
 	if path == "" {
 		return f, nil
@@ -122,7 +124,7 @@
 	return f, nil
 }
 
-// Spec is what the file says of teams, as package budgets takes it; tenants are the settings' names.
+// Spec returns the teams and budgets of the file as a specification for package fairshare. tenants are the tenant names of the settings.
 func (f *File) Spec(tenants []string) (s fairshare.Spec, err error) {
 	orDefault := func(p *float64, defaultValue float64) float64 {
 		if p == nil {
@@ -135,9 +137,9 @@
 		b = *f.Budgets
 	}
 	s = fairshare.Spec{Default: b.Default, ByCall: b.ByCall, Turns: b.Turns == nil || *b.Turns,
-		Ageing:  orDefault(b.Ageing, 0.1), // behind an endless flood of their own team 0.34 of reports left at 0.07, 0.74 here, 0.95 at 0.14
-		Changes: orDefault(b.Changes, 20), // a second: some hundred sends run, and a wave of some seconds may lower each
-		// Lowered work that spills holds its memory for longer than what it gives up is worth.
+		Ageing:  orDefault(b.Ageing, 0.1), // behind an endless flood of their own team 0.34 of reports were sent at 0.07, 0.74 at 0.1, 0.95 at 0.14
+		Changes: orDefault(b.Changes, 20), // per second: some hundred attempts run, and a wave of some seconds may lower the priority of each
+		// An attempt that spills to disk at low priority holds its memory for longer; that costs more than the processor time it yields.
 		GuardSpill: b.GuardSpill == nil || *b.GuardSpill}
 	for i, t := range f.Teams {
 		n := fairshare.Node{Name: t.Name, Under: t.Under, Weight: t.Weight, Floor: t.Floor, Ceiling: t.Ceiling, Burst: t.Burst}
--- a/internal/operator/schema/durations.go
+++ b/internal/operator/schema/durations.go
@@ -10,7 +10,7 @@
 	reflector "github.com/invopop/jsonschema"
 )
 
-// durations of time in the operators' file: where they stand and the most that each may be, in seconds.
+// durations lists the keys of the operators' file that hold a duration, with the maximum of each in seconds.
 var durations = []struct {
 	section, key, definition string
 	maxSeconds               float64
@@ -20,7 +20,7 @@
 	{"expect", "seconds", "Expect", 600},
 }
 
-// durationSchema is the schema of types that stand for two forms in JSON.
+// durationSchema returns the schema of seconds.Duration, which has two forms in JSON: a number or a string.
 func durationSchema(t reflect.Type) *reflector.Schema {
 	if t != reflect.TypeFor[seconds.Length]() {
 		return nil
@@ -28,18 +28,18 @@
 	return &reflector.Schema{AnyOf: []*reflector.Schema{{Type: "number", Minimum: "0"}, {Type: "string"}}}
 }
 
-// boundDurations puts each length's bound into the schema. A duration's is checked by checkLengths.
+// boundDurations adds the maximum of each key to the schema, for the number form. checkDurations checks the string form.
 func boundDurations(s *reflector.Schema) {
 	for _, l := range durations {
 		property, ok := s.Definitions[l.definition].Properties.Get(l.key)
 		if !ok {
-			panic("no property " + l.key) // a fault of this table, found when the schema is made
+			panic("no property " + l.key) // an error in the table above, found when the schema is generated
 		}
 		property.AnyOf[0].Maximum = json.Number(fmt.Sprint(l.maxSeconds))
 	}
 }
 
-// checkDurations of a text that is as the schema says: those given as durations.
+// checkDurations checks the durations that a text gives as strings. The text must already match the schema.
 func checkDurations(text []byte) error {
 	var sections map[string]json.RawMessage
 	if err := json.Unmarshal(text, &sections); err != nil {
--- a/internal/operator/schema/schema.go
+++ b/internal/operator/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema makes the JSON schema of the operators' file from its Go types, and checks texts against it. The router
-// does not link it.
+// Package schema generates the JSON schemas of the operators' file, of routing expectations and of fault scripts from their Go types,
+// and checks texts against them. The router does not link it.
 package schema
 
 import (
@@ -24,15 +24,15 @@
 	"golang.org/x/text/message"
 )
 
-// Operator is the schema of the operators' file.
+// Operator generates the schema of the operators' file.
 func Operator() ([]byte, error) {
 	return emit(&operator.File{}, "dunereach: the operators' file", boundDurations)
 }
 
-// Expectations is the schema of a file of routing expectations.
+// Expectations generates the schema of a file of routing expectations.
 func Expectations() ([]byte, error) { return emit(&expect.File{}, "dunereach: routing expectations") }
 
-// Scenarios is the schema of a script of faults.
+// Scenarios generates the schema of a script of faults.
 func Scenarios() ([]byte, error) {
 	return emit(&scenario.File{}, "dunereach: a script of faults for a fleet")
 }
@@ -52,7 +52,7 @@
 	return b.Bytes(), err
 }
 
-// Check reads a text of the operators' file. An error is one line that names the place and the cause.
+// Check validates the text of an operators' file. An error is one line with the place and the cause.
 func Check(text []byte) error {
 	if err := check(deploy.OperatorSchema, text); err != nil {
 		return err
@@ -60,10 +60,10 @@
 	return checkDurations(text)
 }
 
-// CheckExpectations reads a text of a file of expectations, likewise.
+// CheckExpectations validates the text of a file of routing expectations, with errors as for Check.
 func CheckExpectations(text []byte) error { return check(deploy.ExpectationSchema, text) }
 
-// CheckScenario reads a text of a script of faults, likewise.
+// CheckScenario validates the text of a script of faults, with errors as for Check.
 func CheckScenario(text []byte) error { return check(deploy.ScenarioSchema, text) }
 
 func check(schemaText, text []byte) error {
@@ -97,7 +97,7 @@
 	return c.Compile("schema.json")
 }
 
-// firstError is the cause that stands firstError in the file, as one line: its place there and what is wrong.
+// firstError reduces a validation error to one line: the place and the cause of its first leaf, ordered by place.
 func firstError(err error) error {
 	var v *jsonschema.ValidationError
 	if !errors.As(err, &v) {
@@ -116,7 +116,7 @@
 	collectLeaves(v)
 	slices.SortStableFunc(all, func(a, b *jsonschema.ValidationError) int {
 		return slices.CompareFunc(a.InstanceLocation, b.InstanceLocation, func(x, y string) int {
-			if len(x) != len(y) && strings.Trim(x+y, "0123456789") == "" { // places in a list, by number
+			if len(x) != len(y) && strings.Trim(x+y, "0123456789") == "" { // indexes of a list are compared as numbers
 				return len(x) - len(y)
 			}
 			return strings.Compare(x, y)
@@ -126,7 +126,7 @@
 		cause(all[0].ErrorKind))
 }
 
-// cause in plain words, where the library's are the schema's.
+// cause describes an error in terms of the file, where the library's text is in terms of the schema.
 func cause(k jsonschema.ErrorKind) string {
 	number := func(r *big.Rat) string { f, _ := r.Float64(); return fmt.Sprint(f) }
 	switch k := k.(type) {
@@ -146,7 +146,7 @@
 	return k.LocalizedString(message.NewPrinter(language.English))
 }
 
-// position tells where text stops being JSON.
+// position returns the place of a JSON syntax error.
 func position(text []byte, err error) string {
 	var syntax *json.SyntaxError
 	at := len(text)
--- a/internal/operator/schema/schema_test.go
+++ b/internal/operator/schema/schema_test.go
@@ -11,7 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSchemaFilesUpToDate: the file that the programs carry is what the types make. `make schema` writes it anew.
+// TestSchemaFilesUpToDate: the schemas under deploy/, which the programs embed, are those generated from the types. `make schema`
+// rewrites them.
 func TestSchemaFilesUpToDate(t *testing.T) {
 	for _, s := range []struct {
 		file     []byte
@@ -22,12 +23,12 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(string(s.file), string(generated)); diff != "" {
-			t.Errorf("a schema under deploy/ is not what the types make (-file +types):\n%s", diff)
+			t.Errorf("a schema under deploy/ differs from the one generated from the types (-file +generated):\n%s", diff)
 		}
 	}
 }
 
-// TestOperatorFileErrors checks each line of the scripts as a text, and prints what is said of it.
+// TestOperatorFileErrors checks each line of the scripts as an operators' file and compares the results.
 func TestOperatorFileErrors(t *testing.T) {
 	script.Compare(t, func(t *testing.T, text string) string { return script.Lines(text, checkResult) })
 }
@@ -39,7 +40,7 @@
 	return "good"
 }
 
-// TestScenarioFilesMatchSchema: the scripts that are kept are what the schema says.
+// TestScenarioFilesMatchSchema: the stored scripts of faults are valid, and an invalid one is rejected.
 func TestScenarioFilesMatchSchema(t *testing.T) {
 	files, err := filepath.Glob("../../../emulator/scenario/files/*.json")
 	if err != nil || len(files) < 15 {
@@ -55,6 +56,6 @@
 		}
 	}
 	if err := CheckScenario([]byte(`{"name":"x","events":[{"do":"explode"}]}`)); err == nil {
-		t.Error("a script of nonsense is good")
+		t.Error("an event with an unknown action is accepted")
 	}
 }
--- a/internal/operator/schema/write/main.go
+++ b/internal/operator/schema/write/main.go
@@ -1,4 +1,4 @@
-// Write makes the schemas under deploy/ anew; `make schema` runs it from the root.
+// Write regenerates the schemas under deploy/; `make schema` runs it from the root of the repository.
 package main
 
 import (
--- a/internal/operator/subset.go
+++ b/internal/operator/subset.go
@@ -7,7 +7,8 @@
 	"dunereach/fleet/subset"
 )
 
-// Subset is how a router chooses the databases that it talks to. All routers should name the same, but for place and share.
+// Subset configures how a router chooses the databases that it talks to. All routers should have the same section except for place and
+// share.
 type Subset struct {
 	Size    int                 `json:"size" jsonschema:"minimum=1,maximum=65536,description=Databases that a router with the mean traffic talks to. A pool that is no larger is used whole."`
 	Room    *float64            `json:"room,omitempty" jsonschema:"minimum=0,maximum=1,description=Part of the size that a subset may be larger by so that databases are held by equally many routers. Absent: 0.5."`
@@ -22,7 +23,7 @@
 	Routers []SubsetRouter      `json:"routers,omitempty" jsonschema:"maxItems=65536,description=All routers as far as they are known: what dunereach fleet subset tells of a database is for these. A router finds its place and share here by its name."`
 }
 
-// SubsetRouter is one router of the list.
+// SubsetRouter is one entry in the list of routers.
 type SubsetRouter struct {
 	Name  string  `json:"name" jsonschema:"minLength=1,maxLength=120,description=As the router's own configuration has it."`
 	Zone  string  `json:"zone" jsonschema:"minLength=1,maxLength=120,description=One of the settings' zones."`
@@ -30,7 +31,7 @@
 	Share float64 `json:"share,omitempty" jsonschema:"minimum=0,maximum=64,description=Its traffic by that of the mean router. Absent: 1."`
 }
 
-// What stands where the section is silent.
+// Defaults for absent keys of the section.
 const (
 	defaultRoom   = 0.5
 	defaultWidest = 4
@@ -46,18 +47,19 @@
 	return *p
 }
 
-// PlaceOf is the place of the router at a position of the list.
+// PlaceOf returns the place of the router at a position of the list: the place that the entry gives, else its position.
 func (s *Subset) PlaceOf(position int) int { return orDefault(s.Routers[position].Place, position) }
 
-// Find gives the position of a router in the list, -1 where it is not there.
+// Find returns the position of a router in the list, or -1.
 func (s *Subset) Find(name string) int {
 	return slices.IndexFunc(s.Routers, func(r SubsetRouter) bool { return r.Name == name })
 }
 
-// LeastOf is the minimum that every need has.
+// MinPerNeed returns the minimum number of databases for every need.
 func (s *Subset) LeastOf() int { return orDefault(s.Least, defaultLeast) }
 
-// RegionsOf gives the region of each zone, numbered in the order of zones; nil: no regions are named.
+// RegionsOf returns the region number of each zone. Regions are numbered in order of first appearance; nil means that no regions are
+// configured.
 func (f *File) RegionsOf(zones []string) []int {
 	regions := f.Subset.Regions
 	if regions == nil && f.Fleet != nil {
@@ -83,7 +85,7 @@
 	return regionOf
 }
 
-// ZonePartsOf gives the part of the pool's weight that each zone has.
+// ZoneShares returns the share of the pool's weight that each zone has.
 func (s *Subset) ZonePartsOf(zones []string) []float64 {
 	shares, sum := make([]float64, len(zones)), 0.0
 	for z, name := range zones {
@@ -98,8 +100,8 @@
 	return shares
 }
 
-// SubsetOptions are the options of a router whose zone and region have these parts of the pool's weight; needs are the caller's. A
-// pool of one zone or one region has no near part.
+// SubsetOptions returns the options of a router whose zone and region have these shares of the pool's weight; the caller adds the needs.
+// In a pool of one zone or one region no part of a subset is reserved for that zone or region.
 func (f *File) SubsetOptions(zoneShare, regionShare float64) subset.Options {
 	s := f.Subset
 	o := subset.Options{Size: s.Size, Room: orDefault(s.Room, defaultRoom), Widest: s.Widest, Near: orDefault(s.Near, defaultNear)}
@@ -116,7 +118,7 @@
 	return o
 }
 
-// CheckSubset tells what the schema can't.
+// CheckSubset makes the checks of the section that the schema can't express.
 func (f *File) CheckSubset(zones []string) error {
 	s := f.Subset
 	if s == nil {
@@ -132,7 +134,7 @@
 	return s.checkRouters(zones)
 }
 
-// checkZones tells whether regions and weights name the settings' zones, and the weights all of them.
+// checkZones checks that regions and weights name only zones of the settings, and that weights, if given, name all of them.
 func (s *Subset) checkZones(zones []string) error {
 	for region, names := range s.Regions {
 		for k, name := range names {
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// checkRouters tells whether names and places of the listed routers are distinct, and their zones the settings'.
+// checkRouters checks that names and places of the listed routers are distinct and that their zones are zones of the settings.
 func (s *Subset) checkRouters(zones []string) error {
 	names, places := map[string]int{}, map[int]int{}
 	for k, r := range s.Routers {
--- a/internal/script/build.go
+++ b/internal/script/build.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Programs builds programs of this repository for a package's tests, runs them, and ends the process with their status. Where the
-// programs lie is told to at first.
+// BuildAndRun builds programs of this repository, passes the folder that they are in to setDir, runs a package's tests, and ends the
+// process with their status. It is called by TestMain.
 func Programs(m *testing.M, setDir func(dir string), packages ...string) {
 	dir, err := os.MkdirTemp("", "dunereach")
 	if err == nil {
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -1,5 +1,5 @@
-// Package script is the tests' way of keeping traces: scripts in testdata whose indented lines are what the
-// code did when the line above was played.
+// Package script runs golden tests: a script in testdata has steps, and after each step, as indented lines, the expected output of the
+// code.
 package script
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the traces anew; read the difference before you keep it")
+var update = flag.Bool("update", false, "rewrite the expected output; review the difference before committing it")
 
-// Say prints what was done.
+// Printf adds a line to the output of the current step.
 type Say func(format string, a ...any)
 
-// Play plays all scripts of testdata, each way that start is given, and compares with what is kept. start makes
-// what plays one line.
+// Run runs all scripts of testdata with each of the variants and compares the output with the expected one. A variant returns the
+// function that executes one step, given as its words.
 func Play(t *testing.T, variants ...func(t *testing.T, printf Say) (step func(words []string))) {
 	var traces []func(*testing.T, string) string
 	for _, start := range variants {
@@ -28,7 +28,7 @@
 	Compare(t, traces...)
 }
 
-// Compare compares each file of testdata with what each way makes of its text.
+// Compare compares each script of testdata with the text that each of the variants returns for it.
 func Compare(t *testing.T, variants ...func(t *testing.T, text string) string) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -49,7 +49,7 @@
 					}
 				}
 				if diff := cmp.Diff(string(want), got); diff != "" {
-					t.Errorf("it acts otherwise (-kept +now):\n%s", diff)
+					t.Errorf("output differs (-want +got):\n%s", diff)
 				}
 			})
 		}
@@ -71,7 +71,7 @@
 	return out.String()
 }
 
-// Lines gives a text back with what each of its lines came to, indented below it.
+// Annotate returns a script in which each line is followed by its result as an indented line. Old results are dropped.
 func Lines(text string, result func(line string) string) string {
 	var out strings.Builder
 	for line := range strings.Lines(text) {
--- a/internal/seconds/seconds_test.go
+++ b/internal/seconds/seconds_test.go
@@ -13,12 +13,12 @@
 	}
 	for _, text := range []string{"", "two", "2 s", "-1", "-2s", "NaN", "Inf", "1e999"} {
 		if got, err := Parse(text); err == nil {
-			t.Errorf("%q is read as %v", text, got)
+			t.Errorf("%q is accepted as %v", text, got)
 		}
 	}
 }
 
-// TestFlag: what can't be read leaves the value as it was.
+// TestFlag: an invalid text leaves the value unchanged.
 func TestFlag(t *testing.T) {
 	f := Flag(4)
 	if err := f.Set("soon"); err == nil || f != 4 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestLength: both forms in JSON.
+// TestDuration: both forms in JSON are accepted, invalid ones are not.
 func TestLength(t *testing.T) {
 	for text, want := range map[string]Length{`2`: 2, `"2s"`: 2, `"0.5"`: 0.5, `"1m"`: 60} {
 		var l Length
@@ -40,7 +40,7 @@
 	for _, text := range []string{`"soon"`, `true`, `[2]`, `"-1s"`} {
 		var l Length
 		if err := json.Unmarshal([]byte(text), &l); err == nil {
-			t.Errorf("%s is read as %v", text, l)
+			t.Errorf("%s is accepted as %v", text, l)
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings' JSON, which the bench's wire and the router's configuration share.
+// Package settings reads the JSON settings that the simulator's wire protocol and the router's configuration share.
 package settings
 
 import (
@@ -11,22 +11,23 @@
 
 const ms = 1e-3
 
-// Settings are the module's, and what only its surroundings act on.
+// Settings are the settings of package admission and those that only the code around it uses. Times are in seconds.
 type Settings struct {
 	Brain          admission.Settings
-	LoadFields     []string // order of load report values
-	Profiles       []string // names, in the order of the module's numbers
+	LoadFields     []string // names of the load report values, in order
+	Profiles       []string // names by profile number
 	Tenants        []string
 	Zones, Kinds   []string
-	ConnIdle       float64   // engines close connections idle for this long
-	ConnectTimeout float64   // a connection not up by then never comes up
-	Streams        int       // sends that may be out on one connection
-	Open           int       // commands in hand; what passes them is not taken
-	Longest        float64   // the longest client timeout
+	ConnIdle       float64   // servers close connections that are idle for this long
+	ConnectTimeout float64   // a connection that is not established by then never will be
+	Streams        int       // attempts in progress allowed on one connection
+	Open           int       // limit of open requests; further ones are not accepted
+	Longest        float64   // the longest client timeout of all profiles
 	Deadlines      []float64 // client timeouts by profile
 }
 
-// bootInfo is the wire's settings; times are in milliseconds. Unknown keys are skipped.
+// bootInfo is the JSON form of the settings; times are in milliseconds. Its field names are the keys of the JSON. Unknown keys are
+// ignored.
 type bootInfo struct {
 	Balancers, Me, MyZone int
 	Tick                  float64
@@ -73,7 +74,7 @@
 	"": admission.GroupAll, "all": admission.GroupAll, "zone": admission.GroupZone, "cell": admission.GroupCell,
 }
 
-// negative finds a figure that can't be under zero and is, and tells where it stands.
+// negative finds a negative value that must not be negative and returns its place; place is empty if there is none.
 func (b *bootInfo) negative() (place string, v float64) {
 	find := func(where string, value float64) {
 		if place == "" && value < 0 {
@@ -104,7 +105,7 @@
 	return place, v
 }
 
-// Parse turns the settings' JSON into the module's settings and the rest.
+// Parse reads the JSON settings. seed seeds the random numbers of package admission.
 func Parse(text []byte, seed uint64) (all Settings, err error) {
 	var b bootInfo
 	if err = json.Unmarshal(text, &b); err != nil {
@@ -114,7 +115,7 @@
 		return all, fmt.Errorf("settings: %s: %v is negative", place, v)
 	}
 	if b.Balancers > 1<<16 || b.Me < 0 {
-		return all, fmt.Errorf("settings: instance %d of %d", b.Me, b.Balancers)
+		return all, fmt.Errorf("settings: invalid instance number %d of %d", b.Me, b.Balancers)
 	}
 	all = Settings{
 		LoadFields: b.LoadInfo.Fields, Zones: b.Dcs, Kinds: b.Kinds,
@@ -165,13 +166,13 @@
 	return all, nil
 }
 
-// profile turns one class into the controller's profile.
+// profile converts one class into a profile of the admission controller.
 func (b *bootInfo) profile(i int) (p admission.Profile, err error) {
 	c := &b.Classes[i]
 	effect, knownEffect := effects[c.Effect]
 	group, knownGroup := groups[c.Group]
 	if !knownEffect || !knownGroup {
-		return p, fmt.Errorf("settings: class %d has effect %q, group %q", i, c.Effect, c.Group)
+		return p, fmt.Errorf("settings: class %d: unknown effect %q or group %q", i, c.Effect, c.Group)
 	}
 	p = admission.Profile{
 		Target: c.Aim * ms, Stretch: c.AimStretch, Benefit: c.Worth,
--- a/internal/subsets/subsets.go
+++ b/internal/subsets/subsets.go
@@ -1,5 +1,5 @@
-// Package subsets turns a router's configuration and the operators' file into what fleet/subset chooses by. The router and the
-// command that prints subsets both use it, so that they choose alike.
+// Package subsets converts a router's configuration and the operators' file into the input of package fleet/subset. The router and the
+// command that prints subsets both use it, so that both choose the same databases.
 package subsets
 
 import (
@@ -12,17 +12,17 @@
 	"dunereach/internal/operator"
 )
 
-// Setup is what all routers have in common.
+// CommonConfig is the part of the configuration that all routers share.
 type Setup struct {
 	file       *operator.File
 	zones      []string
-	regions    []int // by zone; nil: not known
+	regions    []int // region number by zone; nil: no regions are configured
 	shape      subset.Shape
-	zoneShares []float64 // of the pool's weight, by zone
-	singleCell bool
+	zoneShares []float64 // share of the pool's weight by zone
+	wholeCells bool      // databases of one cell are chosen together, as idempotency keys are valid within a cell only
 }
 
-// New reads a configuration whose operators' file has a section subset.
+// New returns the common part of a configuration whose operators' file has a section subset.
 func New(cfg *config.Config) *Setup {
 	s := &Setup{file: &cfg.Operator, zones: cfg.Settings.Zones, regions: cfg.Operator.RegionsOf(cfg.Settings.Zones)}
 	s.zoneShares = cfg.Operator.Subset.ZonePartsOf(s.zones)
@@ -31,20 +31,21 @@
 		s.shape.Placements = append(s.shape.Placements, subset.Placement{Name: cfg.Settings.Profiles[k], Zones: p.Zones, Kinds: p.Kinds})
 		if p.Effect == admission.Uniqued {
 			s.shape.ByZone = s.shape.ByZone || p.Group == admission.GroupZone
-			s.singleCell = s.singleCell || p.Group == admission.GroupCell
+			s.wholeCells = s.wholeCells || p.Group == admission.GroupCell
 		}
 	}
 	return s
 }
 
-// Chooser is one router with its options.
+// Chooser chooses the subset of one router.
 type Chooser struct {
 	Options subset.Options
 	Router  subset.Router
 }
 
-// Self is the router that the configuration is for. Its place is what the section says, else its place in the section's list, else
-// its number in the settings; where those name one router only, its name ranks.
+// OwnRouter returns the chooser of the router that the configuration belongs to. The router's place is the one given in the section,
+// else its place in the section's list of routers, else its number in the settings. Where the settings name one router only, it has no
+// place (-1) and its name is used instead.
 func (s *Setup) Self(cfg *config.Config) Chooser {
 	section := s.file.Subset
 	if k := section.Find(cfg.Name); k >= 0 && section.Place == nil {
@@ -60,13 +61,13 @@
 	return s.newChooser(r)
 }
 
-// Listed is a router of the section's list.
+// ListedRouter returns the chooser of the router at a position of the section's list.
 func (s *Setup) Listed(position int) Chooser {
 	r := s.file.Subset.Routers[position]
 	return s.newChooser(subset.Router{Name: r.Name, Place: s.file.Subset.PlaceOf(position), Zone: slices.Index(s.zones, r.Zone), Share: r.Share})
 }
 
-// newChooser gives a router its options.
+// newChooser completes a router's zone and region and computes its options.
 func (s *Setup) newChooser(r subset.Router) Chooser {
 	if r.Region = -1; r.Zone >= len(s.zones) {
 		r.Zone = -1
@@ -74,7 +75,7 @@
 	if s.regions != nil && r.Zone >= 0 {
 		r.Region = s.regions[r.Zone]
 	}
-	var regionZones []int // zones of the router's own
+	var regionZones []int // zones of the router's own region
 	zoneShare, regionShare := 0.0, 0.0
 	if r.Zone >= 0 && r.Zone < len(s.zoneShares) {
 		zoneShare = s.zoneShares[r.Zone]
@@ -90,11 +91,11 @@
 	}
 	o := s.file.SubsetOptions(zoneShare, regionShare)
 	o.Needs = s.shape.Needs(r.Zone, regionZones, s.file.Subset.LeastOf())
-	o.Together = s.singleCell
+	o.Together = s.wholeCells
 	return Chooser{o, r}
 }
 
-// Choose takes a subset as a router does whose sizes are evened out by this very pool.
+// Choose chooses a subset of a pool for a router whose planned size is computed from the same pool.
 func (c *Chooser) Choose(pool *subset.Pool, width int) (subset.Choice, error) {
 	ranking, err := pool.Rank(&c.Options, c.Router)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return ranking.Take(width), nil
 }
 
-// Databases are the entries of a list, by their names.
+// Databases converts the entries of a server list into databases of package subset. An entry without a name is named by its number.
 func (s *Setup) Databases(list []admission.Entry, nameOf func(engine uint32) string) []subset.Database {
 	all := make([]subset.Database, len(list))
 	for k, e := range list {
--- a/internal/thrift/frames.go
+++ b/internal/thrift/frames.go
@@ -1,5 +1,5 @@
 // Package thrift reads and writes the framed transport and strict binary protocol of Apache Thrift: a splitter of streams into
-// frames, a reader of one frame, and functions that append values. It does no I/O and knows no service.
+// frames, a reader of one frame, and functions that append values. It does no I/O and is independent of any service.
 package thrift
 
 import (
@@ -12,11 +12,11 @@
 
 var be = binary.BigEndian
 
-// Frames splits a stream of bytes into frames. It buffers only the bytes of an unfinished one.
+// FrameSplitter splits a stream of bytes into frames. It buffers only the bytes of an incomplete frame.
 type Frames struct{ buffered []byte }
 
-// Feed calls each with every frame that is complete now, or returns an error where one is too long. A frame is valid during the
-// call only.
+// Feed adds bytes and calls each with every frame that is complete. It returns an error if a frame is too long. A frame is valid only
+// during the call.
 func (f *Frames) Feed(b []byte, each func(frame []byte) error) error {
 	if len(f.buffered) > 0 {
 		f.buffered = append(f.buffered, b...)
@@ -36,18 +36,18 @@
 		b = b[4+n:]
 	}
 	if f.buffered = append(f.buffered[:0], b...); len(f.buffered) == 0 && cap(f.buffered) > 16<<10 {
-		f.buffered = nil // one long call must not hold memory for the life of its connection
+		f.buffered = nil // one long message must not occupy memory for the lifetime of its connection
 	}
 	return nil
 }
 
-// Kept returns the number of buffered bytes.
+// Buffered returns the number of buffered bytes.
 func (f *Frames) Kept() int { return len(f.buffered) }
 
-// Type of a value on the wire.
+// Type is the type of a value on the wire.
 type Type byte
 
-// The types of the binary protocol, by their numbers there. Stop ends the fields of a struct.
+// The types of the binary protocol with their protocol numbers. Stop ends the fields of a struct.
 const (
 	Stop   Type = 0
 	Bool   Type = 2
@@ -64,10 +64,10 @@
 	UUID   Type = 16
 )
 
-// Kind of a message.
+// Kind is the kind of a message.
 type Kind byte
 
-// The kinds of messages, by their numbers in the protocol.
+// The kinds of messages with their protocol numbers.
 const (
 	Call      Kind = 1
 	Reply     Kind = 2
@@ -77,13 +77,13 @@
 
 const versionStrict = 0x80010000
 
-// Reader reads values from a frame. After the first that can't be read all values are zero and Bad is set.
+// Reader reads values from a frame. After the first value that can't be read, Failed is set and all values are zero.
 type Reader struct {
 	b   []byte
 	Bad bool
 }
 
-// NewReader returns a reader of one frame, without its length.
+// NewReader returns a reader of one frame; the frame comes without its length field.
 func NewReader(frame []byte) Reader { return Reader{b: frame} }
 
 func (r *Reader) fail() { r.Bad, r.b = true, nil }
@@ -106,7 +106,7 @@
 	return 0
 }
 
-// U16 reads an unsigned 16-bit integer, as field ids are.
+// U16 reads an unsigned 16-bit integer, the form of field ids.
 func (r *Reader) U16() uint16 {
 	if v := r.next(2); v != nil {
 		return be.Uint16(v)
@@ -122,10 +122,10 @@
 	return 0
 }
 
-// Bytes are a string or binary; they stay the frame's.
+// Bytes reads a string or binary value. The result shares the memory of the frame.
 func (r *Reader) Bytes() []byte { return r.next(int(r.I32())) }
 
-// Message reads the head of a frame.
+// MessageHeader reads the header of a message.
 func (r *Reader) Message() (kind Kind, name []byte, seq int32) {
 	v := uint32(r.I32())
 	if v&0xffff0000 != versionStrict {
@@ -135,7 +135,7 @@
 	return Kind(v), r.Bytes(), r.I32()
 }
 
-// Field reads the head of a field; Stop ends a struct, as does a frame that can't be read.
+// FieldHeader reads the header of a field. It returns Stop at the end of a struct and after a failure.
 func (r *Reader) Field() (Type, uint16) {
 	t := Type(r.U8())
 	if t == Stop {
@@ -144,21 +144,21 @@
 	return t, r.U16()
 }
 
-// Pairs reads the head of a map.
+// MapHeader reads the header of a map.
 func (r *Reader) Pairs() (key, value Type, n int32) {
 	key, value, n = Type(r.U8()), Type(r.U8()), r.I32()
-	if n < 0 || int(n) > len(r.b) { // a pair takes two bytes at least
+	if n < 0 || int(n) > len(r.b) { // a pair takes at least two bytes, so a false count is detected here
 		r.fail()
 		n = 0
 	}
 	return
 }
 
-// Skip passes over a value of a type.
+// Skip skips a value of a type.
 func (r *Reader) Skip(t Type) { r.skip(t, 0) }
 
 func (r *Reader) skip(t Type, depth int) {
-	const maxDepth = 32 // levels: no sender nests so far, and a stack must not grow by a frame's content
+	const maxDepth = 32 // no sender nests this many levels; the limit keeps a frame's content from growing the stack
 	if depth > maxDepth {
 		r.fail()
 		return
@@ -199,7 +199,8 @@
 	}
 }
 
-// Begin starts a message's frame in the place of what b held; the other writers append to it, and End ends it.
+// BeginMessage starts the frame of a message and replaces the content of b. The other functions append to the frame, and EndMessage ends
+// it.
 func Begin(b []byte, kind Kind, name string, seq int32) []byte {
 	b = append(b[:0], 0, 0, 0, 0)
 	b = be.AppendUint32(b, versionStrict|uint32(kind))
@@ -207,14 +208,14 @@
 	return be.AppendUint32(b, uint32(seq))
 }
 
-// End ends the struct that a message is, and writes the length of its frame.
+// EndMessage ends the struct of a message and sets the length of its frame.
 func End(b []byte) []byte {
 	b = append(b, byte(Stop))
 	be.PutUint32(b, uint32(len(b)-4))
 	return b
 }
 
-// AppendField appends the head of a field: its type and id.
+// AppendField appends the header of a field: its type and id.
 func AppendField(b []byte, t Type, id uint16) []byte { return be.AppendUint16(append(b, byte(t)), id) }
 
 // AppendBytes appends a string with its length.
@@ -222,7 +223,7 @@
 	return append(be.AppendUint32(b, uint32(len(s))), s...)
 }
 
-// AppendSize appends the length of a string whose bytes follow.
+// AppendStringLength appends the length of a string; the caller appends its bytes.
 func AppendSize(b []byte, n int) []byte { return be.AppendUint32(b, uint32(n)) }
 
 // AppendBool appends a boolean value.
@@ -233,7 +234,7 @@
 	return append(b, 0)
 }
 
-// AppendPairs appends a map of strings, given as keys and values in turn.
+// AppendStringMap appends a map of strings, given as alternating keys and values.
 func AppendPairs(b []byte, pairs ...string) []byte {
 	b = append(b, byte(String), byte(String))
 	b = be.AppendUint32(b, uint32(len(pairs)/2))
@@ -243,13 +244,13 @@
 	return b
 }
 
-// ApplicationException types, of the protocol's own.
+// Types of the protocol's own ApplicationException.
 const (
 	UnknownMethod int32 = 1
 	ProtocolError int32 = 7
 )
 
-// Except is a whole frame that ends a call without its service's answer.
+// ExceptionFrame returns the complete frame of an ApplicationException, the reply to a call that the service does not answer itself.
 func Except(b []byte, name string, seq int32, kind int32, text string) []byte {
 	b = Begin(b, Exception, name, seq)
 	b = AppendBytes(AppendField(b, String, 1), text)
