--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -137,20 +137,20 @@
 func TestBadInput(t *testing.T) {
 	good := frame(initSettings+listRows, selectEvent, initEvent, listEvent, peersEvent)
 	for name, in := range map[string][]byte{
-		"cut length":   {0, 0},
-		"cut frame":    good[:len(good)-3],
-		"huge length":  mustHex("ffffffff40c06e2000000000"),
-		"short frame":  mustHex("00000003000000"),
-		"absurd count": mustHex("0000000c40c06e2000000000ffffffff"),
-		"bad code":     frame("", selectEvent, "07"),
-		"no instance":  frame("", workEvent),
-		"tail beyond":  frame("", selectEvent, "0a0000000000000001"+"00000000"+"ffffffff"),
-		"rows beyond":  frame("", "78000000000000ffffffff"),
-		"page number":  frame("", "780099"),
-		"unset page":   frame(initSettings, selectEvent, initEvent, "1402000000000005"),
-		"bad settings": frame("{", selectEvent, "0a0000000000000001"+"0000000000000001"),
-		"bad class":    frame(initSettings, selectEvent, initEvent, "1e0000000109"),
-		"bad outcome":  frame(initSettings, selectEvent, initEvent, "320000000100ff"),
+		"cut length":     {0, 0},
+		"cut frame":      good[:len(good)-3],
+		"huge length":    mustHex("ffffffff40c06e2000000000"),
+		"short frame":    mustHex("00000003000000"),
+		"absurd count":   mustHex("0000000c40c06e2000000000ffffffff"),
+		"bad code":       frame("", selectEvent, "07"),
+		"no instance":    frame("", workEvent),
+		"tail too short": frame("", selectEvent, "0a0000000000000001"+"00000000"+"ffffffff"),
+		"rows too short": frame("", "78000000000000ffffffff"),
+		"list number":    frame("", "780099"),
+		"unset list":     frame(initSettings, selectEvent, initEvent, "1402000000000005"),
+		"bad settings":   frame("{", selectEvent, "0a0000000000000001"+"0000000000000001"),
+		"bad class":      frame(initSettings, selectEvent, initEvent, "1e0000000109"),
+		"bad outcome":    frame(initSettings, selectEvent, initEvent, "320000000100ff"),
 	} {
 		if _, err := serve(t, in); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", name, err)
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-// Version of this source; the changelog lists the changes of each version.
+// Version is the version of this source; the changelog lists the changes of each version.
 const Version = "0.2.0-dev"
 
 // configError marks an error in a file that the operator wrote, as opposed to a fault of the program or the machine.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 	"dunereach/internal/settings"
 )
 
-// Config of one router.
+// Config is the configuration of one router.
 type Config struct {
 	Name       string
 	Listen     netip.AddrPort
--- a/internal/thrift/frames.go
+++ b/internal/thrift/frames.go
@@ -147,7 +147,7 @@
 // MapHeader reads the header of a map.
 func (r *Reader) Pairs() (key, value Type, n int32) {
 	key, value, n = Type(r.U8()), Type(r.U8()), r.I32()
-	if n < 0 || int(n) > len(r.b) { // a pair takes at least two bytes, so a false count is detected here
+	if n < 0 || int(n) > len(r.b) { // a false count: each pair takes more than one byte
 		r.fail()
 		n = 0
 	}
