--- a/cmd/dunefleet/main.go
+++ b/cmd/dunefleet/main.go
@@ -1,5 +1,5 @@
-// Dunefleet is the router with its part in the fleet and what it keeps in a folder. Dunereach becomes it where the operators' file has a
-// section fleet or state.
+// Dunefleet is the router with fleet membership and with state kept in a folder. Dunereach execs it if the operators' file has a section
+// fleet or state.
 package main
 
 import (
@@ -17,9 +17,9 @@
 )
 
 func main() {
-	with := cli.With{Words: agentdriver.Words(), Fleet: func(c config.Config, log *zap.Logger) (router.Fleet, error) { return agentdriver.New(c, log) },
-		State: func(set operator.State, name string, log *zap.Logger) router.State { return state.New(set, name, log) }}
-	if err := cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, with); err != nil {
+	extensions := cli.With{Words: agentdriver.Words(), Fleet: func(c config.Config, log *zap.Logger) (router.Fleet, error) { return agentdriver.New(c, log) },
+		State: func(cfg operator.State, name string, log *zap.Logger) router.State { return state.New(cfg, name, log) }}
+	if err := cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, extensions); err != nil {
 		if !cli.Said(err) {
 			fmt.Fprintln(os.Stderr, "dunereach:", err)
 		}
--- a/internal/dns/dns.go
+++ b/internal/dns/dns.go
@@ -1,5 +1,5 @@
-// Package dns writes the question for the records that list the servers and parses the answer (RFC 1035; SRV records, RFC 2782). It
-// does no I/O.
+// Package dns writes the DNS query for the records that list the database servers and parses the response (RFC 1035; SRV records, RFC
+// 2782). It does no I/O.
 package dns
 
 import (
@@ -21,21 +21,21 @@
 
 // Service is one server: its SRV record with the A and TXT records of its target.
 type Service struct {
-	Name             string // target, lower case, without the last dot
+	Name             string // the target in lower case, without the trailing dot
 	Priority, Weight uint16
 	Port             uint16
-	Addr             netip.Addr // not valid: there was no A record
+	Addr             netip.Addr // the zero Addr if there was no A record
 	Text             []string
 }
 
-// List is a parsed answer.
+// List is a parsed response.
 type List struct {
 	ID       uint16
 	Serial   uint32
 	Services []Service
 }
 
-// Query appends a question for the SRV records of a name.
+// AppendQuery appends a query for the SRV records of a name.
 func Query(b []byte, id uint16, name string) []byte {
 	b = be.AppendUint16(b, id)
 	b = append(b, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0) // recursion desired, one question
@@ -46,29 +46,30 @@
 }
 
 var (
-	errShort  = errors.New("message ends early")
-	errName   = errors.New("name can't be read")
-	errAnswer = errors.New("no answer to such a question")
-	errCode   = errors.New("the server answers with an error")
-	errCut    = errors.New("truncated")
-	errSerial = errors.New("no serial")
+	errShort        = errors.New("message ends early")
+	errName         = errors.New("name can't be read")
+	errNoMatch      = errors.New("response does not match the query")
+	errResponseCode = errors.New("name server returned an error code")
+	errTruncated    = errors.New("truncated")
+	errSerial       = errors.New("response has no SOA record")
 )
 
-// header is the length of a message's header, recordHead that of the fixed fields behind a record's owner (RFC 1035, 4.1).
+// headerSize is the length of a message's header, recordHeaderSize that of the fixed fields after a record's owner name (RFC 1035,
+// section 4.1).
 const (
-	header     = 12
-	recordHead = 10
+	headerSize       = 12
+	recordHeaderSize = 10
 )
 
-// Flags of a header.
+// Bits of the flags in a header.
 const (
-	flagResponse  = 0x8000
-	flagTruncated = 0x0200
-	maskCode      = 0x000f
+	flagResponse     = 0x8000
+	flagTruncated    = 0x0200
+	maskResponseCode = 0x000f
 )
 
-// Parse reads a whole answer to a Query for a name. It does not check that its ID was asked. Where it returns an error, the list holds
-// what was read before.
+// Parse reads a complete response to a query for the SRV records of a name. It does not check the response's ID. If it returns an error,
+// the list holds the records read before.
 func Parse(msg []byte, name string) (list List, err error) {
 	p := parser{msg: msg, name: name, addrs: map[string]netip.Addr{}, texts: map[string][]string{}}
 	if err := p.question(); err != nil {
@@ -80,7 +81,7 @@
 			return p.list, err
 		}
 	}
-	if !p.serial {
+	if !p.hasSerial {
 		return p.list, errSerial
 	}
 	for k := range p.list.Services {
@@ -90,54 +91,54 @@
 	return p.list, nil
 }
 
-// parser reads one message.
+// parser holds the state while one message is read.
 type parser struct {
-	msg    []byte
-	name   string // that was asked for
-	at     int    // offset of what is read next
-	list   List
-	serial bool                  // the list has one
-	addrs  map[string]netip.Addr // by owner, as the texts
-	texts  map[string][]string
+	msg       []byte
+	name      string // the name of the query
+	at        int    // offset of the next record
+	list      List
+	hasSerial bool                  // an SOA record was read
+	addrs     map[string]netip.Addr // by owner name, like texts
+	texts     map[string][]string
 }
 
-// question reads the header and the question, which has to be the one of Query.
+// question reads the header and the question, which must be the one of the query.
 func (p *parser) question() error {
-	if len(p.msg) < header {
+	if len(p.msg) < headerSize {
 		return errShort
 	}
 	flags := be.Uint16(p.msg[2:])
 	p.list.ID = be.Uint16(p.msg)
 	switch {
 	case flags&flagResponse == 0 || be.Uint16(p.msg[4:]) != 1:
-		return errAnswer
+		return errNoMatch
 	case flags&flagTruncated != 0:
-		return errCut
-	case flags&maskCode != 0:
-		return errCode
+		return errTruncated
+	case flags&maskResponseCode != 0:
+		return errResponseCode
 	}
-	asked, at, err := readName(p.msg, header)
+	questionName, at, err := readName(p.msg, headerSize)
 	if err != nil {
 		return err
 	}
-	if asked != p.name || len(p.msg) < at+4 || be.Uint16(p.msg[at:]) != typeSRV || be.Uint16(p.msg[at+2:]) != classIN {
-		return errAnswer
+	if questionName != p.name || len(p.msg) < at+4 || be.Uint16(p.msg[at:]) != typeSRV || be.Uint16(p.msg[at+2:]) != classIN {
+		return errNoMatch
 	}
 	p.at = at + 4
 	return nil
 }
 
-// record reads the next record. Those of other classes and types are passed over.
+// record reads the next record. Records of other classes and types are skipped.
 func (p *parser) record() error {
 	owner, at, err := readName(p.msg, p.at)
 	if err != nil {
 		return err
 	}
-	if len(p.msg) < at+recordHead {
+	if len(p.msg) < at+recordHeaderSize {
 		return errShort
 	}
 	kind, class, size := be.Uint16(p.msg[at:]), be.Uint16(p.msg[at+2:]), int(be.Uint16(p.msg[at+8:]))
-	at += recordHead
+	at += recordHeaderSize
 	if len(p.msg) < at+size {
 		return errShort
 	}
@@ -152,12 +153,12 @@
 	case kind == typeTXT:
 		return p.text(owner, data)
 	case kind == typeSOA:
-		return p.authority(at)
+		return p.soa(at)
 	}
 	return nil
 }
 
-// service reads the data of an SRV record, which begins at an offset.
+// service reads the data of an SRV record, which begins at offset at.
 func (p *parser) service(at int, data []byte) error {
 	if len(data) < 7 {
 		return errShort
@@ -187,8 +188,8 @@
 	return nil
 }
 
-// authority reads the serial of an SOA record, behind two names.
-func (p *parser) authority(at int) error {
+// soa reads the serial of an SOA record, which follows two names.
+func (p *parser) soa(at int) error {
 	_, after, err := readName(p.msg, at)
 	if err == nil {
 		_, after, err = readName(p.msg, after)
@@ -199,15 +200,15 @@
 	if after+20 != p.at {
 		return errShort
 	}
-	p.list.Serial, p.serial = be.Uint32(p.msg[after:]), true
+	p.list.Serial, p.hasSerial = be.Uint32(p.msg[after:]), true
 	return nil
 }
 
-// readName reads a name, compressed or not, and returns the offset behind it. Each pointer must lead further back than the last, so
-// that none can form a loop.
+// readName reads a name, compressed or not, and returns the offset after it. Each compression pointer must point further back than the
+// previous one, so that pointers can't form a loop.
 func readName(msg []byte, at int) (name string, end int, err error) {
 	var b [255]byte
-	n, lowest := 0, at
+	n, pointerLimit := 0, at
 	for end = -1; ; {
 		if at >= len(msg) {
 			return "", 0, errShort
@@ -244,10 +245,10 @@
 				end = at + 2
 			}
 			to := int(be.Uint16(msg[at:]) & 0x3fff)
-			if to >= lowest {
+			if to >= pointerLimit {
 				return "", 0, errName
 			}
-			at, lowest = to, to
+			at, pointerLimit = to, to
 		default:
 			return "", 0, errName
 		}
--- a/internal/operator/schema/schema.go
+++ b/internal/operator/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema makes the JSON schema of the operators' file from its Go types, and checks texts against it. The router
-// does not link it.
+// Package schema generates the JSON schemas of the operators' file, of routing expectations and of fault scripts from their Go types,
+// and checks texts against them. The router does not link it.
 package schema
 
 import (
@@ -24,21 +24,21 @@
 	"golang.org/x/text/message"
 )
 
-// Operator is the schema of the operators' file.
+// Operator generates the schema of the operators' file.
 func Operator() ([]byte, error) {
-	return of(&operator.File{}, "dunereach: the operators' file", boundLengths)
+	return emit(&operator.File{}, "dunereach: the operators' file", boundDurations)
 }
 
-// Expectations is the schema of a file of routing expectations.
-func Expectations() ([]byte, error) { return of(&expect.File{}, "dunereach: routing expectations") }
+// Expectations generates the schema of a file of routing expectations.
+func Expectations() ([]byte, error) { return emit(&expect.File{}, "dunereach: routing expectations") }
 
-// Scenarios is the schema of a script of faults.
+// Scenarios generates the schema of a script of faults.
 func Scenarios() ([]byte, error) {
-	return of(&scenario.File{}, "dunereach: a script of faults for a fleet")
+	return emit(&scenario.File{}, "dunereach: a script of faults for a fleet")
 }
 
-func of(file any, title string, adjust ...func(*reflector.Schema)) ([]byte, error) {
-	r := reflector.Reflector{Anonymous: true, ExpandedStruct: true, Mapper: mapped}
+func emit(file any, title string, adjust ...func(*reflector.Schema)) ([]byte, error) {
+	r := reflector.Reflector{Anonymous: true, ExpandedStruct: true, Mapper: durationSchema}
 	s := r.Reflect(file)
 	s.Title = title
 	for _, f := range adjust {
@@ -52,21 +52,21 @@
 	return b.Bytes(), err
 }
 
-// Check reads a text of the operators' file. An error is one line that names the place and the cause.
+// Check validates the text of an operators' file. An error is one line with the place and the cause.
 func Check(text []byte) error {
 	if err := check(deploy.OperatorSchema, text); err != nil {
 		return err
 	}
-	return checkLengths(text)
+	return checkDurations(text)
 }
 
-// CheckExpectations reads a text of a file of expectations, likewise.
+// CheckExpectations validates the text of a file of routing expectations, with errors as for Check.
 func CheckExpectations(text []byte) error { return check(deploy.ExpectationSchema, text) }
 
-// CheckScenario reads a text of a script of faults, likewise.
+// CheckScenario validates the text of a script of faults, with errors as for Check.
 func CheckScenario(text []byte) error { return check(deploy.ScenarioSchema, text) }
 
-func check(by, text []byte) error {
+func check(schemaText, text []byte) error {
 	if !utf8.Valid(text) {
 		return errors.New("it is not UTF-8")
 	}
@@ -78,11 +78,11 @@
 	if err != nil {
 		return err
 	}
-	schema, err := compile(by)
+	schema, err := compile(schemaText)
 	if err != nil {
 		return fmt.Errorf("schema: %v", err)
 	}
-	return first(schema.Validate(value))
+	return firstError(schema.Validate(value))
 }
 
 func compile(text []byte) (*jsonschema.Schema, error) {
@@ -97,26 +97,26 @@
 	return c.Compile("schema.json")
 }
 
-// first is the cause that stands first in the file, as one line: its place there and what is wrong.
-func first(err error) error {
+// firstError reduces a validation error to one line: the place and the cause of its first leaf, ordered by place.
+func firstError(err error) error {
 	var v *jsonschema.ValidationError
 	if !errors.As(err, &v) {
 		return err
 	}
 	var all []*jsonschema.ValidationError
-	var leaves func(v *jsonschema.ValidationError)
-	leaves = func(v *jsonschema.ValidationError) {
+	var collectLeaves func(v *jsonschema.ValidationError)
+	collectLeaves = func(v *jsonschema.ValidationError) {
 		if len(v.Causes) == 0 {
 			all = append(all, v)
 		}
 		for _, c := range v.Causes {
-			leaves(c)
+			collectLeaves(c)
 		}
 	}
-	leaves(v)
+	collectLeaves(v)
 	slices.SortStableFunc(all, func(a, b *jsonschema.ValidationError) int {
 		return slices.CompareFunc(a.InstanceLocation, b.InstanceLocation, func(x, y string) int {
-			if len(x) != len(y) && strings.Trim(x+y, "0123456789") == "" { // places in a list, by number
+			if len(x) != len(y) && strings.Trim(x+y, "0123456789") == "" { // indexes of a list are compared as numbers
 				return len(x) - len(y)
 			}
 			return strings.Compare(x, y)
@@ -126,7 +126,7 @@
 		cause(all[0].ErrorKind))
 }
 
-// cause in plain words, where the library's are the schema's.
+// cause describes an error in terms of the file, where the library's text is in terms of the schema.
 func cause(k jsonschema.ErrorKind) string {
 	number := func(r *big.Rat) string { f, _ := r.Float64(); return fmt.Sprint(f) }
 	switch k := k.(type) {
@@ -146,7 +146,7 @@
 	return k.LocalizedString(message.NewPrinter(language.English))
 }
 
-// position tells where text stops being JSON.
+// position returns the place of a JSON syntax error.
 func position(text []byte, err error) string {
 	var syntax *json.SyntaxError
 	at := len(text)
