--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -9,21 +9,21 @@
 )
 
 // runRequests runs one request after another through a controller: registered, admitted, sent, answered.
-func runRequests(b *testing.B, set Settings, servers int, request func(k int) Command) {
+func runRequests(b *testing.B, set Settings, servers int, request func(k int) Request) {
 	h := &nopHost{}
 	m := New(set, 0, h)
 	var list []Entry
 	for k := range servers {
-		list = append(list, Entry{Engine: uint32(k + 1), State: Ready})
+		list = append(list, Entry{Server: uint32(k + 1), State: Ready})
 	}
-	m.Members(0, Full, list)
+	m.UpdateServers(0, Full, list)
 	now := 0.0
 	serveOne := func(k int) {
 		now += 0.001
 		c := request(k)
 		c.ID, c.TimeLeft = uint32(k+1), 4
-		m.Command(now, c)
-		m.Outcome(now+0.0005, Outcome{ID: c.ID, Engine: h.server, End: Answered, Lag: 0.0005, Work: c.Cost, Over: true})
+		m.Request(now, c)
+		m.Outcome(now+0.0005, Outcome{ID: c.ID, Server: h.server, End: Completed, Latency: 0.0005, Work: c.Cost, Final: true})
 		if k%50 == 0 {
 			m.Woken(now, 0)
 		}
@@ -42,7 +42,7 @@
 func BenchmarkEngines(b *testing.B) {
 	for _, n := range []int{8, 72, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			runRequests(b, defaults(), n, func(int) Command { return Command{Cost: 0.1} })
+			runRequests(b, defaults(), n, func(int) Request { return Request{Cost: 0.1} })
 		})
 	}
 }
@@ -56,7 +56,7 @@
 			if n > 0 {
 				set.Teams = teamTree(b, n)
 			}
-			runRequests(b, set, 8, func(k int) Command { return Command{Cost: 0.1, Team: k % min(max(n, 1), 100)} })
+			runRequests(b, set, 8, func(k int) Request { return Request{Cost: 0.1, Team: k % min(max(n, 1), 100)} })
 		})
 	}
 }
@@ -65,11 +65,11 @@
 func BenchmarkWaits(b *testing.B) {
 	set := defaults()
 	set.Teams, set.Waits = teamTree(b, 100), waittime.New(len(set.Profiles), 1)
-	runRequests(b, set, 8, func(k int) Command { return Command{Cost: 0.1, Team: k % 100, Mark: uint64(k) + 1} })
+	runRequests(b, set, 8, func(k int) Request { return Request{Cost: 0.1, Team: k % 100, RequestKey: uint64(k) + 1} })
 }
 
 func teamTree(t testing.TB, n int) *fairshare.Tree {
-	s := fairshare.Spec{Default: "t0", Ageing: 0.1, Turns: true, Changes: 20}
+	s := fairshare.Spec{Default: "t0", Ageing: 0.1, TurnsForBypassed: true, MaxPriorityChanges: 20}
 	for k := range n {
 		s.Nodes = append(s.Nodes, fairshare.Node{Name: fmt.Sprint("t", k), Weight: 1 + float64(k%3)})
 	}
--- a/admission/chain.go
+++ b/admission/chain.go
@@ -6,18 +6,18 @@
 
 // stage is one step of the chain: forward handles a request, and back the outcome of an attempt.
 type stage struct {
-	forward func(*Brain, int32) bool
-	back    func(*Brain, int32, *Outcome) bool
+	forward func(*Controller, int32) bool
+	back    func(*Controller, int32, *Outcome) bool
 }
 
 // forward passes a request on from a stage until one keeps or ends it.
-func (b *Brain) forward(i int32, from int) {
+func (b *Controller) forward(i int32, from int) {
 	for s := from; s < len(chain) && chain[s].forward(b, i); s++ {
 	}
 }
 
 // dispatchQueued starts attempts of queued requests that find a slot now.
-func (b *Brain) dispatchQueued() {
+func (b *Controller) dispatchQueued() {
 	const orderStage = 2 // index of the stage after admit
 	if t := b.config.Teams; t != nil {
 		for t.StartWalk(b.now); ; {
--- a/admission/cold_budget_test.go
+++ b/admission/cold_budget_test.go
@@ -8,7 +8,7 @@
 
 // coldFleet is a set of routers that send one cold server as much as their budgets allow, on virtual time.
 type coldFleet struct {
-	controller *Brain
+	controller *Controller
 	random     *rand.Rand
 	servers    []server  // the server as each router sees it
 	learnedAt  []float64 // when each router learns of the server
@@ -32,11 +32,11 @@
 	f.least = f.most * math.Pow(10, between(-3, 0))
 	cores := float64(4 + random.IntN(61))
 	for range routers {
-		f.servers = append(f.servers, server{Entry: Entry{Engine: uint32(random.IntN(9999)), ReadyAt: 1, State: Ready}, cores: cores})
+		f.servers = append(f.servers, server{Entry: Entry{Server: uint32(random.IntN(9999)), ReadyAt: 1, State: Ready}, cores: cores})
 		f.learnedAt, f.startedAt = append(f.learnedAt, 1+between(0, 0.2)), append(f.startedAt, 0)
 	}
 	for k := range f.servers {
-		f.servers[k].Engine = f.servers[0].Engine
+		f.servers[k].Server = f.servers[0].Server
 		f.restart(k, 0)
 	}
 	return f
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -12,7 +12,7 @@
 )
 
 // Controller makes the admission and routing decisions of one router.
-type Brain struct {
+type Controller struct {
 	config   Settings
 	host     Host
 	now      float64
@@ -27,15 +27,15 @@
 	total                             server  // this router's load on all healthy servers, and their cores
 	outcome                           Outcome
 	message                           []byte
-	averageSlowdown                   float64            // usual slowdown over all profiles, weighted by work
-	worstSlowdown                     float64            // highest slowdown of any profile, since a rare profile's own value may be out of date
-	admittedWork, admittedSeconds     float64            // decaying sums of the admitted work and of the seconds that it stands for
-	othersPerCore                     float64            // other routers' threads per core, averaged over load reports
-	meanAttemptTime                   float64            // mean duration of an attempt, where estimates are reported
-	trackedRejections                 []trackedRejection // rejected requests that are evaluated again, where estimates are reported
-	rejections                        int                // counts rejections on arrival, to track every trackEvery-th
-	zoneOutcomes                      []failover.Sight   // outcomes by zone since the last report, where the fleet has a plan
-	rejectedSinceLog, nextLoadProbe   int                // rejections since the last log line; server to probe for its load next
+	averageSlowdown                   float64                    // usual slowdown over all profiles, weighted by work
+	worstSlowdown                     float64                    // highest slowdown of any profile, since a rare profile's own value may be out of date
+	admittedWork, admittedSeconds     float64                    // decaying sums of the admitted work and of the seconds that it stands for
+	othersPerCore                     float64                    // other routers' threads per core, averaged over load reports
+	meanAttemptTime                   float64                    // mean duration of an attempt, where estimates are reported
+	trackedRejections                 []trackedRejection         // rejected requests that are evaluated again, where estimates are reported
+	rejections                        int                        // counts rejections on arrival, to track every trackEvery-th
+	zoneOutcomes                      []failover.ZoneObservation // outcomes by zone since the last report, where the fleet has a plan
+	rejectedSinceLog, nextLoadProbe   int                        // rejections since the last log line; server to probe for its load next
 
 	startedAt, swapAt, logAt, announceAt, loadProbeAt, watchAt float64
 }
@@ -45,12 +45,12 @@
 const allowanceSpan = 10.0 // seconds of the allowance's window: some tens of requests of a rare profile
 
 // New returns the controller of one router.
-func New(config Settings, now float64, host Host) *Brain {
+func New(config Settings, now float64, host Host) *Controller {
 	config.Routers = max(config.Routers, 1)
 	if config.Teams == nil {
 		config.Ageing = 0.05 // seconds of work per benefit and second of waiting
 	}
-	b := &Brain{config: config, host: host, now: now, random: newPCG(config.Seed), requests: newSet(),
+	b := &Controller{config: config, host: host, now: now, random: newPCG(config.Seed), requests: newSet(),
 		pool: newPool(config.Routers), share: 1 / float64(config.Routers), fastPathLimit: math.Inf(1), cutoffPrice: math.Inf(1),
 		swapAt: now, startedAt: now, watchAt: math.Inf(1), othersPerCore: lowThreadsPerCore, averageSlowdown: 1}
 	const fastPathShare = 0.5 // the fast path leaves half of the tightest target for contention
@@ -77,18 +77,18 @@
 var chain []stage
 
 func init() { // not a literal: the stages call each other through it (chain.go runs it)
-	chain = []stage{{(*Brain).register, (*Brain).finishUnresolved}, {(*Brain).admit, (*Brain).retry},
-		{(*Brain).order, (*Brain).restKeyAfterOpenEnd}, {(*Brain).place, (*Brain).recordOutcome}}
+	chain = []stage{{(*Controller).register, (*Controller).finishUnresolved}, {(*Controller).admit, (*Controller).retry},
+		{(*Controller).order, (*Controller).restKeyAfterOpenEnd}, {(*Controller).place, (*Controller).recordOutcome}}
 }
 
 // Request accepts one request of a client. From here on the client is owed exactly one answer.
-func (b *Brain) Command(now float64, c Command) {
+func (b *Controller) Request(now float64, c Request) {
 	b.now = now
 	b.forward(b.requests.add(c), 0)
 }
 
 // Outcome reports the end of an attempt.
-func (b *Brain) Outcome(now float64, o Outcome) {
+func (b *Controller) Outcome(now float64, o Outcome) {
 	b.now, b.outcome = now, o // copied here, since a pointer to the parameter would escape to the heap
 	i, ok := b.requests.at[o.ID]
 	for s := len(chain) - 1; ok && s >= 0 && chain[s].back(b, i, &b.outcome); s-- {
@@ -98,7 +98,7 @@
 
 // ---- register: one answer for each request, before its client timeout (rule 1)
 
-func (b *Brain) register(i int32) bool {
+func (b *Controller) register(i int32) bool {
 	r := &b.requests.states[i]
 	p := &b.profiles[r.Profile]
 	r.takenAt, r.deadline, r.benefit, r.priority = b.now, b.now+r.TimeLeft, p.Benefit, 1
@@ -122,13 +122,13 @@
 	if b.keyed(r) {
 		b.requests.enqueueKey(i)
 	}
-	r.reserved = b.config.Waits != nil && b.config.Waits.Booked(b.now, r.Mark)
+	r.reserved = b.config.Waits != nil && b.config.Waits.RedeemReservation(b.now, r.RequestKey)
 	b.host.Wake(max(r.TimeLeft-2*b.config.Tick, 0), uint64(r.ID)|1<<32) // two ticks early: a wake may come one tick late
 	return pass
 }
 
 // estimate sets the expected work (the client's estimate less the profile's bias, or the usual work) and target.
-func (b *Brain) estimate(r *requestState, p *profileState) {
+func (b *Controller) estimate(r *requestState, p *profileState) {
 	if r.cost = r.Cost; r.Cost <= 0 {
 		r.cost = p.work
 	} else if p.estimatedWork > 0 {
@@ -136,13 +136,13 @@
 	}
 	r.bestTime = r.cost / float64(p.Threads)
 	r.target = r.takenAt + p.Target + p.Stretch*r.bestTime
-	r.short = r.bestTime <= b.fastPathLimit && r.benefit == p.Benefit && (b.config.Teams == nil || b.config.Teams.Lane(r.Team))
+	r.short = r.bestTime <= b.fastPathLimit && r.benefit == p.Benefit && (b.config.Teams == nil || b.config.Teams.MayUseFastPath(r.Team))
 	r.price = r.cost / max(r.benefit, 1e-9)
 	r.rank = r.price + b.config.Ageing*r.takenAt // lowest work per benefit first; waiting time lowers the rank
 }
 
 // finishUnresolved ends a request that has no attempt in flight and no retry ahead.
-func (b *Brain) finishUnresolved(i int32, o *Outcome) bool {
+func (b *Controller) finishUnresolved(i int32, o *Outcome) bool {
 	if r := &b.requests.states[i]; !r.done && r.inFlight.server < 0 {
 		b.finishUnserved(i)
 	} else {
@@ -152,13 +152,13 @@
 }
 
 // finishUnserved gives the final answer at once: a rejection where a retry is harmless (rule 2), else a failure.
-func (b *Brain) finishUnserved(i int32) {
+func (b *Controller) finishUnserved(i int32) {
 	r := &b.requests.states[i]
 	p := &b.profiles[r.Profile]
-	if riskAt, risk := r.earliestPossibleRun(); p.Effect == Replayable || !risk ||
-		p.Effect == Uniqued && p.Group == GroupAll && b.now < riskAt+p.Window {
+	if riskAt, risk := r.earliestPossibleRun(); p.Effect == Idempotent || !risk ||
+		p.Effect == IdempotentByKey && p.Group == GroupAll && b.now < riskAt+p.Window {
 		b.rejectedSinceLog++
-		b.host.Shed(r.ID, b.retryPause(r, p))
+		b.host.Reject(r.ID, b.retryPause(r, p))
 	} else {
 		b.host.Fail(r.ID)
 	}
@@ -166,17 +166,17 @@
 }
 
 // complete ends a request: it leaves the queue, and its attempt is cancelled.
-func (b *Brain) complete(i int32) {
+func (b *Controller) complete(i int32) {
 	b.requests.states[i].done = true
 	b.dequeue(i)
 	if b.config.Waits != nil {
-		b.config.Waits.Over(b.now, i)
+		b.config.Waits.RequestAbandoned(b.now, i)
 	}
 	b.cancelAttempt(&b.requests.states[i])
 	b.releaseIfDone(i)
 }
 
-func (b *Brain) cancelAttempt(r *requestState) {
+func (b *Controller) cancelAttempt(r *requestState) {
 	switch {
 	case r.inFlight.server < 0 || r.inFlight.cancelRequested || r.streaming:
 	case b.config.Cancels:
@@ -188,7 +188,7 @@
 }
 
 // releaseIfDone frees a request that has its answer and no attempt in flight, and advances the queue of its key.
-func (b *Brain) releaseIfDone(i int32) {
+func (b *Controller) releaseIfDone(i int32) {
 	switch r := &b.requests.states[i]; {
 	case !r.done || r.inFlight.server >= 0:
 	case b.keyed(r):
@@ -199,7 +199,7 @@
 }
 
 // ClientLeft reports that the client no longer waits for an answer.
-func (b *Brain) Left(now float64, id uint32) {
+func (b *Controller) ClientLeft(now float64, id uint32) {
 	b.now = now
 	if i, ok := b.requests.at[id]; ok && !b.requests.states[i].done {
 		b.complete(i)
@@ -209,7 +209,7 @@
 
 // HalfClosed reports that the client closed its sending side: it has left, or it still reads. A final answer serves
 // both: at once if no attempt is in flight, else by that attempt. Drawback: a queued client that reads is rejected.
-func (b *Brain) HalfClosed(now float64, id uint32) {
+func (b *Controller) HalfClosed(now float64, id uint32) {
 	b.now = now
 	if i, ok := b.requests.at[id]; ok && !b.requests.states[i].done {
 		r := &b.requests.states[i]
@@ -223,7 +223,7 @@
 }
 
 // StreamStarted reports that the answer is being streamed to the client. From now on no timeout applies.
-func (b *Brain) Started(now float64, id uint32, _ int) {
+func (b *Controller) StreamStarted(now float64, id uint32, _ int) {
 	b.now = now
 	if i, ok := b.requests.at[id]; ok {
 		b.requests.states[i].streaming = true
@@ -232,7 +232,7 @@
 
 // ---- admit: Bouncer's estimate on arrival, with its acceptance allowance
 
-func (b *Brain) admit(i int32) bool {
+func (b *Controller) admit(i int32) bool {
 	r := &b.requests.states[i]
 	p := &b.profiles[r.Profile]
 	const allowance = 0.03 // A of the Bouncer paper, at the paper's upper value
@@ -249,7 +249,7 @@
 }
 
 // estimatesMeetTargets compares p50 and p90 with the latency target and the client timeout, and the wait with both.
-func (b *Brain) estimatesMeetTargets(r *requestState, p *profileState) bool {
+func (b *Controller) estimatesMeetTargets(r *requestState, p *profileState) bool {
 	if p.current.n < 20 { // samples, as in the design document
 		return true
 	}
@@ -271,7 +271,7 @@
 }
 
 // timeUntilAdmitted is the time until a request that is rejected now would be admitted if no other arrived.
-func (b *Brain) timeUntilAdmitted(r *requestState, p *profileState) float64 {
+func (b *Controller) timeUntilAdmitted(r *requestState, p *profileState) float64 {
 	const doublingTime = 1.75 // seconds in which the cutoff price doubles
 	wait, target := b.queueWait(r), r.target-r.takenAt
 	excess := max(wait+r.bestTime-target, wait+p.current.quantile(0.5)-max(target, r.TimeLeft/2), wait+p.current.quantile(0.9)-r.TimeLeft, 0)
@@ -280,21 +280,21 @@
 
 // cutoffPriceFor is the price from which a request is rejected because queued requests of that price were given up, in
 // its own team where there are teams. A request that arrives at its reserved time has none.
-func (b *Brain) cutoffPriceFor(r *requestState) float64 {
+func (b *Controller) cutoffPriceFor(r *requestState) float64 {
 	switch {
 	case r.reserved:
 		return math.Inf(1)
 	case b.config.Teams != nil:
-		return b.config.Teams.Cut(b.now, r.Team)
+		return b.config.Teams.RejectionPrice(b.now, r.Team)
 	}
 	return b.cutoffPrice
 }
 
 // queueWait is the wait for the queued work that leaves before a request, over this router's slots.
-func (b *Brain) queueWait(request *requestState) float64 {
+func (b *Controller) queueWait(request *requestState) float64 {
 	work := 0.0
 	if b.config.Teams != nil {
-		work = b.config.Teams.Ahead(request.Team, request.rank) * b.averageSlowdown
+		work = b.config.Teams.WorkQueuedBefore(request.Team, request.rank) * b.averageSlowdown
 		return work / max(b.slots(&b.total), 1)
 	}
 	for _, index := range b.requests.queued {
@@ -308,7 +308,7 @@
 }
 
 // learnWork updates the usual work and slowdown by a completed request.
-func (b *Brain) learnWork(p *profileState, r *requestState, o *Outcome, work, slowdown float64) {
+func (b *Controller) learnWork(p *profileState, r *requestState, o *Outcome, work, slowdown float64) {
 	if o.Work > 0 && r.Cost > 0 { // the sums decay over some hundred answers: the bias belongs to the profile and is steady
 		p.estimatedWork, p.measuredWork = p.estimatedWork*0.99+r.Cost, p.measuredWork*0.99+work
 	}
@@ -323,7 +323,7 @@
 }
 
 // retry queues a request for another attempt, where the rules and the time left allow one.
-func (b *Brain) retry(i int32, o *Outcome) bool {
+func (b *Controller) retry(i int32, o *Outcome) bool {
 	r := &b.requests.states[i]
 	const errors = 2 // two servers do not fail by chance: more attempts would only spread a request that no server can execute
 	if r.done || r.halfClosed || r.inFlight.server >= 0 || b.now+r.bestTime > r.deadline || r.errors >= errors ||
@@ -335,15 +335,15 @@
 }
 
 // mayRunAgain applies rule 2: a request that may have run runs again only if that is harmless.
-func (b *Brain) mayRunAgain(r *requestState, p *profileState) bool {
-	return !r.mayHaveRun || p.Effect == Replayable || p.Effect == Uniqued && b.now < r.firstRunAt+p.Window
+func (b *Controller) mayRunAgain(r *requestState, p *profileState) bool {
+	return !r.mayHaveRun || p.Effect == Idempotent || p.Effect == IdempotentByKey && b.now < r.firstRunAt+p.Window
 }
 
 // ---- order: one request at a time per key, in the order of arrival (rule 5)
 
-func (b *Brain) keyed(r *requestState) bool { return b.profiles[r.Profile].Ordered && r.Key != 0 }
+func (b *Controller) keyed(r *requestState) bool { return b.profiles[r.Profile].Ordered && r.Key != 0 }
 
-func (b *Brain) order(i int32) bool {
+func (b *Controller) order(i int32) bool {
 	if r := &b.requests.states[i]; b.keyed(r) {
 		if q := b.requests.byKey[r.Key]; q.head != i || b.now < q.restUntil {
 			b.enqueue(i)
@@ -354,9 +354,9 @@
 }
 
 // restKeyAfterOpenEnd delays the next request of a key after an attempt that may still be running.
-func (b *Brain) restKeyAfterOpenEnd(i int32, o *Outcome) bool {
+func (b *Controller) restKeyAfterOpenEnd(i int32, o *Outcome) bool {
 	r := &b.requests.states[i]
-	if b.keyed(r) && (o.End == TimedOut || o.End == Cut || o.End == Cancelled) {
+	if b.keyed(r) && (o.End == TimedOut || o.End == ConnectionLost || o.End == Cancelled) {
 		b.requests.restKey(r.Key, b.now+b.config.KeyRest)
 	}
 	return pass
@@ -364,7 +364,7 @@
 
 // ---- place: the server with the fewest threads per core that no rule excludes
 
-func (b *Brain) place(i int32) bool {
+func (b *Controller) place(i int32) bool {
 	if k := b.chooseServer(&b.requests.states[i]); k >= 0 {
 		b.dequeue(i)
 		b.attempt(i, k)
@@ -377,7 +377,7 @@
 const recentSpan = 3.0 // seconds for which an answer or a load report counts as recent
 
 // chooseServer returns the index of the server for the next attempt of a request, or -1.
-func (b *Brain) chooseServer(r *requestState) int32 {
+func (b *Controller) chooseServer(r *requestState) int32 {
 	p := &b.profiles[r.Profile]
 	// Rules 2 and 7, and one attempt at a time, whether or not concurrent copies are allowed.
 	if r.inFlight.server >= 0 || !b.mayRunAgain(r, p) || r.attempts > 0 && b.config.BudgetWindow > 0 &&
@@ -428,9 +428,9 @@
 }
 
 // placementAllowed applies the rules on where an attempt may run (2, 3, 4 and 6).
-func (b *Brain) placementAllowed(r *requestState, p *profileState, e *server) bool {
+func (b *Controller) placementAllowed(r *requestState, p *profileState, e *server) bool {
 	if e.State != Ready || !permitted(p.Zones, e.Zone) || !permitted(p.Kinds, e.Kind) ||
-		r.mayHaveRun && p.Effect == Uniqued && (p.Group == GroupZone && e.Zone != r.firstRunZone ||
+		r.mayHaveRun && p.Effect == IdempotentByKey && (p.Group == GroupZone && e.Zone != r.firstRunZone ||
 			p.Group == GroupCell && e.Cell != r.firstRunCell) {
 		return false
 	}
@@ -449,7 +449,7 @@
 )
 
 // coldWindow is the work that all routers together may send to a cold server in one window.
-func (b *Brain) coldWindow(e *server) float64 {
+func (b *Controller) coldWindow(e *server) float64 {
 	ramp := (b.now - e.ReadyAt) / b.config.WarmUp
 	return b.config.FallMultiple * e.cores * coldMargin * (b.config.ColdFrom + (1-b.config.ColdFrom)*ramp*ramp) * b.config.FallWindow
 }
@@ -460,7 +460,7 @@
 // turns: the budget since the start is cut into pieces of one request, and each piece belongs to one router for half a
 // window. All together stay within one and a half budgets. Where the warm-up is too short for a turn for each router,
 // which all routers compute alike, a part of the budget is used in equal shares.
-func (b *Brain) coldBudget(e *server) float64 {
+func (b *Controller) coldBudget(e *server) float64 {
 	fullRate := b.config.FallMultiple * e.cores * coldMargin
 	budget := func(age float64) float64 { // the budget up to an age
 		age = max(age, 0)
@@ -477,7 +477,7 @@
 	if budget(b.config.WarmUp) < n*b.fastPathLimit {
 		turnPart, share = coldByTurns, coldByShares*window/n
 	}
-	first := float64((uint32(b.config.Me) + e.Engine) % uint32(b.config.Routers)) // another router at each server
+	first := float64((uint32(b.config.Me) + e.Server) % uint32(b.config.Routers)) // another router at each server
 	turns := func(age float64) float64 { return math.Floor((turnPart*budget(age)/b.fastPathLimit - first) / n) }
 	countedFrom := max(age-b.config.FallWindow/2, b.startedAt-e.ReadyAt) // the previous process may have used the turn at the start
 	turn := (turns(age) - turns(countedFrom)) * b.fastPathLimit
@@ -489,7 +489,7 @@
 
 // reportNeeds reports the needed shares of the fleet's totals: of a cold server by the work admitted here and the
 // server's part of the pool, at least the smallest usual work of a profile; of a quota by the tenant's recent demand.
-func (b *Brain) reportNeeds(u Use) {
+func (b *Controller) reportNeeds(u NeedsSink) {
 	rate, least := 0.0, b.fastPathLimit
 	for k := range b.profiles {
 		rate += b.profiles[k].received.most(b.now) / min(max(b.now-b.startedAt, 1), allowanceSpan) * b.profiles[k].work
@@ -498,11 +498,11 @@
 	for k := range b.servers {
 		e := &b.servers[k]
 		if e.State == Ready && e.unhealthy {
-			u.Doubted(e.Engine, e.Zone, e.ReadyAt)
+			u.Suspected(e.Server, e.Zone, e.ReadyAt)
 		}
 		if e.State == Ready && b.cold(e) {
 			window := max(b.coldWindow(e), 1e-9)
-			u.Cold(e.Engine, e.Zone, e.ReadyAt, rate*b.config.FallWindow*e.cores/max(b.total.cores, e.cores)/window, least/window)
+			u.Cold(e.Server, e.Zone, e.ReadyAt, rate*b.config.FallWindow*e.cores/max(b.total.cores, e.cores)/window, least/window)
 		}
 	}
 	for k := range b.tenants {
@@ -512,20 +512,20 @@
 	}
 }
 
-func (b *Brain) cold(e *server) bool { return e.ReadyAt > 0 && b.now < e.ReadyAt+b.config.WarmUp }
+func (b *Controller) cold(e *server) bool { return e.ReadyAt > 0 && b.now < e.ReadyAt+b.config.WarmUp }
 
 // hasSlot limits the threads on a server, which binds only under pressure, and the probes of unhealthy servers.
-func (b *Brain) hasSlot(r *requestState, p *profileState, e *server) bool {
+func (b *Controller) hasSlot(r *requestState, p *profileState, e *server) bool {
 	if e.unhealthy { // a probe is a short idempotent request; if none comes for a second, any request
 		probeAt := b.nextProbeAt(e)
-		return !e.probing && b.now >= probeAt && (r.short && p.Effect == Replayable || b.now >= probeAt+1)
+		return !e.probing && b.now >= probeAt && (r.short && p.Effect == Idempotent || b.now >= probeAt+1)
 	}
 	// The slots of the pool bind too, or hundreds of routers with one request each would fill every server.
 	return !b.pressed(p, e) || b.withinSlots(e, r.short, p.Threads) && b.withinSlots(&b.total, r.short, p.Threads)
 }
 
 // withinSlots reports whether a request fits. One request always fits, so that a share of less than a thread is usable.
-func (b *Brain) withinSlots(e *server, short bool, threads int) bool {
+func (b *Controller) withinSlots(e *server, short bool, threads int) bool {
 	need, slots := float64(threads), b.slots(e)
 	if short { // beyond the full slots, but bounded; long requests can't take the threads reserved for short ones
 		reserved := 0.6 * e.cores * b.share
@@ -538,7 +538,7 @@
 }
 
 // slots is the number of threads that this router may use on a server.
-func (b *Brain) slots(e *server) float64 {
+func (b *Controller) slots(e *server) float64 {
 	const slotsPerCore = 1.7 // one per core would leave cores idle while threads read from disk
 	if e.otherThreads == 0 {
 		return e.cores * slotsPerCore * b.share
@@ -549,7 +549,7 @@
 const pressedSlowdown = 2.2 // slowdown over the best time from which a server is pressed: tiny requests run at 2 under light load
 
 // pressed reports whether a server is under pressure: slow answers there or of any profile, or too many threads.
-func (b *Brain) pressed(p *profileState, e *server) bool {
+func (b *Controller) pressed(p *profileState, e *server) bool {
 	threadsPerCore := 1.5
 	if !e.othersKnown { // for the others' load: twice an equal share, or many routers would fill a server before answers show it
 		threadsPerCore *= min(1, 2*b.share)
@@ -561,13 +561,13 @@
 
 // slowdownOf is a server's slowdown compared with others. Answers are compared with the usual ones of their profile, as
 // priorities make profiles differ. Without new answers it decays, so that an avoided server is used again.
-func (b *Brain) slowdownOf(e *server) float64 {
+func (b *Controller) slowdownOf(e *server) float64 {
 	const fade = 4.0 // seconds: a few report intervals
 	return 1 + (e.slowdown-1)*math.Exp(-(b.now-e.slowdownAt)/fade)
 }
 
 // attempt starts an attempt of a request on a server.
-func (b *Brain) attempt(i, k int32) {
+func (b *Controller) attempt(i, k int32) {
 	r, e := &b.requests.states[i], &b.servers[k]
 	p := &b.profiles[r.Profile]
 	b.endWait(i, p)
@@ -600,27 +600,27 @@
 	b.chargeTeam(i, b.config.Priorities && priority == 1)
 	// A probe that can't be cancelled times out while another server can still answer in time.
 	limit := r.deadline - b.now
-	if e.unhealthy && !b.config.Cancels && p.Effect == Replayable {
+	if e.unhealthy && !b.config.Cancels && p.Effect == Idempotent {
 		limit = min(limit, 0.6*(r.target-r.takenAt))
 	}
 	sendBefore := 0.0
-	if r.mayHaveRun && p.Effect == Uniqued { // a repeat that arrives after the deduplication window would run again
+	if r.mayHaveRun && p.Effect == IdempotentByKey { // a repeat that arrives after the deduplication window would run again
 		sendBefore = r.firstRunAt + p.Window
 	}
-	b.host.Send(r.ID, e.Engine, limit, sendBefore)
+	b.host.Send(r.ID, e.Server, limit, sendBefore)
 }
 
 // recordOutcome updates the server's load and takes the outcome as evidence of its health.
-func (b *Brain) recordOutcome(i int32, o *Outcome) bool {
+func (b *Controller) recordOutcome(i int32, o *Outcome) bool {
 	r := &b.requests.states[i]
 	p := &b.profiles[r.Profile]
-	if o.Over && !r.done {
+	if o.Final && !r.done {
 		b.answerReceived(i, o)
 		r.done = true
 		b.dequeue(i)
 	}
 	a := r.inFlight
-	if a.server < 0 || a.number != o.Send {
+	if a.server < 0 || a.number != o.Attempt {
 		return pass
 	}
 	e := &b.servers[a.server]
@@ -631,7 +631,7 @@
 		e.addThreads(r.short, -r.threads)
 	}
 	b.settleTeam(i, o)
-	if o.End != Answered {
+	if o.End != Completed {
 		r.avoidServer = a.server
 		if !o.End.NeverRan() && !o.Unsent && !r.mayHaveRun {
 			r.mayHaveRun, r.firstRunAt, r.firstRunZone, r.firstRunCell = true, a.at, e.Zone, e.Cell
@@ -640,34 +640,34 @@
 	// A timeout counts as a processing time where answers come, but slowly, or only the fast ones would count. In other
 	// cases (a lost answer, a hang) rejecting does not help. Unhealthy and cold servers are left out.
 	countsAsSlow := o.End == TimedOut && !o.Unsent && p.slowdown*b.slowdownOf(e) > pressedSlowdown && b.now-e.answeredAt <= recentSpan
-	if (o.End == Answered || countsAsSlow) && !e.unhealthy && !b.cold(e) {
-		p.filling.add(o.Lag)
+	if (o.End == Completed || countsAsSlow) && !e.unhealthy && !b.cold(e) {
+		p.filling.add(o.Latency)
 	}
 	switch o.End {
-	case Answered:
+	case Completed:
 		if r.erroredOn >= 0 && r.erroredOn != a.server { // the server was at fault, not the request
 			b.countFailure(&b.servers[r.erroredOn], false)
 		}
 		e.aliveAt, e.answeredAt = b.now, b.now
 		e.failureRate *= 1 - failWeight
 		work := cmp.Or(o.Work, r.cost)
-		slowdown := min(o.Lag*float64(p.Threads)/max(work, 0.001), 20) // capped: a single outlier must not count as twenty
+		slowdown := min(o.Latency*float64(p.Threads)/max(work, 0.001), 20) // capped: a single outlier must not count as twenty
 		b.learnWork(p, r, o, work, slowdown)
 		previous := b.slowdownOf(e)
 		e.slowdown, e.slowdownAt = previous+0.3*work/(work+0.5)*(slowdown/max(p.slowdown, 0.1)-previous), b.now
 		if e.unhealthy {
 			if e.failureRate *= 0.5; e.failureRate < 0.1 {
 				e.unhealthy = false
-				b.log("engine %d answers again", e.Engine)
+				b.log("engine %d answers again", e.Server)
 			}
 		}
 	case Errored: // the server or a request that no server can execute: the outcome on another server will show which
 		if r.erroredOn, r.errors = a.server, r.errors+1; e.unhealthy || !b.mayRunAgain(r, p) {
 			b.countFailure(e, false)
 		}
-	case Unreachable, Cut: // one failed connection attempt is enough; a dropped connection may be the network's fault
+	case Unreachable, ConnectionLost: // one failed connection attempt is enough; a dropped connection may be the network's fault
 		b.countFailure(e, o.End == Unreachable)
-	case TurnedAway: // the server is full: a short pause, or its rejected requests return at once and increase the overload
+	case Rejected: // the server is full: a short pause, or its rejected requests return at once and increase the overload
 		e.slowdown, e.slowdownAt, e.fullUntil = max(b.slowdownOf(e), 2), b.now, b.now+0.1
 	}
 	if o.End == TimedOut && !o.Unsent && a.at >= e.aliveAt && b.now-a.at > 3*a.expected+0.3 {
@@ -683,28 +683,28 @@
 const failWeight = 0.15
 
 // countFailure counts a failed attempt and suspects the server if its failure rate is high or the failure is certain.
-func (b *Brain) countFailure(e *server, certain bool) {
+func (b *Controller) countFailure(e *server, certain bool) {
 	if e.failureRate += failWeight * (1 - e.failureRate); e.failureRate > 0.25 || e.unhealthy || certain {
 		b.suspect(e, "fails what it is sent")
 	}
 }
 
 // suspect takes a server out of normal use; it receives one probe at a time.
-func (b *Brain) suspect(e *server, why string) {
+func (b *Controller) suspect(e *server, why string) {
 	const firstInterval, longestInterval = 0.5, 3.0                                // seconds: some round trips; short against the shortest outages
 	if e.probeInterval = min(e.probeInterval*1.5, longestInterval); !e.unhealthy { // single probes find out when it is available again
 		e.unhealthy, e.probeInterval = true, firstInterval
-		b.log("engine %d %s: one trial at a time", e.Engine, why)
+		b.log("engine %d %s: one trial at a time", e.Server, why)
 	}
 	e.failureRate, e.nextProbeAt = max(e.failureRate, 0.4), b.now+e.probeInterval
 }
 
-func (b *Brain) log(format string, args ...any) { b.host.Log(fmt.Sprintf(format, args...)) }
+func (b *Controller) log(format string, args ...any) { b.host.Log(fmt.Sprintf(format, args...)) }
 
 // ---- maintenance
 
 // Woken handles a timer that was set with Host.Wake.
-func (b *Brain) Woken(now float64, token uint64) {
+func (b *Controller) Woken(now float64, token uint64) {
 	b.now = now
 	if token != 0 { // the time limit of a request; else the maintenance tick
 		if i, ok := b.requests.at[uint32(token)]; ok && !b.requests.states[i].done && !b.requests.states[i].streaming {
@@ -731,7 +731,7 @@
 		r := &b.requests.states[i]
 		if now+r.bestTime*(1+(1-b.share)*max(b.profiles[r.Profile].slowdown-1, 0)) > min(r.target, r.deadline) {
 			if b.cutoffPrice = min(b.cutoffPrice, r.price); b.config.Teams != nil {
-				b.config.Teams.GaveUp(now, r.Team, r.price)
+				b.config.Teams.RequestGivenUp(now, r.Team, r.price)
 			}
 			b.finishUnserved(i)
 			continue
@@ -743,7 +743,7 @@
 }
 
 // rotateHistograms carries a part of the old counts over, more where there are few: one outlier would move p90.
-func (b *Brain) rotateHistograms() {
+func (b *Controller) rotateHistograms() {
 	const carry, thin, carryThin = 0.5, 150, 0.9                                      // a frequent profile shows a change within two rotations
 	b.swapAt += 2                                                                     // seconds, as in the design document
 	b.admittedWork, b.admittedSeconds = b.admittedWork*0.96, b.admittedSeconds*0.96+2 // decays over most of a minute
@@ -762,7 +762,7 @@
 
 // suspectSilent finds servers that answer nothing: no answer or progress for 0.6 s, and two attempts far over their
 // expected time. Attempts sent before the last sign of life count after 3 s only.
-func (b *Brain) suspectSilent() {
+func (b *Controller) suspectSilent() {
 	for k := range b.servers {
 		b.servers[k].overdue, b.servers[k].short = 0, math.Inf(1)
 	}
@@ -793,14 +793,14 @@
 // silentSinceTimeout reports whether the last attempt that was alone on a server timed out without a sign of life
 // since. It counts beside the next one, or a router with one attempt at a time there would never suspect the server.
 // Only with a fleet, where probes are shared: a lone router would suspect servers that lose an answer now and then.
-func (b *Brain) silentSinceTimeout(e *server) bool {
+func (b *Controller) silentSinceTimeout(e *server) bool {
 	return b.config.Fleet != nil && e.State == Ready && e.silentTimeoutAt > e.aliveAt
 }
 
 // UpdateServers reports a change of the list of servers.
-func (b *Brain) Members(now float64, scope Scope, list []Entry) {
+func (b *Controller) UpdateServers(now float64, scope Scope, list []Entry) {
 	b.now = now
-	if scope == FailedAsk {
+	if scope == ListUnavailable {
 		b.watchAt = now + 1 + b.random.float() // randomized, since all routers query the same service
 		return
 	}
@@ -820,22 +820,22 @@
 
 // Progress reports on an attempt in flight. An attempt that is far slower than a new one, and too late at its pace, is
 // retried elsewhere, once: a bad plan, a slow server, or spilling. Drawback: lost work where the estimate was wrong.
-func (b *Brain) Note(now float64, n Note) {
+func (b *Controller) Progress(now float64, n Progress) {
 	b.now = now
-	if k, ok := b.index[n.Engine]; ok {
+	if k, ok := b.index[n.Server]; ok {
 		b.servers[k].aliveAt = now
 	}
 	i, ok := b.requests.at[n.ID]
-	if ok && b.config.Teams != nil && b.requests.states[i].inFlight.number == n.Send && n.Kind != Waiting {
-		b.config.Teams.Noted(i, n.Value, n.Kind == Spilling)
+	if ok && b.config.Teams != nil && b.requests.states[i].inFlight.number == n.Attempt && n.Kind != Waiting {
+		b.config.Teams.ReportProgress(i, n.Value, n.Kind == Spilling)
 	}
-	if !ok || n.Kind != Progressed || n.Value <= 0 || b.requests.states[i].attempts != 1 {
+	if !ok || n.Kind != ShareDone || n.Value <= 0 || b.requests.states[i].attempts != 1 {
 		return
 	}
 	const restartFactor = 2.0 // at least twice the time of a new attempt: the pace is imprecise, and the work done is lost
 	r := &b.requests.states[i]
 	remaining := (now - r.inFlight.at) * (1 - n.Value) / n.Value
-	if !r.done && b.profiles[r.Profile].Effect == Replayable && remaining > restartFactor*r.inFlight.expected && now+remaining > r.target &&
+	if !r.done && b.profiles[r.Profile].Effect == Idempotent && remaining > restartFactor*r.inFlight.expected && now+remaining > r.target &&
 		now+r.inFlight.expected < r.deadline {
 		b.cancelAttempt(r)
 	}
@@ -845,13 +845,13 @@
 const lowThreadsPerCore = 1.25
 
 // Probed reports the answer to Host.Probe.
-func (b *Brain) Probed(now float64, id uint32, _ End, _ float64, load *Load) {
+func (b *Controller) Probed(now float64, id uint32, _ End, _ float64, load *Load) {
 	b.now = now
-	if k, ok := b.index[id]; ok && load != nil && load.Held >= 0 {
+	if k, ok := b.index[id]; ok && load != nil && load.Requests >= 0 {
 		threads, openAttempts := b.totals() // the other routers' requests are assumed to have as many threads as ours
 		e := &b.servers[k]
 		// An average: otherwise all routers would send to the server that one old report shows as the emptiest.
-		reportedThreads := max(load.Held-float64(e.openAttempts), 0) * (threads + 1) / (openAttempts + 1)
+		reportedThreads := max(load.Requests-float64(e.openAttempts), 0) * (threads + 1) / (openAttempts + 1)
 		e.reportedThreads += 0.3 * (reportedThreads - e.reportedThreads)
 		b.othersPerCore += 0.1 * (reportedThreads/e.cores - b.othersPerCore)
 		e.reportedAt = now
@@ -860,7 +860,7 @@
 
 // exchangeLoads sends our load to the other routers, requests the load of servers, and sums up the load of others. A
 // router that fell silent is taken to be gone: if it is only cut off from us, it can't reach our servers either.
-func (b *Brain) exchangeLoads() {
+func (b *Controller) exchangeLoads() {
 	const announceInterval, probeInterval = 0.2, 1.0 // seconds: each costs some tenths of a point a day; loads are valid for seconds
 	const loadLifetime = 1.5                         // seconds for which another router's load is valid: some messages lost in a row
 	// Both follow this router's own requests, or their cost would grow with the square of the number of routers. These
@@ -875,7 +875,7 @@
 	if b.config.Peers && b.now >= b.announceAt && float64(6*n*(len(b.peerHeardAt)-1)) <= bytesPerRequest*rate*loadLifetime/3 {
 		b.announceAt = b.now + announceInterval
 		b.message = b.encodeLoads(b.message)
-		b.host.Tell(-1, b.message)
+		b.host.SendToPeer(-1, b.message)
 	}
 	b.share = b.equalShare()
 	// A router that can't query all servers in time uses the average of a few for the rest, while that average is low:
@@ -895,7 +895,7 @@
 		b.loadProbeAt = b.now + max(probeInterval/float64(n), 1/(probesPerRequest*rate)) // one at a time, to spread load changes over time
 		b.nextLoadProbe = (b.nextLoadProbe + 1) % n
 		if e := &b.servers[b.nextLoadProbe]; e.State == Ready {
-			b.host.Probe(e.Engine)
+			b.host.Probe(e.Server)
 		}
 	}
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -18,9 +18,9 @@
 	b := New(defaults(), 0, h)
 	for k := range 1000 {
 		now, id := float64(k), uint32(k+1)
-		b.Members(now, Full, []Entry{{Engine: id, State: Ready}})
-		b.Command(now, Command{ID: id, TimeLeft: 4, Cost: 0.1})
-		b.Outcome(now, Outcome{ID: id, Engine: h.server, End: Answered, Lag: 0.1, Work: 0.1, Over: true})
+		b.UpdateServers(now, Full, []Entry{{Server: id, State: Ready}})
+		b.Request(now, Request{ID: id, TimeLeft: 4, Cost: 0.1})
+		b.Outcome(now, Outcome{ID: id, Server: h.server, End: Completed, Latency: 0.1, Work: 0.1, Final: true})
 	}
 	if len(b.servers) > 2 || len(b.index) > 2 || len(b.requests.states) > 1 || len(b.requests.at) > 0 {
 		t.Errorf("%d servers under %d ids, %d requests", len(b.servers), len(b.index), len(b.requests.states))
@@ -30,18 +30,18 @@
 // nopHost ignores all actions and records the server of the latest attempt.
 type nopHost struct{ server uint32 }
 
-func (h *nopHost) Send(_, server uint32, _, _ float64)           { h.server = server }
-func (h *nopHost) Withdraw(uint32, int)                          {}
-func (h *nopHost) Shed(uint32, float64)                          {}
-func (h *nopHost) Fail(uint32)                                   {}
-func (h *nopHost) Cancel(uint32, int)                            {}
-func (h *nopHost) Probe(uint32)                                  {}
-func (h *nopHost) Priority(uint32, int, float64)                 {}
-func (h *nopHost) Wake(float64, uint64)                          {}
-func (h *nopHost) Tell(int, []byte)                              {}
-func (h *nopHost) Watch(bool)                                    {}
-func (h *nopHost) Log(string)                                    {}
-func (h *nopHost) Told(uint32, waittime.Kind, waittime.Estimate) {}
+func (h *nopHost) Send(_, server uint32, _, _ float64)                         { h.server = server }
+func (h *nopHost) Withdraw(uint32, int)                                        {}
+func (h *nopHost) Reject(uint32, float64)                                      {}
+func (h *nopHost) Fail(uint32)                                                 {}
+func (h *nopHost) Cancel(uint32, int)                                          {}
+func (h *nopHost) Probe(uint32)                                                {}
+func (h *nopHost) Priority(uint32, int, float64)                               {}
+func (h *nopHost) Wake(float64, uint64)                                        {}
+func (h *nopHost) SendToPeer(int, []byte)                                      {}
+func (h *nopHost) Watch(bool)                                                  {}
+func (h *nopHost) Log(string)                                                  {}
+func (h *nopHost) ReportEstimate(uint32, waittime.TimeKind, waittime.Estimate) {}
 
 // TestOrdinaryPathAllocatesNothing checks requests that are registered, admitted, sent and answered, also with teams
 // and estimates.
@@ -59,12 +59,12 @@
 	t.Helper()
 	h := &nopHost{}
 	b := New(set, 0, h)
-	b.Members(0, Full, []Entry{{Engine: 1, State: Ready}, {Engine: 2, State: Ready}})
+	b.UpdateServers(0, Full, []Entry{{Server: 1, State: Ready}, {Server: 2, State: Ready}})
 	now, id := 0.0, uint32(0)
 	serveOne := func() {
 		now, id = now+0.01, id+1
-		b.Command(now, Command{ID: id, TimeLeft: 4, Cost: 0.1, Team: int(id) % 10, Mark: 7})
-		b.Outcome(now+0.005, Outcome{ID: id, Engine: h.server, End: Answered, Lag: 0.1, Work: 0.1, Over: true})
+		b.Request(now, Request{ID: id, TimeLeft: 4, Cost: 0.1, Team: int(id) % 10, RequestKey: 7})
+		b.Outcome(now+0.005, Outcome{ID: id, Server: h.server, End: Completed, Latency: 0.1, Work: 0.1, Final: true})
 	}
 	for range 100 {
 		serveOne()
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -14,14 +14,14 @@
 }
 
 // Needs reports which shares of the fleet's totals this router needs.
-func (b *Brain) Needs(now float64, u Use) {
+func (b *Controller) Needs(now float64, u NeedsSink) {
 	b.now = now
 	b.reportNeeds(u)
 }
 
 // Health returns a server's start, whether it receives probes only, and the seconds since its last answer here,
 // negative if there was none. ok is false if the list does not contain the server.
-func (b *Brain) Health(id uint32) (start float64, unhealthy bool, sinceAnswer float64, ok bool) {
+func (b *Controller) Health(id uint32) (start float64, unhealthy bool, sinceAnswer float64, ok bool) {
 	k, ok := b.index[id]
 	if !ok || b.servers[k].State != Ready {
 		return 0, false, 0, false
@@ -33,91 +33,91 @@
 	return e.ReadyAt, e.unhealthy, sinceAnswer, true
 }
 
-func (b *Brain) coldShare(e *server) (granted float64, ok bool) {
+func (b *Controller) coldShare(e *server) (granted float64, ok bool) {
 	if b.config.Fleet == nil {
 		return 0, false
 	}
-	return b.config.Fleet.Part(b.now, e.Engine, e.ReadyAt)
+	return b.config.Fleet.WarmUpShare(b.now, e.Server, e.ReadyAt)
 }
 
-func (b *Brain) quotaShare(tenant int) float64 {
+func (b *Controller) quotaShare(tenant int) float64 {
 	if b.config.Fleet != nil {
-		if granted, ok := b.config.Fleet.Quota(b.now, tenant); ok {
+		if granted, ok := b.config.Fleet.QuotaShare(b.now, tenant); ok {
 			return granted
 		}
 	}
 	return b.shareOfPool(b.share)
 }
 
-func (b *Brain) nextProbeAt(e *server) float64 {
+func (b *Controller) nextProbeAt(e *server) float64 {
 	if b.config.Fleet == nil {
 		return e.nextProbeAt
 	}
-	return b.config.Fleet.TrialAt(b.now, e.Engine, e.ReadyAt, e.nextProbeAt)
+	return b.config.Fleet.NextProbe(b.now, e.Server, e.ReadyAt, e.nextProbeAt)
 }
 
-func (b *Brain) reportProbe(e *server, o *Outcome) {
+func (b *Controller) reportProbe(e *server, o *Outcome) {
 	if e.probing && b.config.Fleet != nil {
-		b.config.Fleet.Tried(b.now, e.Engine, e.ReadyAt, o.End == Answered)
+		b.config.Fleet.Probed(b.now, e.Server, e.ReadyAt, o.End == Completed)
 	}
 }
 
-func (b *Brain) zonePrice(zone int, work float64) (price float64, ok bool) {
+func (b *Controller) zonePrice(zone int, work float64) (price float64, ok bool) {
 	if b.config.Plan == nil {
 		return 0, false
 	}
 	return b.config.Plan.Price(b.now, zone, work)
 }
 
-func (b *Brain) countZoneWork(zone int, work float64) {
+func (b *Controller) countZoneWork(zone int, work float64) {
 	if b.config.Plan != nil {
 		b.config.Plan.Sent(b.now, zone, work)
 	}
 }
 
-func (b *Brain) planAdmits(r *requestState) bool {
+func (b *Controller) planAdmits(r *requestState) bool {
 	return b.config.Plan == nil || b.config.Plan.Keeps(b.now, r.price, r.cost)
 }
 
 // countZoneOutcome counts the outcome of an attempt as evidence on its zone. Attempts that this router ended itself are
 // left out.
-func (b *Brain) countZoneOutcome(e *server, o *Outcome, r *requestState) {
-	if b.config.Plan == nil || o.End == Cancelled || o.End == Moot || e.Zone < 0 || e.Zone >= failover.MostZones {
+func (b *Controller) countZoneOutcome(e *server, o *Outcome, r *requestState) {
+	if b.config.Plan == nil || o.End == Cancelled || o.End == Withdrawn || e.Zone < 0 || e.Zone >= failover.MaxZones {
 		return
 	}
 	for len(b.zoneOutcomes) <= e.Zone {
-		b.zoneOutcomes = append(b.zoneOutcomes, failover.Sight{})
+		b.zoneOutcomes = append(b.zoneOutcomes, failover.ZoneObservation{})
 	}
 	s := &b.zoneOutcomes[e.Zone]
-	s.Sent++
+	s.Attempts++
 	switch o.End {
-	case Answered:
+	case Completed:
 		// An answer that is late because an earlier attempt elsewhere was lost is no evidence against the zone that
 		// gave it.
 		if b.now <= r.target {
 			s.Work += r.cost
-		} else if o.Lag > 0.5*(r.target-r.takenAt) {
+		} else if o.Latency > 0.5*(r.target-r.takenAt) {
 			s.Late++
 		}
 		// An average by work over the answers since the last report: the time of tiny requests is mostly overhead. The
 		// reference is not this router's own usual slowdown, which adapts to a zone that stays slow within some dozens
 		// of answers.
 		if r.bestTime > 0 && r.cost > 0 {
-			s.Did += r.cost
-			s.Slow += (o.Lag/r.bestTime - s.Slow) * r.cost / s.Did
+			s.SlowWork += r.cost
+			s.Slow += (o.Latency/r.bestTime - s.Slow) * r.cost / s.SlowWork
 		}
-	case TurnedAway:
-		s.Turned++
-	case TimedOut, Unreachable, Cut:
-		s.Bad++
+	case Rejected:
+		s.Rejected++
+	case TimedOut, Unreachable, ConnectionLost:
+		s.Failed++
 	}
 }
 
 // Report returns the outcomes by zone since the last report, and the demand at this router.
-func (b *Brain) Report(now float64, zones int) failover.Report {
+func (b *Controller) Report(now float64, zones int) failover.Report {
 	b.now = now
-	r := failover.Report{Zone: b.config.Zone, Sights: make([]failover.Sight, zones)}
-	copy(r.Sights, b.zoneOutcomes)
+	r := failover.Report{Zone: b.config.Zone, Observations: make([]failover.ZoneObservation, zones)}
+	copy(r.Observations, b.zoneOutcomes)
 	clear(b.zoneOutcomes)
 	for k := range b.profiles {
 		p := &b.profiles[k]
@@ -137,21 +137,21 @@
 			cores := e.cores
 			if b.cold(e) { // the cores that it can use so far
 				cores *= b.coldWindow(e) / max(b.config.FallMultiple*e.cores*coldMargin*b.config.FallWindow, 1e-9)
-				r.Sights[e.Zone].Cold += e.cores - cores
+				r.Observations[e.Zone].ColdCores += e.cores - cores
 			}
 			// A server that no request has needed since its probe was due may have recovered: it is no evidence on its
 			// zone.
 			const probeOverdue = 4.0 // seconds after that time: longer than the longest interval between two probes
-			if r.Sights[e.Zone].Ready += cores; e.unhealthy && now < e.nextProbeAt+probeOverdue {
-				r.Sights[e.Zone].Doubt += cores
+			if r.Observations[e.Zone].Ready += cores; e.unhealthy && now < e.nextProbeAt+probeOverdue {
+				r.Observations[e.Zone].SuspectCores += cores
 			}
 		case Draining:
-			r.Sights[e.Zone].Drains += e.cores
+			r.Observations[e.Zone].DrainingCores += e.cores
 		}
 	}
-	for z := range r.Sights { // of the whole pool, where the list covers only a part of it
-		s, coverage := &r.Sights[z], b.zoneCoverage(z)
-		s.Ready, s.Cold, s.Doubt, s.Drains = s.Ready/coverage, s.Cold/coverage, s.Doubt/coverage, s.Drains/coverage
+	for z := range r.Observations { // of the whole pool, where the list covers only a part of it
+		s, coverage := &r.Observations[z], b.zoneCoverage(z)
+		s.Ready, s.ColdCores, s.SuspectCores, s.DrainingCores = s.Ready/coverage, s.ColdCores/coverage, s.SuspectCores/coverage, s.DrainingCores/coverage
 	}
 	return r
 }
--- a/admission/merge_test.go
+++ b/admission/merge_test.go
@@ -22,7 +22,7 @@
 func fastestMerge(databases int) time.Duration {
 	list := make([]Entry, databases)
 	for k := range list {
-		list[k] = Entry{Engine: uint32(k + 1), State: Ready}
+		list[k] = Entry{Server: uint32(k + 1), State: Ready}
 	}
 	p := newPool(1)
 	p.merge(Full, list, func(*server) {})
@@ -43,7 +43,7 @@
 func TestSilentRoutersTakeNoMemory(t *testing.T) {
 	list := make([]Entry, 100)
 	for k := range list {
-		list[k] = Entry{Engine: uint32(k + 1), State: Ready}
+		list[k] = Entry{Server: uint32(k + 1), State: Ready}
 	}
 	allocated := func(routers int) uint64 {
 		p := newPool(routers)
--- a/admission/script_test.go
+++ b/admission/script_test.go
@@ -17,7 +17,7 @@
 // below "at" if one of its own timers caused them.
 type scriptPlayer struct {
 	t           *testing.T
-	b           *Brain
+	b           *Controller
 	now         float64
 	wakes       []wake
 	out         strings.Builder
@@ -43,16 +43,16 @@
 }
 
 func (s *scriptPlayer) Send(id, server uint32, timeout, sendBefore float64) {
-	s.lastAttempt[id] = Outcome{ID: id, Engine: server, Send: s.attempts[id]}
+	s.lastAttempt[id] = Outcome{ID: id, Server: server, Attempt: s.attempts[id]}
 	s.attempts[id]++
 	s.sentAt[id] = s.now
 	if s.print("send %d to %d for %.3f", id, server, timeout); sendBefore > 0 {
 		s.print("which leaves before %.3f", sendBefore)
 	}
 }
-func (s *scriptPlayer) Shed(id uint32, pause float64) { s.print("shed %d, back in %.2f", id, pause) }
-func (s *scriptPlayer) Fail(id uint32)                { s.print("fail %d", id) }
-func (s *scriptPlayer) Cancel(id uint32, attempt int) { s.print("cancel %d/%d", id, attempt) }
+func (s *scriptPlayer) Reject(id uint32, pause float64) { s.print("shed %d, back in %.2f", id, pause) }
+func (s *scriptPlayer) Fail(id uint32)                  { s.print("fail %d", id) }
+func (s *scriptPlayer) Cancel(id uint32, attempt int)   { s.print("cancel %d/%d", id, attempt) }
 func (s *scriptPlayer) Withdraw(id uint32, attempt int) {
 	if s.printWithdrawals {
 		s.print("withdraw %d/%d", id, attempt)
@@ -63,9 +63,9 @@
 func (s *scriptPlayer) Wake(after float64, token uint64) {
 	s.wakes = append(s.wakes, wake{s.now + after, token})
 }
-func (s *scriptPlayer) Tell(peer int, data []byte) { s.print("tell %d: %x", peer, data) }
-func (s *scriptPlayer) Watch(on bool)              { s.print("watch %v", on) }
-func (s *scriptPlayer) Told(id uint32, k waittime.Kind, e waittime.Estimate) {
+func (s *scriptPlayer) SendToPeer(peer int, data []byte) { s.print("tell %d: %x", peer, data) }
+func (s *scriptPlayer) Watch(on bool)                    { s.print("watch %v", on) }
+func (s *scriptPlayer) ReportEstimate(id uint32, k waittime.TimeKind, e waittime.Estimate) {
 	s.print("told %d: %s %.2f, %.2f", id, k, e.P50, e.P90)
 }
 func (s *scriptPlayer) Log(text string) { s.print("log %s", text) }
@@ -93,10 +93,10 @@
 // emptyFleet has received nothing from other routers.
 type emptyFleet struct{}
 
-func (emptyFleet) Part(float64, uint32, float64) (share float64, ok bool)      { return 0, false }
-func (emptyFleet) Quota(float64, int) (share float64, ok bool)                 { return 0, false }
-func (emptyFleet) TrialAt(_ float64, _ uint32, _ float64, own float64) float64 { return own }
-func (emptyFleet) Tried(float64, uint32, float64, bool)                        {}
+func (emptyFleet) WarmUpShare(float64, uint32, float64) (share float64, ok bool) { return 0, false }
+func (emptyFleet) QuotaShare(float64, int) (share float64, ok bool)              { return 0, false }
+func (emptyFleet) NextProbe(_ float64, _ uint32, _ float64, own float64) float64 { return own }
+func (emptyFleet) Probed(float64, uint32, float64, bool)                         {}
 
 func defaults() Settings {
 	return Settings{Seed: 1, Routers: 1, Tick: 0.005, KindCores: []float64{8}, MaxSends: 6,
@@ -105,9 +105,9 @@
 			{Target: 2, Stretch: 2.5, Benefit: 10, Threads: 2}}}
 }
 
-var ends = map[string]End{"answered": Answered, "errored": Errored, "turned-away": TurnedAway,
+var ends = map[string]End{"answered": Completed, "errored": Errored, "turned-away": Rejected,
 	"timed-out":   TimedOut,
-	"unreachable": Unreachable, "cut": Cut, "cancelled": Cancelled, "moot": Moot}
+	"unreachable": Unreachable, "cut": ConnectionLost, "cancelled": Cancelled, "moot": Withdrawn}
 
 // playScript runs a script without its indented lines and returns it with the controller's actions.
 func playScript(t *testing.T, script string) string {
@@ -173,30 +173,30 @@
 			scope = Delta
 		}
 		s.must(json.Unmarshal([]byte(strings.SplitN(line, name+" ", 2)[1]), &list), line)
-		s.b.Members(s.now, scope, list)
+		s.b.UpdateServers(s.now, scope, list)
 	case "no-list":
-		s.b.Members(s.now, FailedAsk, nil)
+		s.b.UpdateServers(s.now, ListUnavailable, nil)
 	case "command": // id profile time-left cost [key [tenant [team [mark]]]]
-		s.b.Command(s.now, Command{ID: uint32(num(0)), Profile: int(num(1)), TimeLeft: num(2), Cost: num(3),
-			Key: uint64(num(4)), Tenant: int(num(5)), Team: int(num(6)), Mark: uint64(num(7))})
+		s.b.Request(s.now, Request{ID: uint32(num(0)), Profile: int(num(1)), TimeLeft: num(2), Cost: num(3),
+			Key: uint64(num(4)), Tenant: int(num(5)), Team: int(num(6)), RequestKey: uint64(num(7))})
 	case "crowd": // first-id count profile time-left cost [team]: that many requests at once
 		for k := range int(num(1)) {
-			s.b.Command(s.now, Command{ID: uint32(num(0)) + uint32(k), Profile: int(num(2)), TimeLeft: num(3),
+			s.b.Request(s.now, Request{ID: uint32(num(0)) + uint32(k), Profile: int(num(2)), TimeLeft: num(3),
 				Cost: num(4), Team: int(num(5))})
 		}
 	case "spills": // id MB
 		o := s.lastAttempt[uint32(num(0))]
-		s.b.Note(s.now, Note{ID: o.ID, Engine: o.Engine, Send: o.Send, Kind: Spilling, Value: num(1)})
+		s.b.Progress(s.now, Progress{ID: o.ID, Server: o.Server, Attempt: o.Attempt, Kind: Spilling, Value: num(1)})
 	case "warm": // count profile cost lag: requests answered one after another, not printed
 		s.muted = true
 		for k := range int(num(0)) {
 			id := uint32(1e6 + s.now*1000 + float64(k))
-			s.b.Command(s.now, Command{ID: id, Profile: int(num(1)), TimeLeft: 100, Cost: num(2)})
-			s.end(id, Answered, num(3), num(2))
+			s.b.Request(s.now, Request{ID: id, Profile: int(num(1)), TimeLeft: 100, Cost: num(2)})
+			s.end(id, Completed, num(3), num(2))
 		}
 		s.muted = false
 	case "left":
-		s.b.Left(s.now, uint32(num(0)))
+		s.b.ClientLeft(s.now, uint32(num(0)))
 	case "half-closed":
 		s.b.HalfClosed(s.now, uint32(num(0)))
 	case "unsent": // an attempt timed out before any of it was sent
@@ -205,15 +205,15 @@
 		s.unsent = false
 	case "note": // id share-done
 		o := s.lastAttempt[uint32(num(0))]
-		s.b.Note(s.now, Note{ID: o.ID, Engine: o.Engine, Send: o.Send, Kind: Progressed, Value: num(1)})
+		s.b.Progress(s.now, Progress{ID: o.ID, Server: o.Server, Attempt: o.Attempt, Kind: ShareDone, Value: num(1)})
 	case "peer": // from, then its message in hex
 		var data []byte
 		_, err := fmt.Sscanf(args[1], "%x", &data)
 		s.must(err, line)
-		s.b.Peer(s.now, int(num(0)), data)
+		s.b.PeerMessage(s.now, int(num(0)), data)
 	case "probed": // server requests-held
-		s.load = Load{Held: num(1)}
-		s.b.Probed(s.now, uint32(num(0)), Answered, 0.001, &s.load)
+		s.load = Load{Requests: num(1)}
+		s.b.Probed(s.now, uint32(num(0)), Completed, 0.001, &s.load)
 	case "pass": // time passes without an event
 	default: // an end: id [measured work]; of the latest attempt
 		end, ok := ends[name]
@@ -230,7 +230,7 @@
 	if !ok {
 		s.t.Fatalf("request %d was not sent", id)
 	}
-	o.End, o.Lag, o.Work, o.Over = end, lag, work, end == Answered
+	o.End, o.Latency, o.Work, o.Final = end, lag, work, end == Completed
 	o.Unsent = s.unsent
 	s.b.Outcome(s.now, o)
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -18,7 +18,7 @@
 
 // requestState is a request that has no final answer yet, or has an attempt in flight.
 type requestState struct {
-	Command
+	Request
 	takenAt, deadline float64 // arrival, and the client timeout
 	cost              float64 // expected work over all threads, corrected by the profile's bias
 	bestTime, target  float64 // time on an idle server, and the time until which an answer has its full benefit
@@ -87,7 +87,7 @@
 
 func newSet() requestSet { return requestSet{at: map[uint32]int32{}, byKey: map[uint64]keyQueue{}} }
 
-func (s *requestSet) add(c Command) int32 {
+func (s *requestSet) add(c Request) int32 {
 	var i int32
 	if n := len(s.freeIndexes); n > 0 {
 		i, s.freeIndexes = s.freeIndexes[n-1], s.freeIndexes[:n-1]
@@ -95,7 +95,7 @@
 		i = int32(len(s.states))
 		s.states = append(s.states, requestState{})
 	}
-	s.states[i] = requestState{Command: c, avoidServer: -1, erroredOn: -1, nextOfKey: -1, inFlight: attempt{server: -1}}
+	s.states[i] = requestState{Request: c, avoidServer: -1, erroredOn: -1, nextOfKey: -1, inFlight: attempt{server: -1}}
 	s.at[c.ID] = i
 	return i
 }
@@ -229,7 +229,7 @@
 	servers     []server
 	index       map[uint32]int32
 	peerHeardAt []float64 // when each router's last load message arrived
-	coverage    Held      // the part of the pool that the list covers
+	coverage    Coverage  // the part of the pool that the list covers
 }
 
 func newPool(routers int) pool {
@@ -305,7 +305,7 @@
 func (p *pool) freeIndex() int32 {
 	for k := range p.servers {
 		if e := &p.servers[k]; e.State == Gone && e.openAttempts == 0 {
-			delete(p.index, e.Engine)
+			delete(p.index, e.Server)
 			return int32(k)
 		}
 	}
@@ -319,10 +319,10 @@
 		p.markUnlisted(list)
 	}
 	for _, n := range list {
-		k, ok := p.index[n.Engine]
+		k, ok := p.index[n.Server]
 		if !ok {
 			k = p.freeIndex()
-			p.index[n.Engine] = k
+			p.index[n.Server] = k
 			p.servers[k] = server{reportedAt: math.Inf(-1)}
 		}
 		e := &p.servers[k]
@@ -338,10 +338,10 @@
 func (p *pool) markUnlisted(list []Entry) {
 	listed := make(map[uint32]struct{}, len(list))
 	for _, n := range list {
-		listed[n.Engine] = struct{}{}
+		listed[n.Server] = struct{}{}
 	}
 	for k := range p.servers {
-		if _, ok := listed[p.servers[k].Engine]; !ok {
+		if _, ok := listed[p.servers[k].Server]; !ok {
 			p.servers[k].State = Gone
 		}
 	}
@@ -352,7 +352,7 @@
 	buf = buf[:0]
 	for k := range p.servers {
 		if e := &p.servers[k]; e.State == Ready {
-			buf = binary.BigEndian.AppendUint32(buf, e.Engine)
+			buf = binary.BigEndian.AppendUint32(buf, e.Server)
 			buf = binary.BigEndian.AppendUint16(buf, uint16(min(e.threads, math.MaxUint16)))
 		}
 	}
@@ -376,7 +376,7 @@
 }
 
 // PeerMessage reports a message of another router.
-func (b *Brain) Peer(now float64, from int, data []byte) {
+func (b *Controller) PeerMessage(now float64, from int, data []byte) {
 	b.now = now
 	if from >= 0 && from < len(b.peerHeardAt) && from != b.config.Me {
 		b.peerHeardAt[from] = now
--- a/admission/subset.go
+++ b/admission/subset.go
@@ -4,14 +4,14 @@
 // of the pool into an equal share of the listed servers, and reports the condition of the listed servers.
 
 // Coverage is the part of the pool's cores that the list covers; 1 is all of them.
-type Held struct {
+type Coverage struct {
 	Part  float64
 	Zones []float64 // by zone; 0: no server of the zone is listed, or not known
 }
 
 // SetCoverage sets the part of the pool that the list covers, from the next tick on. Without it the list is the whole
 // pool.
-func (b *Brain) Hold(h Held) { b.coverage = h }
+func (b *Controller) SetCoverage(h Coverage) { b.coverage = h }
 
 // equalShare is this router's share of each listed server if all routers have the same traffic. The pool is divided
 // among all routers, and each lists a part of it, so the number of routers per server is the number of routers times
@@ -56,7 +56,7 @@
 const crowdedSlowdown = 2
 
 // Condition returns the condition of a server now.
-func (b *Brain) Condition(now float64, id uint32) Condition {
+func (b *Controller) Condition(now float64, id uint32) Condition {
 	b.now = now
 	k, ok := b.index[id]
 	if !ok || b.servers[k].State != Ready {
--- a/admission/teams.go
+++ b/admission/teams.go
@@ -3,7 +3,7 @@
 // This file reports queued requests and the start and end of attempts to the teams, and carries out their decisions. It
 // decides nothing; without teams it only maintains the queue.
 
-func (b *Brain) enqueue(i int32) {
+func (b *Controller) enqueue(i int32) {
 	b.sendEstimate(i)
 	b.requests.enqueue(i)
 	if t := b.config.Teams; t != nil {
@@ -16,7 +16,7 @@
 	}
 }
 
-func (b *Brain) dequeue(i int32) {
+func (b *Controller) dequeue(i int32) {
 	b.requests.dequeue(i)
 	if t := b.config.Teams; t != nil {
 		t.Dequeue(i)
@@ -24,7 +24,7 @@
 }
 
 // mayStart reports whether it is the request's turn, and its team's ceiling allows it.
-func (b *Brain) mayStart(r *requestState) bool {
+func (b *Controller) mayStart(r *requestState) bool {
 	if b.config.Teams == nil {
 		return true
 	}
@@ -36,7 +36,7 @@
 }
 
 // hasUsableServer reports whether some server would accept the request if it had free slots.
-func (b *Brain) hasUsableServer(r *requestState, p *profileState) bool {
+func (b *Controller) hasUsableServer(r *requestState, p *profileState) bool {
 	if b.keyed(r) && b.requests.states[b.requests.byKey[r.Key].head].ID != r.ID {
 		return false // another request of its key goes first
 	}
@@ -48,7 +48,7 @@
 	return false
 }
 
-func (b *Brain) chargeTeam(i int32, mayBeLowered bool) {
+func (b *Controller) chargeTeam(i int32, mayBeLowered bool) {
 	if t := b.config.Teams; t != nil {
 		r := &b.requests.states[i]
 		t.AttemptStarted(b.now, i, r.Team, r.cost, r.threads, mayBeLowered)
@@ -57,7 +57,7 @@
 
 // settleTeam reports the work of an ended attempt: none if it never ran, the measured work if it was reported, and the
 // expected work if the attempt ran or may still be running on the server.
-func (b *Brain) settleTeam(i int32, o *Outcome) {
+func (b *Controller) settleTeam(i int32, o *Outcome) {
 	t := b.config.Teams
 	if t == nil {
 		return
@@ -65,12 +65,12 @@
 	r := &b.requests.states[i]
 	work := -1.0
 	switch {
-	case o.End == Answered && o.Work > 0:
+	case o.End == Completed && o.Work > 0:
 		work = o.Work
 	case o.End.NeverRan():
 		work = 0
 	case o.End == Cancelled && b.config.Cancels: // it has stopped, and can't have used more than its threads
-		work = min(r.cost, o.Lag*float64(b.profiles[r.Profile].Threads))
+		work = min(r.cost, o.Latency*float64(b.profiles[r.Profile].Threads))
 	}
 	t.AttemptEnded(b.now, i, work)
 }
@@ -78,13 +78,13 @@
 // applyPriorityChanges carries out changes of priority. An attempt that is lowered by a level has a quarter of the
 // share (levels are 1 : 4 : 8 : 16) and counts as a quarter of its threads, so that the requests that it makes way for
 // find slots.
-func (b *Brain) applyPriorityChanges() {
+func (b *Controller) applyPriorityChanges() {
 	t := b.config.Teams
 	if t == nil {
 		return
 	}
 	for _, c := range t.Tick(b.now, b.total.cores*b.share) {
-		r := &b.requests.states[c.At]
+		r := &b.requests.states[c.Slot]
 		if r.inFlight.server < 0 {
 			continue
 		}
--- a/admission/warmstart.go
+++ b/admission/warmstart.go
@@ -37,7 +37,7 @@
 }
 
 // TenantRates returns the rates at which the tenants' token buckets refill.
-func (s Settings) Rates() (all []float64) {
+func (s Settings) TenantRates() (all []float64) {
 	for _, t := range s.Tenants {
 		all = append(all, t.QuotaPerS/float64(max(s.Routers, 1)))
 	}
@@ -46,7 +46,7 @@
 
 // Learned returns what this process knows now. Start times of servers are on the controller's clock; the caller
 // converts them to a clock that outlives the process.
-func (b *Brain) Knows() (k warmstart.Knowledge) {
+func (b *Controller) Learned() (k warmstart.Knowledge) {
 	fingerprints := Fingerprints(b.config.Profiles)
 	for n := range b.profiles {
 		p := &b.profiles[n]
@@ -55,10 +55,10 @@
 	}
 	for n := range b.servers {
 		if e := &b.servers[n]; e.State == Ready && (e.unhealthy || b.slowdownOf(e) > 1.05) {
-			k.Engines = append(k.Engines, warmstart.Server{ID: e.Engine, Start: e.ReadyAt, Slow: b.slowdownOf(e), Fails: e.failureRate, Ill: e.unhealthy, Pause: e.probeInterval})
+			k.Engines = append(k.Engines, warmstart.Server{ID: e.Server, Start: e.ReadyAt, Slow: b.slowdownOf(e), Fails: e.failureRate, Ill: e.unhealthy, Pause: e.probeInterval})
 		}
 	}
-	rates := b.config.Rates()
+	rates := b.config.TenantRates()
 	for n := range b.tenants {
 		tokens := b.tenants[n].tokens + (b.now-b.tenants[n].refilledAt)*rates[n]
 		if math.IsInf(tokens, 0) || tokens > 1e9 {
@@ -73,7 +73,7 @@
 }
 
 // restoreBeliefs starts with the values that are trusted from an earlier process.
-func (b *Brain) restoreBeliefs() {
+func (b *Controller) restoreBeliefs() {
 	m := b.config.Memory
 	if m == nil {
 		return
@@ -105,12 +105,12 @@
 
 // restoreServer restores what is known about a server that the list contains for the first time, if it has the same
 // start.
-func (b *Brain) restoreServer(e *server) {
+func (b *Controller) restoreServer(e *server) {
 	if b.config.Memory == nil {
 		return
 	}
 	for _, earlier := range b.config.Memory.Engines {
-		if earlier.ID != e.Engine || math.Abs(earlier.Start-e.ReadyAt) > 0.05 { // seconds: start times are reported in milliseconds
+		if earlier.ID != e.Server || math.Abs(earlier.Start-e.ReadyAt) > 0.05 { // seconds: start times are reported in milliseconds
 			continue
 		}
 		if e.slowdown, e.slowdownAt, e.failureRate = max(earlier.Slow, 1), b.now, earlier.Fails; earlier.Ill {
--- a/cmd/dunefleet/main.go
+++ b/cmd/dunefleet/main.go
@@ -17,12 +17,12 @@
 )
 
 func main() {
-	extensions := cli.With{Words: agentdriver.Words(), Fleet: func(c config.Config, log *zap.Logger) (router.Fleet, error) { return agentdriver.New(c, log) },
+	extensions := cli.Extensions{FleetCommand: agentdriver.Words(), Fleet: func(c config.Config, log *zap.Logger) (router.Fleet, error) { return agentdriver.New(c, log) },
 		State: func(cfg operator.State, name string, log *zap.Logger) router.State { return state.New(cfg, name, log) }}
 	if err := cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, extensions); err != nil {
-		if !cli.Said(err) {
+		if !cli.AlreadyReported(err) {
 			fmt.Fprintln(os.Stderr, "dunereach:", err)
 		}
-		os.Exit(cli.Status(err))
+		os.Exit(cli.ExitStatus(err))
 	}
 }
--- a/cmd/dunereach/accept_test.go
+++ b/cmd/dunereach/accept_test.go
@@ -84,7 +84,7 @@
 		w.serve(c, "lookup")
 	}
 	w.names.Down(true)
-	names := fake.NewNameServer(t, discovery.Record)
+	names := fake.NewNameServer(t, discovery.ServiceName)
 	target := func(k int) string {
 		return fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"east","model":"std","state":"ready"}`, k, w.engines[k].Addr)
 	}
--- a/cmd/dunereach/forms_test.go
+++ b/cmd/dunereach/forms_test.go
@@ -12,11 +12,11 @@
 
 // message is a frame with the struct that a function appends.
 func message(kind thrift.Kind, name string, seq int32, arguments func(b []byte) []byte) []byte {
-	return thrift.End(append(arguments(thrift.Begin(nil, kind, name, seq)), byte(thrift.Stop)))
+	return thrift.EndMessage(append(arguments(thrift.BeginMessage(nil, kind, name, seq)), byte(thrift.Stop)))
 }
 
 func appendMap(b []byte, pairs ...string) []byte {
-	return thrift.AppendPairs(thrift.AppendField(b, thrift.Map, 1), pairs...)
+	return thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), pairs...)
 }
 
 func appendBody(b []byte, body string) []byte {
--- a/cmd/dunereach/life_soak_test.go
+++ b/cmd/dunereach/life_soak_test.go
@@ -362,6 +362,6 @@
 		return 0, err
 	}
 	reader := thrift.NewReader(bytes.Clone(frame))
-	_, _, sequence = reader.Message()
+	_, _, sequence = reader.MessageHeader()
 	return sequence, nil
 }
--- a/cmd/dunereach/list_soak_test.go
+++ b/cmd/dunereach/list_soak_test.go
@@ -157,7 +157,7 @@
 		return nil
 	}
 	id := binary.BigEndian.Uint16(question)
-	good := func() []byte { return fake.Reply(id, k.number, discovery.Record, k.lines()...) }
+	good := func() []byte { return fake.Reply(id, k.number, discovery.ServiceName, k.lines()...) }
 	if k.rng.IntN(100) >= badShare {
 		k.tell(now)
 		k.sent++
@@ -175,11 +175,11 @@
 		msg := good()
 		return [][]byte{msg[:k.rng.IntN(len(msg))]}
 	case 3: // under another id
-		return [][]byte{fake.Reply(id^1, k.number, discovery.Record, k.lines()...)}
+		return [][]byte{fake.Reply(id^1, k.number, discovery.ServiceName, k.lines()...)}
 	default: // a list of any earlier time
 		k.strays++
 		was := k.history[k.rng.IntN(len(k.history))]
-		return [][]byte{fake.Reply(id, was.number, discovery.Record, was.lines...)}
+		return [][]byte{fake.Reply(id, was.number, discovery.ServiceName, was.lines...)}
 	}
 }
 
--- a/cmd/dunereach/main.go
+++ b/cmd/dunereach/main.go
@@ -9,10 +9,10 @@
 )
 
 func main() {
-	if err := cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, cli.With{}); err != nil {
-		if !cli.Said(err) {
+	if err := cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, cli.Extensions{}); err != nil {
+		if !cli.AlreadyReported(err) {
 			fmt.Fprintln(os.Stderr, "dunereach:", err)
 		}
-		os.Exit(cli.Status(err))
+		os.Exit(cli.ExitStatus(err))
 	}
 }
--- a/cmd/dunereach/main_test.go
+++ b/cmd/dunereach/main_test.go
@@ -25,7 +25,7 @@
 var program string
 
 func TestMain(m *testing.M) {
-	script.Programs(m, func(dir string) { program = filepath.Join(dir, "dunereach") }, "../dunecheck", ".")
+	script.BuildAndRun(m, func(dir string) { program = filepath.Join(dir, "dunereach") }, "../dunecheck", ".")
 }
 
 // settingsIn writes a configuration and, unless it is empty, an operators' file to a folder, and gives the environment that names both.
@@ -127,7 +127,7 @@
 
 // plan is one whose router is yet to start.
 func plan(t testing.TB, engines, descriptors int) *town {
-	w := &town{t: t, names: fake.NewNameServer(t, discovery.Record), heard: make(chan fake.Said, 1000)}
+	w := &town{t: t, names: fake.NewNameServer(t, discovery.ServiceName), heard: make(chan fake.Said, 1000)}
 	// An address that is this router's own: a port that was free on a shared one may be an engine's by the time.
 	w.addr = fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 	var targets []string
@@ -484,7 +484,7 @@
 		w.logged(log)
 	}
 	reload(string(good[:len(good)/2]), "new configuration not taken")
-	names := fake.NewNameServer(t, discovery.Record)
+	names := fake.NewNameServer(t, discovery.ServiceName)
 	other := strings.Replace(string(good), w.names.Addr, names.Addr, 1)
 	reload(strings.Replace(other, "192", "96", 1), `"kept until a restart":["limits"]`)
 	w.names.Set(9)
--- a/emulator/cluster/clients.go
+++ b/emulator/cluster/clients.go
@@ -104,10 +104,10 @@
 	t.Tries = append(t.Tries, try)
 	r.flights[f.id] = f
 	r.taken = append(r.taken, t.now)
-	f.ask = admission.Command{ID: f.id, Profile: s.Profile, Tenant: s.Tenant, Team: s.Team, Key: try.Key,
-		TimeLeft: s.Deadline, Mark: try.Mark, Cost: try.Guess, Memory: s.Memory}
+	f.ask = admission.Request{ID: f.id, Profile: s.Profile, Tenant: s.Tenant, Team: s.Team, Key: try.Key,
+		TimeLeft: s.Deadline, RequestKey: try.Mark, Cost: try.Guess, Memory: s.Memory}
 	t.show(Taken, f)
-	r.mind.Command(t.now, f.ask)
+	r.mind.Request(t.now, f.ask)
 }
 
 // burst is the factor on a stream's rate at a time; most, the most that it comes to.
--- a/emulator/cluster/host.go
+++ b/emulator/cluster/host.go
@@ -40,7 +40,7 @@
 	case house.errs > 0 && t.luck.Float64() < house.errs:
 		e.at, e.end = t.now+trip, admission.Errored
 	case !house.Submit(t.now, q):
-		e.at, e.end = t.now+trip, admission.TurnedAway
+		e.at, e.end = t.now+trip, admission.Rejected
 	default:
 		t.running[t.lastRun] = query{f, f.number, try.Stream}
 		e.at, e.what, e.end = t.now+after, limit, admission.TimedOut
@@ -48,15 +48,15 @@
 	t.push(e)
 }
 
-func (r *router) Shed(id uint32, pause float64) {
+func (r *router) Reject(id uint32, pause float64) {
 	t, f := r.t, r.flights[id]
 	t.Tries[f.try].Pause = pause
 	t.final(f, Shed)
 	try := t.Tries[f.try]
-	if t.set.Shadows > 0 && r.me == 0 && t.now == try.Taken && try.HasTold[waittime.Return] {
+	if t.set.Shadows > 0 && r.me == 0 && t.now == try.Taken && try.HasTold[waittime.RetryAdmission] {
 		if t.refused++; t.refused%t.set.Shadows == 0 {
 			t.push(event{at: t.now + lookEvery, what: look, token: uint64(len(t.Shadows))})
-			t.Shadows = append(t.Shadows, Shadow{Stream: try.Stream, At: t.now, Told: try.Told[waittime.Return], ask: f.ask})
+			t.Shadows = append(t.Shadows, Shadow{Stream: try.Stream, At: t.now, Told: try.Told[waittime.RetryAdmission], ask: f.ask})
 		}
 	}
 	if s := &t.set.Streams[try.Stream]; try.Number < s.Tries {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (r *router) Told(id uint32, k waittime.Kind, e waittime.Estimate) {
+func (r *router) ReportEstimate(id uint32, k waittime.TimeKind, e waittime.Estimate) {
 	try := &r.t.Tries[r.flights[id].try]
 	try.Told[k], try.HasTold[k] = e, true
 }
@@ -99,8 +99,8 @@
 	r.t.push(event{at: r.t.now + trip, what: outcome, router: r.me, life: r.life, token: uint64(id), number: send, end: admission.Cancelled})
 }
 
-func (r *router) Withdraw(uint32, int) {} // what is sent has left
-func (r *router) Probe(uint32)         {}
-func (r *router) Tell(int, []byte)     {}
-func (r *router) Watch(bool)           {}
-func (r *router) Log(string)           {}
+func (r *router) Withdraw(uint32, int)   {} // what is sent has left
+func (r *router) Probe(uint32)           {}
+func (r *router) SendToPeer(int, []byte) {}
+func (r *router) Watch(bool)             {}
+func (r *router) Log(string)             {}
--- a/emulator/cluster/moments.go
+++ b/emulator/cluster/moments.go
@@ -70,7 +70,7 @@
 	r := t.routers[f.router]
 	try := &t.Tries[f.try]
 	m := Moment{On: on, Now: t.now, Router: f.router, Try: try, Stream: &t.set.Streams[try.Stream], Engine: f.engine,
-		Number: f.number, Level: f.level, Waited: t.now - try.Taken, Age: -1, Rev: r.follower.Rev()}
+		Number: f.number, Level: f.level, Waited: t.now - try.Taken, Age: -1, Rev: r.follower.Revision()}
 	if f.out {
 		m.Out = 1
 	}
@@ -84,7 +84,7 @@
 			m.ToldFor = t.now - at
 		}
 		for _, e := range r.follower.List() {
-			if e.Engine == h.id && e.ReadyAt > 0 {
+			if e.Server == h.id && e.ReadyAt > 0 {
 				m.Age = t.now - e.ReadyAt
 			}
 		}
--- a/emulator/cluster/recall_test.go
+++ b/emulator/cluster/recall_test.go
@@ -12,8 +12,8 @@
 )
 
 // believed is what a restarted router of the town believes: engines' starts are by the same clock here.
-func believed(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.Beliefs {
-	b := warmstart.Believe(k, age, true, admission.Fingerprints(s.Profiles), s.Rates())
+func believed(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
+	b := warmstart.Discount(k, age, true, admission.Fingerprints(s.Profiles), s.TenantRates())
 	return &b
 }
 
@@ -94,7 +94,7 @@
 	switch {
 	case m.Number > 0 && m.Out > 1: // this one counts
 		say("another of the command is out")
-	case m.Number > 0 && p.Effect == admission.NonReplayable && !m.LastEnd.NeverRan():
+	case m.Number > 0 && p.Effect == admission.NonIdempotent && !m.LastEnd.NeverRan():
 		say("a command that may have run, and may not run twice, is sent again")
 	case m.Told != admission.Ready && m.ToldFor > w.grace:
 		say("to an engine that it knew for %.2f s to be no more ready", m.ToldFor)
@@ -112,7 +112,7 @@
 func rough() (Settings, *rules) {
 	s := small()
 	s.Length = 16
-	s.Brain.Profiles[0].Effect = admission.NonReplayable
+	s.Brain.Profiles[0].Effect = admission.NonIdempotent
 	s.Brain.Profiles = append(s.Brain.Profiles, admission.Profile{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1, Ordered: true})
 	s.Brain.KeyRest, s.Brain.BudgetFree, s.Brain.BudgetShare, s.Brain.BudgetWindow = 0.5, 3, 0.1, 5
 	st := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Profile: 1, Keys: 6}
@@ -143,8 +143,8 @@
 		age := rapid.SampledFrom([]float64{0.1, 5, 60, 1e4}).Draw(t, "age")
 		sure := rapid.Bool().Draw(t, "sure")
 		s.Seed = rapid.Uint64().Draw(t, "seed")
-		s.Recall = func(k warmstart.Knowledge, _ float64, s *admission.Settings) *warmstart.Beliefs {
-			b := warmstart.Believe(k, age, sure, admission.Fingerprints(s.Profiles), s.Rates())
+		s.Recall = func(k warmstart.Knowledge, _ float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
+			b := warmstart.Discount(k, age, sure, admission.Fingerprints(s.Profiles), s.TenantRates())
 			return &b
 		}
 		r, err := Run(s)
@@ -165,8 +165,8 @@
 		any := func(name string) float64 {
 			return rapid.OneOf(rapid.Float64Range(0, 100), rapid.SampledFrom([]float64{0, 1e-9, 1e9, 1e12})).Draw(t, name)
 		}
-		hostile := func(k warmstart.Knowledge, _ float64, _ *admission.Settings) *warmstart.Beliefs {
-			b := &warmstart.Beliefs{}
+		hostile := func(k warmstart.Knowledge, _ float64, _ *admission.Settings) *warmstart.DiscountedKnowledge {
+			b := &warmstart.DiscountedKnowledge{}
 			for _, p := range k.Profiles {
 				p.Work, p.Seen, p.Hinted, p.Worked, p.Slow = any("work"), any("seen"), any("hinted"), any("worked"), 1+any("slow")
 				for n := range p.Times.Counts {
--- a/emulator/cluster/town.go
+++ b/emulator/cluster/town.go
@@ -50,7 +50,7 @@
 }
 
 // Recall gives what is believed of what a process knew that ended so many seconds ago.
-type Recall func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.Beliefs
+type Recall func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge
 
 // Shadow is a refused command that nobody sends again: the module is asked every 50 ms whether it would let it in.
 type Shadow struct {
@@ -59,7 +59,7 @@
 	Told   waittime.Estimate
 	Took   float64
 	In     bool // false: it was given up looking
-	ask    admission.Command
+	ask    admission.Request
 }
 
 const (
@@ -137,7 +137,7 @@
 	run     uint64 // the engine's number for it
 	level   int
 	over    bool
-	ask     admission.Command
+	ask     admission.Request
 }
 
 // Town is one run.
@@ -171,7 +171,7 @@
 	me       int
 	life     int
 	up       bool
-	mind     *admission.Brain
+	mind     *admission.Controller
 	follower *discovery.Follower
 	flights  map[uint32]*flight
 	lastID   uint32
@@ -256,7 +256,7 @@
 	r.told = make([]told, len(t.engines))
 	r.further, r.taken = nil, nil
 	r.follower = discovery.New(t.set.Zones, t.set.Kinds)
-	if _, err := r.follower.Start(t.list.known(t)); err != nil {
+	if _, err := r.follower.ApplyConfig(t.list.known(t)); err != nil {
 		return err
 	}
 	if t.set.Recall != nil && r.life > 0 {
@@ -311,7 +311,7 @@
 		return
 	case look:
 		s := &t.Shadows[e.token]
-		if s.Took = t.now - s.At; t.routers[0].mind.WouldTake(t.now, s.ask) {
+		if s.Took = t.now - s.At; t.routers[0].mind.WouldAdmit(t.now, s.ask) {
 			s.In = true
 		} else if s.Took < lookFor {
 			t.push(event{at: t.now + lookEvery, what: look, token: e.token})
@@ -334,7 +334,7 @@
 	case poll:
 		r.poll(t.now)
 	case news:
-		if fresh, _ := r.follower.Answer(e.text); fresh {
+		if fresh, _ := r.follower.HandleAnswer(e.text); fresh {
 			r.members(admission.Full)
 		}
 	case outcome, limit:
@@ -356,20 +356,20 @@
 		return // nobody waits for it any more
 	}
 	house := t.engines[k]
-	note := admission.Note{ID: f.id, Engine: house.id, Send: f.number, Value: ev.Value}
+	note := admission.Progress{ID: f.id, Server: house.id, Attempt: f.number, Value: ev.Value}
 	mind := t.routers[f.router].mind
 	switch ev.What {
 	case engine.Done:
 		if house.loses > 0 && t.luck.Float64() < house.loses {
 			return // its answer is lost on the way: the send's limit ends it
 		}
-		t.end(f, admission.Answered, ev.Value)
+		t.end(f, admission.Completed, ev.Value)
 	case engine.Progress:
-		note.Kind = admission.Progressed
-		mind.Note(t.now, note)
+		note.Kind = admission.ShareDone
+		mind.Progress(t.now, note)
 	case engine.Spills:
 		note.Kind = admission.Spilling
-		mind.Note(t.now, note)
+		mind.Progress(t.now, note)
 	}
 }
 
@@ -377,10 +377,10 @@
 	f.out = false
 	t.show(SendEnded, f, end)
 	f.ended = end
-	if end == admission.Answered && !f.over {
+	if end == admission.Completed && !f.over {
 		t.final(f, Answered)
 	}
-	o := admission.Outcome{ID: f.id, Engine: t.engines[f.engine].id, Send: f.number, End: end, Lag: t.now - f.sent, Over: f.over, Work: work}
+	o := admission.Outcome{ID: f.id, Server: t.engines[f.engine].id, Attempt: f.number, End: end, Latency: t.now - f.sent, Final: f.over, Work: work}
 	r := t.routers[f.router]
 	r.mind.Outcome(t.now, o)
 	r.forget(f)
--- a/emulator/cluster/world.go
+++ b/emulator/cluster/world.go
@@ -133,8 +133,8 @@
 }
 
 // known is the list of now as a configuration has it.
-func (l *list) known(t *Town) discovery.Known {
-	n := discovery.Notice{Rev: l.rev}
+func (l *list) known(t *Town) discovery.ConfiguredList {
+	n := discovery.Event{Rev: l.rev}
 	n.Pool = &struct {
 		All     bool               `json:"all"`
 		Targets []discovery.Target `json:"targets"`
@@ -147,7 +147,7 @@
 			Zone: t.set.Zones[e.set.Zone], Kind: t.set.Kinds[e.set.Kind], Cell: e.set.Cell, State: map[admission.State]string{
 				admission.Ready: "ready", admission.Draining: "draining"}[e.state], Weight: e.set.Cores, BootMs: e.born * 1000})
 	}
-	return discovery.Known{Rev: l.rev, Notices: []discovery.Notice{n}}
+	return discovery.ConfiguredList{Rev: l.rev, Notices: []discovery.Event{n}}
 }
 
 // poll asks for the list, as the driver does.
@@ -156,20 +156,20 @@
 	t := r.t
 	l := &t.list
 	every := settled
-	if r.follower.Unsettled() {
+	if r.follower.Unconfirmed() {
 		every = unsettled
 	}
 	t.push(event{at: now + every, what: poll, router: r.me, life: r.life})
-	nothingNew := l.rev == r.follower.Rev() && !r.follower.Unsettled()
+	nothingNew := l.rev == r.follower.Revision() && !r.follower.Unconfirmed()
 	if l.lost[r.me] || nothingNew && !l.old[r.me] && !l.damaged[r.me] {
 		return
 	}
-	id := binary.BigEndian.Uint16(r.follower.Question(nil))
+	id := binary.BigEndian.Uint16(r.follower.AppendQuery(nil))
 	rev, lines := l.rev, l.lines
 	if l.old[r.me] {
 		rev, lines = rev-1, l.was
 	}
-	text := fake.Reply(id, rev, discovery.Record, lines...)
+	text := fake.Reply(id, rev, discovery.ServiceName, lines...)
 	if l.damaged[r.me] {
 		text = text[:len(text)*2/3]
 	}
@@ -181,13 +181,13 @@
 	t := r.t
 	ready := map[uint32]admission.State{}
 	for _, e := range r.follower.List() {
-		ready[e.Engine] = e.State
+		ready[e.Server] = e.State
 	}
 	for k, h := range t.engines {
 		if h.id == 0 {
 			for _, e := range r.follower.List() {
-				if strings.EqualFold(r.follower.Name(e.Engine), h.set.Name) {
-					h.id = e.Engine
+				if strings.EqualFold(r.follower.Name(e.Server), h.set.Name) {
+					h.id = e.Server
 				}
 			}
 		}
@@ -199,7 +199,7 @@
 		}
 	}
 	if t.set.Watch != nil {
-		m := Moment{On: Listed, Now: t.now, Router: r.me, Engine: -1, Rev: r.follower.Rev()}
+		m := Moment{On: Listed, Now: t.now, Router: r.me, Engine: -1, Rev: r.follower.Revision()}
 		for _, s := range ready {
 			if s == admission.Ready {
 				m.Listed++
@@ -207,7 +207,7 @@
 		}
 		t.watch(&m)
 	}
-	r.mind.Members(t.now, scope, r.subset())
+	r.mind.UpdateServers(t.now, scope, r.subset())
 }
 
 // subset is the part of the list in hand that the module is told of.
@@ -218,7 +218,7 @@
 	}
 	var held []admission.Entry
 	for _, entry := range all {
-		if r.t.set.Subset(r.me, r.t.engineOf(entry.Engine)) {
+		if r.t.set.Subset(r.me, r.t.engineOf(entry.Server)) {
 			held = append(held, entry)
 		}
 	}
@@ -263,7 +263,7 @@
 			if !r.up {
 				continue
 			}
-			if fresh, err := r.follower.Start(t.list.known(t)); err == nil && fresh {
+			if fresh, err := r.follower.ApplyConfig(t.list.known(t)); err == nil && fresh {
 				r.members(admission.Full)
 			}
 		}
@@ -359,14 +359,14 @@
 		q := t.running[n]
 		delete(t.running, n)
 		r := t.routers[q.f.router]
-		t.push(event{at: t.now + trip, what: outcome, router: r.me, life: r.life, token: uint64(q.f.id), number: q.number, end: admission.Cut})
+		t.push(event{at: t.now + trip, what: outcome, router: r.me, life: r.life, token: uint64(q.f.id), number: q.number, end: admission.ConnectionLost})
 	}
 }
 
 // kill ends a router at once: what it had is lost, what is out at engines runs on.
 func (t *Town) kill(r *router) {
 	if t.set.Recall != nil {
-		r.knew, r.diedAt = r.mind.Knows(), t.now
+		r.knew, r.diedAt = r.mind.Learned(), t.now
 	}
 	r.up = false
 	ids := make([]uint32, 0, len(r.flights))
--- a/emulator/fleet/audit.go
+++ b/emulator/fleet/audit.go
@@ -71,13 +71,13 @@
 // act notes that a note is on its way; acted what was said of it. One that nobody heard of again may have come at any time.
 func (a *audit) act(c *call) {
 	c.act = -1
-	if c.req.Act == nil || c.req.Act.Kind != "note" {
+	if c.req.Action == nil || c.req.Action.Kind != "note" {
 		return
 	}
 	a.acts++
-	a.gain(c.req.Act.Work, c.req.Act.Fence)
+	a.gain(c.req.Action.Task, c.req.Action.Fence)
 	c.act = len(a.history)
-	a.history = append(a.history, porcupine.Operation{ClientId: a.client(), Input: op{work: c.req.Act.Work, fence: c.req.Act.Fence}, Call: ticks(a.w.now),
+	a.history = append(a.history, porcupine.Operation{ClientId: a.client(), Input: op{work: c.req.Action.Task, fence: c.req.Action.Fence}, Call: ticks(a.w.now),
 		Output: "unknown", Return: math.MaxInt64})
 }
 
@@ -111,7 +111,7 @@
 			continue
 		}
 		for _, c := range r.m.Held() {
-			a.gain(c.Work, c.Fence)
+			a.gain(c.Task, c.Fence)
 		}
 	}
 }
@@ -164,13 +164,13 @@
 
 // traced sees acts at the moment that they are done.
 func (a *audit) traced(r *router, t agent.Trace) {
-	if t.What != "act" {
+	if t.Event != "act" {
 		return
 	}
-	if t.Fence < a.highest[t.Work] {
-		a.fail("%s/%d acts on %s under fence %d after %d", r.name, r.life, t.Work, t.Fence, a.highest[t.Work])
+	if t.Fence < a.highest[t.Task] {
+		a.fail("%s/%d acts on %s under fence %d after %d", r.name, r.life, t.Task, t.Fence, a.highest[t.Task])
 	}
-	a.highest[t.Work] = t.Fence
+	a.highest[t.Task] = t.Fence
 }
 
 // died tells that a process that owns works is being taken away.
@@ -202,7 +202,7 @@
 			if !r.up || r.m == nil {
 				continue
 			}
-			fence, ok := r.m.May(r.clock.at(w.now), work)
+			fence, ok := r.m.Permit(r.clock.at(w.now), work)
 			if !ok {
 				continue
 			}
@@ -234,7 +234,7 @@
 		for _, r := range w.members {
 			key := fmt.Sprint(r.name, "/", e.ID, "/", r.life)
 			if r.up && r.m != nil {
-				part, ok := r.m.Part(r.clock.at(w.now), e.ID, e.Start)
+				part, ok := r.m.WarmUpShare(r.clock.at(w.now), e.ID, e.Start)
 				if !ok {
 					part = 1 / float64(w.file.Routers)
 				}
@@ -275,13 +275,13 @@
 		if !k.up || a.looks%4 != 0 {
 			continue
 		}
-		r := k.k.Record()
-		for _, x := range r.Works() { // a note under an old fence that was taken shows here, whoever heard of it
+		r := k.k.Registry()
+		for _, x := range r.Tasks() { // a note under an old fence that was taken shows here, whoever heard of it
 			key := k.name + x.Name
-			if was := a.notes[key]; x.Noted > was.index && x.By < was.fence {
-				a.fail("%s: %s has a note under fence %d after %d", k.name, x.Name, x.By, was.fence)
+			if was := a.notes[key]; x.AnnotatedAt > was.index && x.AnnotationFence < was.fence {
+				a.fail("%s: %s has a note under fence %d after %d", k.name, x.Name, x.AnnotationFence, was.fence)
 			}
-			a.notes[key] = noted{x.Noted, x.Fence}
+			a.notes[key] = noted{x.AnnotatedAt, x.Fence}
 		}
 		text, err := r.Snapshot()
 		if err != nil {
@@ -313,15 +313,15 @@
 	f := Figures{Seconds: w.now, Worst: a.worst, Twice: a.twice, Looks: a.looks, Raft: a.raft, Requests: a.requests, Acts: a.acts, Gaps: a.gaps}
 	f.OldTried, f.Operations = a.oldActs, len(a.history)
 	for _, k := range w.keepers {
-		f.OldTried += k.k.Refused
+		f.OldTried += k.k.RejectedStale
 	}
 	for _, r := range w.members {
 		if r.m == nil {
 			continue
 		}
 		s := r.m.Stats
-		f.OldTried += s.Refused
-		f.Refused, f.Late, f.ToldOld, f.Dealt = f.Refused+s.Refused, f.Late+s.Late, f.ToldOld+s.ToldOld, f.Dealt+s.Dealt
+		f.OldTried += s.RejectedStale
+		f.Refused, f.Late, f.ToldOld, f.Dealt = f.Refused+s.RejectedStale, f.Late+s.LateGrants, f.ToldOld+s.StaleNotices, f.Dealt+s.Granted
 		f.Gained, f.Lost = f.Gained+s.Gained, f.Lost+s.Lost
 	}
 	return f
--- a/emulator/fleet/script.go
+++ b/emulator/fleet/script.go
@@ -16,7 +16,7 @@
 func (w *World) Leader() string {
 	name, term := "", uint64(0)
 	for _, k := range w.keepers {
-		if k.up && !k.stopped && k.k.Leads() && k.k.Status().Term > term {
+		if k.up && !k.stopped && k.k.IsLeader() && k.k.Status().Term > term {
 			name, term = k.name, k.k.Status().Term
 		}
 	}
@@ -34,13 +34,13 @@
 }
 
 func (w *World) owns(r *router, work string) bool {
-	_, ok := r.m.May(r.clock.at(w.now), work)
+	_, ok := r.m.Permit(r.clock.at(w.now), work)
 	return ok
 }
 
 func (w *World) works() (all []string) {
 	for _, e := range w.engines {
-		all = append(all, fmt.Sprintf("%s/%d@%.3f", agent.Warmth, e.ID, e.Start))
+		all = append(all, fmt.Sprintf("%s/%d@%.3f", agent.WarmUpKind, e.ID, e.Start))
 	}
 	return all
 }
@@ -77,7 +77,7 @@
 	case "owned", "dealt":
 		for _, work := range w.works() {
 			if !slices.ContainsFunc(w.members, func(r *router) bool {
-				return r.up && r.m != nil && w.owns(r, work) && (what == "owned" || r.m.Live(r.clock.at(w.now), work) > 0)
+				return r.up && r.m != nil && w.owns(r, work) && (what == "owned" || r.m.SharesInUse(r.clock.at(w.now), work) > 0)
 			}) {
 				return false
 			}
@@ -191,14 +191,14 @@
 		w.callSeq++
 		id, work := w.callSeq, w.works()[0]
 		for _, x := range w.keepers {
-			if x.up && !x.stopped && x.k.Leads() {
-				x.k.Order(x.clock.at(w.now), id, &coordinator.Order{Kind: "release", Work: work})
+			if x.up && !x.stopped && x.k.IsLeader() {
+				x.k.ExecuteOrder(x.clock.at(w.now), id, &coordinator.Order{Kind: "release", Task: work})
 				w.carry(x)
 			}
 		}
 	case "wipe":
 		if r != nil {
-			r.disk = agent.Kept{Pledged: true} // a folder that is gone says nothing, which is not the word of a clean end
+			r.disk = agent.PersistentState{Relinquished: true} // a folder that is gone says nothing, which is not the word of a clean end
 		}
 	}
 }
--- a/emulator/fleet/world.go
+++ b/emulator/fleet/world.go
@@ -45,7 +45,7 @@
 	script  func() // plays the next event of the file
 	last    string // owner that the event before found
 	Quiet   bool   // the script is over
-	engines []agent.Engine
+	engines []agent.Server
 }
 
 // clock of one process.
@@ -67,14 +67,14 @@
 type keeper struct {
 	*process
 	id   uint64
-	k    *coordinator.Keeper
-	disk coordinator.Stored
+	k    *coordinator.Coordinator
+	disk coordinator.PersistedState
 }
 
 type router struct {
 	*process
 	m      *agent.Member
-	disk   agent.Kept
+	disk   agent.PersistentState
 	finder *agent.Finder
 }
 
@@ -127,16 +127,16 @@
 	w.reader, rand.Reader = rand.Reader, source{mathrand.New(mathrand.NewPCG(f.Seed, 12))}
 	w.audit.begin(w)
 	for n := range f.Engines {
-		w.engines = append(w.engines, agent.Engine{ID: uint32(n + 1), Start: 1, Zone: f.Zone(n)})
+		w.engines = append(w.engines, agent.Server{ID: uint32(n + 1), Start: 1, Zone: f.Zone(n)})
 	}
-	var all []registry.Keeper
+	var all []registry.Coordinator
 	for n := range f.Keepers {
-		all = append(all, registry.Keeper{ID: uint64(n + 1), Name: fmt.Sprint("k", n+1), Addr: fmt.Sprint("k", n+1), Zone: f.Zone(n)})
+		all = append(all, registry.Coordinator{ID: uint64(n + 1), Name: fmt.Sprint("k", n+1), Addr: fmt.Sprint("k", n+1), Zone: f.Zone(n)})
 	}
 	for n := range f.Keepers {
 		k := &keeper{process: w.process(all[n].Name, f.Zone(n)), id: uint64(n + 1)}
 		var err error
-		if k.disk, err = coordinator.Begin(all, f.Lease, f.Drift); err != nil {
+		if k.disk, err = coordinator.InitialState(all, f.Lease, f.Drift); err != nil {
 			return nil, err
 		}
 		w.keepers = append(w.keepers, k)
@@ -233,7 +233,7 @@
 func (w *World) startKeeper(k *keeper) {
 	life := w.begin(k.process)
 	var err error
-	k.k, err = coordinator.New(coordinator.Config{ID: k.id, Name: k.name, Hold: min(1, w.file.Lease/4), Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
+	k.k, err = coordinator.New(coordinator.Config{ID: k.id, Name: k.name, HoldTime: min(1, w.file.Lease/4), Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
 		Log: func(text string) { w.log("%s: %s", k.name, text) }}, k.disk, k.clock.at(w.now))
 	if err != nil {
 		w.audit.fail("%s does not start: %v", k.name, err)
@@ -260,18 +260,18 @@
 		if !ok {
 			return
 		}
-		if s := out.Keep.Snapshot; s != nil {
+		if s := out.Persist.Snapshot; s != nil {
 			k.disk.Snapshot = s
 			at := uint64(math.MaxUint64) // another's snapshot replaces the whole log
-			if out.Keep.Compact > 0 {
-				at = out.Keep.Compact
+			if out.Persist.Compact > 0 {
+				at = out.Persist.Compact
 			}
 			k.disk.Entries = slices.DeleteFunc(slices.Clone(k.disk.Entries), func(e *pb.Entry) bool { return e.GetIndex() <= at })
 		}
-		if h := out.Keep.HardState; h != nil && !raft.IsEmptyHardState(h) {
+		if h := out.Persist.HardState; h != nil && !raft.IsEmptyHardState(h) {
 			k.disk.HardState = h
 		}
-		if n := out.Keep.Entries; len(n) > 0 {
+		if n := out.Persist.Entries; len(n) > 0 {
 			first := n[0].GetIndex()
 			k.disk.Entries = append(slices.DeleteFunc(slices.Clone(k.disk.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= first }), n...)
 		}
@@ -286,10 +286,10 @@
 				w.carry(to)
 			})
 			if m.GetType() == pb.MsgSnap {
-				k.k.Sent(m.GetTo(), true)
+				k.k.ReportSnapshot(m.GetTo(), true)
 			}
 		}
-		for _, a := range out.Answers {
+		for _, a := range out.Responses {
 			w.reply(k, a)
 		}
 		if err := k.k.Done(); err != nil {
@@ -319,8 +319,8 @@
 	}
 	r.finder = agent.NewFinder(addrs, w.rnd.IntN(len(addrs)))
 	r.m = agent.New(agent.Config{Name: r.name, Zone: r.zone, Region: "r", Incarnation: life, Seed: w.rnd.Uint64(),
-		Stands: []string{agent.Warmth, agent.Trials, agent.Quotas}, Members: w.file.Routers, Window: 1,
-		Began: r.clock.at(w.now), Clean: life == 1, Keeps: w.file.Folders,
+		CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind}, RouterCount: w.file.Routers, Window: 1,
+		StartedAt: r.clock.at(w.now), CleanStart: life == 1, Persistent: w.file.Folders,
 		Trace: func(t agent.Trace) { w.audit.traced(r, t) },
 		Log:   func(text string) { w.log("%s: %s", r.name, text) }}, r.disk)
 	share := 1 / float64(w.file.Routers)
@@ -337,14 +337,14 @@
 			var d agent.Demand
 			for k, e := range w.engines {
 				need := needs[k] * (0.9 + 0.2*w.rnd.Float64())
-				d.Cold = append(d.Cold, agent.Cold{Engine: e, Need: need, Least: need / 3})
+				d.ColdServers = append(d.ColdServers, agent.ColdServer{Server: e, Need: need, Least: need / 3})
 			}
 			// One engine is doubted by all, so that its owner puts findings down.
-			ill := agent.Health{Engine: w.engines[0], Ill: true, Heard: -1}
-			d.Doubted = []agent.Health{ill}
+			ill := agent.Health{Server: w.engines[0], Unhealthy: true, SinceAnswer: -1}
+			d.Suspected = []agent.Health{ill}
 			d.Health = func(uint32) (agent.Health, bool) { return ill, true }
 			now := r.clock.at(w.now)
-			r.m.Tell(now, d)
+			r.m.SetDemand(now, d)
 			w.put(r, r.m.Tick(now))
 		})
 		w.after(0.1, tick)
@@ -356,12 +356,12 @@
 func (w *World) put(r *router, all []agent.Request) {
 	life := r.life
 	for _, req := range all {
-		if req.Keep != nil {
-			kept := *req.Keep
+		if req.Persist != nil {
+			kept := *req.Persist
 			w.after(0.002+0.02*w.rnd.Float64(), func() {
 				w.in(r.process, life, func() {
 					r.disk = kept
-					r.m.Kept(req.Seq, kept, nil)
+					r.m.Persisted(req.Seq, kept, nil)
 				})
 			})
 			continue
@@ -406,13 +406,13 @@
 		return func() {
 			now := k.clock.at(w.now)
 			switch {
-			case c.req.Beat != nil:
-				b := *c.req.Beat
-				k.k.Beat(now, id, &b)
-			case c.req.Mail != nil:
-				k.k.Post(now, id, c.req.Mail)
-			case c.req.Act != nil:
-				k.k.Do(now, id, c.req.Act)
+			case c.req.Heartbeat != nil:
+				b := *c.req.Heartbeat
+				k.k.Heartbeat(now, id, &b)
+			case c.req.Messages != nil:
+				k.k.PostMessages(now, id, c.req.Messages)
+			case c.req.Action != nil:
+				k.k.Perform(now, id, c.req.Action)
 			}
 			w.carry(k)
 		}
@@ -427,18 +427,18 @@
 	}
 }
 
-func (w *World) reply(k *keeper, a coordinator.Answer) {
+func (w *World) reply(k *keeper, a coordinator.Response) {
 	c := w.calls[a.Request]
 	if c == nil {
 		return
 	}
 	w.send(k.process, c.from.process, func() {
-		if errors.Is(a.Err, coordinator.ErrElsewhere) {
+		if errors.Is(a.Err, coordinator.ErrNotLeader) {
 			leader := ""
 			if x := w.keeper(a.Leader); x != nil {
 				leader = x.name
 			}
-			c.from.finder.Elsewhere(k.name, leader)
+			c.from.finder.Redirect(k.name, leader)
 			if c.open && c.tries < 4 && c.from.life == c.life {
 				w.try(a.Request, c)
 				return
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -72,7 +72,7 @@
 	index    uint64
 	heard    [2]int // by the keeper, of each owner's session
 	owners   [2]owner
-	gate     *lease.Gate
+	gate     *lease.FenceChecker
 	flight   []message
 	restarts int
 	repeats  int
@@ -80,7 +80,7 @@
 	accepted uint64         // highest fence that the receiver took
 	of       map[uint64]int // who was given each fence
 	trail    *step
-	decoded  map[string]*registry.Record
+	decoded  map[string]*registry.Registry
 }
 
 type step struct {
@@ -135,7 +135,7 @@
 // Walk through all states within the bounds. whole is false where there were more than Most.
 func Walk(b Bounds) (states int, whole bool, err error) {
 	terms := lease.Terms{Lease: float64(b.Lease), Drift: 0}
-	first := &state{decoded: map[string]*registry.Record{}, gate: lease.NewGate(), of: map[uint64]int{}}
+	first := &state{decoded: map[string]*registry.Registry{}, gate: lease.NewFenceChecker(), of: map[uint64]int{}}
 	rec := registry.New()
 	for k := range names {
 		first.index++
@@ -200,7 +200,7 @@
 }
 
 // read the record of a state. Records are only read, and a walk has some hundred.
-func (s *state) read() (*registry.Record, error) {
+func (s *state) read() (*registry.Registry, error) {
 	if r := s.decoded[string(s.rec)]; r != nil {
 		return r, nil
 	}
@@ -234,7 +234,7 @@
 		n := s.copy("the receiver starts again")
 		n.restarts++
 		marks, floor := s.gate.Export()
-		n.gate = lease.NewGate()
+		n.gate = lease.NewFenceChecker()
 		n.gate.Import(marks, floor)
 		all = append(all, n)
 	}
@@ -257,10 +257,10 @@
 		n.flight = append(n.flight, message{kind: 'a', who: k, sent: s.t, fence: fence})
 		all = append(all, n)
 	}
-	if o.loses < b.Loses && o.o.Session() != 0 {
+	if o.loses < b.Loses && o.o.SessionID() != 0 {
 		n := s.copy(names[k] + " is told that its session is over")
 		n.owners[k].loses++
-		n.owners[k].o.Lose()
+		n.owners[k].o.EndSession()
 		all = append(all, n)
 	}
 	if o.lets < b.Lets {
@@ -276,7 +276,7 @@
 
 // coordinatorSteps returns what the coordinator may do about an owner: close a session that is silent for longer than the lease, and
 // give it the task if that is free.
-func (s *state) coordinatorSteps(b Bounds, r *registry.Record, k int) (all []*state, err error) {
+func (s *state) coordinatorSteps(b Bounds, r *registry.Registry, k int) (all []*state, err error) {
 	o := &s.owners[k]
 	if r.Session(o.session) != nil && s.t-s.heard[k] > b.Lease {
 		n := s.copy(fmt.Sprint("the session of ", names[k], " is over"))
@@ -285,12 +285,12 @@
 		}
 		all = append(all, n)
 	}
-	w := r.Work(work)
+	w := r.Task(work)
 	if r.Session(o.session) == nil || w != nil && w.Owner != 0 {
 		return all, nil
 	}
 	n := s.copy("the work is given to " + names[k])
-	fence, err := n.apply(registry.Entry{Kind: registry.Assign, Work: work, Session: o.session})
+	fence, err := n.apply(registry.Entry{Kind: registry.Assign, Task: work, Session: o.session})
 	if err != nil {
 		return nil, err
 	}
@@ -305,7 +305,7 @@
 }
 
 // arrivals returns the states after each message that is on its way has arrived, once or, within the bound, twice.
-func (s *state) arrivals(b Bounds, r *registry.Record) (all []*state, err error) {
+func (s *state) arrivals(b Bounds, r *registry.Registry) (all []*state, err error) {
 	for k, m := range s.flight {
 		n := s.copy(fmt.Sprint("arrives: ", m))
 		n.flight = append(n.flight[:k:k], n.flight[k+1:]...)
@@ -324,7 +324,7 @@
 	return all, nil
 }
 
-func (s *state) arrive(r *registry.Record, m message) error {
+func (s *state) arrive(r *registry.Registry, m message) error {
 	switch m.kind {
 	case 'b':
 		if r.Session(m.session) == nil {
@@ -333,22 +333,22 @@
 		s.heard[m.who] = s.t
 		s.shown++
 		v := message{kind: 'v', who: m.who, sent: m.sent, session: m.session, number: s.shown}
-		if w := r.Work(work); w != nil && w.Owner == m.session {
+		if w := r.Task(work); w != nil && w.Owner == m.session {
 			v.fence = w.Fence
 		}
 		s.flight = append(s.flight, v)
 	case 'r':
-		if _, err := s.apply(registry.Entry{Kind: registry.Release, Work: work, Session: m.session, Fence: m.fence}); err != nil && err != registry.ErrFence {
+		if _, err := s.apply(registry.Entry{Kind: registry.Release, Task: work, Session: m.session, Fence: m.fence}); err != nil && err != registry.ErrFence {
 			return err
 		}
 	case 'v':
 		var claims []lease.Claim
 		if m.fence > 0 {
-			claims = append(claims, lease.Claim{Work: work, Fence: m.fence})
+			claims = append(claims, lease.Claim{Task: work, Fence: m.fence})
 		}
-		s.owners[m.who].o.Confirmed(mine(m.sent), uint64(m.number), m.session, claims)
+		s.owners[m.who].o.ApplyConfirmation(mine(m.sent), uint64(m.number), m.session, claims)
 	case 'a':
-		gate := lease.NewGate()
+		gate := lease.NewFenceChecker()
 		gate.Import(s.gate.Export())
 		s.gate = gate
 		if _, err := gate.Accept(work, m.fence); err != nil {
--- a/emulator/zones/flow.go
+++ b/emulator/zones/flow.go
@@ -17,8 +17,8 @@
 	case Planned:
 		if r.guide.Epoch(w.now) > 0 {
 			copy(row, r.heard.Plan.Share[r.zone])
-			if r.bad[r.zone] > 0.5 && row[r.zone] > 0 && r.heard.Else.Check(n) == nil {
-				for z, x := range r.heard.Else.Share[r.zone] {
+			if r.bad[r.zone] > 0.5 && row[r.zone] > 0 && r.heard.ZoneLoss.Check(n) == nil {
+				for z, x := range r.heard.ZoneLoss.Share[r.zone] {
 					row[z] = 0.95 * x
 				}
 				row[r.zone] = 0.05 // trials
@@ -33,7 +33,7 @@
 		}
 		row[r.zone] = 1
 		if r.bad[r.zone] > 0.5 && r.heard.Epoch > 0 { // alone: what was spared for it, the rest has nowhere to go
-			for z, x := range r.heard.Still.Share[r.zone] {
+			for z, x := range r.heard.Fallback.Share[r.zone] {
 				if z != r.zone && r.bad[z] <= 0.5 {
 					row[z] = x
 				}
@@ -104,7 +104,7 @@
 				}
 			}
 		}
-		best = failover.Solve(failover.Problem{Demand: w.demands(), Pinned: make([]float64, n), Capacity: caps, Way: ways})
+		best = failover.Solve(failover.Problem{Demand: w.demands(), Pinned: make([]float64, n), Capacity: caps, RoundTrip: ways})
 	}
 	for k := range w.routers {
 		r := &w.routers[k]
--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -91,10 +91,10 @@
 type router struct {
 	zone    int
 	demand  float64
-	guide   *failover.Guide
+	guide   *failover.PlanFollower
 	hearAt  float64
 	toldAt  float64
-	heard   failover.Published
+	heard   failover.PublishedPlan
 	until   float64
 	bad     []float64 // by zone: recent share of bad sends, as it sees them itself
 	sent    []float64 // of the last second, by zone
@@ -130,9 +130,9 @@
 	ways     [][]float64
 	now      float64
 	control  *failover.Controller
-	agreed   failover.Published
+	agreed   failover.PublishedPlan
 	agreedAt float64
-	pending  *failover.Published
+	pending  *failover.PublishedPlan
 	pendAt   float64
 	owner    int // router
 	frozen   bool
@@ -175,11 +175,11 @@
 	for k := range s.Routers {
 		z := k % s.Zones
 		n := (s.Routers + s.Zones - 1 - z) / s.Zones
-		w.routers = append(w.routers, router{zone: z, demand: w.zones[z].demand / float64(n), guide: failover.NewGuide(z, s.Zones, 0.05),
+		w.routers = append(w.routers, router{zone: z, demand: w.zones[z].demand / float64(n), guide: failover.NewPlanFollower(z, s.Zones, 0.05),
 			hearAt: w.rnd.Float64() * hearEvery, until: math.Inf(-1), bad: make([]float64, s.Zones), sent: make([]float64, s.Zones),
 			failed: make([]float64, s.Zones), late: make([]float64, s.Zones), served: make([]float64, s.Zones), liar: k/s.Zones < int(s.Liars*float64(n))})
 	}
-	w.agreed = failover.Published{Epoch: 1, Plan: failover.Near(s.Zones), Still: failover.Near(s.Zones)}
+	w.agreed = failover.PublishedPlan{Epoch: 1, Plan: failover.LocalPlan(s.Zones), Fallback: failover.LocalPlan(s.Zones)}
 	for w.now = 0; w.now < s.Length; w.now += step {
 		w.faults()
 		if s.Rule == Planned {
@@ -242,7 +242,7 @@
 			w.frozen = true
 		}
 	}
-	w.orders.Away = away
+	w.orders.Evacuate = away
 }
 
 // can is what a zone can do now.
@@ -315,7 +315,7 @@
 		if w.owner < 0 {
 			return
 		}
-		w.control = failover.NewController(failover.Terms{Life: failover.Life, Drift: 0.05, Way: w.ways}, w.s.Zones, w.now, w.agreed)
+		w.control = failover.NewController(failover.Config{Lifetime: failover.Lifetime, Drift: 0.05, RoundTrip: w.ways}, w.s.Zones, w.now, w.agreed)
 	}
 	var reports []failover.Report
 	sessions := 0
@@ -333,16 +333,16 @@
 		if len(w.control.Changes) > 0 && w.control.Changes[len(w.control.Changes)-1] == w.now { // no note of what is asked for
 			w.r.Changes = append(w.r.Changes, w.now)
 		}
-		load := failover.Mixed(w.control.Demand, p.Plan, w.agreed.Plan)
-		before := failover.Mixed(w.control.Demand, w.agreed.Plan)
+		load := failover.MaxMixedLoad(w.control.Demand, p.Plan, w.agreed.Plan)
+		before := failover.MaxMixedLoad(w.control.Demand, w.agreed.Plan)
 		for z := range load {
-			if room := w.control.Room[z]; room > 0 && load[z] > before[z]+1e-6 { // what a plan adds
+			if room := w.control.PlanCapacity[z]; room > 0 && load[z] > before[z]+1e-6 { // what a plan adds
 				w.r.Planned = max(w.r.Planned, load[z]/room)
 			}
 		}
 		for z := range w.zones {
 			if p.Plan.Load(ones(w.s.Zones))[z] == 0 && w.agreed.Plan.Load(ones(w.s.Zones))[z] > 0 && w.well(z) {
-				w.r.Given = append(w.r.Given, fmt.Sprintf("zone %d at %.1f: %s", z, w.now, p.Why))
+				w.r.Given = append(w.r.Given, fmt.Sprintf("zone %d at %.1f: %s", z, w.now, p.Reason))
 			}
 		}
 	}
@@ -401,25 +401,25 @@
 			if r.heard.Epoch != w.agreed.Epoch {
 				r.heard = w.agreed
 			}
-			r.guide.Hear(w.now, w.agreed)
+			r.guide.Receive(w.now, w.agreed)
 			r.fresh = true
 		}
 		rep := failover.Report{Zone: r.zone, Demand: r.demand, Epoch: r.guide.Epoch(w.now), Span: span}
 		for z := range w.zones {
-			s := failover.Sight{Sent: r.sent[z] * 5, Bad: min(r.failed[z], r.sent[z]) * 5, Late: r.late[z] * 5, Work: r.served[z], Ready: w.listed(z), Slow: 1}
+			s := failover.ZoneObservation{Attempts: r.sent[z] * 5, Failed: min(r.failed[z], r.sent[z]) * 5, Late: r.late[z] * 5, Work: r.served[z], Ready: w.listed(z), Slow: 1}
 			if s.Ready > 0 {
-				s.Cold = w.zones[z].cores - s.Ready
+				s.ColdCores = w.zones[z].cores - s.Ready
 			}
 			if f, ok := w.is(Slowed, z); ok {
 				s.Slow = f.By
 			}
 			if r.bad[z] > 0.5 {
-				s.Doubt = s.Ready
+				s.SuspectCores = s.Ready
 			}
 			if r.liar {
-				s.Doubt, s.Bad, s.Slow, s.Late = 0, s.Sent*w.rnd.Float64(), 20*w.rnd.Float64(), 0
+				s.SuspectCores, s.Failed, s.Slow, s.Late = 0, s.Attempts*w.rnd.Float64(), 20*w.rnd.Float64(), 0
 			}
-			rep.Sights = append(rep.Sights, s)
+			rep.Observations = append(rep.Observations, s)
 		}
 		r.reports = rep
 		for z := range w.zones {
--- a/fairshare/persist_test.go
+++ b/fairshare/persist_test.go
@@ -34,7 +34,7 @@
 	before.Enqueue(0, 0, 0, 1, 1, 1, math.Inf(1))
 	before.Enqueue(0, 1, 1, 1, 1, 1, math.Inf(1))
 	before.AttemptStarted(0, 2, 0, 4, 1, false) // a has had four core seconds more than b
-	leads := before.Levels()
+	leads := before.VirtualTimeLeads()
 	if difference := leads["a"] - leads["b"]; math.Abs(difference-4) > 1e-9 {
 		t.Fatalf("leads %v", leads)
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	after.RestoreLevels(leads)
+	after.RestoreVirtualTimeLeads(leads)
 	if a, b := serveEight(after, 0); b-a < 2 || b-a > 4 {
 		t.Errorf("after a restart a got %v and b %v of eight; a should pay for its lead, and b should have no more credit than an idle team", a, b)
 	}
--- a/fairshare/priorities.go
+++ b/fairshare/priorities.go
@@ -10,7 +10,7 @@
 	t.now, t.lastTick, t.capacity = now, now, max(capacity, 1e-3)
 	t.refill(elapsed)
 	t.changes = t.changes[:0]
-	if t.tokens = min(t.tokens+elapsed*t.spec.Changes, max(t.spec.Changes/4, 1)); t.spec.Changes == 0 {
+	if t.tokens = min(t.tokens+elapsed*t.spec.MaxPriorityChanges, max(t.spec.MaxPriorityChanges/4, 1)); t.spec.MaxPriorityChanges == 0 {
 		t.tokens = 0
 	}
 	for k := 0; k < len(t.running); k++ {
--- a/fairshare/queue.go
+++ b/fairshare/queue.go
@@ -141,7 +141,7 @@
 
 // WorkQueuedBefore returns the queued work, in core seconds, that would start before a request of the given team and
 // rank.
-func (t *Tree) Ahead(team int, rank float64) float64 {
+func (t *Tree) WorkQueuedBefore(team int, rank float64) float64 {
 	i := t.leaf(team)
 	total := 0.0
 	for _, slot := range t.nodes[i].queue {
@@ -228,13 +228,13 @@
 }
 
 // ReportProgress records the progress of a running attempt: the completed fraction, and whether it spills to disk.
-func (t *Tree) Noted(slot int32, fraction float64, spills bool) {
+func (t *Tree) ReportProgress(slot int32, fraction float64, spills bool) {
 	if int(slot) >= len(t.entries) || !t.entries[slot].running {
 		return
 	}
 	e := &t.entries[slot]
 	e.progress = max(e.progress, fraction)
-	if spills && t.spec.GuardSpill { // a slower attempt holds its memory for longer
+	if spills && t.spec.ProtectSpilling { // a slower attempt holds its memory for longer
 		e.adjustable = false
 		e.restoreAtTick = e.lowered
 	}
@@ -260,7 +260,7 @@
 }
 
 // TeamShare returns a team's share of the pool among the teams that are in use now.
-func (t *Tree) ShareOf(team int) float64 { return t.share(t.leaf(team)) }
+func (t *Tree) TeamShare(team int) float64 { return t.share(t.leaf(team)) }
 
 // QueuedRequests returns the number of a team's queued requests.
-func (t *Tree) Queued(team int) int { return t.nodes[t.leaf(team)].queued }
+func (t *Tree) QueuedRequests(team int) int { return t.nodes[t.leaf(team)].queued }
--- a/fairshare/spec.go
+++ b/fairshare/spec.go
@@ -29,13 +29,13 @@
 
 // Spec is the operators' configuration of all teams.
 type Spec struct {
-	Nodes      []Node
-	Default    string  // a leaf: the team of requests that name no team or an unknown one
-	ByCall     bool    // a request may name its team
-	Ageing     float64 // seconds of work per benefit that one second of waiting offsets, within a team
-	Turns      bool    // a request that was bypassed for too long gets the next free threads
-	Changes    float64 // limit on priority changes of running attempts, per second
-	GuardSpill bool    // attempts that spill to disk are never lowered; lowered ones are restored
+	Nodes              []Node
+	Default            string  // a leaf: the team of requests that name no team or an unknown one
+	RequestMayNameTeam bool    // a request may name its team
+	Ageing             float64 // seconds of work per benefit that one second of waiting offsets, within a team
+	TurnsForBypassed   bool    // a request that was bypassed for too long gets the next free threads
+	MaxPriorityChanges float64 // limit on priority changes of running attempts, per second
+	ProtectSpilling    bool    // attempts that spill to disk are never lowered; lowered ones are restored
 }
 
 // SpecError is an error in a spec. Node is the index of the node, or -1 if the error is not in a node.
@@ -101,7 +101,7 @@
 	for _, setting := range [...]struct {
 		name  string
 		value float64
-	}{{"ageing", s.Ageing}, {"changes", s.Changes}} {
+	}{{"ageing", s.Ageing}, {"changes", s.MaxPriorityChanges}} {
 		if !(setting.value >= 0 && setting.value <= 1000) {
 			return nil, nil, &SpecError{-1, setting.name, fmt.Sprintf("%v is not between 0 and 1000", setting.value)}
 		}
--- a/fairshare/spec_test.go
+++ b/fairshare/spec_test.go
@@ -13,7 +13,7 @@
 // TestSpecs checks each spec of the test scripts and prints its first error.
 func TestSpecs(t *testing.T) {
 	script.Compare(t, func(t *testing.T, text string) string {
-		return script.Lines(text, func(line string) string {
+		return script.Annotate(text, func(line string) string {
 			var s Spec
 			if err := json.Unmarshal([]byte(line), &s); err != nil {
 				t.Fatal(err)
@@ -58,8 +58,8 @@
 	if err := tree.Reconfigure(flatSpec(1)); err != nil {
 		t.Fatal(err)
 	}
-	if tree.Name(removed) != "t0" || tree.Queued(tree.TeamOf(0, nil)) != 1 || tree.TeamOf(1, nil) != tree.TeamOf(0, nil) {
-		t.Errorf("requests of the removed team belong to %q, %d are queued at the default team", tree.Name(removed), tree.Queued(tree.TeamOf(0, nil)))
+	if tree.Name(removed) != "t0" || tree.QueuedRequests(tree.TeamOf(0, nil)) != 1 || tree.TeamOf(1, nil) != tree.TeamOf(0, nil) {
+		t.Errorf("requests of the removed team belong to %q, %d are queued at the default team", tree.Name(removed), tree.QueuedRequests(tree.TeamOf(0, nil)))
 	}
 	tree.AttemptEnded(1, 2, 1)
 	tree.Dequeue(1)
@@ -79,9 +79,9 @@
 	if tree.TeamOf(0, []byte("t1")) != tree.TeamOf(0, nil) {
 		t.Error("a request named its team although the spec does not allow it")
 	}
-	s.ByCall = true
+	s.RequestMayNameTeam = true
 	tree = newTree(t, s)
-	if tree.TeamOf(0, []byte("t1")) != tree.TeamOf(1, nil) || tree.TeamOf(1, []byte("x")) != tree.TeamOf(0, nil) || tree.TakeUnknown() != 1 || tree.TakeUnknown() != 0 {
+	if tree.TeamOf(0, []byte("t1")) != tree.TeamOf(1, nil) || tree.TeamOf(1, []byte("x")) != tree.TeamOf(0, nil) || tree.TakeUnknownTeamCount() != 1 || tree.TakeUnknownTeamCount() != 0 {
 		t.Error("wrong team or count of unknown teams for requests that name a team")
 	}
 }
--- a/fairshare/tree.go
+++ b/fairshare/tree.go
@@ -79,7 +79,7 @@
 
 // PriorityChange lowers the priority of a running attempt by one level, or restores its original priority.
 type PriorityChange struct {
-	At      int32
+	Slot    int32
 	Lowered bool
 }
 
@@ -189,7 +189,7 @@
 // TeamOf returns the handle of a request's team: the team that the request names, if the spec allows it; otherwise the
 // team of its tenant; otherwise the default team. Handles stay valid when the spec changes.
 func (t *Tree) TeamOf(tenant int, named []byte) int {
-	if t.spec.ByCall && len(named) > 0 {
+	if t.spec.RequestMayNameTeam && len(named) > 0 {
 		if h, ok := t.teamByName[string(named)]; ok && t.nodes[t.leafByTeam[h]].Name == string(named) {
 			return h
 		}
@@ -203,7 +203,7 @@
 }
 
 // TakeUnknownTeamCount returns and resets the number of requests that named an unknown team.
-func (t *Tree) TakeUnknown() (n int) {
+func (t *Tree) TakeUnknownTeamCount() (n int) {
 	n, t.unknownTeams = t.unknownTeams, 0
 	return n
 }
@@ -212,7 +212,7 @@
 func (t *Tree) Name(team int) string { return t.nodes[t.leaf(team)].Name }
 
 // TeamCount returns the number of team handles.
-func (t *Tree) Teams() int { return len(t.leafByTeam) }
+func (t *Tree) TeamCount() int { return len(t.leafByTeam) }
 
 // leaf returns the node of a team. An unknown handle maps to the default team.
 func (t *Tree) leaf(team int) int32 {
--- a/fairshare/tree_test.go
+++ b/fairshare/tree_test.go
@@ -18,7 +18,7 @@
 
 // flatSpec returns a spec of teams t0, t1 and so on without groups. Tenant k belongs to team tk.
 func flatSpec(weights ...float64) Spec {
-	s := Spec{Default: "t0", Ageing: 0.05, Turns: true, Changes: 20, GuardSpill: true}
+	s := Spec{Default: "t0", Ageing: 0.05, TurnsForBypassed: true, MaxPriorityChanges: 20, ProtectSpilling: true}
 	for k, w := range weights {
 		s.Nodes = append(s.Nodes, Node{Name: fmt.Sprintf("t%d", k), Weight: w, Tenants: []int{k}})
 	}
@@ -49,7 +49,7 @@
 	for pool.now < 2000 {
 		pool.runToNextEnd()
 		for k := range 3 {
-			for queued := tree.Queued(k); queued < 50; queued++ {
+			for queued := tree.QueuedRequests(k); queued < 50; queued++ {
 				pool.enqueueOne(k, 1, sizes[k])
 			}
 		}
@@ -68,7 +68,7 @@
 	pool := newPool(tree, 4)
 	for pool.now < 4000 {
 		for k, work := range []float64{4, 0.5} {
-			for queued := tree.Queued(k); queued < 20; queued++ {
+			for queued := tree.QueuedRequests(k); queued < 20; queued++ {
 				pool.enqueueOne(k, 1, work)
 			}
 		}
@@ -87,7 +87,7 @@
 	pool := newPool(tree, 4)
 	fillQueues := func(teams ...int) {
 		for _, k := range teams {
-			for queued := tree.Queued(k); queued < 20; queued++ {
+			for queued := tree.QueuedRequests(k); queued < 20; queued++ {
 				pool.enqueueOne(k, 1, 1)
 			}
 		}
@@ -190,7 +190,7 @@
 	pool := newPool(tree, 4)
 	for pool.now < 1000 {
 		for k, estimate := range []float64{0.1, 1} {
-			for queued := tree.Queued(k); queued < 20; queued++ {
+			for queued := tree.QueuedRequests(k); queued < 20; queued++ {
 				pool.enqueue(1, request{team: k, estimate: estimate, work: 1, threads: 1}, 1e9)
 			}
 		}
@@ -206,11 +206,11 @@
 func TestTurnForBypassedRequest(t *testing.T) {
 	for _, turns := range []bool{true, false} {
 		s := flatSpec(1, 1)
-		s.Turns = turns
+		s.TurnsForBypassed = turns
 		tree := newTree(t, s)
 		pool := newPool(tree, 4)
 		fillQueue := func() {
-			for queued := tree.Queued(1); queued < 20; queued++ {
+			for queued := tree.QueuedRequests(1); queued < 20; queued++ {
 				pool.enqueue(1, request{team: 1, estimate: 0.1 + float64(pool.nextSlot%7)/100, work: 0.1 + float64(pool.nextSlot%7)/100, threads: 1}, 1e9)
 			}
 		}
@@ -238,7 +238,7 @@
 	pool := newPool(tree, 8)
 	fillQueues := func(teams ...int) {
 		for _, k := range teams {
-			for queued := tree.Queued(k); queued < 30; queued++ {
+			for queued := tree.QueuedRequests(k); queued < 30; queued++ {
 				pool.enqueueOne(k, 1, 0.5)
 			}
 		}
@@ -272,7 +272,7 @@
 // tick.
 func TestPriorityChanges(t *testing.T) {
 	s := flatSpec(1, 1)
-	s.Changes = 4
+	s.MaxPriorityChanges = 4
 	tree := newTree(t, s)
 	for slot := range int32(40) {
 		tree.AttemptStarted(0, slot, 0, 10, 1, true)
@@ -289,7 +289,7 @@
 		{1.0, nil, "[{0 true}]"},
 		{1.05, nil, "[]"}, // only a quarter of a second's changes may be made at once
 		{1.3, nil, "[{1 true}]"},
-		{2, func() { tree.Noted(0, 0.2, true) }, "[{0 false}]"},
+		{2, func() { tree.ReportProgress(0, 0.2, true) }, "[{0 false}]"},
 		{2.3, nil, "[{2 true}]"},
 		{3, func() { tree.Dequeue(100) }, "[]"},
 		{3.4, nil, "[{1 false}]"}, // a second after the request last waited too long
@@ -318,7 +318,7 @@
 // calls give equal decisions.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		specs := []Spec{flatSpec(1, 2, 3), flatSpec(5, 1), {}, {Default: "t1", ByCall: true, Turns: true, Changes: 5, Nodes: []Node{
+		specs := []Spec{flatSpec(1, 2, 3), flatSpec(5, 1), {}, {Default: "t1", RequestMayNameTeam: true, TurnsForBypassed: true, MaxPriorityChanges: 5, Nodes: []Node{
 			{Name: "x", Weight: 1, Floor: 0.2}, {Name: "t0", Under: "x", Weight: 2, Ceiling: 0.5, Floor: 0.1},
 			{Name: "t1", Weight: 1, Burst: 3, Tenants: []int{0, 1}}}}}
 		trees := [2]*Tree{newTree(t, specs[0]), newTree(t, specs[0])}
@@ -328,7 +328,7 @@
 		for range steps {
 			now += rapid.Float64Range(0, 0.3).Draw(t, "pass")
 			slot := int32(rapid.IntRange(0, 20).Draw(t, "at"))
-			team := rapid.IntRange(0, trees[0].Teams()-1).Draw(t, "team")
+			team := rapid.IntRange(0, trees[0].TeamCount()-1).Draw(t, "team")
 			work := rapid.Float64Range(0.01, 50).Draw(t, "work")
 			operation := rapid.SampledFrom([]string{"hold", "unhold", "send", "end", "refund", "keep", "tick", "renew", "note", "ask"}).Draw(t, "what")
 			spec := specs[rapid.IntRange(0, len(specs)-1).Draw(t, "spec")]
@@ -355,9 +355,9 @@
 						t.Fatal(err)
 					}
 				case operation == "note":
-					tree.Noted(slot, 0.4, work > 25)
+					tree.ReportProgress(slot, 0.4, work > 25)
 				case operation == "ask":
-					decisions[k] = fmt.Sprint(tree.Ahead(team, work), tree.MayStart(now, slot, team), tree.Lane(team))
+					decisions[k] = fmt.Sprint(tree.WorkQueuedBefore(team, work), tree.MayStart(now, slot, team), tree.MayUseFastPath(team))
 				}
 			}
 			switch {
--- a/fairshare/turns.go
+++ b/fairshare/turns.go
@@ -14,7 +14,7 @@
 }
 
 // RequestGivenUp records the price, in work per benefit, at which a queued request of a team was given up.
-func (t *Tree) GaveUp(now float64, team int, price float64) {
+func (t *Tree) RequestGivenUp(now float64, team int, price float64) {
 	n := &t.nodes[t.leaf(team)]
 	n.giveUpPrice, n.giveUpAt = min(n.decayedGiveUpPrice(now), price), now
 }
@@ -22,7 +22,7 @@
 // RejectionPrice returns the price from which a team's requests are rejected because requests of that price were
 // recently given up. It doubles every two seconds, so that such requests are soon admitted again. Prices of other teams
 // have no effect.
-func (t *Tree) Cut(now float64, team int) float64 {
+func (t *Tree) RejectionPrice(now float64, team int) float64 {
 	return t.nodes[t.leaf(team)].decayedGiveUpPrice(now)
 }
 
@@ -45,7 +45,7 @@
 			return false
 		}
 	}
-	if !t.spec.Turns || t.nodes[t.root].queued == 0 {
+	if !t.spec.TurnsForBypassed || t.nodes[t.root].queued == 0 {
 		return true
 	}
 	head := t.trackHead()
@@ -95,6 +95,6 @@
 
 // MayUseFastPath reports whether a short request of a team may use the fast path past full servers. While requests are
 // queued, only teams that are within their share and burst may.
-func (t *Tree) Lane(team int) bool {
+func (t *Tree) MayUseFastPath(team int) bool {
 	return t.nodes[t.root].queued == 0 || t.excess(team) == 0
 }
--- a/fleet/agent/answers.go
+++ b/fleet/agent/answers.go
@@ -27,7 +27,7 @@
 	if s.heartbeat {
 		m.heartbeatsInFlight--
 	}
-	if s.annotation && s.task == PlanWork {
+	if s.annotation && s.task == PlanTask {
 		m.planDecided(now, err)
 	}
 	var stale *lease.StaleFenceError
@@ -39,14 +39,14 @@
 			m.loseSession(now, "superseded by a newer process of this name")
 		}
 		return
-	case errors.Is(err, coordinator.ErrSession):
+	case errors.Is(err, coordinator.ErrUnknownSession):
 		m.loseSession(now, "the session has ended")
 		m.nextHeartbeat = max(m.nextHeartbeat, now+0.2*m.rng.Float64())
 		return
 	case errors.As(err, &stale):
-		m.Stats.ToldOld++
-		m.log("task %q fence %d: %v", stale.Work, stale.Fence, err)
-		m.dropTask(stale.Work, stale.Fence)
+		m.Stats.StaleNotices++
+		m.log("task %q fence %d: %v", stale.Task, stale.Fence, err)
+		m.dropTask(stale.Task, stale.Fence)
 		return
 	default:
 		if s.heartbeat { // decorrelated backoff: routers that lost the coordinators at the same time don't all return at the same time
@@ -57,17 +57,17 @@
 		return
 	}
 	switch v := value.(type) {
-	case coordinator.View:
+	case coordinator.Snapshot:
 		m.backoff = 0
 		if v.Session == 0 { // a token, which the next heartbeat returns to prove that this process is alive
 			m.lastSnapshot, m.nextHeartbeat = max(m.lastSnapshot, v.Number), now
 			return
 		}
 		m.applySnapshot(now, s, v)
-	case coordinator.Posted:
-		for _, o := range v.Old {
-			m.Stats.ToldOld++
-			m.dropTask(o.Work, o.Fence)
+	case coordinator.PostResult:
+		for _, o := range v.Stale {
+			m.Stats.StaleNotices++
+			m.dropTask(o.Task, o.Fence)
 		}
 	}
 }
@@ -85,10 +85,10 @@
 
 // loseSession drops all tasks and the session.
 func (m *Member) loseSession(now float64, reason string) {
-	lost := m.owner.Lose()
+	lost := m.owner.EndSession()
 	for _, c := range lost {
 		m.Stats.Lost++
-		m.log("task %q fence %d: lost, %s", c.Work, c.Fence, reason)
+		m.log("task %q fence %d: lost, %s", c.Task, c.Fence, reason)
 	}
 	for _, w := range m.quotasByTask {
 		w.granter = nil
@@ -98,75 +98,75 @@
 }
 
 // applySnapshot takes over what a snapshot says about the terms, the session, its tasks and its messages.
-func (m *Member) applySnapshot(now float64, s inFlight, v coordinator.View) {
+func (m *Member) applySnapshot(now float64, s inFlight, v coordinator.Snapshot) {
 	if v.Lease != m.terms.Lease || v.Drift != m.terms.Drift {
 		m.setTerms(v.Lease, v.Drift)
-		m.owner.Terms(m.terms)
+		m.owner.SetTerms(m.terms)
 	}
 	if v.Number <= m.lastSnapshot { // older than a snapshot that has already arrived
-		m.owner.Confirmed(s.sentAt, v.Number, v.Session, nil)
-		m.receiveMessages(now, v.Mail)
+		m.owner.ApplyConfirmation(s.sentAt, v.Number, v.Session, nil)
+		m.receiveMessages(now, v.Messages)
 		return
 	}
-	m.Stats.Confirmed++
+	m.Stats.SnapshotsApplied++
 	m.fleetSize = v.Sessions
 	m.highestFence = max(m.highestFence, v.Fence)
 	if m.session != v.Session {
 		m.session = v.Session
-		if !m.cfg.Clean { // an earlier process of this name may have relinquished shares until now
+		if !m.cfg.CleanStart { // an earlier process of this name may have relinquished shares until now
 			for name, w := range m.quotasByTask {
-				w.holder.RelinquishUntil(min(now, m.cfg.Began+1) + m.termsOf(name).Longest())
+				w.holder.ExtendRelinquishment(min(now, m.cfg.StartedAt+1) + m.termsOf(name).LongestRelinquishment())
 			}
 		}
 	}
 	m.lastSnapshot = v.Number
 	m.applyOwnedTasks(s, v)
-	for _, x := range v.Mine {
-		if x.Asked {
-			m.release(now, x.Work)
+	for _, x := range v.Owned {
+		if x.ReleaseRequested {
+			m.release(now, x.Task)
 		}
-		if m.owner.Released(x.Claim) && !m.releaseInFlight(x.Work) { // the release was lost on its way
-			m.request(now, Request{Act: &coordinator.Act{Kind: "release", Session: m.session, Work: x.Work, Fence: x.Fence}}, inFlight{task: x.Work})
+		if m.owner.Released(x.Claim) && !m.releaseInFlight(x.Task) { // the release was lost on its way
+			m.request(now, Request{Action: &coordinator.Action{Kind: "release", Session: m.session, Task: x.Task, Fence: x.Fence}}, inFlight{task: x.Task})
 		}
 	}
-	for _, x := range v.Works {
+	for _, x := range v.Tasks {
 		m.readPlanAnnotation(s.sentAt, x)
 		var f probing.Finding
-		if len(x.Note) > 0 && strings.HasPrefix(x.Work, Trials+"/") && json.Unmarshal(x.Note, &f) == nil {
-			m.hints.Receive(now, x.By, f, x.Age+now-s.sentAt)
+		if len(x.Annotation) > 0 && strings.HasPrefix(x.Task, ProbeKind+"/") && json.Unmarshal(x.Annotation, &f) == nil {
+			m.hints.Receive(now, x.AnnotationFence, f, x.AnnotationAge+now-s.sentAt)
 		}
 	}
-	m.receiveMessages(now, v.Mail)
+	m.receiveMessages(now, v.Messages)
 }
 
 // receiveMessages handles messages one by one.
-func (m *Member) receiveMessages(now float64, messages []coordinator.Letter) {
+func (m *Member) receiveMessages(now float64, messages []coordinator.Message) {
 	for _, l := range messages {
 		m.receiveMessage(now, l)
 	}
 }
 
 // applyOwnedTasks takes over the owned tasks of a snapshot, and counts the tasks that were gained and lost.
-func (m *Member) applyOwnedTasks(s inFlight, v coordinator.View) {
+func (m *Member) applyOwnedTasks(s inFlight, v coordinator.Snapshot) {
 	heldBefore := map[string]uint64{}
-	for _, c := range m.owner.Held() {
-		heldBefore[c.Work] = c.Fence
+	for _, c := range m.owner.HeldClaims() {
+		heldBefore[c.Task] = c.Fence
 	}
-	claims := make([]lease.Claim, 0, len(v.Mine))
-	for _, x := range v.Mine {
+	claims := make([]lease.Claim, 0, len(v.Owned))
+	for _, x := range v.Owned {
 		claims = append(claims, x.Claim)
 	}
-	for _, c := range m.owner.Confirmed(s.sentAt, v.Number, v.Session, claims) {
+	for _, c := range m.owner.ApplyConfirmation(s.sentAt, v.Number, v.Session, claims) {
 		m.Stats.Lost++
-		m.log("task %q fence %d: no longer owned", c.Work, c.Fence)
-		if w := m.quotasByTask[c.Work]; w != nil && w.granter != nil && w.granter.Fence() == c.Fence {
+		m.log("task %q fence %d: no longer owned", c.Task, c.Fence)
+		if w := m.quotasByTask[c.Task]; w != nil && w.granter != nil && w.granter.Fence() == c.Fence {
 			w.granter = nil
 		}
 	}
-	for _, c := range m.owner.Held() {
-		if heldBefore[c.Work] != c.Fence {
+	for _, c := range m.owner.HeldClaims() {
+		if heldBefore[c.Task] != c.Fence {
 			m.Stats.Gained++
-			m.log("task %q fence %d: acquired", c.Work, c.Fence)
+			m.log("task %q fence %d: acquired", c.Task, c.Fence)
 		}
 	}
 }
@@ -182,36 +182,36 @@
 }
 
 // receiveMessage handles one message of another router.
-func (m *Member) receiveMessage(now float64, l coordinator.Letter) {
+func (m *Member) receiveMessage(now float64, l coordinator.Message) {
 	var x messageBody
 	if json.Unmarshal(l.Body, &x) != nil {
 		return
 	}
-	if x.Report != nil && l.Work == PlanWork && m.controller != nil && x.Report.Check(m.cfg.Zones) {
+	if x.Report != nil && l.Task == PlanTask && m.controller != nil && x.Report.Valid(m.cfg.ZoneCount) {
 		m.evidenceByRouter[l.From] = evidence{*x.Report, now}
 		return
 	}
-	w := m.quotasByTask[l.Work]
+	w := m.quotasByTask[l.Task]
 	if w == nil {
 		return
 	}
 	switch {
 	case x.ShareRelinquishment != nil && w.granter != nil:
-		w.granter.Relinquish(now, l.From, l.Incarnation, *x.ShareRelinquishment)
+		w.granter.AcceptRelinquishment(now, l.From, l.Incarnation, *x.ShareRelinquishment)
 	case x.ShareGrant != nil:
-		fenceRose, err := m.gate.Accept(l.Work, l.Fence)
+		fenceRose, err := m.gate.Accept(l.Task, l.Fence)
 		if err != nil || x.ShareGrant.Fence != l.Fence {
-			m.Stats.Refused++
-			m.trace(Trace{What: "refused", Work: l.Work, Fence: l.Fence, At: now})
+			m.Stats.RejectedStale++
+			m.trace(Trace{Event: "refused", Task: l.Task, Fence: l.Fence, At: now})
 			return
 		}
-		if m.highestFence = max(m.highestFence, l.Fence); fenceRose && m.cfg.Keeps && m.persistSeq == 0 {
-			m.persist(now, m.persisted.Pledged)
+		if m.highestFence = max(m.highestFence, l.Fence); fenceRose && m.cfg.Persistent && m.persistSeq == 0 {
+			m.persist(now, m.persisted.Relinquished)
 		}
 		if x.ForIncarnation != 0 && x.ForIncarnation != m.cfg.Incarnation {
 			return // meant for an earlier process of this name
 		}
-		m.receiveGrant(now, l.Work, w, *x.ShareGrant)
+		m.receiveGrant(now, l.Task, w, *x.ShareGrant)
 	}
 }
 
@@ -219,9 +219,9 @@
 func (m *Member) receiveGrant(now float64, task string, w *sharedQuota, d allocation.Grant) {
 	switch err := w.holder.Receive(now, d); {
 	case err == allocation.ErrExpired:
-		m.Stats.Late++
+		m.Stats.LateGrants++
 	case err == nil && d.Tag != 0:
-		m.trace(Trace{What: "part", Work: task, Fence: d.Fence, Part: d.Share, At: now, Until: w.holder.Until()})
+		m.trace(Trace{Event: "part", Task: task, Fence: d.Fence, Share: d.Share, At: now, Until: w.holder.ShareUntil()})
 	}
 }
 
@@ -234,11 +234,11 @@
 // Close ends the session in an orderly way: the member does nothing more, and its tasks are free at once.
 func (m *Member) Close(now float64) []Request {
 	m.closing = true
-	for _, c := range m.owner.Held() {
-		m.owner.Release(c.Work)
+	for _, c := range m.owner.HeldClaims() {
+		m.owner.Release(c.Task)
 	}
 	if m.session != 0 {
-		m.request(now, Request{Act: &coordinator.Act{Kind: "close", Session: m.session}}, inFlight{})
+		m.request(now, Request{Action: &coordinator.Action{Kind: "close", Session: m.session}}, inFlight{})
 	}
 	return m.flush()
 }
--- a/fleet/agent/finder.go
+++ b/fleet/agent/finder.go
@@ -22,7 +22,7 @@
 }
 
 // Redirect reports that the coordinator asked is not the leader, and the leader's address, "": unknown.
-func (f *Finder) Elsewhere(asked, leader string) {
+func (f *Finder) Redirect(asked, leader string) {
 	if leader != "" && leader != asked {
 		f.leaderHint = leader
 		return
--- a/fleet/agent/member.go
+++ b/fleet/agent/member.go
@@ -20,16 +20,16 @@
 
 // Kinds of task. A task's name is its kind, a slash, and the name of the thing that the task is about.
 const (
-	Warmth = "warmth" // grants shares of a cold server's allowance
-	Trials = "trial"  // probes a suspected server on behalf of all routers
-	Quotas = "quota"  // grants shares of a tenant's quota
-	Plans  = "plan"   // makes the plan of the zones' shares
+	WarmUpKind = "warmth" // grants shares of a cold server's allowance
+	ProbeKind  = "trial"  // probes a suspected server on behalf of all routers
+	QuotaKind  = "quota"  // grants shares of a tenant's quota
+	PlanKind   = "plan"   // makes the plan of the zones' shares
 )
 
 // Names of the task of the fleet's plan, and of the operators' orders on it, which nobody owns.
 const (
-	PlanWork  = Plans + "/zones"
-	WordsWork = "words/zones"
+	PlanTask   = PlanKind + "/zones"
+	OrdersTask = "words/zones"
 )
 
 // Config is the configuration of one member.
@@ -37,17 +37,17 @@
 	Name, Zone, Region string
 	Incarnation        uint64 // random, identifies one process
 	Seed               uint64
-	Stands             []string // kinds of task that this member takes part in and can own
+	CandidateKinds     []string // kinds of task that this member takes part in and can own
 	Tenants            []string // tenants whose quotas are shared by the fleet, in the module's numbering
-	Zones              int      // number of zones in the settings
+	ZoneCount          int      // number of zones in the settings
 	ZoneNumber         int      // of this router's zone
 	ZoneNames          []string
-	Way                [][]float64 // round trip times between zones, in seconds
-	Members            int         // number of routers in the settings
+	RoundTrips         [][]float64 // round trip times between zones, in seconds
+	RouterCount        int         // number of routers in the settings
 	Window             float64     // seconds over which a cold server's limit counts
-	Began              float64     // when the process started
-	Clean              bool        // no earlier process of this name can have relinquished a share that is still relinquished
-	Keeps              bool        // there is a folder: state that must outlive the process is returned as a request to persist it
+	StartedAt          float64     // when the process started
+	CleanStart         bool        // no earlier process of this name can have relinquished a share that is still relinquished
+	Persistent         bool        // there is a folder: state that must outlive the process is returned as a request to persist it
 	Log                func(text string)
 	Trace              func(Trace)    // nil: no tracing
 	Now                func() float64 // reads the clock just before an action; nil: the time that was passed in is used
@@ -56,43 +56,43 @@
 // Trace is an event for fault analysis: an action of an owner, or a share that a member relinquished or may use, and until
 // when, by the clock that leases are counted on.
 type Trace struct {
-	What      string // "begins" (with shares relinquished until then), "act", "laid", "part", "plan" or "refused"
-	Work      string
+	Event     string // "begins" (with shares relinquished until then), "act", "laid", "part", "plan" or "refused"
+	Task      string
 	Fence     uint64
-	Part      float64
+	Share     float64
 	At, Until float64
 }
 
 // Server is one start of a server.
-type Engine struct {
+type Server struct {
 	ID    uint32
 	Start float64
 	Zone  string
 }
 
 // taskName returns the name of a task of a kind about this start of the server.
-func (e Engine) taskName(kind string) string { return fmt.Sprintf("%s/%d@%.3f", kind, e.ID, e.Start) }
+func (e Server) taskName(kind string) string { return fmt.Sprintf("%s/%d@%.3f", kind, e.ID, e.Start) }
 
 // ColdServer is a cold server that this router would use.
-type Cold struct {
-	Engine
+type ColdServer struct {
+	Server
 	Need, Least float64 // shares of its allowance: the share needed, and the smallest share that is of use
 }
 
 // Health is this router's knowledge of a server that some router suspects.
 type Health struct {
-	Engine
-	Ill   bool    // unhealthy here
-	Heard float64 // seconds since it last answered this router, negative: never
+	Server
+	Unhealthy   bool    // unhealthy here
+	SinceAnswer float64 // seconds since it last answered this router, negative: never
 }
 
 // Demand is the router's needs and knowledge, which it reports several times a second.
 type Demand struct {
-	Cold    []Cold
-	Doubted []Health
-	Health  func(engine uint32) (Health, bool) // of any server on the list of servers
-	Report  func() failover.Report             // observations of the zones since the last call
-	Tenants []Tenant
+	ColdServers []ColdServer
+	Suspected   []Health
+	Health      func(engine uint32) (Health, bool) // of any server on the list of servers
+	Report      func() failover.Report             // observations of the zones since the last call
+	Tenants     []Tenant
 }
 
 // Tenant is a tenant whose quota is shared by the fleet.
@@ -103,19 +103,19 @@
 
 // Request is a request to a coordinator. Its answer is passed to Answer.
 type Request struct {
-	Seq  uint64
-	Beat *coordinator.Beat
-	Mail *coordinator.Mail
-	Act  *coordinator.Act
-	Keep *Kept // not sent to a coordinator: state to store on disk before Persisted is called
+	Seq       uint64
+	Heartbeat *coordinator.Heartbeat
+	Messages  *coordinator.MessageBatch
+	Action    *coordinator.Action
+	Persist   *PersistentState // not sent to a coordinator: state to store on disk before Persisted is called
 }
 
 // PersistentState is the state that outlives the process.
-type Kept struct {
-	Marks   []lease.FenceMark `json:"marks" cbor:"1,keyasint"`
-	Floor   uint64            `json:"floor" cbor:"2,keyasint"`
-	Highest uint64            `json:"highest" cbor:"3,keyasint"`
-	Pledged bool              `json:"pledged" cbor:"4,keyasint"` // a share may be relinquished
+type PersistentState struct {
+	Marks        []lease.TaskFence `json:"marks" cbor:"1,keyasint"`
+	Floor        uint64            `json:"floor" cbor:"2,keyasint"`
+	HighestFence uint64            `json:"highest" cbor:"3,keyasint"`
+	Relinquished bool              `json:"pledged" cbor:"4,keyasint"` // a share may be relinquished
 }
 
 // sharedQuota is one quota of which members use shares: a cold server's allowance or a tenant's quota.
@@ -134,7 +134,7 @@
 
 // probeTask is the task of probing a suspected server.
 type probeTask struct {
-	server      Engine
+	server      Server
 	lastNeeded  float64
 	annotatedAt float64
 	healthy     bool
@@ -142,14 +142,14 @@
 
 // Stats are counters for operators and tests.
 type Stats struct {
-	Refused   int // messages rejected for a stale fence
-	Late      int // grants that had expired on arrival
-	Dealt     int
-	Pledges   int
-	Lost      int // tasks lost without a release
-	Gained    int
-	ToldOld   int // answers saying that this member is no longer the owner
-	Confirmed int
+	RejectedStale    int // messages rejected for a stale fence
+	LateGrants       int // grants that had expired on arrival
+	Granted          int
+	Relinquishments  int
+	Lost             int // tasks lost without a release
+	Gained           int
+	StaleNotices     int // answers saying that this member is no longer the owner
+	SnapshotsApplied int
 }
 
 // Member is one router as a member of the fleet.
@@ -157,7 +157,7 @@
 	cfg                Config
 	terms              lease.Terms
 	owner              *lease.Owner
-	gate               *lease.Gate
+	gate               *lease.FenceChecker
 	hints              *probing.Hints
 	quotasByTask       map[string]*sharedQuota
 	coldQuotas         map[serverStart]*sharedQuota // those of cold servers, since the module looks them up with each request
@@ -169,7 +169,7 @@
 	highestFence       uint64
 	lastSeq            uint64
 	outgoing           []Request
-	messages           []coordinator.Letter
+	messages           []coordinator.Message
 	inFlight           map[uint64]inFlight
 	heartbeatsInFlight int // sent and not yet answered
 	nextHeartbeat      float64
@@ -177,7 +177,7 @@
 	backoff            float64
 	superseded         bool // a newer process has this member's name
 	closing            bool
-	persisted          Kept // the state that is on disk
+	persisted          PersistentState // the state that is on disk
 	persistSeq         uint64
 	persistingClear    bool // the state in flight to the disk says that nothing is relinquished
 	coldTerms          allocation.Terms
@@ -185,15 +185,15 @@
 
 	warmUpEnabled, probesEnabled, quotasEnabled, plansEnabled bool
 
-	guide            *failover.Guide
+	guide            *failover.PlanFollower
 	controller       *failover.Controller
 	controllerFence  uint64 // the fence that the controller acts under
 	evidenceByRouter map[string]evidence
 	reportedAt       float64
 	nextPlanAt       float64
-	newestPlan       failover.Published // the newest plan received
-	registryPlan     failover.Published // the plan that the registry showed last
-	highestEpoch     uint64             // highest epoch that this member gave a plan
+	newestPlan       failover.PublishedPlan // the newest plan received
+	registryPlan     failover.PublishedPlan // the plan that the registry showed last
+	highestEpoch     uint64                 // highest epoch that this member gave a plan
 
 	publishing    bool // a plan is proposed and its outcome not yet known
 	planDecidedAt float64
@@ -235,25 +235,25 @@
 )
 
 // New returns a member. persisted is the state that an earlier process left.
-func New(cfg Config, persisted Kept) *Member {
-	m := &Member{cfg: cfg, gate: lease.NewGate(), hints: probing.NewHints(), quotasByTask: map[string]*sharedQuota{},
-		coldQuotas: map[serverStart]*sharedQuota{}, tenantQuotas: make([]*sharedQuota, len(cfg.Tenants)), probeTasks: map[string]*probeTask{}, inFlight: map[uint64]inFlight{}, persisted: persisted, highestFence: persisted.Highest,
-		rng: rand.New(rand.NewPCG(cfg.Seed, 7)), nextHeartbeat: cfg.Began}
-	m.warmUpEnabled, m.probesEnabled, m.quotasEnabled = slices.Contains(cfg.Stands, Warmth), slices.Contains(cfg.Stands, Trials), slices.Contains(cfg.Stands, Quotas)
-	if m.plansEnabled = slices.Contains(cfg.Stands, Plans) && cfg.Zones > 1 && cfg.Zones <= failover.MostZones; m.plansEnabled {
+func New(cfg Config, persisted PersistentState) *Member {
+	m := &Member{cfg: cfg, gate: lease.NewFenceChecker(), hints: probing.NewHints(), quotasByTask: map[string]*sharedQuota{},
+		coldQuotas: map[serverStart]*sharedQuota{}, tenantQuotas: make([]*sharedQuota, len(cfg.Tenants)), probeTasks: map[string]*probeTask{}, inFlight: map[uint64]inFlight{}, persisted: persisted, highestFence: persisted.HighestFence,
+		rng: rand.New(rand.NewPCG(cfg.Seed, 7)), nextHeartbeat: cfg.StartedAt}
+	m.warmUpEnabled, m.probesEnabled, m.quotasEnabled = slices.Contains(cfg.CandidateKinds, WarmUpKind), slices.Contains(cfg.CandidateKinds, ProbeKind), slices.Contains(cfg.CandidateKinds, QuotaKind)
+	if m.plansEnabled = slices.Contains(cfg.CandidateKinds, PlanKind) && cfg.ZoneCount > 1 && cfg.ZoneCount <= failover.MaxZones; m.plansEnabled {
 		const drift = 0.05
-		m.guide, m.evidenceByRouter = failover.NewGuide(cfg.ZoneNumber, cfg.Zones, drift), map[string]evidence{}
+		m.guide, m.evidenceByRouter = failover.NewPlanFollower(cfg.ZoneNumber, cfg.ZoneCount, drift), map[string]evidence{}
 	}
 	m.gate.Import(persisted.Marks, persisted.Floor)
-	if cfg.Keeps {
-		m.cfg.Clean = !persisted.Pledged
+	if cfg.Persistent {
+		m.cfg.CleanStart = !persisted.Relinquished
 	}
 	const drift = 0.05 // until the coordinators give their terms
 	m.setTerms(0, drift)
 	m.owner = lease.NewOwner(m.terms)
-	begins := Trace{What: "begins", Work: "*", At: cfg.Began, Until: cfg.Began}
-	if !m.cfg.Clean {
-		begins.Until += m.coldTerms.Longest()
+	begins := Trace{Event: "begins", Task: "*", At: cfg.StartedAt, Until: cfg.StartedAt}
+	if !m.cfg.CleanStart {
+		begins.Until += m.coldTerms.LongestRelinquishment()
 	}
 	m.trace(begins)
 	return m
@@ -262,10 +262,10 @@
 // setTerms sets the lease's terms, and those of grants that follow from them.
 func (m *Member) setTerms(duration, drift float64) {
 	m.terms = lease.Terms{Lease: duration, Drift: drift}
-	m.coldTerms = allocation.Standard(m.cfg.Members, m.cfg.Window, drift)
-	m.tenantTerms = allocation.Standard(m.cfg.Members, 1, drift) // a quota is an amount per second
+	m.coldTerms = allocation.StandardTerms(m.cfg.RouterCount, m.cfg.Window, drift)
+	m.tenantTerms = allocation.StandardTerms(m.cfg.RouterCount, 1, drift) // a quota is an amount per second
 	for name, w := range m.quotasByTask {
-		w.holder.Terms(m.termsOf(name))
+		w.holder.SetTerms(m.termsOf(name))
 	}
 }
 
@@ -279,7 +279,7 @@
 
 // WarmUpShare returns the share of a cold server's allowance that this router may use now. If ok is false, it is the equal
 // share.
-func (m *Member) Part(now float64, server uint32, startedAt float64) (share float64, ok bool) {
+func (m *Member) WarmUpShare(now float64, server uint32, startedAt float64) (share float64, ok bool) {
 	if !m.warmUpEnabled {
 		return 0, false
 	}
@@ -293,14 +293,14 @@
 // unknownQuotaShare returns the share of a quota that this process has no account of: the equal share, unless an earlier
 // process may have relinquished it.
 func (m *Member) unknownQuotaShare(now float64, t allocation.Terms) (float64, bool) {
-	if m.cfg.Clean || now >= m.cfg.Began+t.Longest() {
+	if m.cfg.CleanStart || now >= m.cfg.StartedAt+t.LongestRelinquishment() {
 		return 0, false
 	}
 	return 0, true
 }
 
 // QuotaShare returns the share of a tenant's quota that this router may use now. If ok is false, it is the equal share.
-func (m *Member) Quota(now float64, tenant int) (share float64, ok bool) {
+func (m *Member) QuotaShare(now float64, tenant int) (share float64, ok bool) {
 	if !m.quotasEnabled {
 		return 0, false
 	}
@@ -311,7 +311,7 @@
 }
 
 // NextProbe adjusts the time of the next probe of a server that this router suspects.
-func (m *Member) TrialAt(now float64, server uint32, startedAt, ownNext float64) float64 {
+func (m *Member) NextProbe(now float64, server uint32, startedAt, ownNext float64) float64 {
 	if !m.probesEnabled {
 		return ownNext
 	}
@@ -319,22 +319,22 @@
 }
 
 // Probed reports the result of a probe.
-func (m *Member) Tried(now float64, server uint32, startedAt float64, healthy bool) {
-	effect := m.hints.Probed(now, server, startedAt, healthy)
+func (m *Member) Probed(now float64, server uint32, startedAt float64, healthy bool) {
+	effect := m.hints.ProbeEnded(now, server, startedAt, healthy)
 	m.log("server %d probed, %v: answered %v", server, effect, healthy)
 }
 
 // ---- reports of the router
 
 // SetDemand reports the router's demand.
-func (m *Member) Tell(now float64, d Demand) {
+func (m *Member) SetDemand(now float64, d Demand) {
 	m.demand = d
 	if m.warmUpEnabled {
-		for _, c := range d.Cold {
+		for _, c := range d.ColdServers {
 			key := serverStart{c.ID, c.Start}
 			if w := m.coldQuotas[key]; w != nil {
 				w.need, w.leastShare, w.zone, w.lastNeeded = c.Need, c.Least, c.Zone, now
-			} else if w = m.useQuota(now, c.taskName(Warmth), m.coldTerms); w != nil {
+			} else if w = m.useQuota(now, c.taskName(WarmUpKind), m.coldTerms); w != nil {
 				w.need, w.leastShare, w.zone, w.key = c.Need, c.Least, c.Zone, key
 				m.coldQuotas[key] = w
 			}
@@ -343,7 +343,7 @@
 	if m.quotasEnabled {
 		for _, t := range d.Tenants {
 			if m.tenantQuotas[t.Number] == nil {
-				m.tenantQuotas[t.Number] = m.useQuota(now, Quotas+"/"+m.cfg.Tenants[t.Number], m.tenantTerms)
+				m.tenantQuotas[t.Number] = m.useQuota(now, QuotaKind+"/"+m.cfg.Tenants[t.Number], m.tenantTerms)
 			}
 			if w := m.tenantQuotas[t.Number]; w != nil {
 				w.need, w.lastNeeded = t.Need, now
@@ -351,14 +351,14 @@
 		}
 	}
 	if m.probesEnabled {
-		for _, h := range d.Doubted {
-			name := h.taskName(Trials)
+		for _, h := range d.Suspected {
+			name := h.taskName(ProbeKind)
 			x := m.probeTasks[name]
 			if x == nil {
 				if len(m.probeTasks) >= maxProbeTasks {
 					continue
 				}
-				x = &probeTask{server: h.Engine, annotatedAt: math.Inf(-1)}
+				x = &probeTask{server: h.Server, annotatedAt: math.Inf(-1)}
 				m.probeTasks[name] = x
 			}
 			x.lastNeeded = now
@@ -375,7 +375,7 @@
 	if len(m.quotasByTask) >= maxQuotas || registry.CheckName(name) != nil {
 		return nil
 	}
-	w := &sharedQuota{holder: allocation.NewHolder(t, m.cfg.Began, m.cfg.Clean), lastNeeded: now}
+	w := &sharedQuota{holder: allocation.NewHolder(t, m.cfg.StartedAt, m.cfg.CleanStart), lastNeeded: now}
 	m.quotasByTask[name] = w
 	return w
 }
@@ -394,14 +394,14 @@
 		m.relinquish(now)
 		m.planStep(now)
 	}
-	if m.cfg.Keeps && m.persisted.Pledged && m.persistSeq == 0 && m.relinquishedCount(now) == 0 {
+	if m.cfg.Persistent && m.persisted.Relinquished && m.persistSeq == 0 && m.relinquishedCount(now) == 0 {
 		// Nothing is relinquished any more: the next process may use its equal share at once. relinquish runs before this and
 		// starts its own persist request, with true, which this one would wait for.
 		m.persist(now, false)
 	}
 	if len(m.messages) > 0 && m.session != 0 {
-		n := min(len(m.messages), coordinator.MostLetters)
-		m.request(now, Request{Mail: &coordinator.Mail{Session: m.session, Incarnation: m.cfg.Incarnation, Letters: m.messages[:n:n]}}, inFlight{})
+		n := min(len(m.messages), coordinator.MaxMessages)
+		m.request(now, Request{Messages: &coordinator.MessageBatch{Session: m.session, Incarnation: m.cfg.Incarnation, Messages: m.messages[:n:n]}}, inFlight{})
 		m.messages = m.messages[n:]
 	}
 	return m.flush()
@@ -454,7 +454,7 @@
 			n++
 		}
 	}
-	if !m.cfg.Clean && now < m.cfg.Began+max(m.coldTerms.Longest(), m.tenantTerms.Longest()) {
+	if !m.cfg.CleanStart && now < m.cfg.StartedAt+max(m.coldTerms.LongestRelinquishment(), m.tenantTerms.LongestRelinquishment()) {
 		n++
 	}
 	return n
@@ -467,7 +467,7 @@
 	}
 	if c, ok := m.owner.Release(task); ok {
 		m.log("task %q fence %d: released", task, c.Fence)
-		m.request(now, Request{Act: &coordinator.Act{Kind: "release", Session: m.session, Work: task, Fence: c.Fence}}, inFlight{task: task})
+		m.request(now, Request{Action: &coordinator.Action{Kind: "release", Session: m.session, Task: task, Fence: c.Fence}}, inFlight{task: task})
 	}
 }
 
@@ -481,26 +481,26 @@
 	const minInterval = 0.05 // seconds between two heartbeats at least
 	m.nextHeartbeat, m.lastRequested = now+minInterval, requestedText
 	m.heartbeatsInFlight++
-	m.request(now, Request{Beat: &coordinator.Beat{Name: m.cfg.Name, Incarnation: m.cfg.Incarnation, Zone: m.cfg.Zone, Region: m.cfg.Region,
-		Session: m.session, Got: m.lastSnapshot, Stands: m.cfg.Stands, Wants: requestedTasks, Highest: m.highestFence}}, inFlight{heartbeat: true})
+	m.request(now, Request{Heartbeat: &coordinator.Heartbeat{Name: m.cfg.Name, Incarnation: m.cfg.Incarnation, Zone: m.cfg.Zone, Region: m.cfg.Region,
+		Session: m.session, LastSnapshot: m.lastSnapshot, CandidateKinds: m.cfg.CandidateKinds, RequestedTasks: requestedTasks, HighestFence: m.highestFence}}, inFlight{heartbeat: true})
 }
 
 // requestedTasks returns the tasks that a heartbeat requests.
-func (m *Member) requestedTasks() (all []coordinator.Want) {
+func (m *Member) requestedTasks() (all []coordinator.RequestedTask) {
 	for _, name := range sortedKeys(m.quotasByTask) {
-		all = append(all, coordinator.Want{Work: name, Zone: m.quotasByTask[name].zone})
+		all = append(all, coordinator.RequestedTask{Task: name, Zone: m.quotasByTask[name].zone})
 	}
 	for _, name := range sortedKeys(m.probeTasks) {
-		all = append(all, coordinator.Want{Work: name, Zone: m.probeTasks[name].server.Zone})
+		all = append(all, coordinator.RequestedTask{Task: name, Zone: m.probeTasks[name].server.Zone})
 	}
 	if m.plansEnabled {
-		all = append(all, coordinator.Want{Work: PlanWork}, coordinator.Want{Work: WordsWork})
+		all = append(all, coordinator.RequestedTask{Task: PlanTask}, coordinator.RequestedTask{Task: OrdersTask})
 	}
 	return all
 }
 
 // Persisted reports that a state to persist is on the disk, or that storing it failed.
-func (m *Member) Kept(seq uint64, k Kept, err error) {
+func (m *Member) Persisted(seq uint64, k PersistentState, err error) {
 	delete(m.inFlight, seq)
 	if seq == m.persistSeq {
 		m.persistSeq, m.persistingClear = 0, false
@@ -509,17 +509,17 @@
 		m.persisted = k
 	} else {
 		// The state on disk is unknown: it is stored again before the next relinquishment.
-		m.persisted.Pledged = m.persisted.Pledged && k.Pledged
+		m.persisted.Relinquished = m.persisted.Relinquished && k.Relinquished
 	}
 }
 
 // ---- state
 
 // Held returns the tasks that this member owns according to the registry.
-func (m *Member) Held() []lease.Claim { return m.owner.Held() }
+func (m *Member) Held() []lease.Claim { return m.owner.HeldClaims() }
 
 // Permit reports whether this member may act on a task now, and under which fence.
-func (m *Member) May(now float64, task string) (fence uint64, ok bool) {
+func (m *Member) Permit(now float64, task string) (fence uint64, ok bool) {
 	return m.owner.Permit(now, task, 0)
 }
 
@@ -527,12 +527,12 @@
 func (m *Member) Session() uint64 { return m.session }
 
 // FleetSize returns the number of sessions in the fleet.
-func (m *Member) Fleet() int { return m.fleetSize }
+func (m *Member) FleetSize() int { return m.fleetSize }
 
 // SharesInUse returns the sum of the shares of a quota that may be in use, or 0 if this member doesn't own the quota's task.
-func (m *Member) Live(now float64, task string) float64 {
+func (m *Member) SharesInUse(now float64, task string) float64 {
 	if w := m.quotasByTask[task]; w != nil && w.granter != nil {
-		return w.granter.InUse(now)
+		return w.granter.ShareInUse(now)
 	}
 	return 0
 }
--- a/fleet/agent/member_test.go
+++ b/fleet/agent/member_test.go
@@ -12,7 +12,7 @@
 	"dunereach/fleet/registry"
 )
 
-var coldServer = Engine{ID: 7, Start: 3, Zone: "east"}
+var coldServer = Server{ID: 7, Start: 3, Zone: "east"}
 
 // testMember is a member and its requests that are not yet answered.
 type testMember struct {
@@ -23,16 +23,16 @@
 }
 
 func newTestMember(t *testing.T, c Config) *testMember {
-	c.Name, c.Incarnation, c.Members, c.Window, c.Began = "n1", 41, 4, 1, 100
-	if c.Stands == nil {
-		c.Stands = []string{Warmth, Trials, Quotas}
+	c.Name, c.Incarnation, c.RouterCount, c.Window, c.StartedAt = "n1", 41, 4, 1, 100
+	if c.CandidateKinds == nil {
+		c.CandidateKinds = []string{WarmUpKind, ProbeKind, QuotaKind}
 	}
-	return &testMember{t: t, m: New(c, Kept{Pledged: c.Keeps}), now: 100}
+	return &testMember{t: t, m: New(c, PersistentState{Relinquished: c.Persistent}), now: 100}
 }
 
 func (k *testMember) tick(seconds float64) {
 	k.now += seconds
-	k.m.Tell(k.now, Demand{Cold: []Cold{{coldServer, 0.5, 0.1}}})
+	k.m.SetDemand(k.now, Demand{ColdServers: []ColdServer{{coldServer, 0.5, 0.1}}})
 	k.pending = append(k.pending, k.m.Tick(k.now)...)
 }
 
@@ -40,7 +40,7 @@
 func (k *testMember) takeRequest(kind string) Request {
 	k.t.Helper()
 	for n, r := range k.pending {
-		if kind == "beat" && r.Beat != nil || kind == "mail" && r.Mail != nil || r.Act != nil && r.Act.Kind == kind || kind == "keep" && r.Keep != nil {
+		if kind == "beat" && r.Heartbeat != nil || kind == "mail" && r.Messages != nil || r.Action != nil && r.Action.Kind == kind || kind == "keep" && r.Persist != nil {
 			k.pending = append(k.pending[:n:n], k.pending[n+1:]...)
 			return r
 		}
@@ -49,70 +49,70 @@
 	return Request{}
 }
 
-func (k *testMember) answerHeartbeat(v coordinator.View) {
+func (k *testMember) answerHeartbeat(v coordinator.Snapshot) {
 	r := k.takeRequest("beat")
 	v.Session, v.Lease, v.Drift = 5, 4, 0.05
 	k.m.Answer(k.now, r.Seq, v, nil)
 }
 
-func grantMessage(fence uint64, w messageBody) coordinator.Letter {
+func grantMessage(fence uint64, w messageBody) coordinator.Message {
 	body, _ := json.Marshal(w)
-	return coordinator.Letter{Work: coldServer.taskName(Warmth), Fence: fence, Body: body, From: "n2"}
+	return coordinator.Message{Task: coldServer.taskName(WarmUpKind), Fence: fence, Body: body, From: "n2"}
 }
 
 // TestGrantMessages: a grant that answers another process's relinquishment has no effect, nor has one under a stale fence. A
 // grant that answers this process's relinquishment sets the share that it may use.
 func TestGrantMessages(t *testing.T) {
-	k := newTestMember(t, Config{Clean: true})
+	k := newTestMember(t, Config{CleanStart: true})
 	k.tick(0.1)
-	taskName := coldServer.taskName(Warmth)
-	k.answerHeartbeat(coordinator.View{Number: 1, Works: []coordinator.Seen{{Work: taskName, Fence: 3, Owner: "n2"}}, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
+	taskName := coldServer.taskName(WarmUpKind)
+	k.answerHeartbeat(coordinator.Snapshot{Number: 1, Tasks: []coordinator.TaskState{{Task: taskName, Fence: 3, Owner: "n2"}}, Messages: []coordinator.Message{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
 	k.tick(0.1)
-	batch := k.takeRequest("mail").Mail
+	batch := k.takeRequest("mail").Messages
 	var w messageBody
-	if len(batch.Letters) != 1 || json.Unmarshal(batch.Letters[0].Body, &w) != nil || w.ShareRelinquishment == nil || w.ShareRelinquishment.Fence != 3 {
+	if len(batch.Messages) != 1 || json.Unmarshal(batch.Messages[0].Body, &w) != nil || w.ShareRelinquishment == nil || w.ShareRelinquishment.Fence != 3 {
 		t.Fatalf("no relinquishment: %+v", batch)
 	}
-	if part, ok := k.m.Part(k.now, 7, 3); !ok || part != 0 {
+	if part, ok := k.m.WarmUpShare(k.now, 7, 3); !ok || part != 0 {
 		t.Errorf("it has relinquished its share, and uses %v %v", part, ok)
 	}
 	answer := allocation.Grant{Fence: 3, Round: 1, Tag: w.ShareRelinquishment.Tag, Share: 0.4, Lifetime: 1.5}
 	k.tick(0.1)
-	k.answerHeartbeat(coordinator.View{Number: 2, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 40})}})
-	if part, _ := k.m.Part(k.now, 7, 3); part != 0 {
+	k.answerHeartbeat(coordinator.Snapshot{Number: 2, Messages: []coordinator.Message{grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 40})}})
+	if part, _ := k.m.WarmUpShare(k.now, 7, 3); part != 0 {
 		t.Errorf("a grant for an earlier process gave %v", part)
 	}
 	k.tick(0.1)
-	k.answerHeartbeat(coordinator.View{Number: 3, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 41})}})
-	if part, ok := k.m.Part(k.now, 7, 3); !ok || part != 0.4 {
+	k.answerHeartbeat(coordinator.Snapshot{Number: 3, Messages: []coordinator.Message{grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 41})}})
+	if part, ok := k.m.WarmUpShare(k.now, 7, 3); !ok || part != 0.4 {
 		t.Errorf("a grant for this process gave %v %v", part, ok)
 	}
 	k.tick(0.1)
-	k.answerHeartbeat(coordinator.View{Number: 4, Mail: []coordinator.Letter{grantMessage(4, messageBody{ShareGrant: &allocation.Grant{Fence: 4, Round: 1}}), grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 41})}})
-	if k.m.Stats.Refused != 1 {
-		t.Errorf("%d messages under a stale fence were rejected", k.m.Stats.Refused)
+	k.answerHeartbeat(coordinator.Snapshot{Number: 4, Messages: []coordinator.Message{grantMessage(4, messageBody{ShareGrant: &allocation.Grant{Fence: 4, Round: 1}}), grantMessage(3, messageBody{ShareGrant: &answer, ForIncarnation: 41})}})
+	if k.m.Stats.RejectedStale != 1 {
+		t.Errorf("%d messages under a stale fence were rejected", k.m.Stats.RejectedStale)
 	}
-	if part, ok := k.m.Part(k.now+30, 7, 3); ok {
+	if part, ok := k.m.WarmUpShare(k.now+30, 7, 3); ok {
 		t.Errorf("30 s later it uses %v, and not its equal share", part)
 	}
 }
 
 // TestReleaseRepeated: a release whose request was lost is sent again until the coordinators have it.
 func TestReleaseRepeated(t *testing.T) {
-	k := newTestMember(t, Config{Clean: true})
-	taskName := coldServer.taskName(Warmth)
-	mine := []coordinator.Mine{{Claim: lease.Claim{Work: taskName, Fence: 3}}}
+	k := newTestMember(t, Config{CleanStart: true})
+	taskName := coldServer.taskName(WarmUpKind)
+	mine := []coordinator.OwnedTask{{Claim: lease.Claim{Task: taskName, Fence: 3}}}
 	k.tick(0.1)
-	k.answerHeartbeat(coordinator.View{Number: 1, Mine: mine})
+	k.answerHeartbeat(coordinator.Snapshot{Number: 1, Owned: mine})
 	k.tick(0.1)
-	mine[0].Asked = true
-	k.answerHeartbeat(coordinator.View{Number: 2, Mine: mine})
+	mine[0].ReleaseRequested = true
+	k.answerHeartbeat(coordinator.Snapshot{Number: 2, Owned: mine})
 	k.tick(0.1)
 	k.m.Answer(k.now, k.takeRequest("release").Seq, nil, ErrNoAnswer)
-	if _, ok := k.m.May(k.now, taskName); ok {
+	if _, ok := k.m.Permit(k.now, taskName); ok {
 		t.Error("it may still act")
 	}
-	k.answerHeartbeat(coordinator.View{Number: 3, Mine: mine})
+	k.answerHeartbeat(coordinator.Snapshot{Number: 3, Owned: mine})
 	k.tick(0.1)
 	k.takeRequest("release")
 }
@@ -120,22 +120,22 @@
 // TestPersistBeforeRelinquish: a member with a folder relinquishes nothing before the disk says so, and the disk is cleared
 // once nothing is relinquished.
 func TestPersistBeforeRelinquish(t *testing.T) {
-	k := newTestMember(t, Config{Keeps: true})
-	if part, ok := k.m.Part(100.1, 7, 3); !ok || part != 0 {
+	k := newTestMember(t, Config{Persistent: true})
+	if part, ok := k.m.WarmUpShare(100.1, 7, 3); !ok || part != 0 {
 		t.Errorf("an earlier process may have relinquished its share, and it uses %v %v", part, ok)
 	}
 	k.tick(0.1)
-	k.m.persisted.Pledged = false // as an earlier process leaves it when it ends in order
-	k.answerHeartbeat(coordinator.View{Number: 1, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
+	k.m.persisted.Relinquished = false // as an earlier process leaves it when it ends in order
+	k.answerHeartbeat(coordinator.Snapshot{Number: 1, Messages: []coordinator.Message{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
 	k.tick(0.1)
 	r := k.takeRequest("keep")
-	if k.m.Kept(r.Seq, *r.Keep, nil); k.m.Stats.Pledges != 0 {
+	if k.m.Persisted(r.Seq, *r.Persist, nil); k.m.Stats.Relinquishments != 0 {
 		t.Error("it relinquished before the disk said so")
 	}
 	k.tick(0.1)
-	for k.m.Stats.Pledges == 0 {
+	for k.m.Stats.Relinquishments == 0 {
 		r := k.takeRequest("keep")
-		k.m.Kept(r.Seq, *r.Keep, nil)
+		k.m.Persisted(r.Seq, *r.Persist, nil)
 		k.tick(0.1)
 	}
 	for range 300 { // the quota is no longer needed
@@ -143,7 +143,7 @@
 		k.pending = append(k.pending, k.m.Tick(k.now)...)
 	}
 	r = k.takeRequest("keep")
-	if r.Keep.Pledged {
+	if r.Persist.Relinquished {
 		t.Error("nothing is relinquished, and the disk says that something is")
 	}
 }
@@ -151,20 +151,20 @@
 // TestPersistClear: nothing is relinquished while a state that says so is being written to the disk. Otherwise the next
 // process would read it and use its equal share at once.
 func TestPersistClear(t *testing.T) {
-	k := newTestMember(t, Config{Keeps: true})
+	k := newTestMember(t, Config{Persistent: true})
 	persisted := func() bool {
 		for n, r := range k.pending {
-			if r.Keep != nil {
+			if r.Persist != nil {
 				k.pending = append(k.pending[:n:n], k.pending[n+1:]...)
-				k.m.Kept(r.Seq, *r.Keep, nil)
+				k.m.Persisted(r.Seq, *r.Persist, nil)
 				return true
 			}
 		}
 		return false
 	}
 	k.tick(0.1)
-	k.answerHeartbeat(coordinator.View{Number: 1, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
-	for n := 0; k.m.Stats.Pledges == 0; n++ {
+	k.answerHeartbeat(coordinator.Snapshot{Number: 1, Messages: []coordinator.Message{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 1}})}})
+	for n := 0; k.m.Stats.Relinquishments == 0; n++ {
 		if n == 10 {
 			t.Fatal("it relinquishes nothing")
 		}
@@ -173,39 +173,39 @@
 	}
 	k.tick(20) // no round for a long time: nothing is relinquished any more
 	k.tick(0.1)
-	if r := k.takeRequest("keep"); r.Keep.Pledged {
+	if r := k.takeRequest("keep"); r.Persist.Relinquished {
 		t.Fatal("the disk is not cleared")
 	} else {
 		k.pending = append(k.pending, r)
 	}
-	k.answerHeartbeat(coordinator.View{Number: 2, Mail: []coordinator.Letter{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 9}})}})
-	before := k.m.Stats.Pledges
-	if k.tick(0.1); k.m.Stats.Pledges > before {
+	k.answerHeartbeat(coordinator.Snapshot{Number: 2, Messages: []coordinator.Message{grantMessage(3, messageBody{ShareGrant: &allocation.Grant{Fence: 3, Round: 9}})}})
+	before := k.m.Stats.Relinquishments
+	if k.tick(0.1); k.m.Stats.Relinquishments > before {
 		t.Error("it relinquishes while the disk is being cleared")
 	}
-	for n := 0; k.m.Stats.Pledges == before; n++ {
+	for n := 0; k.m.Stats.Relinquishments == before; n++ {
 		if n == 10 {
 			t.Fatalf("it relinquishes no more: %+v", k.pending)
 		}
 		persisted()
 		k.tick(0.1)
 	}
-	if !k.m.persisted.Pledged {
+	if !k.m.persisted.Relinquished {
 		t.Error("it has relinquished, and the disk does not say so")
 	}
 }
 
 // TestSuperseded: a process that was superseded by a newer one of its name opens no session and acts on no task.
 func TestSuperseded(t *testing.T) {
-	k := newTestMember(t, Config{Clean: true})
+	k := newTestMember(t, Config{CleanStart: true})
 	k.tick(0.1)
-	taskName := coldServer.taskName(Warmth)
-	k.answerHeartbeat(coordinator.View{Number: 1, Mine: []coordinator.Mine{{Claim: lease.Claim{Work: taskName, Fence: 3}}}})
+	taskName := coldServer.taskName(WarmUpKind)
+	k.answerHeartbeat(coordinator.Snapshot{Number: 1, Owned: []coordinator.OwnedTask{{Claim: lease.Claim{Task: taskName, Fence: 3}}}})
 	k.tick(0.1)
 	k.m.Answer(k.now, k.takeRequest("beat").Seq, nil, registry.ErrSuperseded)
 	k.pending = nil
 	k.tick(10)
-	if _, ok := k.m.May(k.now, taskName); ok || len(k.pending) > 0 {
+	if _, ok := k.m.Permit(k.now, taskName); ok || len(k.pending) > 0 {
 		t.Errorf("it still acts: %+v", k.pending)
 	}
 }
@@ -216,7 +216,7 @@
 	for _, leader := range []string{"c", "c", "", "a"} {
 		at := f.Target()
 		asked = append(asked, at)
-		f.Elsewhere(at, leader)
+		f.Redirect(at, leader)
 	}
 	if got := strings.Join(asked, ""); got != "acab" {
 		t.Errorf("asked %s", got)
@@ -231,29 +231,29 @@
 // TestPlanOutcomeUnknown: if it is unknown whether a plan was committed, the next plan does not build on it: it starts from
 // the registry's plan, under an epoch that was never used.
 func TestPlanOutcomeUnknown(t *testing.T) {
-	k := newTestMember(t, Config{Clean: true, Stands: []string{Plans}, Zones: 2, ZoneNames: []string{"a", "b"}, Way: [][]float64{{0, 1}, {1, 0}}})
-	lost := failover.Report{Zone: 0, Demand: 4, Sights: []failover.Sight{{Sent: 20, Bad: 20, Ready: 8}, {Sent: 20, Work: 1, Ready: 8}}}
+	k := newTestMember(t, Config{CleanStart: true, CandidateKinds: []string{PlanKind}, ZoneCount: 2, ZoneNames: []string{"a", "b"}, RoundTrips: [][]float64{{0, 1}, {1, 0}}})
+	lost := failover.Report{Zone: 0, Demand: 4, Observations: []failover.ZoneObservation{{Attempts: 20, Failed: 20, Ready: 8}, {Attempts: 20, Work: 1, Ready: 8}}}
 	number := uint64(0)
-	step := func(seconds float64, answer error) (published []failover.Published) {
+	step := func(seconds float64, answer error) (published []failover.PublishedPlan) {
 		for end := k.now + seconds; k.now < end; {
 			k.now += 0.1
-			k.m.Tell(k.now, Demand{Report: func() failover.Report { return lost }})
+			k.m.SetDemand(k.now, Demand{Report: func() failover.Report { return lost }})
 			k.pending = append(k.pending, k.m.Tick(k.now)...)
 			for len(k.pending) > 0 {
 				r := k.pending[0]
 				k.pending = k.pending[1:]
 				switch {
-				case r.Beat != nil:
+				case r.Heartbeat != nil:
 					number++
-					k.m.Answer(k.now, r.Seq, coordinator.View{Number: number, Session: 5, Lease: 4, Drift: 0.05, Sessions: 1,
-						Mine: []coordinator.Mine{{Claim: lease.Claim{Work: PlanWork, Fence: 3}}}}, nil)
-				case r.Act != nil:
-					var p failover.Published
-					if json.Unmarshal(r.Act.Body, &p) != nil {
-						t.Fatal(r.Act)
+					k.m.Answer(k.now, r.Seq, coordinator.Snapshot{Number: number, Session: 5, Lease: 4, Drift: 0.05, Sessions: 1,
+						Owned: []coordinator.OwnedTask{{Claim: lease.Claim{Task: PlanTask, Fence: 3}}}}, nil)
+				case r.Action != nil:
+					var p failover.PublishedPlan
+					if json.Unmarshal(r.Action.Body, &p) != nil {
+						t.Fatal(r.Action)
 					}
 					published = append(published, p)
-					k.m.Answer(k.now, r.Seq, coordinator.Posted{}, answer)
+					k.m.Answer(k.now, r.Seq, coordinator.PostResult{}, answer)
 				}
 			}
 		}
--- a/fleet/agent/plan.go
+++ b/fleet/agent/plan.go
@@ -12,7 +12,7 @@
 // router's guide.
 
 // Guide returns the guide that the admission module follows, or nil.
-func (m *Member) Guide() *failover.Guide { return m.guide }
+func (m *Member) Guide() *failover.PlanFollower { return m.guide }
 
 // planStep reports this router's observations once a second, and makes plans if this member owns the plan's task.
 func (m *Member) planStep(now float64) {
@@ -21,8 +21,8 @@
 	}
 	const reportInterval, planInterval, evidenceLifetime = 1.0, 0.5, 2.5 // seconds; older evidence is not used
 	ownsPlan := false
-	for _, c := range m.owner.Held() {
-		ownsPlan = ownsPlan || c.Work == PlanWork
+	for _, c := range m.owner.HeldClaims() {
+		ownsPlan = ownsPlan || c.Task == PlanTask
 	}
 	if !ownsPlan {
 		m.controller = nil
@@ -34,14 +34,14 @@
 		}
 		m.reportedAt = now
 		r.Epoch = m.guide.Epoch(now)
-		m.guide.See(r.Fails())
+		m.guide.SetOwnZoneLost(r.OwnZoneFails())
 		if ownsPlan {
 			m.evidenceByRouter[m.cfg.Name] = evidence{r, now}
 		} else {
-			m.queueMessage(PlanWork, 0, "", messageBody{Report: &r})
+			m.queueMessage(PlanTask, 0, "", messageBody{Report: &r})
 		}
 	}
-	fence, ok := m.owner.Permit(m.currentTime(now), PlanWork, 0.5) // seconds until a plan is committed, at most
+	fence, ok := m.owner.Permit(m.currentTime(now), PlanTask, 0.5) // seconds until a plan is committed, at most
 	if !ok {
 		return
 	}
@@ -56,7 +56,7 @@
 		// Start from the registry's plan, under an epoch that nobody has seen: plans that were sent before may still arrive.
 		last := m.registryPlan
 		last.Epoch = max(last.Epoch, m.newestPlan.Epoch, m.highestEpoch)
-		m.controller = failover.NewController(failover.Terms{Life: failover.Life, Drift: m.terms.Drift, Way: m.cfg.Way}, m.cfg.Zones, now, last)
+		m.controller = failover.NewController(failover.Config{Lifetime: failover.Lifetime, Drift: m.terms.Drift, RoundTrip: m.cfg.RoundTrips}, m.cfg.ZoneCount, now, last)
 		// A second's evidence is collected first. 1e9: no plan of this member has to appear in a snapshot yet.
 		m.controllerFence, m.nextPlanAt, m.planDecidedAt = fence, now+reportInterval, now+1e9
 		return
@@ -78,10 +78,10 @@
 		return
 	}
 	p.Zones = m.cfg.ZoneNames
-	m.log("plan %d under fence %d: %s", p.Epoch, fence, p.Why)
+	m.log("plan %d under fence %d: %s", p.Epoch, fence, p.Reason)
 	m.publishing, m.highestEpoch = true, p.Epoch
-	m.trace(Trace{What: "plan", Work: PlanWork, Fence: fence, At: now})
-	m.request(now, Request{Act: &coordinator.Act{Kind: "note", Session: m.session, Work: PlanWork, Fence: fence, Body: encodePlan(p)}}, inFlight{task: PlanWork, annotation: true})
+	m.trace(Trace{Event: "plan", Task: PlanTask, Fence: fence, At: now})
+	m.request(now, Request{Action: &coordinator.Action{Kind: "note", Session: m.session, Task: PlanTask, Fence: fence, Body: encodePlan(p)}}, inFlight{task: PlanTask, annotation: true})
 }
 
 // planDecided handles the outcome of a proposed plan. The next plan must not build on one that may or may not be committed, so
@@ -94,7 +94,7 @@
 }
 
 // encodePlan returns a plan as the registry stores it. Four decimals of a share are more precise than the evidence.
-func encodePlan(p failover.Published) []byte {
+func encodePlan(p failover.PublishedPlan) []byte {
 	truncated := func(x failover.Plan) failover.Plan {
 		c := x.Clone()
 		for _, row := range c.Share {
@@ -104,8 +104,8 @@
 		}
 		return c
 	}
-	p.Plan, p.Still = truncated(p.Plan), truncated(p.Still)
-	for _, figures := range [][]float64{p.Demand, p.Room} {
+	p.Plan, p.Fallback = truncated(p.Plan), truncated(p.Fallback)
+	for _, figures := range [][]float64{p.Demand, p.PlanCapacity} {
 		for z := range figures {
 			figures[z] = math.Round(figures[z]*1e3) / 1e3
 		}
@@ -116,22 +116,22 @@
 
 // readPlanAnnotation takes over the registry's plan or the operators' orders. They are at least as new as askedAt, when the
 // heartbeat was sent.
-func (m *Member) readPlanAnnotation(askedAt float64, x coordinator.Seen) {
-	if !m.plansEnabled || len(x.Note) == 0 {
+func (m *Member) readPlanAnnotation(askedAt float64, x coordinator.TaskState) {
+	if !m.plansEnabled || len(x.Annotation) == 0 {
 		return
 	}
-	switch x.Work {
-	case PlanWork:
-		var p failover.Published
-		if json.Unmarshal(x.Note, &p) != nil {
+	switch x.Task {
+	case PlanTask:
+		var p failover.PublishedPlan
+		if json.Unmarshal(x.Annotation, &p) != nil {
 			return
 		}
-		if m.registryPlan = p; m.guide.Hear(askedAt, p) {
+		if m.registryPlan = p; m.guide.Receive(askedAt, p) {
 			m.newestPlan = p
 		}
-	case WordsWork:
+	case OrdersTask:
 		var o failover.Orders
-		if json.Unmarshal(x.Note, &o) == nil {
+		if json.Unmarshal(x.Annotation, &o) == nil {
 			m.orders = o
 		}
 	}
--- a/fleet/agent/tasks.go
+++ b/fleet/agent/tasks.go
@@ -16,50 +16,50 @@
 
 // performOwnedTasks acts on the tasks that this member owns. It checks before each action that the lease still holds.
 func (m *Member) performOwnedTasks(now float64) {
-	for _, c := range m.owner.Held() {
-		if x := m.probeTasks[c.Work]; x != nil {
+	for _, c := range m.owner.HeldClaims() {
+		if x := m.probeTasks[c.Task]; x != nil {
 			m.annotateFinding(now, c, x)
 			continue
 		}
-		w := m.quotasByTask[c.Work]
-		if c.Work == PlanWork && m.plansEnabled {
+		w := m.quotasByTask[c.Task]
+		if c.Task == PlanTask && m.plansEnabled {
 			continue // planStep does this
 		}
 		if w == nil { // acquired before this member forgot the quota
-			m.release(now, c.Work)
+			m.release(now, c.Task)
 			continue
 		}
 		if w.granter == nil || w.granter.Fence() != c.Fence {
-			w.granter, w.roundOpenedAt = allocation.NewGranter(m.termsOf(c.Work), c.Fence, m.lastRound, now), math.Inf(-1)
+			w.granter, w.roundOpenedAt = allocation.NewGranter(m.termsOf(c.Task), c.Fence, m.lastRound, now), math.Inf(-1)
 		}
 		// A grant counts from now on, wherever it arrives, so nothing is subtracted for the time until it arrives.
 		now := m.currentTime(now)
-		fence, ok := m.owner.Permit(now, c.Work, 0)
+		fence, ok := m.owner.Permit(now, c.Task, 0)
 		if !ok || fence != w.granter.Fence() {
 			continue
 		}
 		if now-w.roundOpenedAt >= roundInterval {
 			w.roundOpenedAt = now
-			m.trace(Trace{What: "act", Work: c.Work, Fence: fence, At: now, Until: m.owner.Until()})
+			m.trace(Trace{Event: "act", Task: c.Task, Fence: fence, At: now, Until: m.owner.LeaseEnd()})
 			d := allocation.Grant{Fence: fence, Round: w.granter.OpenRound(now)}
 			m.lastRound = max(m.lastRound, d.Round)
-			m.queueMessage(c.Work, fence, "*", messageBody{ShareGrant: &d})
+			m.queueMessage(c.Task, fence, "*", messageBody{ShareGrant: &d})
 			w.holder.Receive(now, d)
 		}
-		for _, to := range w.granter.Grants(now) {
-			m.Stats.Dealt++
+		for _, to := range w.granter.IssueGrants(now) {
+			m.Stats.Granted++
 			if to.Name == m.cfg.Name && to.Incarnation == m.cfg.Incarnation {
-				m.receiveGrant(now, c.Work, w, to.Grant)
+				m.receiveGrant(now, c.Task, w, to.Grant)
 				continue
 			}
-			m.queueMessage(c.Work, fence, to.Name, messageBody{ShareGrant: &to.Grant, ForIncarnation: to.Incarnation})
+			m.queueMessage(c.Task, fence, to.Name, messageBody{ShareGrant: &to.Grant, ForIncarnation: to.Incarnation})
 		}
 	}
 }
 
 // termsOf returns the terms of the quota that a task is about.
 func (m *Member) termsOf(task string) allocation.Terms {
-	if strings.HasPrefix(task, Quotas+"/") {
+	if strings.HasPrefix(task, QuotaKind+"/") {
 		return m.tenantTerms
 	}
 	return m.coldTerms
@@ -79,17 +79,17 @@
 		return
 	}
 	h, ok := m.demand.Health(x.server.ID)
-	if !ok || h.Start != x.server.Start || !h.Ill && (h.Heard < 0 || h.Heard > 1) {
+	if !ok || h.Start != x.server.Start || !h.Unhealthy && (h.SinceAnswer < 0 || h.SinceAnswer > 1) {
 		return // it neither fails here nor has answered recently: there is no finding
 	}
 	const maxAgreeTime = 0.5 // seconds until the annotation is committed and visible, at most
-	fence, permitted := m.owner.Permit(m.currentTime(now), c.Work, maxAgreeTime)
+	fence, permitted := m.owner.Permit(m.currentTime(now), c.Task, maxAgreeTime)
 	if !permitted {
 		return
 	}
-	x.annotatedAt, x.healthy = now, !h.Ill
-	body, _ := json.Marshal(probing.Finding{Server: x.server.ID, Start: x.server.Start, Healthy: !h.Ill})
-	m.request(now, Request{Act: &coordinator.Act{Kind: "note", Session: m.session, Work: c.Work, Fence: fence, Body: body}}, inFlight{task: c.Work, annotation: true})
+	x.annotatedAt, x.healthy = now, !h.Unhealthy
+	body, _ := json.Marshal(probing.Finding{Server: x.server.ID, Start: x.server.Start, Healthy: !h.Unhealthy})
+	m.request(now, Request{Action: &coordinator.Action{Kind: "note", Session: m.session, Task: c.Task, Fence: fence, Body: body}}, inFlight{task: c.Task, annotation: true})
 }
 
 // messageBody is the body of a message between routers.
@@ -103,7 +103,7 @@
 // queueMessage queues a message for the coordinators to forward.
 func (m *Member) queueMessage(task string, fence uint64, to string, w messageBody) {
 	body, _ := json.Marshal(w)
-	if m.messages = append(m.messages, coordinator.Letter{Work: task, Fence: fence, To: to, Body: body}); len(m.messages) > 4*coordinator.MostLetters {
+	if m.messages = append(m.messages, coordinator.Message{Task: task, Fence: fence, To: to, Body: body}); len(m.messages) > 4*coordinator.MaxMessages {
 		m.messages = m.messages[1:] // the coordinators are slow: drop the oldest message, which is of least use
 	}
 }
@@ -112,11 +112,11 @@
 func (m *Member) relinquish(now float64) {
 	for _, name := range sortedKeys(m.quotasByTask) {
 		w := m.quotasByTask[name]
-		round, fence := w.holder.Round(), w.holder.Fence()
+		round, fence := w.holder.LastRound(), w.holder.HighestFence()
 		if round == 0 || now-w.lastNeeded > 1 || fence == w.fence && round <= w.relinquishedRound {
 			continue
 		}
-		if m.cfg.Keeps && (!m.persisted.Pledged || m.persistingClear) {
+		if m.cfg.Persistent && (!m.persisted.Relinquished || m.persistingClear) {
 			if m.persistSeq == 0 {
 				m.persist(now, true)
 			}
@@ -126,11 +126,11 @@
 		if !ok {
 			continue
 		}
-		m.Stats.Pledges++
-		m.trace(Trace{What: "laid", Work: name, Fence: fence, At: now, Until: w.holder.RelinquishedUntil()})
+		m.Stats.Relinquishments++
+		m.trace(Trace{Event: "laid", Task: name, Fence: fence, At: now, Until: w.holder.RelinquishedUntil()})
 		w.fence, w.relinquishedRound = fence, round
 		if w.granter != nil && w.granter.Fence() == fence {
-			w.granter.Relinquish(now, m.cfg.Name, m.cfg.Incarnation, p)
+			w.granter.AcceptRelinquishment(now, m.cfg.Name, m.cfg.Incarnation, p)
 			continue
 		}
 		m.queueMessage(name, 0, "", messageBody{ShareRelinquishment: &p})
@@ -140,7 +140,7 @@
 // persist requests that the state is stored, and whether shares may be relinquished.
 func (m *Member) persist(now float64, relinquished bool) {
 	marks, floor := m.gate.Export()
-	k := Kept{Marks: marks, Floor: floor, Highest: m.highestFence, Pledged: relinquished}
-	m.request(now, Request{Keep: &k}, inFlight{})
+	k := PersistentState{Marks: marks, Floor: floor, HighestFence: m.highestFence, Relinquished: relinquished}
+	m.request(now, Request{Persist: &k}, inFlight{})
 	m.persistSeq, m.persistingClear = m.lastSeq, !relinquished
 }
--- a/fleet/allocation/allocation_test.go
+++ b/fleet/allocation/allocation_test.go
@@ -73,7 +73,7 @@
 		owners = append(owners, o)
 	}
 	acquire(0)
-	window := int(math.Ceil(terms.Settle/step)) + 1
+	window := int(math.Ceil(terms.SettleTime/step)) + 1
 	var inFlight []message
 	drawDelay := func() float64 { // mostly short, sometimes long
 		if rnd.Float64() < 0.05 {
@@ -129,7 +129,7 @@
 					send(message{at: now + drawDelay(), grant: &Grant{Fence: o.granter.Fence(), Round: round}, to: p, owner: k})
 				}
 			}
-			for _, to := range o.granter.Grants(localTime) {
+			for _, to := range o.granter.IssueGrants(localTime) {
 				totalGranted += to.Share
 				for _, p := range processes {
 					if p.name == to.Name && p.incarnation == to.Incarnation {
@@ -137,7 +137,7 @@
 					}
 				}
 			}
-			if inUse, relinquished := o.granter.InUse(localTime), o.granter.Relinquished(localTime, localTime); inUse > relinquished+1e-9 {
+			if inUse, relinquished := o.granter.ShareInUse(localTime), o.granter.RelinquishedShare(localTime, localTime); inUse > relinquished+1e-9 {
 				return highestUse, totalGranted, fmt.Errorf("seed %d at %.2f s: share %v is in use, %v is relinquished", seed, now, inUse, relinquished)
 			}
 		}
@@ -151,7 +151,7 @@
 					msg.at = o.stoppedUntil
 					undelivered = append(undelivered, msg)
 				} else {
-					o.granter.Relinquish(o.clock.at(now), msg.from.name, msg.from.incarnation, *msg.relinquishment)
+					o.granter.AcceptRelinquishment(o.clock.at(now), msg.from.name, msg.from.incarnation, *msg.relinquishment)
 				}
 			case msg.to.killed:
 			case now < msg.to.stoppedUntil:
@@ -200,7 +200,7 @@
 		seeds = 60
 	}
 	for seed := range uint64(seeds) {
-		terms := Standard(1+int(seed%7), float64(seed%3), 0.05)
+		terms := StandardTerms(1+int(seed%7), float64(seed%3), 0.05)
 		use, total, err := simulateCluster(seed, terms, terms.Members, 800)
 		if err != nil {
 			t.Fatal(err)
@@ -225,7 +225,7 @@
 func TestNeedRegression(t *testing.T) { checkNeedIsServed(t, 3, 1.75/3) }
 
 func checkNeedIsServed(t rapid.TB, n int, least float64) {
-	terms := Standard(n, 1, 0.05)
+	terms := StandardTerms(n, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
 	served := map[string]int{}
 	now := 10.0
@@ -236,17 +236,17 @@
 			if k%2 == 0 {
 				need = max(least, 2/float64(n))
 			}
-			d.Relinquish(now+0.1, fmt.Sprint(k), 1, Relinquishment{Fence: d.Fence(), Round: round, Tag: round, Need: need, Least: least, Members: n, Duration: terms.RelinquishFor})
+			d.AcceptRelinquishment(now+0.1, fmt.Sprint(k), 1, Relinquishment{Fence: d.Fence(), Round: round, Tag: round, Need: need, MinUseful: least, Members: n, Duration: terms.RelinquishDuration})
 		}
 		sum := 0.0
-		for _, to := range d.Grants(now + 0.2) {
+		for _, to := range d.IssueGrants(now + 0.2) {
 			sum += to.Share
 			if to.Share >= least-1e-6 { // tolerates rounding
 				served[to.Name]++
 			}
 		}
-		if sum > 1+1e-9 || d.InUse(now+0.2) > 1+1e-9 {
-			t.Fatalf("share %v is granted, %v is in use", sum, d.InUse(now+0.2))
+		if sum > 1+1e-9 || d.ShareInUse(now+0.2) > 1+1e-9 {
+			t.Fatalf("share %v is granted, %v is in use", sum, d.ShareInUse(now+0.2))
 		}
 		now += 0.5
 	}
@@ -260,7 +260,7 @@
 // TestGrantsEndWithRelinquishments checks that when all members but one stop relinquishing, the shares that this one was granted are not
 // renewed beyond the end of the relinquishments.
 func TestGrantsEndWithRelinquishments(t *testing.T) {
-	terms := Standard(4, 1, 0.05)
+	terms := StandardTerms(4, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
 	for n := range 60 {
 		now := 10 + float64(n)/2
@@ -271,15 +271,15 @@
 				if k == 0 {
 					need = 0.9
 				}
-				d.Relinquish(now, fmt.Sprint(k), 1, Relinquishment{Fence: 7, Round: round, Tag: round, Need: need, Members: 4, Duration: terms.RelinquishFor})
+				d.AcceptRelinquishment(now, fmt.Sprint(k), 1, Relinquishment{Fence: 7, Round: round, Tag: round, Need: need, Members: 4, Duration: terms.RelinquishDuration})
 			}
 		}
-		d.Grants(now)
+		d.IssueGrants(now)
 		returned := 0.0 // equal shares that are no longer relinquished
-		if lapsed := 10 + 19.0/2 + terms.RelinquishFor*(1-0.05); now > lapsed {
+		if lapsed := 10 + 19.0/2 + terms.RelinquishDuration*(1-0.05); now > lapsed {
 			returned = 0.75
 		}
-		if sum := d.InUse(now) + returned; sum > 1+1e-9 {
+		if sum := d.ShareInUse(now) + returned; sum > 1+1e-9 {
 			t.Fatalf("share %v of the quota may be in use at %v s", sum, now)
 		}
 	}
@@ -288,7 +288,7 @@
 // TestDelayedAndStaleGrants checks that a member ignores a grant that was delayed beyond its lifetime, one under a stale fence, and one
 // that answers another process's relinquishment.
 func TestDelayedAndStaleGrants(t *testing.T) {
-	terms := Standard(4, 1, 0.05)
+	terms := StandardTerms(4, 1, 0.05)
 	h := NewHolder(terms, 100, true)
 	if part, ok := h.Share(100); ok {
 		t.Fatalf("granted share %v without a relinquishment", part)
@@ -311,7 +311,7 @@
 	if part, ok := h.Share(130.3); !ok || part != 0 {
 		t.Errorf("relinquished without a grant: share %v, relinquished %v", part, ok)
 	}
-	if _, ok := h.Share(130 + terms.RelinquishFor); ok {
+	if _, ok := h.Share(130 + terms.RelinquishDuration); ok {
 		t.Error("the equal share is still relinquished after the relinquishment has expired")
 	}
 	if part, ok := NewHolder(terms, 10, false).Share(11); !ok || part != 0 {
@@ -320,34 +320,34 @@
 }
 
 func BenchmarkGrants(b *testing.B) {
-	terms := Standard(300, 1, 0.05)
+	terms := StandardTerms(300, 1, 0.05)
 	d := NewGranter(terms, 1, 0, 0)
 	for n := range b.N {
 		now := 10 + float64(n)/2
 		round := d.OpenRound(now)
 		for k := range 300 {
-			d.Relinquish(now, fmt.Sprint(k), 1, Relinquishment{Fence: d.Fence(), Round: round, Tag: round, Need: 0.01, Members: 300, Duration: terms.RelinquishFor})
+			d.AcceptRelinquishment(now, fmt.Sprint(k), 1, Relinquishment{Fence: d.Fence(), Round: round, Tag: round, Need: 0.01, Members: 300, Duration: terms.RelinquishDuration})
 		}
-		d.Grants(now + 0.2)
+		d.IssueGrants(now + 0.2)
 	}
 }
 
 // TestRoundNumbersContinue checks that an owner that lost its state but kept its fence does not mistake an answer to one of its old
 // rounds for an answer to a new one.
 func TestRoundNumbersContinue(t *testing.T) {
-	terms := Standard(4, 1, 0.05)
+	terms := StandardTerms(4, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
 	round := d.OpenRound(10)
-	late := Relinquishment{Fence: 7, Round: round, Tag: 1, Need: 1, Members: 4, Duration: terms.RelinquishFor}
+	late := Relinquishment{Fence: 7, Round: round, Tag: 1, Need: 1, Members: 4, Duration: terms.RelinquishDuration}
 	d = NewGranter(terms, 7, round, 20)
 	for k := range 6 {
 		d.OpenRound(40 + float64(k)/2)
-		if err := d.Relinquish(40.1+float64(k)/2, "n1", 1, late); err != ErrRound {
+		if err := d.AcceptRelinquishment(40.1+float64(k)/2, "n1", 1, late); err != ErrUnknownRound {
 			t.Fatalf("relinquishment of half a minute ago: %v", err)
 		}
 	}
-	if d.Relinquished(43, 43) > 0 {
-		t.Errorf("share %v is relinquished", d.Relinquished(43, 43))
+	if d.RelinquishedShare(43, 43) > 0 {
+		t.Errorf("share %v is relinquished", d.RelinquishedShare(43, 43))
 	}
 }
 
@@ -355,7 +355,7 @@
 // back after it has been served.
 func TestWaiting(t *testing.T) {
 	const n = 20
-	terms := Standard(n, 1, 0.05)
+	terms := StandardTerms(n, 1, 0.05)
 	d := NewGranter(terms, 7, 0, 0)
 	othersBefore, othersAfter, served := 0.0, 0.0, 0
 	for step := range 120 {
@@ -366,10 +366,10 @@
 			if k == 0 && step >= 40 && step < 60 { // a process that has just started and does not know the cost of its requests yet
 				need, least = 0.5, 0.25
 			}
-			d.Relinquish(now+0.1, fmt.Sprint(k), 1, Relinquishment{Fence: 7, Round: round, Tag: round, Need: need, Least: least, Members: n, Duration: terms.RelinquishFor})
+			d.AcceptRelinquishment(now+0.1, fmt.Sprint(k), 1, Relinquishment{Fence: 7, Round: round, Tag: round, Need: need, MinUseful: least, Members: n, Duration: terms.RelinquishDuration})
 		}
 		sum := 0.0
-		for _, to := range d.Grants(now + 0.2) {
+		for _, to := range d.IssueGrants(now + 0.2) {
 			if to.Name != "0" {
 				sum += to.Share
 			} else if to.Share >= 0.25 {
--- a/fleet/allocation/granter.go
+++ b/fleet/allocation/granter.go
@@ -47,7 +47,7 @@
 // priorRound is the number of the last round that this process opened for any quota. A process that loses this state but keeps its fence
 // must not mistake an answer to an old round for an answer to a new one.
 func NewGranter(t Terms, fence, priorRound uint64, now float64) *Granter {
-	return &Granter{terms: t, fence: fence, round: priorRound, members: map[string]*member{}, grantsFrom: now + t.longest(t.GrantLifetime+t.longest(t.Settle))}
+	return &Granter{terms: t, fence: fence, round: priorRound, members: map[string]*member{}, grantsFrom: now + t.longest(t.GrantLifetime+t.longest(t.SettleTime))}
 }
 
 // Fence returns the fence under which grants are made.
@@ -72,21 +72,21 @@
 
 // Reasons for which a relinquishment is rejected.
 var (
-	ErrRound          = errors.New("the relinquishment answers a round that is not remembered or is another owner's")
+	ErrUnknownRound   = errors.New("the relinquishment answers a round that is not remembered or is another owner's")
 	ErrMemberCount    = errors.New("the relinquishment has a different number of members")
 	ErrTooManyMembers = errors.New("the quota has too many members")
 	ErrBadNumbers     = errors.New("the relinquishment has an invalid number")
 )
 
 // AcceptRelinquishment records a member's relinquishment. A duplicate, or one that is older than the last, has no effect.
-func (d *Granter) Relinquish(now float64, name string, incarnation uint64, msg Relinquishment) error {
+func (d *Granter) AcceptRelinquishment(now float64, name string, incarnation uint64, msg Relinquishment) error {
 	k := slices.IndexFunc(d.openRounds, func(o openRound) bool { return o.number == msg.Round })
 	switch {
 	case k < 0 || msg.Fence != d.fence:
-		return ErrRound
+		return ErrUnknownRound
 	case msg.Members != d.terms.Members:
 		return ErrMemberCount
-	case !(msg.Need >= 0 && msg.Need <= 1e6 && msg.Least >= 0 && msg.Least <= 1e6 && msg.Duration >= 0):
+	case !(msg.Need >= 0 && msg.Need <= 1e6 && msg.MinUseful >= 0 && msg.MinUseful <= 1e6 && msg.Duration >= 0):
 		return ErrBadNumbers
 	}
 	key := fmt.Sprintf("%s/%d", name, incarnation)
@@ -102,11 +102,11 @@
 		return nil // a duplicate or an older one
 	}
 	if now > m.until { // it may have used its equal share until now: wait until that use no longer counts
-		m.from = now + d.terms.longest(d.terms.Settle)
+		m.from = now + d.terms.longest(d.terms.SettleTime)
 	}
 	// The message was sent after the round was opened. The sending time is unknown on this clock; the opening is certainly early enough.
-	m.until = max(m.until, d.openRounds[k].openedAt+d.terms.shortest(min(msg.Duration, d.terms.RelinquishFor)))
-	m.need, m.least, m.lastTag = msg.Need, msg.Least, msg.Tag
+	m.until = max(m.until, d.openRounds[k].openedAt+d.terms.shortest(min(msg.Duration, d.terms.RelinquishDuration)))
+	m.need, m.least, m.lastTag = msg.Need, msg.MinUseful, msg.Tag
 	return nil
 }
 
@@ -121,7 +121,7 @@
 }
 
 // ShareInUse returns the sum of the shares that members may be using or whose use still counts.
-func (d *Granter) InUse(now float64) (sum float64) {
+func (d *Granter) ShareInUse(now float64) (sum float64) {
 	for _, m := range d.members {
 		sum += m.inUse(now)
 	}
@@ -129,7 +129,7 @@
 }
 
 // RelinquishedShare returns the sum of the equal shares that are certainly relinquished from now until end.
-func (d *Granter) Relinquished(now, end float64) float64 {
+func (d *Granter) RelinquishedShare(now, end float64) float64 {
 	names := map[string]bool{}
 	for _, m := range d.members {
 		if m.from <= now && m.until >= end {
--- a/fleet/allocation/grants.go
+++ b/fleet/allocation/grants.go
@@ -20,7 +20,7 @@
 
 // IssueGrants distributes the relinquished shares to the members whose relinquishments have not been answered yet. A grant counts as
 // used from now on, whether or not it arrives.
-func (d *Granter) Grants(now float64) []AddressedGrant {
+func (d *Granter) IssueGrants(now float64) []AddressedGrant {
 	if now < d.grantsFrom {
 		return nil
 	}
@@ -28,7 +28,7 @@
 	if len(pending) == 0 {
 		return nil
 	}
-	end := now + d.terms.GrantLifetime + d.terms.longest(d.terms.Settle)
+	end := now + d.terms.GrantLifetime + d.terms.longest(d.terms.SettleTime)
 	r := d.newRound(now, end, pending)
 	r.grantLeast()
 	if r.waiting != nil {
@@ -217,7 +217,7 @@
 		if k+1 < len(b.periodStarts) {
 			end = b.periodStarts[k+1]
 		}
-		b.available = append(b.available, d.Relinquished(now, end)-d.InUse(at))
+		b.available = append(b.available, d.RelinquishedShare(now, end)-d.ShareInUse(at))
 	}
 	for _, m := range pending {
 		held := make([]float64, len(b.periodStarts))
--- a/fleet/allocation/holder.go
+++ b/fleet/allocation/holder.go
@@ -29,7 +29,7 @@
 func NewHolder(t Terms, startedAt float64, cleanStart bool) *Holder {
 	h := &Holder{terms: t, relinquishedUntil: math.Inf(-1), shareUntil: math.Inf(-1)}
 	if !cleanStart {
-		h.relinquishedUntil = startedAt + t.Longest()
+		h.relinquishedUntil = startedAt + t.LongestRelinquishment()
 	}
 	return h
 }
@@ -80,8 +80,8 @@
 	}
 	h.lastTag++
 	h.sentTags[h.lastTag%uint64(len(h.sentTags))] = sentTag{h.lastTag, now}
-	h.relinquishedUntil = max(h.relinquishedUntil, now+h.terms.RelinquishFor)
-	return Relinquishment{Fence: h.highestFence, Round: h.lastRound, Tag: h.lastTag, Need: need, Least: least, Members: h.terms.Members, Duration: h.terms.RelinquishFor}, true
+	h.relinquishedUntil = max(h.relinquishedUntil, now+h.terms.RelinquishDuration)
+	return Relinquishment{Fence: h.highestFence, Round: h.lastRound, Tag: h.lastTag, Need: need, MinUseful: least, Members: h.terms.Members, Duration: h.terms.RelinquishDuration}, true
 }
 
 // Share returns the share that may be used now. ok is false if the equal share is not relinquished; the member then uses that one.
@@ -97,7 +97,7 @@
 
 // ExtendRelinquishment relinquishes the equal share at least until the given time, since another process of this name may have
 // relinquished it.
-func (h *Holder) RelinquishUntil(until float64) {
+func (h *Holder) ExtendRelinquishment(until float64) {
 	h.relinquishedUntil = max(h.relinquishedUntil, until)
 }
 
@@ -105,13 +105,13 @@
 func (h *Holder) RelinquishedUntil() float64 { return h.relinquishedUntil }
 
 // SetTerms sets the terms that the coordinators use.
-func (h *Holder) Terms(t Terms) { h.terms = t }
+func (h *Holder) SetTerms(t Terms) { h.terms = t }
 
 // LastRound returns the last round announced under the highest fence, or 0.
-func (h *Holder) Round() uint64 { return h.lastRound }
+func (h *Holder) LastRound() uint64 { return h.lastRound }
 
 // ShareUntil returns the time at which the last granted share expires.
-func (h *Holder) Until() float64 { return h.shareUntil }
+func (h *Holder) ShareUntil() float64 { return h.shareUntil }
 
 // HighestFence returns the highest fence received.
-func (h *Holder) Fence() uint64 { return h.highestFence }
+func (h *Holder) HighestFence() uint64 { return h.highestFence }
