--- a/fleet/allocation/terms.go
+++ b/fleet/allocation/terms.go
@@ -20,19 +20,19 @@
 
 // Terms are the parameters of one kind of quota, the same for its owner and all members.
 type Terms struct {
-	Members       int     // number of equal shares
-	RelinquishFor float64 // seconds for which a member relinquishes its equal share, from when it sends the relinquishment
-	GrantLifetime float64 // seconds for which a grant may be used, from when the relinquishment that it answers was sent
-	Settle        float64 // seconds for which past use still counts: the time window of the quota's limit
-	Drift         float64 // fraction by which a clock may run fast or slow
+	Members            int     // number of equal shares
+	RelinquishDuration float64 // seconds for which a member relinquishes its equal share, from when it sends the relinquishment
+	GrantLifetime      float64 // seconds for which a grant may be used, from when the relinquishment that it answers was sent
+	SettleTime         float64 // seconds for which past use still counts: the time window of the quota's limit
+	Drift              float64 // fraction by which a clock may run fast or slow
 }
 
 // StandardTerms returns terms under which a grant lasts for three rounds of half a second, so that two rounds may be lost. A
 // relinquishment lasts for the round trip of a round's messages, a grant, and the time window of the limit.
-func Standard(members int, settle, drift float64) Terms {
+func StandardTerms(members int, settle, drift float64) Terms {
 	const lifetime, roundTrip = 1.5, 1.5
-	t := Terms{Members: max(members, 1), GrantLifetime: lifetime, Settle: settle, Drift: drift}
-	t.RelinquishFor = (roundTrip + lifetime + t.longest(settle)) * (1 + drift) / (1 - drift)
+	t := Terms{Members: max(members, 1), GrantLifetime: lifetime, SettleTime: settle, Drift: drift}
+	t.RelinquishDuration = (roundTrip + lifetime + t.longest(settle)) * (1 + drift) / (1 - drift)
 	return t
 }
 
@@ -43,7 +43,7 @@
 		return fmt.Errorf("%d members: the number must be from 1 to %d", t.Members, MaxMembers)
 	case !(t.Drift >= 0 && t.Drift < 0.5):
 		return fmt.Errorf("clock drift %v is not from 0 to below 0.5", t.Drift)
-	case !(t.GrantLifetime > 0) || !(t.Settle >= 0) || !(t.shortest(t.RelinquishFor) > t.GrantLifetime+t.longest(t.Settle)) || math.IsInf(t.RelinquishFor, 0):
+	case !(t.GrantLifetime > 0) || !(t.SettleTime >= 0) || !(t.shortest(t.RelinquishDuration) > t.GrantLifetime+t.longest(t.SettleTime)) || math.IsInf(t.RelinquishDuration, 0):
 		return errors.New("a relinquishment must last longer than a grant and the time window of the limit")
 	}
 	return nil
@@ -54,26 +54,26 @@
 func (t Terms) longest(l float64) float64  { return l * (1 + t.Drift) / (1 - t.Drift) }
 
 // LongestRelinquishment returns the longest time that a relinquishment can last on any clock.
-func (t Terms) Longest() float64 { return t.longest(t.RelinquishFor) }
+func (t Terms) LongestRelinquishment() float64 { return t.longest(t.RelinquishDuration) }
 
 // Limits of the state that an owner keeps of one quota.
 const (
 	// MaxMembers is the largest number of members that share a quota.
-	MaxMembers = registry.MostRouters
+	MaxMembers = registry.MaxRouters
 	// maxIncarnations is the largest number of member incarnations that an owner tracks. A restarted member counts twice until the
 	// relinquishment of its old process expires.
-	maxIncarnations = registry.MostSessions
+	maxIncarnations = registry.MaxSessions
 )
 
 // Relinquishment is a member's message to the owner of a quota: the member does not use its equal share for a limited time.
 type Relinquishment struct {
-	Fence    uint64  `json:"fence"` // of the owner that receives the message
-	Round    uint64  `json:"round"` // round of that owner that the message answers
-	Tag      uint64  `json:"tag"`   // the grant that answers the message returns it
-	Need     float64 `json:"need"`  // share that the member can use
-	Least    float64 `json:"least"` // smallest share that is useful to the member
-	Members  int     `json:"members"`
-	Duration float64 `json:"lays"` // seconds for which the equal share is relinquished
+	Fence     uint64  `json:"fence"` // of the owner that receives the message
+	Round     uint64  `json:"round"` // round of that owner that the message answers
+	Tag       uint64  `json:"tag"`   // the grant that answers the message returns it
+	Need      float64 `json:"need"`  // share that the member can use
+	MinUseful float64 `json:"least"` // smallest share that is useful to the member
+	Members   int     `json:"members"`
+	Duration  float64 `json:"lays"` // seconds for which the equal share is relinquished
 }
 
 // Grant is an owner's message to a member: the share that the member may use.
--- a/fleet/coordinator/coordinator.go
+++ b/fleet/coordinator/coordinator.go
@@ -31,36 +31,36 @@
 
 // Config is the configuration of one coordinator.
 type Config struct {
-	ID     uint64
-	Name   string
-	Token  string      // identifies the registry: coordinators of another registry are not members
-	Hold   float64     // seconds for which a heartbeat is held while nothing changes
-	Logger raft.Logger // the raft library's log
-	Log    func(text string)
+	ID            uint64
+	Name          string
+	RegistryToken string      // identifies the registry: coordinators of another registry are not members
+	HoldTime      float64     // seconds for which a heartbeat is held while nothing changes
+	Logger        raft.Logger // the raft library's log
+	Log           func(text string)
 }
 
 // PersistedState is what a coordinator reads from its disk at the start.
-type Stored struct {
+type PersistedState struct {
 	Snapshot  *pb.Snapshot
 	HardState *pb.HardState
 	Entries   []*pb.Entry
 }
 
 // InitialState returns the state that every coordinator of a new registry stores first.
-func Begin(coordinators []registry.Keeper, lease, drift float64) (Stored, error) {
+func InitialState(coordinators []registry.Coordinator, lease, drift float64) (PersistedState, error) {
 	r, err := registry.Begin(coordinators, lease, drift)
 	if err != nil {
-		return Stored{}, err
+		return PersistedState{}, err
 	}
 	text, err := r.Snapshot()
 	if err != nil {
-		return Stored{}, err
+		return PersistedState{}, err
 	}
 	var voters []uint64
 	for _, k := range coordinators {
 		voters = append(voters, k.ID)
 	}
-	return Stored{
+	return PersistedState{
 		Snapshot: &pb.Snapshot{Data: text, Metadata: &pb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
 			ConfState: &pb.ConfState{Voters: voters}}},
 		HardState: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))},
@@ -69,19 +69,19 @@
 
 // Output is what the driver has to do: first persist, then send the messages and answers, then call Done.
 type Output struct {
-	Keep struct {
+	Persist struct {
 		Snapshot  *pb.Snapshot  // the whole state; stored before the entries
 		HardState *pb.HardState // nil: unchanged
 		Entries   []*pb.Entry
 		Sync      bool
 		Compact   uint64 // entries up to this index are in the snapshot and may be deleted
 	}
-	Messages []*pb.Message
-	Answers  []Answer
+	Messages  []*pb.Message
+	Responses []Response
 }
 
 // Response is the answer to a request.
-type Answer struct {
+type Response struct {
 	Request uint64
 	Leader  uint64 // ID of the coordinator that may be the leader, 0: unknown
 	Err     error
@@ -90,19 +90,19 @@
 
 // Errors of requests. ErrNotLeader comes with the leader's ID where it is known.
 var (
-	ErrElsewhere = errors.New("this coordinator is not the leader")
-	ErrUnsure    = errors.New("the coordinator lost leadership before the entry was committed: it may or may not be")
-	ErrSession   = errors.New("no such session: open a new one")
-	ErrBad       = errors.New("bad request")
-	ErrBusy      = errors.New("a change of coordinator membership is in progress")
+	ErrNotLeader      = errors.New("this coordinator is not the leader")
+	ErrOutcomeUnknown = errors.New("the coordinator lost leadership before the entry was committed: it may or may not be")
+	ErrUnknownSession = errors.New("no such session: open a new one")
+	ErrBadRequest     = errors.New("bad request")
+	ErrBusy           = errors.New("a change of coordinator membership is in progress")
 )
 
 // Coordinator is one member of the quorum that replicates the registry.
-type Keeper struct {
+type Coordinator struct {
 	cfg     Config
 	node    *raft.RawNode
 	storage *raft.MemoryStorage
-	reg     *registry.Record
+	reg     *registry.Registry
 	now     float64
 
 	confState        *pb.ConfState
@@ -117,17 +117,17 @@
 	lastProposal     uint64
 	pendingProposals map[uint64]func(fence uint64, err error)
 	annotatedAt      map[string]float64 // by task, when this coordinator applied its last annotation while leader
-	answers          []Answer
+	answers          []Response
 	ready            *raft.Ready
 	compactIndex     uint64
 	newSnapshot      *pb.Snapshot
 	sessionTable
-	Refused int // messages and actions that were rejected because their fence is stale
+	RejectedStale int // messages and actions that were rejected because their fence is stale
 }
 
 // New returns a coordinator that continues from its persisted state.
-func New(cfg Config, stored Stored, now float64) (*Keeper, error) {
-	k := &Keeper{cfg: cfg, storage: raft.NewMemoryStorage(), reg: registry.New(), now: now, lastTick: now, confState: &pb.ConfState{},
+func New(cfg Config, stored PersistedState, now float64) (*Coordinator, error) {
+	k := &Coordinator{cfg: cfg, storage: raft.NewMemoryStorage(), reg: registry.New(), now: now, lastTick: now, confState: &pb.ConfState{},
 		pendingProposals: map[uint64]func(uint64, error){}, annotatedAt: map[string]float64{}, sessionTable: newSessionTable()}
 	if s := stored.Snapshot; s != nil && s.GetMetadata().GetIndex() > 0 {
 		if err := k.restore(s); err != nil {
@@ -155,7 +155,7 @@
 }
 
 // restore replaces the registry by the one in a snapshot.
-func (k *Keeper) restore(s *pb.Snapshot) error {
+func (k *Coordinator) restore(s *pb.Snapshot) error {
 	r, err := registry.Restore(s.GetData())
 	if err != nil {
 		return err
@@ -166,30 +166,30 @@
 }
 
 // Registry returns the registry as applied here, which may be behind the leader's.
-func (k *Keeper) Record() *registry.Record { return k.reg }
+func (k *Coordinator) Registry() *registry.Registry { return k.reg }
 
 // IsLeader reports whether this coordinator is the leader and may answer requests.
-func (k *Keeper) Leads() bool { return k.isLeader && k.termCommitted }
+func (k *Coordinator) IsLeader() bool { return k.isLeader && k.termCommitted }
 
 // Status returns this coordinator's status.
-func (k *Keeper) Status() Status {
+func (k *Coordinator) Status() Status {
 	b := k.node.BasicStatus()
-	s := Status{ID: k.cfg.ID, Name: k.cfg.Name, Record: k.cfg.Token, State: b.RaftState.String(), Leader: b.Lead,
-		Term: b.HardState.GetTerm(), Commit: b.HardState.GetCommit(), Applied: k.applied, Begun: true, Started: []int{}}
-	for _, x := range k.reg.Keepers() {
+	s := Status{ID: k.cfg.ID, Name: k.cfg.Name, Registry: k.cfg.RegistryToken, State: b.RaftState.String(), Leader: b.Lead,
+		Term: b.HardState.GetTerm(), Commit: b.HardState.GetCommit(), Applied: k.applied, HasJoined: true, Started: []int{}}
+	for _, x := range k.reg.Coordinators() {
 		if x.Started {
 			s.Started = append(s.Started, int(x.ID))
 		}
 	}
-	if k.Leads() {
-		s.Led = k.now - k.leaderSince
+	if k.IsLeader() {
+		s.LeaderFor = k.now - k.leaderSince
 	}
 	return s
 }
 
 // Tick advances the time. It is called about every TickEvery. After a pause of the process, raft's clock advances by a second
 // at most, so that the coordinator doesn't call an election before it has read the messages that arrived meanwhile.
-func (k *Keeper) Tick(now float64) {
+func (k *Coordinator) Tick(now float64) {
 	k.now = max(k.now, now)
 	if k.now-k.lastTick > 1 {
 		k.lastTick = k.now - 1
@@ -198,23 +198,23 @@
 		k.node.Tick()
 	}
 	k.updateRole()
-	if k.Leads() {
+	if k.IsLeader() {
 		k.upkeep()
 	}
 }
 
 // Step processes another coordinator's raft message.
-func (k *Keeper) Step(now float64, m *pb.Message) {
+func (k *Coordinator) Step(now float64, m *pb.Message) {
 	k.now = max(k.now, now)
 	k.node.Step(m) // an error means that raft ignores the message, for instance one of a coordinator that has left
 	k.updateRole()
 }
 
 // ReportUnreachable reports that messages to a coordinator can't be delivered.
-func (k *Keeper) Unreachable(id uint64) { k.node.ReportUnreachable(id) }
+func (k *Coordinator) ReportUnreachable(id uint64) { k.node.ReportUnreachable(id) }
 
 // ReportSnapshot reports whether a raft snapshot sent to a coordinator arrived.
-func (k *Keeper) Sent(id uint64, arrived bool) {
+func (k *Coordinator) ReportSnapshot(id uint64, arrived bool) {
 	s := raft.SnapshotFinish
 	if !arrived {
 		s = raft.SnapshotFailure
@@ -223,7 +223,7 @@
 }
 
 // updateRole detects that this coordinator became the leader or stepped down.
-func (k *Keeper) updateRole() {
+func (k *Coordinator) updateRole() {
 	b := k.node.BasicStatus()
 	isLeader, term := b.RaftState == raft.StateLeader, b.HardState.GetTerm()
 	if isLeader == k.isLeader && (!isLeader || term == k.term) {
@@ -234,7 +234,7 @@
 	}
 	if k.isLeader, k.term, k.termCommitted = isLeader, term, false; isLeader {
 		// The first entry of the term: once it is committed, everything that earlier leaders committed is applied here.
-		k.propose(registry.Entry{Kind: registry.Nothing}, func(_ uint64, err error) {
+		k.propose(registry.Entry{Kind: registry.Noop}, func(_ uint64, err error) {
 			if err == nil {
 				k.termCommitted, k.leaderSince = true, k.now
 				k.resetSessionTable()
@@ -245,9 +245,9 @@
 }
 
 // stopLeading ends all proposals, whose outcome is now unknown, and answers all waiting requests.
-func (k *Keeper) stopLeading(leader uint64) {
+func (k *Coordinator) stopLeading(leader uint64) {
 	for _, done := range k.pendingProposals {
-		done(0, ErrUnsure)
+		done(0, ErrOutcomeUnknown)
 	}
 	clear(k.pendingProposals)
 	clear(k.annotatedAt)
@@ -255,15 +255,15 @@
 	k.log("coordinator %d is no longer the leader", k.cfg.ID)
 }
 
-func (k *Keeper) log(format string, args ...any) {
+func (k *Coordinator) log(format string, args ...any) {
 	if k.cfg.Log != nil {
 		k.cfg.Log(fmt.Sprintf(format, args...))
 	}
 }
 
 // propose submits an entry to raft. done is called with its result once it is applied here, or with ErrOutcomeUnknown.
-func (k *Keeper) propose(e registry.Entry, done func(fence uint64, err error)) {
-	e.Version = k.reg.Reads() // a coordinator that can't read an entry stops; both versions have the same fields
+func (k *Coordinator) propose(e registry.Entry, done func(fence uint64, err error)) {
+	e.Version = k.reg.ReadableVersion() // a coordinator that can't read an entry stops; both versions have the same fields
 	text, err := e.Marshal()
 	if err != nil {
 		done(0, err)
@@ -271,7 +271,7 @@
 	}
 	data := k.number(text)
 	if err := k.node.Propose(data); err != nil {
-		done(0, ErrUnsure)
+		done(0, ErrOutcomeUnknown)
 		return
 	}
 	k.pendingProposals[k.lastProposal] = done
@@ -279,7 +279,7 @@
 
 // number puts the coordinator's ID and the proposal's number before its text, so that the coordinator recognizes its own
 // proposals when they are committed.
-func (k *Keeper) number(text []byte) []byte {
+func (k *Coordinator) number(text []byte) []byte {
 	k.lastProposal++
 	header := binary.BigEndian.AppendUint64(nil, k.cfg.ID)
 	return append(binary.BigEndian.AppendUint64(header, k.lastProposal), text...)
@@ -289,27 +289,27 @@
 const proposalHeaderBytes = 16
 
 // Output returns what the driver has to do; ok is false if there is nothing. Done has to be called before the next call.
-func (k *Keeper) Output() (out Output, ok bool) {
+func (k *Coordinator) Output() (out Output, ok bool) {
 	k.updateRole()
-	out.Answers, k.answers = k.answers, nil
+	out.Responses, k.answers = k.answers, nil
 	if k.ready == nil && k.node.HasReady() {
 		rd := k.node.Ready()
 		k.ready = &rd
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			out.Keep.Snapshot = rd.Snapshot
+			out.Persist.Snapshot = rd.Snapshot
 		}
-		out.Keep.HardState, out.Keep.Entries, out.Keep.Sync = rd.HardState, rd.Entries, rd.MustSync
+		out.Persist.HardState, out.Persist.Entries, out.Persist.Sync = rd.HardState, rd.Entries, rd.MustSync
 		out.Messages = rd.Messages
 	}
-	if k.newSnapshot != nil && out.Keep.Snapshot == nil {
-		out.Keep.Snapshot, out.Keep.Compact = k.newSnapshot, k.compactIndex
+	if k.newSnapshot != nil && out.Persist.Snapshot == nil {
+		out.Persist.Snapshot, out.Persist.Compact = k.newSnapshot, k.compactIndex
 		k.newSnapshot = nil
 	}
-	return out, k.ready != nil || len(out.Answers) > 0 || out.Keep.Snapshot != nil
+	return out, k.ready != nil || len(out.Responses) > 0 || out.Persist.Snapshot != nil
 }
 
 // Done reports that the last output was carried out. After an error the coordinator must stop.
-func (k *Keeper) Done() error {
+func (k *Coordinator) Done() error {
 	rd := k.ready
 	if rd == nil {
 		return nil
@@ -341,13 +341,13 @@
 	}
 	k.node.Advance(*rd)
 	k.updateRole()
-	if len(rd.CommittedEntries) > 0 && k.Leads() {
+	if len(rd.CommittedEntries) > 0 && k.IsLeader() {
 		k.answerChanged()
 	}
 	return k.compactLog()
 }
 
-func (k *Keeper) apply(e *pb.Entry) error {
+func (k *Coordinator) apply(e *pb.Entry) error {
 	index := e.GetIndex()
 	if index <= k.applied {
 		return nil
@@ -384,8 +384,8 @@
 	if errors.Is(err, registry.ErrUnknown) {
 		return err // coordinators that understand the entry have applied it: continuing would diverge from them
 	}
-	if entry.Kind == registry.Note && err == nil {
-		k.annotatedAt[entry.Work] = k.now
+	if entry.Kind == registry.Annotation && err == nil {
+		k.annotatedAt[entry.Task] = k.now
 	}
 	if binary.BigEndian.Uint64(data) == k.cfg.ID {
 		n := binary.BigEndian.Uint64(data[8:])
@@ -398,7 +398,7 @@
 }
 
 // compactLog takes a snapshot and drops old entries once enough entries were applied since the last one.
-func (k *Keeper) compactLog() error {
+func (k *Coordinator) compactLog() error {
 	if k.applied < k.snapshotIndex+snapshotInterval && !k.membersChanged {
 		return nil
 	}
@@ -421,4 +421,4 @@
 }
 
 // Voters returns the IDs of the group's current voters.
-func (k *Keeper) Voters() []uint64 { return slices.Clone(k.confState.GetVoters()) }
+func (k *Coordinator) Voters() []uint64 { return slices.Clone(k.confState.GetVoters()) }
--- a/fleet/coordinator/coordinator_test.go
+++ b/fleet/coordinator/coordinator_test.go
@@ -17,22 +17,22 @@
 // testCoordinator is a single coordinator with a driver on virtual time that answers requests.
 type testCoordinator struct {
 	t           *testing.T
-	coordinator *Keeper
+	coordinator *Coordinator
 	now         float64
 	request     uint64
-	answers     map[uint64]Answer
+	answers     map[uint64]Response
 }
 
 func newTestCoordinator(t *testing.T) *testCoordinator {
-	stored, err := Begin([]registry.Keeper{{ID: 1, Name: "k1", Addr: "127.0.0.1:1"}}, 2, 0.05)
+	stored, err := InitialState([]registry.Coordinator{{ID: 1, Name: "k1", Addr: "127.0.0.1:1"}}, 2, 0.05)
 	if err != nil {
 		t.Fatal(err)
 	}
-	coordinator, err := New(Config{ID: 1, Name: "k1", Hold: 0.5, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}, stored, 0)
+	coordinator, err := New(Config{ID: 1, Name: "k1", HoldTime: 0.5, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}, stored, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &testCoordinator{t: t, coordinator: coordinator, answers: map[uint64]Answer{}}
+	return &testCoordinator{t: t, coordinator: coordinator, answers: map[uint64]Response{}}
 }
 
 func (l *testCoordinator) run(seconds float64) {
@@ -49,7 +49,7 @@
 		if !ok {
 			return
 		}
-		for _, a := range out.Answers {
+		for _, a := range out.Responses {
 			l.answers[a.Request] = a
 		}
 		if err := l.coordinator.Done(); err != nil {
@@ -58,29 +58,29 @@
 	}
 }
 
-func (l *testCoordinator) heartbeat(b Beat) (View, error) {
+func (l *testCoordinator) heartbeat(b Heartbeat) (Snapshot, error) {
 	v, err := l.send(b)
 	if err == nil && v.Session == 0 { // the answer is a token that has to be returned
-		b.Got = v.Number
+		b.LastSnapshot = v.Number
 		v, err = l.send(b)
 	}
 	return v, err
 }
 
-func (l *testCoordinator) send(b Beat) (View, error) {
+func (l *testCoordinator) send(b Heartbeat) (Snapshot, error) {
 	l.t.Helper()
 	l.request++
-	l.coordinator.Beat(l.now, l.request, &b)
+	l.coordinator.Heartbeat(l.now, l.request, &b)
 	l.process()
 	for range 40 {
 		if a, ok := l.answers[l.request]; ok {
-			v, _ := a.Value.(View)
+			v, _ := a.Value.(Snapshot)
 			return v, a.Err
 		}
 		l.run(0.05)
 	}
 	l.t.Fatal("no answer")
-	return View{}, nil
+	return Snapshot{}, nil
 }
 
 // TestSupersedingProcess: a process that starts under the name of another one gets its own session at once. The other process
@@ -88,39 +88,39 @@
 func TestSupersedingProcess(t *testing.T) {
 	l := newTestCoordinator(t)
 	l.run(5)
-	older := Beat{Name: "n1", Incarnation: 1, Stands: []string{"w"}, Wants: []Want{{Work: "w/1"}}}
+	older := Heartbeat{Name: "n1", Incarnation: 1, CandidateKinds: []string{"w"}, RequestedTasks: []RequestedTask{{Task: "w/1"}}}
 	v, err := l.heartbeat(older)
 	if err != nil {
 		t.Fatal(err)
 	}
 	older.Session = v.Session
-	for len(v.Mine) == 0 {
-		older.Got = v.Number
+	for len(v.Owned) == 0 {
+		older.LastSnapshot = v.Number
 		if v, err = l.heartbeat(older); err != nil {
 			t.Fatal(err)
 		}
 	}
-	fence := v.Mine[0].Fence
-	newer := Beat{Name: "n1", Incarnation: 2, Stands: []string{"w"}, Wants: []Want{{Work: "w/1"}}}
+	fence := v.Owned[0].Fence
+	newer := Heartbeat{Name: "n1", Incarnation: 2, CandidateKinds: []string{"w"}, RequestedTasks: []RequestedTask{{Task: "w/1"}}}
 	v, err = l.heartbeat(newer)
-	if err != nil || v.Session == older.Session || len(v.Mine) > 0 {
+	if err != nil || v.Session == older.Session || len(v.Owned) > 0 {
 		t.Fatalf("the new process: %+v %v", v, err)
 	}
 	newer.Session = v.Session
-	if w := l.coordinator.Record().Work("w/1"); w.Owner != older.Session || w.Fence != fence {
+	if w := l.coordinator.Registry().Task("w/1"); w.Owner != older.Session || w.Fence != fence {
 		t.Fatalf("the older process's task is owned by session %d", w.Owner)
 	}
 	if _, err := l.heartbeat(older); !errors.Is(err, registry.ErrSuperseded) {
 		t.Fatalf("the older process's heartbeat: %v", err)
 	}
 	for range 20 {
-		newer.Got = v.Number
+		newer.LastSnapshot = v.Number
 		if v, err = l.heartbeat(newer); err != nil {
 			t.Fatal(err)
 		}
-		if len(v.Mine) > 0 {
-			if v.Mine[0].Fence <= fence {
-				t.Errorf("fence %d after %d", v.Mine[0].Fence, fence)
+		if len(v.Owned) > 0 {
+			if v.Owned[0].Fence <= fence {
+				t.Errorf("fence %d after %d", v.Owned[0].Fence, fence)
 			}
 			return
 		}
@@ -133,13 +133,13 @@
 func TestFenceFloor(t *testing.T) {
 	l := newTestCoordinator(t)
 	l.run(5)
-	b := Beat{Name: "n1", Incarnation: 1, Stands: []string{"w"}, Wants: []Want{{Work: "w/1"}}, Highest: 500}
+	b := Heartbeat{Name: "n1", Incarnation: 1, CandidateKinds: []string{"w"}, RequestedTasks: []RequestedTask{{Task: "w/1"}}, HighestFence: 500}
 	v, err := l.heartbeat(b)
-	for err == nil && len(v.Mine) == 0 {
-		b.Session, b.Got = v.Session, v.Number
+	for err == nil && len(v.Owned) == 0 {
+		b.Session, b.LastSnapshot = v.Session, v.Number
 		v, err = l.heartbeat(b)
 	}
-	if err != nil || v.Mine[0].Fence <= 500 {
+	if err != nil || v.Owned[0].Fence <= 500 {
 		t.Errorf("%+v %v", v, err)
 	}
 }
@@ -149,22 +149,22 @@
 func TestDelayedOpen(t *testing.T) {
 	l := newTestCoordinator(t)
 	l.run(5)
-	earlier := Beat{Name: "n1", Incarnation: 1}
+	earlier := Heartbeat{Name: "n1", Incarnation: 1}
 	challenge, err := l.send(earlier)
 	if err != nil || challenge.Session != 0 || challenge.Number == 0 {
 		t.Fatalf("%+v %v", challenge, err)
 	}
-	v, err := l.heartbeat(Beat{Name: "n1", Incarnation: 2})
+	v, err := l.heartbeat(Heartbeat{Name: "n1", Incarnation: 2})
 	if err != nil || v.Session == 0 {
 		t.Fatalf("%+v %v", v, err)
 	}
 	for _, got := range []uint64{0, challenge.Number, v.Number} {
-		earlier.Got = got
+		earlier.LastSnapshot = got
 		if late, err := l.send(earlier); err != nil || late.Session != 0 {
 			t.Fatalf("a late opening got session %d: %v", late.Session, err)
 		}
 	}
-	if s := l.coordinator.Record().Named("n1"); s == nil || s.ID != v.Session || s.Superseded {
+	if s := l.coordinator.Registry().SessionByName("n1"); s == nil || s.ID != v.Session || s.Superseded {
 		t.Errorf("the running process's session: %+v", s)
 	}
 }
@@ -180,7 +180,7 @@
 		l.process()
 		return err
 	}
-	if err := propose(registry.Entry{Kind: registry.Keep, Keeper: 2, Name: "k2", Reads: 1}); err != nil {
+	if err := propose(registry.Entry{Kind: registry.SetCoordinator, Coordinator: 2, Name: "k2", ReadableVersion: 1}); err != nil {
 		t.Fatal(err)
 	}
 	const maxSessions = 1024 // the bound of version 1
@@ -193,7 +193,7 @@
 	if err := propose(more); !errors.Is(err, registry.ErrFull) {
 		t.Fatalf("with a coordinator of version 1: %v", err)
 	}
-	l.coordinator.Version(2, 2)
+	l.coordinator.ReportVersion(2, 2)
 	l.process()
 	if err := propose(more); err != nil {
 		t.Errorf("all read version 2: %v", err)
@@ -203,15 +203,15 @@
 // testSessions is a single coordinator with many sessions.
 type testSessions struct {
 	*testCoordinator
-	requests  []Beat
-	snapshots []View // the last one of each session
+	requests  []Heartbeat
+	snapshots []Snapshot // the last one of each session
 }
 
 // newTestSessions opens the given number of sessions, which all request the task and can own tasks of its kind.
 func newTestSessions(t *testing.T, sessions int, kind, task string) *testSessions {
-	c := &testSessions{testCoordinator: newTestCoordinator(t), requests: make([]Beat, sessions), snapshots: make([]View, sessions)}
+	c := &testSessions{testCoordinator: newTestCoordinator(t), requests: make([]Heartbeat, sessions), snapshots: make([]Snapshot, sessions)}
 	for n := range c.requests {
-		c.requests[n] = Beat{Name: fmt.Sprint("n", n), Incarnation: 1, Stands: []string{kind}, Wants: []Want{{Work: task}}}
+		c.requests[n] = Heartbeat{Name: fmt.Sprint("n", n), Incarnation: 1, CandidateKinds: []string{kind}, RequestedTasks: []RequestedTask{{Task: task}}}
 	}
 	c.run(5)
 	c.heartbeats() // each session gets its token
@@ -225,16 +225,16 @@
 	first := c.request + 1
 	for n := range c.requests {
 		c.request++
-		c.coordinator.Beat(c.now, c.request, &c.requests[n])
+		c.coordinator.Heartbeat(c.now, c.request, &c.requests[n])
 	}
 	c.run(0.6) // longer than heartbeats are held
 	for n := range c.requests {
 		answer := c.answers[first+uint64(n)]
-		v, ok := answer.Value.(View)
+		v, ok := answer.Value.(Snapshot)
 		if !ok {
 			c.t.Fatalf("heartbeat %d: %v", n, answer.Err)
 		}
-		c.snapshots[n], c.requests[n].Session, c.requests[n].Got = v, v.Session, v.Number
+		c.snapshots[n], c.requests[n].Session, c.requests[n].LastSnapshot = v, v.Session, v.Number
 	}
 }
 
@@ -244,23 +244,23 @@
 	const routers, task = 1600, "warmth/1"
 	c := newTestSessions(t, routers, "warmth", task)
 	c.heartbeats()
-	owner := slices.IndexFunc(c.snapshots, func(v View) bool { return len(v.Mine) > 0 })
+	owner := slices.IndexFunc(c.snapshots, func(v Snapshot) bool { return len(v.Owned) > 0 })
 	if owner < 0 {
 		t.Fatal("nobody owns the task")
 	}
-	fence := c.snapshots[owner].Mine[0].Fence
-	post := func(from int, messages []Letter) {
+	fence := c.snapshots[owner].Owned[0].Fence
+	post := func(from int, messages []Message) {
 		c.request++
-		c.coordinator.Post(c.now, c.request, &Mail{Session: c.requests[from].Session, Incarnation: 1, Letters: messages})
+		c.coordinator.PostMessages(c.now, c.request, &MessageBatch{Session: c.requests[from].Session, Incarnation: 1, Messages: messages})
 		c.process()
-		if a := c.answers[c.request]; a.Err != nil || len(a.Value.(Posted).Old) > 0 {
+		if a := c.answers[c.request]; a.Err != nil || len(a.Value.(PostResult).Stale) > 0 {
 			t.Fatalf("%+v", a)
 		}
 	}
-	var grants []Letter
+	var grants []Message
 	for n := range routers {
-		post(n, []Letter{{Work: task, Body: []byte("pledge")}})
-		grants = append(grants, Letter{Work: task, Fence: fence, To: c.requests[n].Name, Body: []byte("grant")})
+		post(n, []Message{{Task: task, Body: []byte("pledge")}})
+		grants = append(grants, Message{Task: task, Fence: fence, To: c.requests[n].Name, Body: []byte("grant")})
 	}
 	post(owner, grants)
 	c.heartbeats()
@@ -269,15 +269,15 @@
 		if n == owner {
 			want += routers
 		}
-		if len(v.Mail) != want {
-			t.Fatalf("router %d received %d messages of %d", n, len(v.Mail), want)
+		if len(v.Messages) != want {
+			t.Fatalf("router %d received %d messages of %d", n, len(v.Messages), want)
 		}
 	}
-	post(owner, []Letter{{Work: task, Fence: fence, To: "*", Body: []byte("round")}})
+	post(owner, []Message{{Task: task, Fence: fence, To: "*", Body: []byte("round")}})
 	c.heartbeats()
 	for n, v := range c.snapshots {
-		if len(v.Mail) != 1 {
-			t.Fatalf("router %d received %d rounds", n, len(v.Mail))
+		if len(v.Messages) != 1 {
+			t.Fatalf("router %d received %d rounds", n, len(v.Messages))
 		}
 	}
 }
@@ -288,20 +288,20 @@
 	c := newTestSessions(t, routers, "warmth", "warmth/1")
 	for n := range c.requests {
 		for task := 2; task <= tasks; task++ {
-			c.requests[n].Wants = append(c.requests[n].Wants, Want{Work: fmt.Sprint("warmth/", task)})
+			c.requests[n].RequestedTasks = append(c.requests[n].RequestedTasks, RequestedTask{Task: fmt.Sprint("warmth/", task)})
 		}
 	}
 	c.request++
-	c.coordinator.Beat(c.now, c.request, &c.requests[7]) // the first to request them
+	c.coordinator.Heartbeat(c.now, c.request, &c.requests[7]) // the first to request them
 	c.run(0.1)
 	for range 4 { // longer than assignDelay
 		c.heartbeats()
 	}
 	mostOwned := 0
-	for _, s := range c.coordinator.Record().Sessions() {
-		mostOwned = max(mostOwned, len(c.coordinator.Record().Owned(s.ID)))
+	for _, s := range c.coordinator.Registry().Sessions() {
+		mostOwned = max(mostOwned, len(c.coordinator.Registry().TasksOf(s.ID)))
 	}
-	if _, assigned := c.coordinator.Record().Size(); assigned != tasks || mostOwned != 1 {
+	if _, assigned := c.coordinator.Registry().Size(); assigned != tasks || mostOwned != 1 {
 		t.Errorf("%d of %d tasks have owners, and one session owns %d", assigned, tasks, mostOwned)
 	}
 }
@@ -339,26 +339,26 @@
 	}
 	order := func(fence uint64) error {
 		l.request++
-		l.coordinator.Order(l.now, l.request, &Order{Kind: "release", Work: "w", Fence: fence})
+		l.coordinator.ExecuteOrder(l.now, l.request, &Order{Kind: "release", Task: "w", Fence: fence})
 		l.process()
 		return l.answers[l.request].Err
 	}
 	propose(registry.Entry{Kind: registry.Open, Name: "n1", Incarnation: 1})
 	session := l.coordinator.reg.Sessions()[0].ID
-	propose(registry.Entry{Kind: registry.Assign, Work: "w", Session: session})
-	first := l.coordinator.reg.Work("w").Fence
-	if err := order(first); err != nil || !l.coordinator.reg.Work("w").Asked {
-		t.Fatalf("%v, release requested %v", err, l.coordinator.reg.Work("w").Asked)
+	propose(registry.Entry{Kind: registry.Assign, Task: "w", Session: session})
+	first := l.coordinator.reg.Task("w").Fence
+	if err := order(first); err != nil || !l.coordinator.reg.Task("w").ReleaseRequested {
+		t.Fatalf("%v, release requested %v", err, l.coordinator.reg.Task("w").ReleaseRequested)
 	}
 	if err := order(first); err != nil {
 		t.Errorf("repeated while it is the owner: %v", err)
 	}
-	propose(registry.Entry{Kind: registry.Release, Work: "w", Session: session, Fence: first})
+	propose(registry.Entry{Kind: registry.Release, Task: "w", Session: session, Fence: first})
 	if err := order(first); err != nil {
 		t.Errorf("repeated after the release: %v", err)
 	}
-	propose(registry.Entry{Kind: registry.Assign, Work: "w", Session: session})
-	if err := order(first); err != nil || l.coordinator.reg.Work("w").Asked {
-		t.Errorf("repeated under a later owner: %v, release requested %v", err, l.coordinator.reg.Work("w").Asked)
+	propose(registry.Entry{Kind: registry.Assign, Task: "w", Session: session})
+	if err := order(first); err != nil || l.coordinator.reg.Task("w").ReleaseRequested {
+		t.Errorf("repeated under a later owner: %v, release requested %v", err, l.coordinator.reg.Task("w").ReleaseRequested)
 	}
 }
--- a/fleet/coordinator/membership.go
+++ b/fleet/coordinator/membership.go
@@ -12,16 +12,16 @@
 )
 
 // ReportVersion records the newest entry format version that another coordinator reports that it reads.
-func (k *Keeper) Version(id uint64, version uint16) {
-	if k.reportedVersions[id] == version || !k.Leads() {
+func (k *Coordinator) ReportVersion(id uint64, version uint16) {
+	if k.reportedVersions[id] == version || !k.IsLeader() {
 		return
 	}
-	x := k.reg.Keeper(id)
+	x := k.reg.Coordinator(id)
 	if x == nil || x.Version == version && x.Started {
 		return
 	}
 	k.reportedVersions[id] = version
-	k.propose(registry.Entry{Kind: registry.Keep, Keeper: id, Name: x.Name, Addr: x.Addr, Zone: x.Zone, Reads: version, Started: true},
+	k.propose(registry.Entry{Kind: registry.SetCoordinator, Coordinator: id, Name: x.Name, Addr: x.Addr, Zone: x.Zone, ReadableVersion: version, Started: true},
 		func(_ uint64, err error) {
 			if err != nil {
 				delete(k.reportedVersions, id)
@@ -30,45 +30,45 @@
 }
 
 // ExecuteOrder executes an operator's order.
-func (k *Keeper) Order(now float64, request uint64, o *Order) {
+func (k *Coordinator) ExecuteOrder(now float64, request uint64, o *Order) {
 	k.now = max(k.now, now)
-	if !k.Leads() {
-		k.answer(request, nil, ErrElsewhere)
+	if !k.IsLeader() {
+		k.answer(request, nil, ErrNotLeader)
 		return
 	}
 	switch o.Kind {
 	case "release":
-		if x := k.reg.Work(o.Work); o.Fence != 0 && x != nil && (x.Owner == 0 || x.Fence != o.Fence) {
-			k.answer(request, Posted{}, nil) // a repeated order: that owner has released the task
+		if x := k.reg.Task(o.Task); o.Fence != 0 && x != nil && (x.Owner == 0 || x.Fence != o.Fence) {
+			k.answer(request, PostResult{}, nil) // a repeated order: that owner has released the task
 			return
 		}
-		k.propose(registry.Entry{Kind: registry.Ask, Work: o.Work}, func(_ uint64, err error) { k.answer(request, Posted{}, err) })
+		k.propose(registry.Entry{Kind: registry.RequestRelease, Task: o.Task}, func(_ uint64, err error) { k.answer(request, PostResult{}, err) })
 	case "say":
-		k.propose(registry.Entry{Kind: registry.Say, Work: o.Work, Body: o.Body}, func(_ uint64, err error) { k.answer(request, Posted{}, err) })
+		k.propose(registry.Entry{Kind: registry.OperatorAnnotation, Task: o.Task, Body: o.Body}, func(_ uint64, err error) { k.answer(request, PostResult{}, err) })
 	case "join":
 		k.addCoordinator(request, o)
 	case "leave":
-		for _, x := range k.reg.Keepers() {
+		for _, x := range k.reg.Coordinators() {
 			if x.Name == o.Name {
-				k.changeMembership(pb.ConfChangeRemoveNode, registry.Entry{Kind: registry.Unkeep, Keeper: x.ID}, func(err error) { k.answer(request, Posted{}, err) })
+				k.changeMembership(pb.ConfChangeRemoveNode, registry.Entry{Kind: registry.RemoveCoordinator, Coordinator: x.ID}, func(err error) { k.answer(request, PostResult{}, err) })
 				return
 			}
 		}
-		k.answer(request, nil, registry.ErrKeeper)
+		k.answer(request, nil, registry.ErrCoordinator)
 	default:
-		k.answer(request, nil, fmt.Errorf("%w: unknown order kind %q", ErrBad, o.Kind))
+		k.answer(request, nil, fmt.Errorf("%w: unknown order kind %q", ErrBadRequest, o.Kind))
 	}
 }
 
 // addCoordinator adds a coordinator under an ID that was never used before. An existing member of the same name has lost its
 // folder, or it would not ask to join. Its record of earlier votes is lost with the folder, so it must never vote under the
 // old ID again.
-func (k *Keeper) addCoordinator(request uint64, o *Order) {
+func (k *Coordinator) addCoordinator(request uint64, o *Order) {
 	if o.Name == "" || o.Addr == "" {
-		k.answer(request, nil, fmt.Errorf("%w: name or address is missing", ErrBad))
+		k.answer(request, nil, fmt.Errorf("%w: name or address is missing", ErrBadRequest))
 		return
 	}
-	for _, x := range k.reg.Keepers() {
+	for _, x := range k.reg.Coordinators() {
 		if x.Name != o.Name {
 			continue
 		}
@@ -76,7 +76,7 @@
 			k.answer(request, x.ID, nil) // a repeated order
 			return
 		}
-		k.changeMembership(pb.ConfChangeRemoveNode, registry.Entry{Kind: registry.Unkeep, Keeper: x.ID}, func(err error) {
+		k.changeMembership(pb.ConfChangeRemoveNode, registry.Entry{Kind: registry.RemoveCoordinator, Coordinator: x.ID}, func(err error) {
 			if err != nil {
 				k.answer(request, nil, err)
 				return
@@ -86,27 +86,27 @@
 		})
 		return
 	}
-	id := k.reg.NextKeeper()
-	k.changeMembership(pb.ConfChangeAddLearnerNode, registry.Entry{Kind: registry.Keep, Keeper: id, Name: o.Name, Addr: o.Addr, Zone: o.Zone},
+	id := k.reg.NextCoordinatorID()
+	k.changeMembership(pb.ConfChangeAddLearnerNode, registry.Entry{Kind: registry.SetCoordinator, Coordinator: id, Name: o.Name, Addr: o.Addr, Zone: o.Zone},
 		func(err error) { k.answer(request, id, err) })
 }
 
 // changeMembership proposes a change of the coordinators' group. One change is in progress at a time, and it is committed
 // like any other entry.
-func (k *Keeper) changeMembership(kind pb.ConfChangeType, e registry.Entry, done func(error)) {
+func (k *Coordinator) changeMembership(kind pb.ConfChangeType, e registry.Entry, done func(error)) {
 	if k.changingMembers {
 		done(ErrBusy)
 		return
 	}
-	e.Version = k.reg.Reads()
+	e.Version = k.reg.ReadableVersion()
 	text, err := e.Marshal()
 	if err != nil {
 		done(err)
 		return
 	}
-	c := &pb.ConfChange{Type: kind.Enum(), NodeId: new(e.Keeper), Context: k.number(text)}
+	c := &pb.ConfChange{Type: kind.Enum(), NodeId: new(e.Coordinator), Context: k.number(text)}
 	if err := k.node.ProposeConfChange(c); err != nil {
-		done(ErrUnsure)
+		done(ErrOutcomeUnknown)
 		return
 	}
 	k.changingMembers, k.changeStartedAt = true, k.now
@@ -114,7 +114,7 @@
 	k.abandonChange = func() { // raft silently drops a change that is proposed too early
 		if finish := k.pendingProposals[number]; finish != nil {
 			delete(k.pendingProposals, number)
-			finish(0, ErrUnsure)
+			finish(0, ErrOutcomeUnknown)
 		}
 	}
 	k.pendingProposals[number] = func(_ uint64, err error) {
@@ -124,15 +124,15 @@
 }
 
 // promoteLearner makes a learner that has caught up a voter.
-func (k *Keeper) promoteLearner() {
+func (k *Coordinator) promoteLearner() {
 	const maxLag = 50 // entries that a learner may be behind
 	if len(k.confState.GetLearners()) == 0 || k.changingMembers {
 		return
 	}
 	for id, p := range k.node.Status().Progress {
-		x := k.reg.Keeper(id)
+		x := k.reg.Coordinator(id)
 		if p.IsLearner && p.RecentActive && x != nil && p.Match+maxLag > k.applied {
-			k.changeMembership(pb.ConfChangeAddNode, registry.Entry{Kind: registry.Keep, Keeper: id, Name: x.Name, Addr: x.Addr, Zone: x.Zone},
+			k.changeMembership(pb.ConfChangeAddNode, registry.Entry{Kind: registry.SetCoordinator, Coordinator: id, Name: x.Name, Addr: x.Addr, Zone: x.Zone},
 				func(err error) { k.log("promotion of coordinator %d to voter: %v", id, err) })
 			return
 		}
--- a/fleet/coordinator/sessions.go
+++ b/fleet/coordinator/sessions.go
@@ -63,8 +63,8 @@
 	lastSnapshot          uint64  // number of the last snapshot sent
 	lastDigest            string  // digest of what it contained
 	candidateKinds        []string
-	requested             []Want
-	inbox                 []Letter
+	requested             []RequestedTask
+	inbox                 []Message
 	heldHeartbeat         *pendingRequest // its heartbeat, unanswered until something changes
 	holdUntil             float64
 	ending                bool
@@ -74,7 +74,7 @@
 type pendingRequest struct {
 	request    uint64
 	receivedAt float64
-	heartbeat  *Beat
+	heartbeat  *Heartbeat
 	isRead     bool
 }
 
@@ -83,12 +83,12 @@
 		flapDamper: lease.NewFlapDamper(), reportedVersions: map[uint64]uint16{}}
 }
 
-func (k *Keeper) answer(request uint64, value any, err error) {
-	k.answers = append(k.answers, Answer{Request: request, Value: value, Err: err, Leader: k.node.BasicStatus().Lead})
+func (k *Coordinator) answer(request uint64, value any, err error) {
+	k.answers = append(k.answers, Response{Request: request, Value: value, Err: err, Leader: k.node.BasicStatus().Lead})
 }
 
 // resetSessionTable discards the state of an earlier term. Requests that wait for confirmation are kept.
-func (k *Keeper) resetSessionTable() {
+func (k *Coordinator) resetSessionTable() {
 	unconfirmed := k.unconfirmed
 	snapshotCount := k.snapshotCount
 	k.sessionTable = newSessionTable()
@@ -96,9 +96,9 @@
 }
 
 // rejectPendingRequests answers every waiting request with ErrNotLeader, so that its sender turns to the next leader.
-func (k *Keeper) rejectPendingRequests(leader uint64) {
+func (k *Coordinator) rejectPendingRequests(leader uint64) {
 	reject := func(w pendingRequest) {
-		k.answers = append(k.answers, Answer{Request: w.request, Err: ErrElsewhere, Leader: leader})
+		k.answers = append(k.answers, Response{Request: w.request, Err: ErrNotLeader, Leader: leader})
 	}
 	for _, w := range append(k.unconfirmed, k.confirming...) {
 		reject(w)
@@ -113,7 +113,7 @@
 
 // RequestClosed reports that nobody waits for a request any more. A process whose held heartbeat lost its connection may have
 // exited, and gets no task until its next heartbeat.
-func (k *Keeper) Gone(request uint64) {
+func (k *Coordinator) RequestClosed(request uint64) {
 	for _, c := range k.sessions {
 		if c.heldHeartbeat != nil && c.heldHeartbeat.request == request {
 			c.heldHeartbeat = nil
@@ -122,48 +122,48 @@
 }
 
 // sessionIDs returns the IDs of the sessions in ascending order, so that everything derived from them is deterministic.
-func (k *Keeper) sessionIDs() []uint64 { return slices.Sorted(maps.Keys(k.sessions)) }
+func (k *Coordinator) sessionIDs() []uint64 { return slices.Sorted(maps.Keys(k.sessions)) }
 
 // Heartbeat takes a session's heartbeat.
-func (k *Keeper) Beat(now float64, request uint64, b *Beat) {
+func (k *Coordinator) Heartbeat(now float64, request uint64, b *Heartbeat) {
 	k.now = max(k.now, now)
 	if err := b.check(); err != nil {
-		k.answer(request, nil, fmt.Errorf("%w: %v", ErrBad, err))
+		k.answer(request, nil, fmt.Errorf("%w: %v", ErrBadRequest, err))
 		return
 	}
 	k.enqueue(pendingRequest{request: request, receivedAt: k.now, heartbeat: b})
 }
 
-func (b *Beat) check() error {
+func (b *Heartbeat) check() error {
 	if b.Name == "" || b.Incarnation == 0 {
 		return fmt.Errorf("name or incarnation is missing")
 	}
-	if len(b.Wants) > MostWants || len(b.Stands) > MostStands {
-		return fmt.Errorf("%d tasks requested, at most %d allowed; %d kinds, at most %d allowed", len(b.Wants), MostWants, len(b.Stands), MostStands)
+	if len(b.RequestedTasks) > MaxRequestedTasks || len(b.CandidateKinds) > MaxCandidateKinds {
+		return fmt.Errorf("%d tasks requested, at most %d allowed; %d kinds, at most %d allowed", len(b.RequestedTasks), MaxRequestedTasks, len(b.CandidateKinds), MaxCandidateKinds)
 	}
 	for _, text := range [...]string{b.Name, b.Zone, b.Region} {
 		if err := registry.CheckName(text); err != nil {
 			return err
 		}
 	}
-	for _, w := range b.Wants {
-		if kind, _, ok := strings.Cut(w.Work, "/"); !ok || kind == "" || registry.CheckName(w.Work) != nil || registry.CheckName(w.Zone) != nil {
-			return fmt.Errorf("%q is not a valid task name", w.Work)
+	for _, w := range b.RequestedTasks {
+		if kind, _, ok := strings.Cut(w.Task, "/"); !ok || kind == "" || registry.CheckName(w.Task) != nil || registry.CheckName(w.Zone) != nil {
+			return fmt.Errorf("%q is not a valid task name", w.Task)
 		}
 	}
 	return nil
 }
 
 // ReadRegistry answers with the registry, linearizably: leadership is confirmed first.
-func (k *Keeper) Read(now float64, request uint64) {
+func (k *Coordinator) ReadRegistry(now float64, request uint64) {
 	k.now = max(k.now, now)
 	k.enqueue(pendingRequest{request: request, receivedAt: k.now, isRead: true})
 }
 
 // enqueue holds a request until leadership is confirmed.
-func (k *Keeper) enqueue(w pendingRequest) {
+func (k *Coordinator) enqueue(w pendingRequest) {
 	if !k.isLeader {
-		k.answer(w.request, nil, ErrElsewhere)
+		k.answer(w.request, nil, ErrNotLeader)
 		return
 	}
 	if w.heartbeat != nil {
@@ -178,7 +178,7 @@
 // confirmLeadership asks the other coordinators, with a raft read index request, whether this one is still the leader. One
 // request is in flight at a time and covers everything received, so that hundreds of sessions cost some tens of rounds a
 // second.
-func (k *Keeper) confirmLeadership() {
+func (k *Coordinator) confirmLeadership() {
 	const retryAfter = 0.5   // seconds after which a request counts as lost
 	const minInterval = 0.05 // seconds between two requests: at most twenty rounds a second among coordinators
 	if !k.termCommitted || k.now < k.confirmationAt+minInterval || len(k.unconfirmed) == 0 && len(k.confirming) == 0 || len(k.confirming) > 0 && k.now < k.confirmationAt+retryAfter {
@@ -192,8 +192,8 @@
 }
 
 // leadershipConfirmed handles the requests that a read index request covered.
-func (k *Keeper) leadershipConfirmed(s raft.ReadState) {
-	if len(s.RequestCtx) != 8 || binary.BigEndian.Uint64(s.RequestCtx) != k.confirmationID || !k.Leads() || s.Index > k.applied {
+func (k *Coordinator) leadershipConfirmed(s raft.ReadState) {
+	if len(s.RequestCtx) != 8 || binary.BigEndian.Uint64(s.RequestCtx) != k.confirmationID || !k.IsLeader() || s.Index > k.applied {
 		return // an older request, or one ahead of the applied entries: confirmLeadership repeats it
 	}
 	confirmed := k.confirming
@@ -209,20 +209,20 @@
 }
 
 // processHeartbeat handles a heartbeat that was received while this coordinator was certainly the leader.
-func (k *Keeper) processHeartbeat(w pendingRequest) {
+func (k *Coordinator) processHeartbeat(w pendingRequest) {
 	b := w.heartbeat
 	c := k.sessions[b.Session]
 	if c != nil {
 		c.unconfirmedHeartbeats = max(c.unconfirmedHeartbeats-1, 0)
 	}
 	// The registry is older than one that the session has seen: no fence up to that session's highest may be given again.
-	if b.Highest > k.reg.Fence() {
-		k.propose(registry.Entry{Kind: registry.Floor, Fence: b.Highest}, func(_ uint64, err error) {
+	if b.HighestFence > k.reg.Fence() {
+		k.propose(registry.Entry{Kind: registry.FenceFloor, Fence: b.HighestFence}, func(_ uint64, err error) {
 			if err != nil {
 				k.answer(w.request, nil, err)
 				return
 			}
-			k.log("session %q has seen fence %d: raising the registry to it", b.Name, b.Highest)
+			k.log("session %q has seen fence %d: raising the registry to it", b.Name, b.HighestFence)
 			k.processHeartbeat(w)
 		})
 		return
@@ -233,7 +233,7 @@
 		k.openSession(w)
 		return
 	case s == nil || s.Incarnation != b.Incarnation || s.Name != b.Name:
-		k.answer(w.request, nil, ErrSession)
+		k.answer(w.request, nil, ErrUnknownSession)
 		return
 	case s.Superseded:
 		k.answer(w.request, nil, registry.ErrSuperseded)
@@ -241,24 +241,24 @@
 	}
 	c = k.stateOf(s)
 	if c.ending {
-		k.answer(w.request, nil, ErrSession)
+		k.answer(w.request, nil, ErrUnknownSession)
 		return
 	}
-	if b.Got >= c.lastSnapshot {
+	if b.LastSnapshot >= c.lastSnapshot {
 		c.unacknowledgedSince = 0
 	}
 	// A session that receives nothing can't prove its lease. If its heartbeats kept the lease alive, its tasks would have no
 	// working owner for as long as they arrive.
-	if duration, _ := k.reg.Terms(); c.unacknowledgedSince == 0 || k.now-c.unacknowledgedSince <= duration {
+	if duration, _ := k.reg.LeaseTerms(); c.unacknowledgedSince == 0 || k.now-c.unacknowledgedSince <= duration {
 		c.lastHeard = max(c.lastHeard, w.receivedAt)
 	}
-	k.setCandidateKinds(c, b.Stands)
-	k.recordDemand(b.Wants)
-	k.setRequestedTasks(s.ID, c, b.Wants)
+	k.setCandidateKinds(c, b.CandidateKinds)
+	k.recordDemand(b.RequestedTasks)
+	k.setRequestedTasks(s.ID, c, b.RequestedTasks)
 	if c.heldHeartbeat != nil { // the new heartbeat replaces the held one, which is answered
 		k.answerHeartbeat(s.ID, c)
 	}
-	c.heldHeartbeat, c.holdUntil = &w, w.receivedAt+k.cfg.Hold
+	c.heldHeartbeat, c.holdUntil = &w, w.receivedAt+k.cfg.HoldTime
 	k.assignTasksSoon()
 	if len(c.inbox) > 0 {
 		c.holdUntil = math.Min(c.holdUntil, k.now+deliveryDelay)
@@ -267,7 +267,7 @@
 }
 
 // addSession adds a session to the table.
-func (k *Keeper) addSession(s *registry.Session) *sessionState {
+func (k *Coordinator) addSession(s *registry.Session) *sessionState {
 	c := &sessionState{name: s.Name, incarnation: s.Incarnation}
 	k.sessions[s.ID] = c
 	sameName := k.sessionsByName[s.Name]
@@ -277,7 +277,7 @@
 }
 
 // removeSession removes a session that has ended.
-func (k *Keeper) removeSession(id uint64, c *sessionState) {
+func (k *Coordinator) removeSession(id uint64, c *sessionState) {
 	k.setCandidateKinds(c, nil)
 	k.setRequestedTasks(id, c, nil)
 	delete(k.sessions, id)
@@ -288,26 +288,26 @@
 }
 
 // setRequestedTasks records the tasks that a session requests.
-func (k *Keeper) setRequestedTasks(id uint64, c *sessionState, requested []Want) {
+func (k *Coordinator) setRequestedTasks(id uint64, c *sessionState, requested []RequestedTask) {
 	if slices.Equal(c.requested, requested) {
 		return
 	}
 	for _, x := range c.requested {
-		if delete(k.requesters[x.Work], id); len(k.requesters[x.Work]) == 0 {
-			delete(k.requesters, x.Work)
+		if delete(k.requesters[x.Task], id); len(k.requesters[x.Task]) == 0 {
+			delete(k.requesters, x.Task)
 		}
 	}
 	for _, x := range requested {
-		if k.requesters[x.Work] == nil {
-			k.requesters[x.Work] = map[uint64]bool{}
+		if k.requesters[x.Task] == nil {
+			k.requesters[x.Task] = map[uint64]bool{}
 		}
-		k.requesters[x.Work][id] = true
+		k.requesters[x.Task][id] = true
 	}
 	c.requested = requested
 }
 
 // stateOf returns the state of a session, which is created when the session is first seen in this term.
-func (k *Keeper) stateOf(s *registry.Session) *sessionState {
+func (k *Coordinator) stateOf(s *registry.Session) *sessionState {
 	if c := k.sessions[s.ID]; c != nil {
 		return c
 	}
@@ -315,18 +315,18 @@
 }
 
 // recordDemand records that tasks are requested now, and since when each has been requested without a pause.
-func (k *Keeper) recordDemand(tasks []Want) {
+func (k *Coordinator) recordDemand(tasks []RequestedTask) {
 	for _, x := range tasks {
 		firstRequested := k.now
-		if w, ok := k.requested[x.Work]; ok && k.now-w.lastRequested <= requestLifetime {
+		if w, ok := k.requested[x.Task]; ok && k.now-w.lastRequested <= requestLifetime {
 			firstRequested = w.firstRequested
 		}
-		k.requested[x.Work] = taskDemand{x.Zone, firstRequested, k.now}
+		k.requested[x.Task] = taskDemand{x.Zone, firstRequested, k.now}
 	}
 }
 
 // setCandidateKinds records the kinds of task that a session can own.
-func (k *Keeper) setCandidateKinds(c *sessionState, kinds []string) {
+func (k *Coordinator) setCandidateKinds(c *sessionState, kinds []string) {
 	if slices.Equal(c.candidateKinds, kinds) {
 		return
 	}
@@ -341,22 +341,22 @@
 
 // openSession opens a session for a process that proves to be alive now by returning a token. A heartbeat that was delayed in
 // the network, of a process that has exited since, must not supersede the process that has its name now.
-func (k *Keeper) openSession(w pendingRequest) {
+func (k *Coordinator) openSession(w pendingRequest) {
 	b := w.heartbeat
-	if s := k.reg.Named(b.Name); s != nil && s.Incarnation == b.Incarnation {
+	if s := k.reg.SessionByName(b.Name); s != nil && s.Incarnation == b.Incarnation {
 		b.Session = s.ID
 		k.processHeartbeat(w)
 		return
 	}
 	const tokenLifetime = 5.0 // seconds from issuing a token to the heartbeat that returns it
-	if t, ok := k.openTokens[b.Name]; !ok || t.number != b.Got || t.incarnation != b.Incarnation || k.now > t.issuedAt+tokenLifetime {
+	if t, ok := k.openTokens[b.Name]; !ok || t.number != b.LastSnapshot || t.incarnation != b.Incarnation || k.now > t.issuedAt+tokenLifetime {
 		k.snapshotCount++
 		t = openToken{number: k.term<<32 | k.snapshotCount, incarnation: b.Incarnation, issuedAt: k.now}
-		if len(k.openTokens) >= registry.MostSessions {
+		if len(k.openTokens) >= registry.MaxSessions {
 			clear(k.openTokens) // bounds memory: these processes get a new token
 		}
 		k.openTokens[b.Name] = t
-		k.answer(w.request, View{Number: t.number}, nil)
+		k.answer(w.request, Snapshot{Number: t.number}, nil)
 		return
 	}
 	delete(k.openTokens, b.Name)
@@ -372,14 +372,14 @@
 				k.answer(w.request, nil, err)
 				return
 			}
-			b.Session = k.reg.Named(b.Name).ID
+			b.Session = k.reg.SessionByName(b.Name).ID
 			k.log("session %d opened for %q in zone %q", b.Session, b.Name, b.Zone)
 			k.processHeartbeat(w)
 		})
 }
 
 // upkeep does the leader's periodic work.
-func (k *Keeper) upkeep() {
+func (k *Coordinator) upkeep() {
 	k.confirmLeadership()
 	if k.now < k.upkeepAt+TickEvery {
 		return
@@ -408,8 +408,8 @@
 
 // endSilentSessions ends each session that has sent no heartbeat for a lease, counted from the start of this leader's term at
 // the earliest.
-func (k *Keeper) endSilentSessions() {
-	duration, _ := k.reg.Terms()
+func (k *Coordinator) endSilentSessions() {
+	duration, _ := k.reg.LeaseTerms()
 	for _, s := range k.reg.Sessions() {
 		c := k.sessions[s.ID]
 		lastSeen := k.leaderSince
@@ -423,9 +423,9 @@
 			continue
 		}
 		k.stateOf(s).ending = true
-		for _, w := range k.reg.Works() {
+		for _, w := range k.reg.Tasks() {
 			if w.Owner == s.ID {
-				k.flapDamper.Lost(k.now, s.Name)
+				k.flapDamper.RecordLoss(k.now, s.Name)
 				k.log("task %q fence %d: the lease of its owner %q has expired", w.Name, w.Fence, s.Name)
 				break
 			}
@@ -435,7 +435,7 @@
 }
 
 // endSession proposes the end of a session. A proposal that fails is repeated by endSilentSessions.
-func (k *Keeper) endSession(id uint64) {
+func (k *Coordinator) endSession(id uint64) {
 	k.propose(registry.Entry{Kind: registry.Close, Session: id}, func(_ uint64, err error) {
 		c := k.sessions[id]
 		if c == nil {
@@ -446,7 +446,7 @@
 			return
 		}
 		if c.heldHeartbeat != nil {
-			k.answer(c.heldHeartbeat.request, nil, ErrSession)
+			k.answer(c.heldHeartbeat.request, nil, ErrUnknownSession)
 		}
 		k.removeSession(id, c)
 		k.log("session %d of %q has ended", id, c.name)
--- a/fleet/coordinator/tasks.go
+++ b/fleet/coordinator/tasks.go
@@ -28,26 +28,26 @@
 )
 
 // assignTasksSoon assigns free tasks now, or in a large fleet by the next tick.
-func (k *Keeper) assignTasksSoon() {
+func (k *Coordinator) assignTasksSoon() {
 	if len(k.sessions) < largeFleet || k.now >= k.assignedAt+TickEvery {
 		k.assignTasks()
 	}
 }
 
 // assignTasks proposes an owner for each requested task that is free.
-func (k *Keeper) assignTasks() {
-	if !k.Leads() {
+func (k *Coordinator) assignTasks() {
+	if !k.IsLeader() {
 		return
 	}
 	k.assignedAt = k.now
-	duration, _ := k.reg.Terms()
+	duration, _ := k.reg.LeaseTerms()
 	isLarge := len(k.sessions) >= largeFleet
 	var eligible []lease.Candidate
 	ownedTasks := map[uint64]int{}
 	candidateKinds := map[uint64][]string{}
 	for _, name := range slices.Sorted(maps.Keys(k.requested)) {
 		w := k.requested[name]
-		if task := k.reg.Work(name); task != nil && task.Owner != 0 || k.assigning[name] || k.now-w.lastRequested > requestLifetime || isLarge && k.now-w.firstRequested < assignDelay {
+		if task := k.reg.Task(name); task != nil && task.Owner != 0 || k.assigning[name] || k.now-w.lastRequested > requestLifetime || isLarge && k.now-w.firstRequested < assignDelay {
 			continue
 		}
 		kind, _, _ := strings.Cut(name, "/")
@@ -55,7 +55,7 @@
 			continue
 		}
 		if eligible == nil {
-			for _, x := range k.reg.Works() {
+			for _, x := range k.reg.Tasks() {
 				ownedTasks[x.Owner]++
 			}
 			for _, id := range k.sessionIDs() {
@@ -73,7 +73,7 @@
 				candidates = append(candidates, c)
 			}
 		}
-		n := lease.Choose(candidates, name, w.zone, func(name string) bool { return k.flapDamper.Suppressed(k.now, name) })
+		n := lease.ChooseOwner(candidates, name, w.zone, func(name string) bool { return k.flapDamper.Suppressed(k.now, name) })
 		if n < 0 {
 			continue
 		}
@@ -82,7 +82,7 @@
 		if isLarge {
 			ownedTasks[chosen.Session]++ // not committed yet, but the next task should go to another session
 		}
-		k.propose(registry.Entry{Kind: registry.Assign, Work: name, Session: chosen.Session, Zone: w.zone}, func(fence uint64, err error) {
+		k.propose(registry.Entry{Kind: registry.Assign, Task: name, Session: chosen.Session, Zone: w.zone}, func(fence uint64, err error) {
 			delete(k.assigning, name)
 			if err == nil {
 				k.log("task %q fence %d: assigned to %q", name, fence, chosen.Name)
@@ -92,24 +92,24 @@
 }
 
 // dropUnusedTasks drops tasks that have no owner and have not been requested for a long time.
-func (k *Keeper) dropUnusedTasks() {
+func (k *Coordinator) dropUnusedTasks() {
 	const unusedTime = 60.0            // seconds without a request
 	for name, w := range k.requested { // the order does not matter
 		if k.now-w.lastRequested > unusedTime && !k.assigning[name] {
 			delete(k.requested, name)
 		}
 	}
-	for _, w := range k.reg.Works() {
-		if _, ok := k.requested[w.Name]; !ok && w.Owner == 0 && len(w.Note) == 0 && k.now-k.leaderSince > unusedTime && !k.assigning[w.Name] {
+	for _, w := range k.reg.Tasks() {
+		if _, ok := k.requested[w.Name]; !ok && w.Owner == 0 && len(w.Annotation) == 0 && k.now-k.leaderSince > unusedTime && !k.assigning[w.Name] {
 			name := w.Name
 			k.assigning[name] = true
-			k.propose(registry.Entry{Kind: registry.Drop, Work: name}, func(uint64, error) { delete(k.assigning, name) })
+			k.propose(registry.Entry{Kind: registry.Drop, Task: name}, func(uint64, error) { delete(k.assigning, name) })
 		}
 	}
 }
 
 // answerChanged assigns free tasks and answers each held heartbeat whose session has something new to receive.
-func (k *Keeper) answerChanged() {
+func (k *Coordinator) answerChanged() {
 	k.assignTasksSoon()
 	for _, id := range k.sessionIDs() {
 		if c := k.sessions[id]; c.heldHeartbeat != nil {
@@ -119,28 +119,28 @@
 }
 
 // answerIfChanged answers a held heartbeat if the session's snapshot differs from the last one sent.
-func (k *Keeper) answerIfChanged(id uint64, c *sessionState) {
+func (k *Coordinator) answerIfChanged(id uint64, c *sessionState) {
 	if k.digest(id, c) != c.lastDigest {
 		k.answerHeartbeat(id, c)
 	}
 }
 
 // digest returns a compact form of the tasks in a session's snapshot, for comparison.
-func (k *Keeper) digest(id uint64, c *sessionState) string {
+func (k *Coordinator) digest(id uint64, c *sessionState) string {
 	b := k.scratch[:0]
 	add := func(n uint64) { b = binary.BigEndian.AppendUint64(b, n) }
-	for _, w := range k.reg.Owned(id) {
+	for _, w := range k.reg.TasksOf(id) {
 		b = append(b, w.Name...)
 		add(w.Fence)
-		if w.Asked {
+		if w.ReleaseRequested {
 			add(1)
 		}
 	}
 	for _, x := range c.requested {
-		if w := k.reg.Work(x.Work); w != nil {
+		if w := k.reg.Task(x.Task); w != nil {
 			add(w.Fence)
 			add(w.Owner)
-			add(w.Noted)
+			add(w.AnnotatedAt)
 		}
 	}
 	k.scratch = b
@@ -148,35 +148,35 @@
 }
 
 // answerHeartbeat answers a session's held heartbeat with a snapshot and the messages in its inbox.
-func (k *Keeper) answerHeartbeat(id uint64, c *sessionState) {
-	duration, drift := k.reg.Terms()
+func (k *Coordinator) answerHeartbeat(id uint64, c *sessionState) {
+	duration, drift := k.reg.LeaseTerms()
 	k.snapshotCount++
 	sessions, _ := k.reg.Size()
-	v := View{Number: k.term<<32 | k.snapshotCount, Session: id, Lease: duration, Drift: drift, Sessions: sessions, Fence: k.reg.Fence(), Mail: c.inbox}
+	v := Snapshot{Number: k.term<<32 | k.snapshotCount, Session: id, Lease: duration, Drift: drift, Sessions: sessions, Fence: k.reg.Fence(), Messages: c.inbox}
 	c.inbox = nil
 	// A session that has acknowledged nothing for a lease does not get its tasks confirmed: its heartbeats no longer renew the
 	// lease, so the tasks may have another owner before this answer takes effect. They are confirmed again once it acknowledges
 	// this snapshot.
 	unreachable := c.unacknowledgedSince != 0 && k.now-c.unacknowledgedSince > duration
-	for _, w := range k.reg.Owned(id) {
+	for _, w := range k.reg.TasksOf(id) {
 		if unreachable {
 			break
 		}
-		v.Mine = append(v.Mine, Mine{lease.Claim{Work: w.Name, Fence: w.Fence}, w.Asked})
+		v.Owned = append(v.Owned, OwnedTask{lease.Claim{Task: w.Name, Fence: w.Fence}, w.ReleaseRequested})
 	}
 	for _, x := range c.requested {
-		w := k.reg.Work(x.Work)
+		w := k.reg.Task(x.Task)
 		if w == nil {
 			continue
 		}
-		s := Seen{Work: w.Name, Fence: w.Fence, Note: w.Note, By: w.By, Age: 1e9}
+		s := TaskState{Task: w.Name, Fence: w.Fence, Annotation: w.Annotation, AnnotationFence: w.AnnotationFence, AnnotationAge: 1e9}
 		if o := k.reg.Session(w.Owner); o != nil {
 			s.Owner = o.Name
 		}
 		if at, ok := k.annotatedAt[w.Name]; ok {
-			s.Age = k.now - at
+			s.AnnotationAge = k.now - at
 		}
-		v.Works = append(v.Works, s)
+		v.Tasks = append(v.Tasks, s)
 	}
 	c.lastDigest = k.digest(id, c)
 	if c.lastSnapshot = v.Number; c.unacknowledgedSince == 0 {
@@ -187,27 +187,27 @@
 }
 
 // PostMessages delivers a session's messages. Only the owner of a task may write to the sessions that request it.
-func (k *Keeper) Post(now float64, request uint64, m *Mail) {
+func (k *Coordinator) PostMessages(now float64, request uint64, m *MessageBatch) {
 	k.now = max(k.now, now)
 	s := k.reg.Session(m.Session)
 	switch {
-	case !k.Leads():
-		k.answer(request, nil, ErrElsewhere)
+	case !k.IsLeader():
+		k.answer(request, nil, ErrNotLeader)
 		return
 	case s == nil || s.Incarnation != m.Incarnation:
-		k.answer(request, nil, ErrSession)
+		k.answer(request, nil, ErrUnknownSession)
 		return
 	case s.Superseded:
 		k.answer(request, nil, registry.ErrSuperseded)
 		return
-	case len(m.Letters) > MostLetters:
-		k.answer(request, nil, fmt.Errorf("%w: %d messages, at most %d allowed", ErrBad, len(m.Letters), MostLetters))
+	case len(m.Messages) > MaxMessages:
+		k.answer(request, nil, fmt.Errorf("%w: %d messages, at most %d allowed", ErrBadRequest, len(m.Messages), MaxMessages))
 		return
 	}
-	var p Posted
-	for _, l := range m.Letters {
-		w := k.reg.Work(l.Work)
-		if w == nil || len(l.Body) > MostBody {
+	var p PostResult
+	for _, l := range m.Messages {
+		w := k.reg.Task(l.Task)
+		if w == nil || len(l.Body) > MaxMessageBytes {
 			continue
 		}
 		l.From, l.Incarnation = s.Name, s.Incarnation
@@ -216,9 +216,9 @@
 			continue
 		}
 		if w.Owner != s.ID || w.Fence != l.Fence {
-			k.Refused++
-			if !slices.Contains(p.Old, lease.FenceMark{Work: l.Work, Fence: w.Fence}) {
-				p.Old = append(p.Old, lease.FenceMark{Work: l.Work, Fence: w.Fence})
+			k.RejectedStale++
+			if !slices.Contains(p.Stale, lease.TaskFence{Task: l.Task, Fence: w.Fence}) {
+				p.Stale = append(p.Stale, lease.TaskFence{Task: l.Task, Fence: w.Fence})
 			}
 			continue
 		}
@@ -233,8 +233,8 @@
 }
 
 // deliverToRequesters delivers a message to each session that requests its task.
-func (k *Keeper) deliverToRequesters(l Letter) {
-	for _, id := range slices.Sorted(maps.Keys(k.requesters[l.Work])) {
+func (k *Coordinator) deliverToRequesters(l Message) {
+	for _, id := range slices.Sorted(maps.Keys(k.requesters[l.Task])) {
 		if k.sessions[id].name != l.To {
 			k.deliver(id, l)
 		}
@@ -246,7 +246,7 @@
 const deliveryDelay = 0.1
 
 // deliver puts a message into a session's inbox, which drops its oldest message when it is full.
-func (k *Keeper) deliver(id uint64, l Letter) {
+func (k *Coordinator) deliver(id uint64, l Message) {
 	c := k.sessions[id]
 	if c == nil {
 		return
@@ -260,31 +260,31 @@
 }
 
 // Perform proposes an action of a session.
-func (k *Keeper) Do(now float64, request uint64, a *Act) {
+func (k *Coordinator) Perform(now float64, request uint64, a *Action) {
 	k.now = max(k.now, now)
-	if !k.Leads() {
-		k.answer(request, nil, ErrElsewhere)
+	if !k.IsLeader() {
+		k.answer(request, nil, ErrNotLeader)
 		return
 	}
-	e := registry.Entry{Session: a.Session, Work: a.Work, Fence: a.Fence}
+	e := registry.Entry{Session: a.Session, Task: a.Task, Fence: a.Fence}
 	switch a.Kind {
 	case "release":
 		e.Kind = registry.Release
 	case "note":
-		e.Kind, e.Body = registry.Note, a.Body
+		e.Kind, e.Body = registry.Annotation, a.Body
 	case "close":
 		e = registry.Entry{Kind: registry.Close, Session: a.Session}
 	default:
-		k.answer(request, nil, fmt.Errorf("%w: unknown action kind %q", ErrBad, a.Kind))
+		k.answer(request, nil, fmt.Errorf("%w: unknown action kind %q", ErrBadRequest, a.Kind))
 		return
 	}
 	k.propose(e, func(fence uint64, err error) {
 		if err == registry.ErrFence {
-			k.Refused++
+			k.RejectedStale++
 		}
 		if err == registry.ErrFence && fence > 0 {
-			err = &lease.StaleFenceError{Work: a.Work, Fence: a.Fence, Highest: fence}
+			err = &lease.StaleFenceError{Task: a.Task, Fence: a.Fence, Highest: fence}
 		}
-		k.answer(request, Posted{}, err)
+		k.answer(request, PostResult{}, err)
 	})
 }
--- a/fleet/failover/capacity.go
+++ b/fleet/failover/capacity.go
@@ -68,12 +68,12 @@
 
 // ZoneCapacity returns the estimated capacity of a zone with the given ready cores and slowdown. A zone with few observations gets a wider
 // safety margin.
-func (c *Capacity) Of(zone int, cores, slowdown float64) float64 {
+func (c *Capacity) Estimate(zone int, cores, slowdown float64) float64 {
 	return max(cores, 0) * c.perCore(zone) / max(slowdown, 1)
 }
 
 // OverloadLimit returns the load per core at which the zone was observed to be overloaded, or 0 if it never was.
-func (c *Capacity) Limit(zone int) float64 { return c.zones[zone].overloadPerCore }
+func (c *Capacity) OverloadLimit(zone int) float64 { return c.zones[zone].overloadPerCore }
 
 // perCore returns the estimated capacity per core.
 func (c *Capacity) perCore(zone int) float64 {
--- a/fleet/failover/controller.go
+++ b/fleet/failover/controller.go
@@ -8,55 +8,55 @@
 )
 
 // Config holds the parameters of a controller.
-type Terms struct {
-	Life  float64     // seconds that a router follows a plan, counted from its request for the plan
-	Drift float64     // largest relative error of clocks
-	Way   [][]float64 // round trip between zones in seconds
-	Slack float64     // longest round trip in seconds that the latency targets allow, 0: no limit
+type Config struct {
+	Lifetime     float64     // seconds that a router follows a plan, counted from its request for the plan
+	Drift        float64     // largest relative error of clocks
+	RoundTrip    [][]float64 // round trip between zones in seconds
+	MaxRoundTrip float64     // longest round trip in seconds that the latency targets allow, 0: no limit
 	// Share of the fleet's work that may be moved out of its zones per minute, 0: three quarters. Only an operator can lift the limit.
-	MostMove float64
+	MaxMovedPerMinute float64
 }
 
 // Lifetime is the standard lifetime of a plan in seconds: three times the interval of the reports that renew it.
-const Life = 3.0
+const Lifetime = 3.0
 
 // Orders are an operator's instructions, agreed on by the quorum like plans.
 type Orders struct {
-	Away   []bool `json:"away,omitempty"`   // zones to be evacuated
-	Freeze bool   `json:"freeze,omitempty"` // the plan does not change automatically
-	Free   bool   `json:"free,omitempty"`   // no limit on the work moved per minute
+	Evacuate  []bool `json:"away,omitempty"`   // zones to be evacuated
+	Freeze    bool   `json:"freeze,omitempty"` // the plan does not change automatically
+	Unlimited bool   `json:"free,omitempty"`   // no limit on the work moved per minute
 }
 
 // PublishedPlan is the information that all routers receive.
-type Published struct {
-	Epoch uint64 `json:"epoch"`
-	Plan  Plan   `json:"plan"`
-	Still Plan   `json:"still"` // envelope for routers that receive no plan: their own zone and a part of the other zones' spare capacity
-	Else  Plan   `json:"else"`  // rows for origins whose own zone fails before the next plan; allows for the loss of two zones at a time
-	Why   string `json:"why,omitempty"`
-
-	Zones  []string  `json:"zones,omitempty"`  // zone names
-	Demand []float64 `json:"demand,omitempty"` // by zone: core seconds per second that the plan was computed for
-	Room   []float64 `json:"room,omitempty"`   // by zone: capacity
-	Asked  []float64 `json:"asked,omitempty"`  // by zone: last known demand, even if the zone does not report now; for the next owner
+type PublishedPlan struct {
+	Epoch    uint64 `json:"epoch"`
+	Plan     Plan   `json:"plan"`
+	Fallback Plan   `json:"still"` // envelope for routers that receive no plan: their own zone and a part of the other zones' spare capacity
+	ZoneLoss Plan   `json:"else"`  // rows for origins whose own zone fails before the next plan; allows for the loss of two zones at a time
+	Reason   string `json:"why,omitempty"`
+
+	Zones        []string  `json:"zones,omitempty"`  // zone names
+	Demand       []float64 `json:"demand,omitempty"` // by zone: core seconds per second that the plan was computed for
+	PlanCapacity []float64 `json:"room,omitempty"`   // by zone: capacity
+	LastDemand   []float64 `json:"asked,omitempty"`  // by zone: last known demand, even if the zone does not report now; for the next owner
 }
 
 // Controller computes plans and the steps between them. Only the owner of the fleet's plan runs one.
 type Controller struct {
-	cfg               Terms
+	cfg               Config
 	zones             int
 	capacity          *Capacity
-	now               Published
-	previous          Published // some routers may still follow it
-	fallbacks         Plan      // largest shares that any router without a connection may still use, by what it received last
-	publishedAt       float64   // when now was published
+	now               PublishedPlan
+	previous          PublishedPlan // some routers may still follow it
+	fallbacks         Plan          // largest shares that any router without a connection may still use, by what it received last
+	publishedAt       float64       // when now was published
 	zoneStatus        []zoneStatus
 	moves             []move
 	demandUpdatedAt   float64
 	capacityUpdatedAt float64
 	startedAt         float64
 	Changes           []float64 // times at which the plan changed
-	Verdict           Judgement
+	LastAssessment    Assessment
 	lastDemand        []float64   // by zone: last known demand, decaying while the zone does not report
 	unreached         []sustained // by zone: 1 if its own routers do not reach it
 	slowdown          []sustained // by zone: slowdown relative to the other zones, now or when last observed; 1: none
@@ -65,7 +65,7 @@
 	reportingSince    []float64   // by zone: since when its routers report demand, +Inf: they do not
 	Demand            []float64   // by zone: reported demand, and the last known demand of routers that do not report
 	Load              []float64   // by zone: load from Demand under the plan
-	Room              []float64   // by zone: capacity that the plan counts on
+	PlanCapacity      []float64   // by zone: capacity that the plan counts on
 }
 
 // zoneStatus is the status of a zone, with hysteresis.
@@ -105,13 +105,13 @@
 )
 
 // NewController continues from the last published plan. Its Epoch is 0 if there was none.
-func NewController(t Terms, zones int, now float64, published Published) *Controller {
+func NewController(t Config, zones int, now float64, published PublishedPlan) *Controller {
 	c := &Controller{cfg: t, zones: zones, capacity: NewCapacity(zones), now: published, publishedAt: now, startedAt: now, zoneStatus: make([]zoneStatus, zones),
 		unreached: make([]sustained, zones), slowdown: make([]sustained, zones)}
-	if c.now.Plan.Check(zones) != nil || c.now.Still.Check2(zones) != nil {
-		c.now = Published{Epoch: published.Epoch, Plan: Near(zones), Still: Near(zones)}
+	if c.now.Plan.Check(zones) != nil || c.now.Fallback.CheckEnvelope(zones) != nil {
+		c.now = PublishedPlan{Epoch: published.Epoch, Plan: LocalPlan(zones), Fallback: LocalPlan(zones)}
 	}
-	c.previous, c.fallbacks = c.now, c.now.Still
+	c.previous, c.fallbacks = c.now, c.now.Fallback
 	for z := range c.zoneStatus {
 		c.zoneStatus[z].capacityShare, c.slowdown[z].value = 1, 1
 		// A zone that the previous owner moved work away from stays so until the evidence contradicts it.
@@ -132,7 +132,7 @@
 
 // CheckEnvelope returns an error if p is not a valid envelope. Unlike those of a plan, the rows of an envelope may sum
 // to more than 1.
-func (p Plan) Check2(zones int) error {
+func (p Plan) CheckEnvelope(zones int) error {
 	if len(p.Share) != zones {
 		return fmt.Errorf("envelope has %d zones, want %d", len(p.Share), zones)
 	}
@@ -150,10 +150,10 @@
 }
 
 // Now returns the plan that was published last.
-func (c *Controller) Now() Published { return c.now }
+func (c *Controller) Now() PublishedPlan { return c.now }
 
 // maxAge returns how long a router may follow a plan after it last received it, for any clock within the drift.
-func (c *Controller) maxAge() float64 { return c.cfg.Life * (1 + c.cfg.Drift) / (1 - c.cfg.Drift) }
+func (c *Controller) maxAge() float64 { return c.cfg.Lifetime * (1 + c.cfg.Drift) / (1 - c.cfg.Drift) }
 
 // Settled reports whether no router can follow an older plan than the last one: either all sessions have confirmed it, or
 // older plans have expired on any clock within the drift.
@@ -171,14 +171,14 @@
 }
 
 // Next evaluates one second's evidence. If ok is true, p is to be published under its epoch.
-func (c *Controller) Next(now float64, reports []Report, sessions int, orders Orders) (p Published, ok bool) {
+func (c *Controller) Next(now float64, reports []Report, sessions int, orders Orders) (p PublishedPlan, ok bool) {
 	valid := reports[:0:0]
 	for k := range reports {
-		if reports[k].Check(c.zones) {
+		if reports[k].Valid(c.zones) {
 			valid = append(valid, reports[k])
 		}
 	}
-	c.Verdict = Judge(valid, c.zones)
+	c.LastAssessment = Assess(valid, c.zones)
 	c.updateDemand(now, valid)
 	demand, pinned := c.Demand, make([]float64, c.zones)
 	for k := range valid {
@@ -190,14 +190,14 @@
 	planCapacity := make([]float64, c.zones)
 	for z := range planCapacity {
 		if !c.zoneStatus[z].movedAway {
-			planCapacity[z] = c.capacity.Of(z, cores[z], c.slowdown[z].value) * c.zoneStatus[z].capacityShare
-			if v := c.Verdict.Zones[z]; (v == Well || v == Slow) && c.zoneStatus[z].capacityShare == 1 {
+			planCapacity[z] = c.capacity.Estimate(z, cores[z], c.slowdown[z].value) * c.zoneStatus[z].capacityShare
+			if v := c.LastAssessment.Zones[z]; (v == Healthy || v == Slow) && c.zoneStatus[z].capacityShare == 1 {
 				// A zone can serve the load that it now serves well, or slowly but in time.
 				planCapacity[z] = max(planCapacity[z], min(c.now.Plan.Load(demand)[z], demand[z]))
 			}
 		}
 	}
-	c.Room, c.Load = planCapacity, c.now.Plan.Load(demand)
+	c.PlanCapacity, c.Load = planCapacity, c.now.Plan.Load(demand)
 	if orders.Freeze || !c.Settled(now, valid, sessions) {
 		return p, false
 	}
@@ -205,7 +205,7 @@
 	for o := range roundTrip {
 		roundTrip[o] = make([]float64, c.zones)
 		for z := range roundTrip[o] {
-			if roundTrip[o][z] = c.cfg.Way[o][z]; c.unusable(o, z) || o != z && now < c.reportingSince[o]+fullReportDelay {
+			if roundTrip[o][z] = c.cfg.RoundTrip[o][z]; c.unusable(o, z) || o != z && now < c.reportingSince[o]+fullReportDelay {
 				roundTrip[o][z] = math.Inf(1)
 			}
 		}
@@ -218,9 +218,9 @@
 			}
 		}
 	}
-	target := Solve(Problem{Demand: demand, Pinned: pinned, Capacity: available, Way: roundTrip, Slack: c.cfg.Slack})
+	target := Solve(Problem{Demand: demand, Pinned: pinned, Capacity: available, RoundTrip: roundTrip, MaxRoundTrip: c.cfg.MaxRoundTrip})
 	recovered := max(rejectedShare(c.now.Plan, demand)-rejectedShare(target, demand), 0)
-	change := Moved(c.now.Plan, target, demand) + recovered
+	change := MovedShare(c.now.Plan, target, demand) + recovered
 	pressing := recovered >= urgentRejectedShare // work that is rejected although other zones have capacity does not wait for the interval
 	for z, load := range c.Load {
 		pressing = pressing || load > 1.05*planCapacity[z] && load > 0 && target.Load(demand)[z] < load*0.98
@@ -235,7 +235,7 @@
 	stepCapacity := slices.Clone(planCapacity)
 	for z := range stepCapacity {
 		if c.serves(z) && c.zoneStatus[z].movedAway { // work that the zone still has is served there until other zones have capacity
-			stepCapacity[z] = max(stepCapacity[z], c.capacity.Of(z, cores[z], c.slowdown[z].value))
+			stepCapacity[z] = max(stepCapacity[z], c.capacity.Estimate(z, cores[z], c.slowdown[z].value))
 		}
 	}
 	for o, lastDemand := range c.lastDemand { // reserves the fallback shares of routers that are not counted and may receive no plan
@@ -245,8 +245,8 @@
 			}
 		}
 	}
-	next := Toward(c.now.Plan, Toward(c.possibleShares(), target, c.fallbacks, demand, stepCapacity), c.fallbacks, demand, stepCapacity)
-	if Moved(c.now.Plan, next, demand) < minReturnHome && math.Abs(rejectedShare(next, demand)-rejectedShare(c.now.Plan, demand)) < minReturnHome {
+	next := StepToward(c.now.Plan, StepToward(c.possibleShares(), target, c.fallbacks, demand, stepCapacity), c.fallbacks, demand, stepCapacity)
+	if MovedShare(c.now.Plan, next, demand) < minReturnHome && math.Abs(rejectedShare(next, demand)-rejectedShare(c.now.Plan, demand)) < minReturnHome {
 		return p, false
 	}
 	c.moves = append(c.moves, move{now, movedAway(c.now.Plan, next, demand)})
@@ -254,10 +254,10 @@
 	return c.publish(now, next, demand, planCapacity), true
 }
 
-func (c *Controller) publish(now float64, p Plan, demand, planCapacity []float64) Published {
+func (c *Controller) publish(now float64, p Plan, demand, planCapacity []float64) PublishedPlan {
 	c.previous, c.publishedAt = c.now, now
-	c.now = Published{Epoch: c.now.Epoch + 1, Plan: p, Still: c.fallbackPlan(p, demand, planCapacity), Else: c.zoneLossPlan(p, demand, planCapacity), Why: c.reason(), Demand: slices.Clone(demand), Room: planCapacity, Asked: slices.Clone(c.lastDemand)}
-	c.fallbacks = envelope(c.fallbacks, c.now.Still)
+	c.now = PublishedPlan{Epoch: c.now.Epoch + 1, Plan: p, Fallback: c.fallbackPlan(p, demand, planCapacity), ZoneLoss: c.zoneLossPlan(p, demand, planCapacity), Reason: c.reason(), Demand: slices.Clone(demand), PlanCapacity: planCapacity, LastDemand: slices.Clone(c.lastDemand)}
+	c.fallbacks = envelope(c.fallbacks, c.now.Fallback)
 	return c.now
 }
 
@@ -266,17 +266,17 @@
 func (c *Controller) zoneLossPlan(p Plan, demand, planCapacity []float64) Plan {
 	// Zones that may be lost before the next plan. With 1, the loss of two zones within 2 s pushed a third one to a load of 1.18.
 	const concurrentLosses = 2
-	result := Near(c.zones)
+	result := LocalPlan(c.zones)
 	load := p.Load(demand)
 	for o := range demand {
 		available, ownDemand, roundTrip := make([]float64, c.zones), make([]float64, c.zones), make([][]float64, c.zones)
 		for z := range available {
-			if roundTrip[z] = c.cfg.Way[z]; z != o {
+			if roundTrip[z] = c.cfg.RoundTrip[z]; z != o {
 				available[z] = max(planCapacity[z]-load[z]+p.Share[o][z]*demand[o], 0) / concurrentLosses
 			}
 		}
 		ownDemand[o] = demand[o]
-		result.Share[o] = Solve(Problem{Demand: ownDemand, Pinned: make([]float64, c.zones), Capacity: available, Way: roundTrip, Slack: c.cfg.Slack}).Share[o]
+		result.Share[o] = Solve(Problem{Demand: ownDemand, Pinned: make([]float64, c.zones), Capacity: available, RoundTrip: roundTrip, MaxRoundTrip: c.cfg.MaxRoundTrip}).Share[o]
 	}
 	return result
 }
@@ -285,9 +285,9 @@
 // their work on their own.
 func (c *Controller) possibleShares() Plan {
 	p := c.now.Plan.Clone()
-	for o, v := range c.Verdict.Zones {
-		if row := c.now.Plan.Share[o]; v == Lost && row[o] > 0 && c.now.Else.Check(c.zones) == nil {
-			for z, x := range c.now.Else.Share[o] {
+	for o, v := range c.LastAssessment.Zones {
+		if row := c.now.Plan.Share[o]; v == Lost && row[o] > 0 && c.now.ZoneLoss.Check(c.zones) == nil {
+			for z, x := range c.now.ZoneLoss.Share[o] {
 				p.Share[o][z] = max(p.Share[o][z], x)
 			}
 		}
@@ -297,16 +297,16 @@
 
 // publishDemand publishes the zones' demand together with the unchanged shares. Without it, an owner that takes over while
 // a zone's routers do not report would consider that zone's servers free.
-func (c *Controller) publishDemand(now float64, demand, planCapacity []float64) (Published, bool) {
+func (c *Controller) publishDemand(now float64, demand, planCapacity []float64) (PublishedPlan, bool) {
 	// A share of the zone's demand, and seconds between two updates, as each later plan must wait until all routers have this one.
 	const minDifference, minInterval = 0.25, 60.0
-	if now < c.startedAt+2*fullReportDelay || now < c.publishedAt+minInterval && c.now.Asked != nil {
+	if now < c.startedAt+2*fullReportDelay || now < c.publishedAt+minInterval && c.now.LastDemand != nil {
 		return c.now, false
 	}
 	for z, x := range c.lastDemand {
 		published := 0.0
-		if z < len(c.now.Asked) {
-			published = c.now.Asked[z]
+		if z < len(c.now.LastDemand) {
+			published = c.now.LastDemand[z]
 		}
 		if math.Abs(x-published) > minDifference*max(x, published) && demand[z] > 0 {
 			return c.publish(now, c.now.Plan, demand, planCapacity), true
@@ -327,7 +327,7 @@
 	c.Demand = make([]float64, c.zones)
 	if c.lastDemand == nil {
 		c.lastDemand, c.reportingSince, c.lastReported = make([]float64, c.zones), make([]float64, c.zones), make([]float64, c.zones)
-		copy(c.lastDemand, c.now.Asked)
+		copy(c.lastDemand, c.now.LastDemand)
 	}
 	for k := range reports {
 		c.Demand[reports[k].Zone] += reports[k].Demand
@@ -348,7 +348,7 @@
 		}
 		// The routers of a lost zone may only be disconnected: they follow the plan for its lifetime, and then the fallback
 		// envelope.
-		if v := c.Verdict.Zones[z]; now < c.lastReported[z]+c.maxAge() || v != Lost && v != Empty {
+		if v := c.LastAssessment.Zones[z]; now < c.lastReported[z]+c.maxAge() || v != Lost && v != Empty {
 			c.Demand[z] = c.lastDemand[z]
 		}
 	}
@@ -365,7 +365,7 @@
 		reported[r.Zone] += r.Demand
 		outdated[r.Zone] = outdated[r.Zone] || r.Epoch < c.now.Epoch
 	}
-	recent := envelope(c.now.Still, c.previous.Still)
+	recent := envelope(c.now.Fallback, c.previous.Fallback)
 	c.incomplete = make([]bool, c.zones)
 	for o := range reported {
 		complete := reported[o] >= completeShare*c.lastDemand[o]
@@ -377,8 +377,8 @@
 
 // serves reports whether a zone completes the work sent to it, even if the plan moves work away from it.
 func (c *Controller) serves(z int) bool {
-	v := c.Verdict.Zones[z]
-	return v == Well || v == Slow || v == Overloaded
+	v := c.LastAssessment.Zones[z]
+	return v == Healthy || v == Slow || v == Overloaded
 }
 
 func (c *Controller) lastChange() float64 {
@@ -436,21 +436,21 @@
 		work := 0.0
 		var readyVotes, coldVotes []weightedValue
 		for k := range reports {
-			work += reports[k].Sights[z].Work / reports[k].seconds()
-			readyVotes, coldVotes = append(readyVotes, weightedValue{reports[k].Sights[z].Ready, 1}), append(coldVotes, weightedValue{reports[k].Sights[z].Cold, 1})
+			work += reports[k].Observations[z].Work / reports[k].seconds()
+			readyVotes, coldVotes = append(readyVotes, weightedValue{reports[k].Observations[z].Ready, 1}), append(coldVotes, weightedValue{reports[k].Observations[z].ColdCores, 1})
 		}
 		cores[z], _ = weightedMedian(readyVotes)
-		if v := c.Verdict.Zones[z]; v == Unknown { // without observations the last slowdown decays slowly
-			c.Verdict.Slow[z] = 1 + (c.slowdown[z].value-1)*math.Exp2(-dt/unknownHalfLife)
+		if v := c.LastAssessment.Zones[z]; v == Unknown { // without observations the last slowdown decays slowly
+			c.LastAssessment.Slow[z] = 1 + (c.slowdown[z].value-1)*math.Exp2(-dt/unknownHalfLife)
 		}
-		v := c.Verdict.Zones[z]
+		v := c.LastAssessment.Zones[z]
 		if v == Lost || v == Unknown {
 			continue
 		}
 		coldCores, _ := weightedMedian(coldVotes)
 		// The usable part of cold servers is a conservative guess. If only that part counted, the same work would overstate
 		// the capacity of warm servers.
-		c.capacity.Observe(now, z, work, cores[z]+coldCores, c.Verdict.Slow[z], v == Overloaded && coldCores == 0)
+		c.capacity.Observe(now, z, work, cores[z]+coldCores, c.LastAssessment.Slow[z], v == Overloaded && coldCores == 0)
 	}
 	c.sustain(now)
 	return cores
@@ -460,8 +460,8 @@
 func (c *Controller) updateStatus(now float64, orders Orders) (urgent bool) {
 	for z := range c.zoneStatus {
 		s := &c.zoneStatus[z]
-		v := c.Verdict.Zones[z]
-		evacuated := z < len(orders.Away) && orders.Away[z]
+		v := c.LastAssessment.Zones[z]
+		evacuated := z < len(orders.Evacuate) && orders.Evacuate[z]
 		bad := v == Lost || v == Empty || v == Draining || v == Failing || evacuated
 		delay := lostDelay
 		if v == Failing {
@@ -500,7 +500,7 @@
 		if s.capacityShare < returnStep {
 			interval = firstStepInterval
 		}
-		if !s.movedAway && s.capacityShare < 1 && now >= s.steppedAt+interval && (v == Well || v == Unknown) {
+		if !s.movedAway && s.capacityShare < 1 && now >= s.steppedAt+interval && (v == Healthy || v == Unknown) {
 			s.capacityShare, s.steppedAt = min(s.capacityShare+returnStep, 1), now
 		}
 	}
@@ -512,7 +512,7 @@
 // count, a zone that is lost again would find the minute's limit used up by its own return, and its work would be rejected
 // while other zones have capacity.
 func (c *Controller) limitMoves(now float64, target Plan, demand []float64, orders Orders) Plan {
-	allowed := c.cfg.MostMove
+	allowed := c.cfg.MaxMovedPerMinute
 	if allowed <= 0 {
 		allowed = defaultMaxMoved
 	}
@@ -525,7 +525,7 @@
 	}
 	c.moves = recent
 	wanted := movedAway(c.now.Plan, target, demand)
-	if orders.Free || wanted <= max(allowed, 0) || wanted <= 0 {
+	if orders.Unlimited || wanted <= max(allowed, 0) || wanted <= 0 {
 		return target
 	}
 	fraction := max(allowed, 0) / wanted
@@ -577,7 +577,7 @@
 // fallbackPlan returns the shares for routers that receive no plan: their own zone and a part of every other zone's spare
 // capacity.
 func (c *Controller) fallbackPlan(p Plan, demand, planCapacity []float64) Plan {
-	fallback := Near(c.zones)
+	fallback := LocalPlan(c.zones)
 	load := p.Load(demand)
 	for z := range planCapacity {
 		spare := max(planCapacity[z]-load[z], 0) * fallbackSpareShare / max(float64(c.zones-1), 1)
@@ -595,11 +595,11 @@
 	for z, s := range c.zoneStatus {
 		switch {
 		case s.movedAway:
-			parts = append(parts, fmt.Sprintf("zone %d is %v", z, c.Verdict.Zones[z]))
+			parts = append(parts, fmt.Sprintf("zone %d is %v", z, c.LastAssessment.Zones[z]))
 		case s.capacityShare < 1:
 			parts = append(parts, fmt.Sprintf("zone %d returns (%.0f %%)", z, 100*s.capacityShare))
-		case c.capacity.Limit(z) > 0:
-			parts = append(parts, fmt.Sprintf("zone %d was full at %.2f of a core", z, c.capacity.Limit(z)))
+		case c.capacity.OverloadLimit(z) > 0:
+			parts = append(parts, fmt.Sprintf("zone %d was full at %.2f of a core", z, c.capacity.OverloadLimit(z)))
 		}
 	}
 	if len(parts) == 0 {
--- a/fleet/failover/evidence.go
+++ b/fleet/failover/evidence.go
@@ -11,31 +11,31 @@
 )
 
 // MaxZones is the largest number of zones that a plan supports.
-const MostZones = 16
+const MaxZones = 16
 
 // ZoneObservation is what one router observed of one zone's servers since its last report.
-type Sight struct {
-	Sent   float64 `json:"n,omitempty"` // attempts that ended
-	Bad    float64 `json:"b,omitempty"` // of those: cut off, connection refused, or not completed in time
-	Turned float64 `json:"t,omitempty"` // rejected because a server was full
-	Late   float64 `json:"l,omitempty"` // completed after the latency target
-	Work   float64 `json:"w,omitempty"` // core seconds completed in time
-	Slow   float64 `json:"s,omitempty"` // response time relative to an idle core's for the same work, weighted by work; 0: no data
-	Ready  float64 `json:"r,omitempty"` // cores of ready servers in discovery; a cold server counts with the part that it can already serve
-	Cold   float64 `json:"c,omitempty"` // cores of cold servers that cannot be used yet
-	Drains float64 `json:"d,omitempty"` // cores of draining servers
-	Doubt  float64 `json:"q,omitempty"` // cores of ready servers to which this router sends only probes because attempts there failed
-	Did    float64 `json:"-"`           // core seconds of work behind Slow
+type ZoneObservation struct {
+	Attempts      float64 `json:"n,omitempty"` // attempts that ended
+	Failed        float64 `json:"b,omitempty"` // of those: cut off, connection refused, or not completed in time
+	Rejected      float64 `json:"t,omitempty"` // rejected because a server was full
+	Late          float64 `json:"l,omitempty"` // completed after the latency target
+	Work          float64 `json:"w,omitempty"` // core seconds completed in time
+	Slow          float64 `json:"s,omitempty"` // response time relative to an idle core's for the same work, weighted by work; 0: no data
+	Ready         float64 `json:"r,omitempty"` // cores of ready servers in discovery; a cold server counts with the part that it can already serve
+	ColdCores     float64 `json:"c,omitempty"` // cores of cold servers that cannot be used yet
+	DrainingCores float64 `json:"d,omitempty"` // cores of draining servers
+	SuspectCores  float64 `json:"q,omitempty"` // cores of ready servers to which this router sends only probes because attempts there failed
+	SlowWork      float64 `json:"-"`           // core seconds of work behind Slow
 }
 
 // failureShare returns the share of failures in the zone as this router observed it, and the weight of the observation. A
 // router that has suspended servers because of failures sends them almost nothing, so its suspected cores count as evidence
 // too.
-func (s *Sight) failureShare() (share, weight float64) {
-	if s.Sent > 0 {
-		share, weight = s.Bad/s.Sent, min(s.Sent/fullWeightAttempts, 1)
+func (s *ZoneObservation) failureShare() (share, weight float64) {
+	if s.Attempts > 0 {
+		share, weight = s.Failed/s.Attempts, min(s.Attempts/fullWeightAttempts, 1)
 	}
-	if suspected := min(s.Doubt/max(s.Ready, 1e-9), 1); s.Ready > 0 && suspected > 0 {
+	if suspected := min(s.SuspectCores/max(s.Ready, 1e-9), 1); s.Ready > 0 && suspected > 0 {
 		share, weight = max(share, suspected), max(weight, suspected)
 	}
 	return share, weight
@@ -43,21 +43,21 @@
 
 // Report is a router's evidence, sent once per second.
 type Report struct {
-	Zone   int     `json:"zone"`   // of the router
-	Demand float64 `json:"demand"` // core seconds per second that its clients request
-	Pinned float64 `json:"pinned"` // part of Demand that must stay in the zone
-	Epoch  uint64  `json:"epoch"`  // epoch of the plan that it follows, 0: none
-	Span   float64 `json:"span"`   // seconds covered by the report, 0: one second
-	Sights []Sight `json:"sights"` // by zone
+	Zone         int               `json:"zone"`   // of the router
+	Demand       float64           `json:"demand"` // core seconds per second that its clients request
+	Pinned       float64           `json:"pinned"` // part of Demand that must stay in the zone
+	Epoch        uint64            `json:"epoch"`  // epoch of the plan that it follows, 0: none
+	Span         float64           `json:"span"`   // seconds covered by the report, 0: one second
+	Observations []ZoneObservation `json:"sights"` // by zone
 }
 
 // OwnZoneFails reports whether this router's own zone fails: the router sends only probes to most of the ready servers
 // there.
-func (r *Report) Fails() bool {
-	if r.Zone < 0 || r.Zone >= len(r.Sights) {
+func (r *Report) OwnZoneFails() bool {
+	if r.Zone < 0 || r.Zone >= len(r.Observations) {
 		return false
 	}
-	share, weight := r.Sights[r.Zone].failureShare()
+	share, weight := r.Observations[r.Zone].failureShare()
 	return share >= unreachableShare && weight >= minWeight
 }
 
@@ -71,14 +71,14 @@
 }
 
 // Valid reports whether the values of a report are plausible.
-func (r *Report) Check(zones int) bool {
+func (r *Report) Valid(zones int) bool {
 	valid := func(x float64) bool { return x >= 0 && x < 1e9 }
-	if r.Zone < 0 || r.Zone >= zones || len(r.Sights) != zones || !valid(r.Demand) || !valid(r.Span) || !valid(r.Pinned) || r.Pinned > r.Demand+1e-9 {
+	if r.Zone < 0 || r.Zone >= zones || len(r.Observations) != zones || !valid(r.Demand) || !valid(r.Span) || !valid(r.Pinned) || r.Pinned > r.Demand+1e-9 {
 		return false
 	}
-	for _, s := range r.Sights {
-		if !valid(s.Sent) || !valid(s.Bad) || !valid(s.Turned) || !valid(s.Late) || !valid(s.Work) || !valid(s.Slow) || !valid(s.Ready) || !valid(s.Drains) || !valid(s.Cold) || !valid(s.Doubt) ||
-			s.Bad+s.Turned > s.Sent+1e-9 {
+	for _, s := range r.Observations {
+		if !valid(s.Attempts) || !valid(s.Failed) || !valid(s.Rejected) || !valid(s.Late) || !valid(s.Work) || !valid(s.Slow) || !valid(s.Ready) || !valid(s.DrainingCores) || !valid(s.ColdCores) || !valid(s.SuspectCores) ||
+			s.Failed+s.Rejected > s.Attempts+1e-9 {
 			return false
 		}
 	}
@@ -86,30 +86,30 @@
 }
 
 // ZoneHealth is the state of a zone.
-type Verdict uint8
+type ZoneHealth uint8
 
 // The states of a zone.
 const (
-	Unknown    Verdict = iota // no router sends attempts there
-	Well                      // attempts succeed in time
-	Lost                      // unreachable for all observers that count
-	Slow                      // responses take several times as long as in other zones
-	Failing                   // a considerable share of attempts fails
-	Overloaded                // rejects requests or completes them late
-	Draining                  // its servers are being removed
-	Empty                     // discovery lists no ready server there
+	Unknown    ZoneHealth = iota // no router sends attempts there
+	Healthy                      // attempts succeed in time
+	Lost                         // unreachable for all observers that count
+	Slow                         // responses take several times as long as in other zones
+	Failing                      // a considerable share of attempts fails
+	Overloaded                   // rejects requests or completes them late
+	Draining                     // its servers are being removed
+	Empty                        // discovery lists no ready server there
 )
 
-func (v Verdict) String() string {
+func (v ZoneHealth) String() string {
 	return [...]string{"unknown", "well", "lost", "slow", "failing", "overloaded", "draining", "empty"}[v]
 }
 
 // Assessment covers the whole matrix of observing zones and target zones.
-type Judgement struct {
-	Zones []Verdict
-	Slow  []float64 // slowdown of each zone relative to the others, 1: none
-	Cut   [][]bool  // [from][to]: reachable for other zones or for its own routers, but not from this one
-	Alone []bool    // the observers in this zone are themselves cut off
+type Assessment struct {
+	Zones       []ZoneHealth
+	Slow        []float64 // slowdown of each zone relative to the others, 1: none
+	Unreachable [][]bool  // [from][to]: reachable for other zones or for its own routers, but not from this one
+	Isolated    []bool    // the observers in this zone are themselves cut off
 }
 
 // weightedValue is one router's observation and its weight.
@@ -144,16 +144,16 @@
 
 // Assess evaluates the zones from fresh reports. A router's weight grows with the attempts that it sent, up to a bound. The
 // observation of a zone is the median over its routers.
-func Judge(reports []Report, zones int) Judgement {
-	j := Judgement{Zones: make([]Verdict, zones), Slow: make([]float64, zones), Alone: make([]bool, zones)}
+func Assess(reports []Report, zones int) Assessment {
+	j := Assessment{Zones: make([]ZoneHealth, zones), Slow: make([]float64, zones), Isolated: make([]bool, zones)}
 	failureShare := make([][]float64, zones) // [from][to]: share of failed attempts, NaN: unknown
 	for o := range zones {
-		j.Cut = append(j.Cut, make([]bool, zones))
+		j.Unreachable = append(j.Unreachable, make([]bool, zones))
 		failureShare[o] = make([]float64, zones)
 		for z := range zones {
 			var shares []weightedValue
 			for k := range reports {
-				if share, w := reports[k].Sights[z].failureShare(); reports[k].Zone == o && w > 0 {
+				if share, w := reports[k].Observations[z].failureShare(); reports[k].Zone == o && w > 0 {
 					shares = append(shares, weightedValue{share, w})
 				}
 			}
@@ -182,19 +182,19 @@
 				failedTargets = -zones
 			}
 		}
-		j.Alone[o] = failedTargets >= 2 && witnesses > 0
+		j.Isolated[o] = failedTargets >= 2 && witnesses > 0
 	}
 	j.Slow = relativeSlowdowns(reports, zones)
 	for z := range zones {
-		j.Zones[z] = judgeZone(reports, z, j.Alone, j.Slow[z])
+		j.Zones[z] = judgeZone(reports, z, j.Isolated, j.Slow[z])
 		reachedByOwn := reaches(z, z) // if its own routers reach it, the zone is up
 		if j.Zones[z] == Lost && reachedByOwn {
-			j.Zones[z] = Well
+			j.Zones[z] = Healthy
 		}
 		// If the zone's own routers do not report, a single other zone may only have lost the link between the two.
 		if witnesses := 0; j.Zones[z] == Lost && math.IsNaN(failureShare[z][z]) && zones > 2 {
 			for o := range zones {
-				if o != z && fails(o, z) && !j.Alone[o] {
+				if o != z && fails(o, z) && !j.Isolated[o] {
 					witnesses++
 				}
 			}
@@ -205,23 +205,23 @@
 		for o := range zones {
 			// This includes the zone's own work: the zone may be reachable for others, or others may wrongly claim so. A
 			// zone whose routers reach no zone has nowhere better to send its work.
-			j.Cut[o][z] = fails(o, z) && j.Zones[z] != Lost && (o != z || !j.Alone[o])
+			j.Unreachable[o][z] = fails(o, z) && j.Zones[z] != Lost && (o != z || !j.Isolated[o])
 		}
 	}
 	return j
 }
 
 // judgeZone evaluates a zone from all observers that are not cut off themselves.
-func judgeZone(reports []Report, zone int, isolated []bool, slowdown float64) Verdict {
+func judgeZone(reports []Report, zone int, isolated []bool, slowdown float64) ZoneHealth {
 	var lost, failing, overloaded, weight, readyCores, drainingCores float64
 	var readyVotes, drainingVotes []weightedValue
 	for k := range reports {
 		r := &reports[k]
-		s := &r.Sights[zone]
+		s := &r.Observations[zone]
 		if isolated[r.Zone] && r.Zone != zone {
 			continue
 		}
-		readyVotes, drainingVotes = append(readyVotes, weightedValue{s.Ready, 1}), append(drainingVotes, weightedValue{s.Drains, 1})
+		readyVotes, drainingVotes = append(readyVotes, weightedValue{s.Ready, 1}), append(drainingVotes, weightedValue{s.DrainingCores, 1})
 		share, w := s.failureShare()
 		if w <= 0 {
 			continue
@@ -232,7 +232,7 @@
 		} else if share >= failingShare {
 			failing += w
 		}
-		if s.Sent > 0 && (s.Turned+s.Late)/s.Sent >= overloadedShare {
+		if s.Attempts > 0 && (s.Rejected+s.Late)/s.Attempts >= overloadedShare {
 			overloaded += w
 		}
 	}
@@ -254,7 +254,7 @@
 	case slowdown >= slowThreshold:
 		return Slow
 	}
-	return Well
+	return Healthy
 }
 
 // relativeSlowdowns compares the zones as their own routers observe them: response time relative to work, less the part
@@ -268,11 +268,11 @@
 		work := 0.0
 		for k := range reports {
 			r := &reports[k]
-			s := &r.Sights[z]
+			s := &r.Observations[z]
 			work += s.Work / r.seconds()
-			coreVotes = append(coreVotes, weightedValue{s.Ready + s.Cold, 1})
-			if r.Zone == z && s.Slow > 0 && s.Sent > 0 {
-				slowVotes = append(slowVotes, weightedValue{s.Slow, min(s.Sent/fullWeightAttempts, 1)})
+			coreVotes = append(coreVotes, weightedValue{s.Ready + s.ColdCores, 1})
+			if r.Zone == z && s.Slow > 0 && s.Attempts > 0 {
+				slowVotes = append(slowVotes, weightedValue{s.Slow, min(s.Attempts/fullWeightAttempts, 1)})
 			}
 		}
 		slowdown, weight := weightedMedian(slowVotes)
--- a/fleet/failover/failover_test.go
+++ b/fleet/failover/failover_test.go
@@ -23,7 +23,7 @@
 				row[z] = rapid.Float64Range(0.001, 0.1).Draw(t, "way")
 			}
 		}
-		p.Way = append(p.Way, row)
+		p.RoundTrip = append(p.RoundTrip, row)
 	}
 	return p
 }
@@ -45,7 +45,7 @@
 			}
 			served += load
 			for o := range n {
-				cost += plan.Share[o][z] * p.Demand[o] * p.Way[o][z]
+				cost += plan.Share[o][z] * p.Demand[o] * p.RoundTrip[o][z]
 			}
 		}
 		// Variables: a flow for each pair, the rest of each demand and the rest of each capacity. Serving is worth far more
@@ -57,7 +57,7 @@
 		b := make([]float64, 2*n)
 		for o := range n {
 			for z := range n {
-				c[o*n+z] = p.Way[o][z] - benefit
+				c[o*n+z] = p.RoundTrip[o][z] - benefit
 				a.Set(o, o*n+z, 1)
 				a.Set(n+z, o*n+z, 1)
 			}
@@ -77,7 +77,7 @@
 
 // TestPinned checks that pinned work never moves and takes precedence over work that may move.
 func TestPinned(t *testing.T) {
-	p := Problem{Demand: []float64{6, 4}, Pinned: []float64{3, 0}, Capacity: []float64{3, 20}, Way: [][]float64{{0, 0.01}, {0.01, 0}}}
+	p := Problem{Demand: []float64{6, 4}, Pinned: []float64{3, 0}, Capacity: []float64{3, 20}, RoundTrip: [][]float64{{0, 0.01}, {0.01, 0}}}
 	plan := Solve(p)
 	if got := plan.Share[0][0] * 6; math.Abs(got-3) > 1e-9 {
 		t.Errorf("%v of 3 pinned core seconds stay", got)
@@ -96,7 +96,7 @@
 		p := drawProblem(t)
 		n := len(p.Demand)
 		from := Solve(p)
-		fallback := Near(n)
+		fallback := LocalPlan(n)
 		for o := range n {
 			for z := range n {
 				if o != z && rapid.Bool().Draw(t, "spare") {
@@ -111,11 +111,11 @@
 		}
 		to := Solve(changed)
 		for step := range 6 {
-			next := Toward(from, to, fallback, p.Demand, changed.Capacity)
+			next := StepToward(from, to, fallback, p.Demand, changed.Capacity)
 			if err := next.Check(n); err != nil {
 				t.Fatal(err)
 			}
-			before, during := Mixed(p.Demand, from, fallback), Mixed(p.Demand, from, next, fallback)
+			before, during := MaxMixedLoad(p.Demand, from, fallback), MaxMixedLoad(p.Demand, from, next, fallback)
 			for z := range n {
 				if during[z] > max(before[z], changed.Capacity[z])+1e-6 {
 					t.Fatalf("step %d: zone %d may get load %v, capacity %v, before the step %v", step, z, during[z], changed.Capacity[z], before[z])
@@ -130,12 +130,12 @@
 func TestStepsReachTarget(t *testing.T) {
 	demand, capacity := []float64{4, 4, 4}, []float64{0, 9, 9}
 	way := [][]float64{{0, 1, 1}, {1, 0, 1}, {1, 1, 0}}
-	to := Solve(Problem{Demand: demand, Pinned: make([]float64, 3), Capacity: capacity, Way: way})
-	from := Near(3)
+	to := Solve(Problem{Demand: demand, Pinned: make([]float64, 3), Capacity: capacity, RoundTrip: way})
+	from := LocalPlan(3)
 	for range 3 {
-		from = Toward(from, to, Near(3), demand, capacity)
+		from = StepToward(from, to, LocalPlan(3), demand, capacity)
 	}
-	if Moved(from, to, demand) > 1e-6 || rejectedShare(from, demand) > 1e-6 {
+	if MovedShare(from, to, demand) > 1e-6 || rejectedShare(from, demand) > 1e-6 {
 		t.Errorf("got %+v, want %+v", from, to)
 	}
 }
@@ -146,10 +146,10 @@
 	r := Report{Zone: zone, Demand: 1}
 	for _, b := range bad {
 		if b < 0 { // no attempts there
-			r.Sights = append(r.Sights, Sight{Ready: 10})
+			r.Observations = append(r.Observations, ZoneObservation{Ready: 10})
 			continue
 		}
-		r.Sights = append(r.Sights, Sight{Sent: 20, Bad: 20 * b, Ready: 10, Work: 1})
+		r.Observations = append(r.Observations, ZoneObservation{Attempts: 20, Failed: 20 * b, Ready: 10, Work: 1})
 	}
 	return r
 }
@@ -185,19 +185,19 @@
 		{"some routers still reach it", join(repeat(1, reportWithFailures(0, 0, 0, 0)), repeat(4, reportWithFailures(0, 0, 1, 0)), repeat(4, reportWithFailures(2, 0, 1, 0))), "well lost well"},
 		{"its own routers don't reach it, others do", join(repeat(4, reportWithFailures(0, 0, 0, 0)), repeat(4, reportWithFailures(1, 0, 1, 0)), repeat(4, reportWithFailures(2, 0, 0, 0))), "well well well 1>1"},
 		{"a zone partly fails", join(repeat(4, reportWithFailures(0, 0, 0.3, 0)), repeat(4, reportWithFailures(1, 0, 0.3, 0)), repeat(4, reportWithFailures(2, 0, 0.3, 0))), "well failing well"},
-		{"little traffic", []Report{{Zone: 0, Sights: []Sight{{Sent: 1, Bad: 1, Ready: 1}, {Ready: 1}, {Ready: 1}}}}, "unknown unknown unknown"},
-		{"no ready servers", join(repeat(4, Report{Zone: 0, Sights: []Sight{{Sent: 9, Ready: 1}, {Drains: 3}, {}}})), "well draining empty"},
+		{"little traffic", []Report{{Zone: 0, Observations: []ZoneObservation{{Attempts: 1, Failed: 1, Ready: 1}, {Ready: 1}, {Ready: 1}}}}, "unknown unknown unknown"},
+		{"no ready servers", join(repeat(4, Report{Zone: 0, Observations: []ZoneObservation{{Attempts: 9, Ready: 1}, {DrainingCores: 3}, {}}})), "well draining empty"},
 	} {
-		j := Judge(c.reports, 3)
+		j := Assess(c.reports, 3)
 		got := fmt.Sprintf("%v %v %v", j.Zones[0], j.Zones[1], j.Zones[2])
-		for o := range j.Cut {
-			for z, cut := range j.Cut[o] {
+		for o := range j.Unreachable {
+			for z, cut := range j.Unreachable[o] {
 				if cut {
 					got += fmt.Sprintf(" %d>%d", o, z)
 				}
 			}
 		}
-		for o, alone := range j.Alone {
+		for o, alone := range j.Isolated {
 			if alone {
 				got += fmt.Sprintf(" alone %d", o)
 			}
@@ -214,13 +214,13 @@
 func TestRelativeSlowdown(t *testing.T) {
 	reportsWith := func(slow, work float64, late float64) (reports []Report) {
 		for k := range 12 {
-			r := Report{Zone: k % 3, Demand: 1, Sights: make([]Sight, 3)}
-			for z := range r.Sights {
-				r.Sights[z].Ready = 10
+			r := Report{Zone: k % 3, Demand: 1, Observations: make([]ZoneObservation, 3)}
+			for z := range r.Observations {
+				r.Observations[z].Ready = 10
 			}
-			r.Sights[k%3] = Sight{Sent: 20, Work: 1, Ready: 10, Slow: 1.2}
+			r.Observations[k%3] = ZoneObservation{Attempts: 20, Work: 1, Ready: 10, Slow: 1.2}
 			if k%3 == 1 {
-				r.Sights[1].Slow, r.Sights[1].Work, r.Sights[1].Late = slow, work/4, late
+				r.Observations[1].Slow, r.Observations[1].Work, r.Observations[1].Late = slow, work/4, late
 			}
 			reports = append(reports, r)
 		}
@@ -229,15 +229,15 @@
 	for _, c := range []struct {
 		name                     string
 		slow, work, late         float64
-		want                     Verdict
+		want                     ZoneHealth
 		minSlowdown, maxSlowdown float64
 	}{
-		{"as fast as the others", 1.2, 4, 0, Well, 1, 1},
+		{"as fast as the others", 1.2, 4, 0, Healthy, 1, 1},
 		{"ten times slower, with little load", 12, 1, 0, Slow, 6, 12},
-		{"four times slower, explained by load", 4, 8, 0, Well, 1, 1},
+		{"four times slower, explained by load", 4, 8, 0, Healthy, 1, 1},
 		{"ten times slower, and late", 12, 1, 10, Overloaded, 6, 12},
 	} {
-		j := Judge(reportsWith(c.slow, c.work, c.late), 3)
+		j := Assess(reportsWith(c.slow, c.work, c.late), 3)
 		if j.Zones[1] != c.want || j.Slow[1] < c.minSlowdown || j.Slow[1] > c.maxSlowdown || j.Slow[0] != 1 || j.Slow[2] != 1 {
 			t.Errorf("%s: %v, slowdown %.2f (other zones %.2f %.2f)", c.name, j.Zones[1], j.Slow[1], j.Slow[0], j.Slow[2])
 		}
@@ -245,10 +245,10 @@
 	reports := reportsWith(12, 1, 0)
 	for k := range reports {
 		if z := k % 3; z != 1 {
-			reports[k].Sights[z].Slow = 12
+			reports[k].Observations[z].Slow = 12
 		}
 	}
-	if j := Judge(reports, 3); j.Slow[1] > 2 {
+	if j := Assess(reports, 3); j.Slow[1] > 2 {
 		t.Errorf("all zones are equally slow: slowdown %.2f", j.Slow[1])
 	}
 }
@@ -260,10 +260,10 @@
 	for n := range 30 {
 		c.Observe(100+float64(n), 0, 1, 10, 10, true)
 	}
-	if slow := c.Of(0, 10, 10); slow > 1.01 || slow < 0.8 {
+	if slow := c.Estimate(0, 10, 10); slow > 1.01 || slow < 0.8 {
 		t.Errorf("capacity %.2f of 10 cores at a slowdown of 10, served 1", slow)
 	}
-	if well := c.Of(0, 10, 1); well < 8 {
+	if well := c.Estimate(0, 10, 1); well < 8 {
 		t.Errorf("capacity %.2f after it recovered", well)
 	}
 }
@@ -278,19 +278,19 @@
 			r := Report{Zone: k % 3, Demand: 1}
 			liar := k < 9 // three in ten
 			for z := range 3 {
-				s := Sight{Sent: 20, Ready: 10}
+				s := ZoneObservation{Attempts: 20, Ready: 10}
 				if z == lost {
-					s.Bad = 20
+					s.Failed = 20
 				}
 				if liar {
-					s.Bad = rapid.Float64Range(0, 20).Draw(t, "bad")
+					s.Failed = rapid.Float64Range(0, 20).Draw(t, "bad")
 					s.Slow = rapid.Float64Range(0, 50).Draw(t, "slow")
 				}
-				r.Sights = append(r.Sights, s)
+				r.Observations = append(r.Observations, s)
 			}
 			reports = append(reports, r)
 		}
-		j := Judge(reports, 3)
+		j := Assess(reports, 3)
 		for z, v := range j.Zones {
 			if (v == Lost) != (z == lost) {
 				t.Fatalf("zone %d is %v, the lost zone is %d", z, v, lost)
@@ -302,14 +302,14 @@
 // TestPlanFollower checks that shares are followed, that a zone without a share gets nothing, that an expired plan is not
 // followed, and that the most expensive requests are rejected first if part of the work fits nowhere.
 func TestPlanFollower(t *testing.T) {
-	g := NewGuide(0, 3, 0.05)
+	g := NewPlanFollower(0, 3, 0.05)
 	if _, ok := g.Price(1, 1, 0.1); ok {
 		t.Error("a price without a plan")
 	}
-	fallback := Near(3)
+	fallback := LocalPlan(3)
 	fallback.Share[0][2] = 0.1
-	p := Published{Epoch: 4, Plan: Plan{Share: [][]float64{{0.5, 0.3, 0}, {0, 1, 0}, {0, 0, 1}}}, Still: fallback}
-	g.Hear(1, p)
+	p := PublishedPlan{Epoch: 4, Plan: Plan{Share: [][]float64{{0.5, 0.3, 0}, {0, 1, 0}, {0, 0, 1}}}, Fallback: fallback}
+	g.Receive(1, p)
 	sentTo := make([]float64, 3)
 	rejectedCheap, rejectedExpensive := 0, 0
 	for k := range 4000 {
@@ -318,7 +318,7 @@
 		if k%2 == 0 {
 			price = 10
 		}
-		if !g.Keeps(now, price, 0.05) {
+		if !g.Admits(now, price, 0.05) {
 			if price > 1 {
 				rejectedExpensive++
 			} else {
@@ -333,7 +333,7 @@
 			}
 		}
 		sentTo[cheapest]++
-		g.Sent(now, cheapest, 0.05)
+		g.RecordSent(now, cheapest, 0.05)
 	}
 	total := sentTo[0] + sentTo[1] + sentTo[2]
 	if ratio := sentTo[0] / total; ratio < 0.58 || ratio > 0.67 || sentTo[2] > 0 {
@@ -348,14 +348,14 @@
 	if x, _ := g.Price(10, 0, 0.05); x != 0 || g.Epoch(10) != 0 {
 		t.Errorf("price of the own zone under an expired plan: %v, epoch %d", x, g.Epoch(10))
 	}
-	g.Hear(12, Published{Epoch: 5, Plan: Near(3), Still: Near(3), Room: []float64{5, 5, 0}})
+	g.Receive(12, PublishedPlan{Epoch: 5, Plan: LocalPlan(3), Fallback: LocalPlan(3), PlanCapacity: []float64{5, 5, 0}})
 	if x, _ := g.Price(12.1, 1, 0.05); math.IsInf(x, 1) || x < 0.2 {
 		t.Errorf("price of zone 1, which has capacity, for a burst: %v", x)
 	}
 	if x, _ := g.Price(12.1, 2, 0.05); !math.IsInf(x, 1) {
 		t.Errorf("price of zone 2, which the plan moves work away from: %v", x)
 	}
-	if g.Hear(11, Published{Epoch: 3, Plan: Near(3), Still: Near(3)}) {
+	if g.Receive(11, PublishedPlan{Epoch: 3, Plan: LocalPlan(3), Fallback: LocalPlan(3)}) {
 		t.Error("an older plan was accepted")
 	}
 }
--- a/fleet/failover/move_limit_test.go
+++ b/fleet/failover/move_limit_test.go
@@ -5,12 +5,12 @@
 // TestZoneLostTwice covers a zone that is lost, returns and is lost again within a minute: its work must go to zones with
 // free capacity each time. Returning work must not count against the limit on work moved away.
 func TestZoneLostTwice(t *testing.T) {
-	c := NewController(Terms{Life: Life, Drift: 0.05, Way: roundTrips3()}, 3, 100, Published{Epoch: 1, Plan: Near(3), Still: Near(3)})
+	c := NewController(Config{Lifetime: Lifetime, Drift: 0.05, RoundTrip: roundTrips3()}, 3, 100, PublishedPlan{Epoch: 1, Plan: LocalPlan(3), Fallback: LocalPlan(3)})
 	reports := func(lost bool) (r []Report) {
 		for z := range 3 {
-			r = append(r, Report{Zone: z, Demand: 5, Sights: observations(3, 5.0/3)})
-			if s := &r[z].Sights[0]; lost {
-				s.Work, s.Bad, s.Doubt = 0, s.Sent, s.Ready
+			r = append(r, Report{Zone: z, Demand: 5, Observations: observations(3, 5.0/3)})
+			if s := &r[z].Observations[0]; lost {
+				s.Work, s.Failed, s.SuspectCores = 0, s.Attempts, s.Ready
 			}
 		}
 		return r
@@ -36,14 +36,14 @@
 // operator lifts the limit.
 func TestMovedPerMinute(t *testing.T) {
 	for _, free := range []bool{false, true} {
-		c := NewController(Terms{Life: Life, Drift: 0.05, Way: roundTrips3(), MostMove: 0.2}, 3, 100, Published{Epoch: 1, Plan: Near(3), Still: Near(3)})
+		c := NewController(Config{Lifetime: Lifetime, Drift: 0.05, RoundTrip: roundTrips3(), MaxMovedPerMinute: 0.2}, 3, 100, PublishedPlan{Epoch: 1, Plan: LocalPlan(3), Fallback: LocalPlan(3)})
 		var reports []Report
 		for z := range 3 {
-			reports = append(reports, Report{Zone: z, Demand: 4, Sights: observations(3, 4.0/3)})
+			reports = append(reports, Report{Zone: z, Demand: 4, Observations: observations(3, 4.0/3)})
 		}
 		_, _, now := runController(c, 100, 5, reports, Orders{})
-		runController(c, now, 20, reports, Orders{Away: []bool{true, false, false}, Free: free})
-		if moved := movedAway(Near(3), c.Now().Plan, []float64{4, 4, 4}); free && moved < 0.33 || !free && (moved > 0.2+1e-9 || moved < 0.19) {
+		runController(c, now, 20, reports, Orders{Evacuate: []bool{true, false, false}, Unlimited: free})
+		if moved := movedAway(LocalPlan(3), c.Now().Plan, []float64{4, 4, 4}); free && moved < 0.33 || !free && (moved > 0.2+1e-9 || moved < 0.19) {
 			t.Errorf("limit lifted %v: %v of the work moved away", free, moved)
 		}
 	}
--- a/fleet/failover/plan.go
+++ b/fleet/failover/plan.go
@@ -13,7 +13,7 @@
 }
 
 // LocalPlan returns the plan of a healthy fleet: all work stays in its own zone.
-func Near(zones int) Plan {
+func LocalPlan(zones int) Plan {
 	p := Plan{}
 	for o := range zones {
 		row := make([]float64, zones)
@@ -65,11 +65,11 @@
 
 // Problem is the input of Solve.
 type Problem struct {
-	Demand   []float64   // core seconds per second, by origin
-	Pinned   []float64   // part of Demand that must stay in its zone
-	Capacity []float64   // by zone
-	Way      [][]float64 // distance between zones: round trip in seconds; +Inf: must not be used
-	Slack    float64     // longest round trip in seconds that still allows the latency targets to be met, 0: no limit
+	Demand       []float64   // core seconds per second, by origin
+	Pinned       []float64   // part of Demand that must stay in its zone
+	Capacity     []float64   // by zone
+	RoundTrip    [][]float64 // distance between zones: round trip in seconds; +Inf: must not be used
+	MaxRoundTrip float64     // longest round trip in seconds that still allows the latency targets to be met, 0: no limit
 }
 
 // Solve returns the shares that serve the most work and, among those, have the least total distance. It solves a transport
@@ -96,7 +96,7 @@
 		pinnedFlow[o] = flow[o][o]
 	}
 	usable := func(o, z int) bool {
-		return !math.IsInf(p.Way[o][z], 1) && (p.Slack <= 0 || o == z || p.Way[o][z] <= p.Slack)
+		return !math.IsInf(p.RoundTrip[o][z], 1) && (p.MaxRoundTrip <= 0 || o == z || p.RoundTrip[o][z] <= p.MaxRoundTrip)
 	}
 	const epsilon = 1e-9
 	for range 4 * n * n { // each path exhausts an origin, a zone or an arc: far fewer are needed
@@ -113,11 +113,11 @@
 			changed = false
 			for o := range n {
 				for z := range n {
-					if usable(o, z) && originDistance[o]+p.Way[o][z] < zoneDistance[z]-1e-12 {
-						zoneDistance[z], previousOrigin[z], changed = originDistance[o]+p.Way[o][z], o, true
+					if usable(o, z) && originDistance[o]+p.RoundTrip[o][z] < zoneDistance[z]-1e-12 {
+						zoneDistance[z], previousOrigin[z], changed = originDistance[o]+p.RoundTrip[o][z], o, true
 					}
-					if flow[o][z]-pinnedAt(o, z, pinnedFlow) > epsilon && zoneDistance[z]-p.Way[o][z] < originDistance[o]-1e-12 {
-						originDistance[o], previousZone[o], changed = zoneDistance[z]-p.Way[o][z], z, true
+					if flow[o][z]-pinnedAt(o, z, pinnedFlow) > epsilon && zoneDistance[z]-p.RoundTrip[o][z] < originDistance[o]-1e-12 {
+						originDistance[o], previousZone[o], changed = zoneDistance[z]-p.RoundTrip[o][z], z, true
 					}
 				}
 			}
@@ -177,7 +177,7 @@
 }
 
 // MaxMixedLoad returns the largest load that each zone can get from any mixture of routers on these plans.
-func Mixed(demand []float64, plans ...Plan) []float64 {
+func MaxMixedLoad(demand []float64, plans ...Plan) []float64 {
 	n := len(demand)
 	load := make([]float64, n)
 	for z := range n {
@@ -195,7 +195,7 @@
 // StepToward moves from one plan toward another as far as capacity allows for any mixture of routers that follow the old
 // plan, the new plan or the fallback envelope. Shares that shrink do so at once. Shares that grow wait until the work that
 // occupies their capacity has left. If the old plan already exceeds the capacity of a zone, no share grows there.
-func Toward(from, to, fallback Plan, demand, capacity []float64) Plan {
+func StepToward(from, to, fallback Plan, demand, capacity []float64) Plan {
 	n := len(demand)
 	step := from.Clone()
 	for o := range n { // shares that shrink change at once: this takes capacity from nobody
@@ -203,8 +203,8 @@
 			step.Share[o][z] = min(from.Share[o][z], to.Share[o][z])
 		}
 	}
-	freeCapacity, withinCapacity, plannedLoad := make([]float64, n), make([]bool, n), Mixed(demand, from)
-	for z, load := range Mixed(demand, from, fallback) {
+	freeCapacity, withinCapacity, plannedLoad := make([]float64, n), make([]bool, n), MaxMixedLoad(demand, from)
+	for z, load := range MaxMixedLoad(demand, from, fallback) {
 		freeCapacity[z], withinCapacity[z] = max(capacity[z]-load, 0), load <= capacity[z]+1e-9
 	}
 	for z := range n { // shares that grow divide the zone's free capacity in proportion to need
@@ -263,7 +263,7 @@
 }
 
 // MovedShare returns the share of all demand that goes to another zone under plan b than under plan a.
-func Moved(a, b Plan, demand []float64) float64 {
+func MovedShare(a, b Plan, demand []float64) float64 {
 	total, moved := 0.0, 0.0
 	for o := range demand {
 		total += demand[o]
--- a/fleet/failover/sustained.go
+++ b/fleet/failover/sustained.go
@@ -31,11 +31,11 @@
 func (c *Controller) sustain(now float64) {
 	for z := range c.unreached {
 		unreached := 0.0
-		if c.Verdict.Cut[z][z] {
+		if c.LastAssessment.Unreachable[z][z] {
 			unreached = 1
 		}
 		c.unreached[z].observe(now, unreached, lostDelay)
-		c.slowdown[z].observe(now, c.Verdict.Slow[z], lostDelay)
+		c.slowdown[z].observe(now, c.LastAssessment.Slow[z], lostDelay)
 	}
 }
 
@@ -45,5 +45,5 @@
 	if from == to {
 		return c.unreached[to].value > 0
 	}
-	return c.Verdict.Cut[from][to]
+	return c.LastAssessment.Unreachable[from][to]
 }
--- a/fleet/failover/sustained_test.go
+++ b/fleet/failover/sustained_test.go
@@ -23,18 +23,18 @@
 func TestSingleEvaluation(t *testing.T) {
 	healthy := func() (reports []Report) {
 		for zone := range 3 {
-			reports = append(reports, Report{Zone: zone, Demand: 6, Sights: observations(3, 2)})
+			reports = append(reports, Report{Zone: zone, Demand: 6, Observations: observations(3, 2)})
 		}
 		return reports
 	}
 	unreached := healthy() // for its own routers; others reach it
-	unreached[1].Sights[1].Bad, unreached[1].Sights[1].Work = 20, 0
+	unreached[1].Observations[1].Failed, unreached[1].Observations[1].Work = 20, 0
 	slow := healthy() // and partly failing: a zone that is only slow keeps its work
 	for k := range slow {
-		slow[k].Sights[1].Bad, slow[k].Sights[1].Slow = 6, 12
+		slow[k].Observations[1].Failed, slow[k].Observations[1].Slow = 6, 12
 	}
 	for name, bad := range map[string][]Report{"unreached": unreached, "slow": slow} {
-		c := NewController(Terms{Life: Life, Drift: 0.05, Way: roundTrips3()}, 3, 100, Published{Epoch: 1, Plan: Near(3), Still: Near(3)})
+		c := NewController(Config{Lifetime: Lifetime, Drift: 0.05, RoundTrip: roundTrips3()}, 3, 100, PublishedPlan{Epoch: 1, Plan: LocalPlan(3), Fallback: LocalPlan(3)})
 		_, _, now := runController(c, 100, 20, healthy(), Orders{})
 		_, _, now = runController(c, now, 0.5, bad, Orders{})
 		if row := c.Now().Plan.Share[1]; row[1] < 1 {
--- a/fleet/lease/choose.go
+++ b/fleet/lease/choose.go
@@ -17,7 +17,7 @@
 // hashing, so every caller chooses the same candidate without a race, and few tasks move when a session starts or ends. Candidates
 // that are not suppressed come before those that are, then candidates in the task's zone, then those that with the task own at most
 // boundedLoadFactor times the average number of tasks.
-func Choose(candidates []Candidate, task, zone string, suppressed func(name string) bool) int {
+func ChooseOwner(candidates []Candidate, task, zone string, suppressed func(name string) bool) int {
 	total := 0
 	for _, c := range candidates {
 		total += c.Tasks
@@ -72,7 +72,7 @@
 func NewFlapDamper() *FlapDamper { return &FlapDamper{flaps: map[string]flap{}} }
 
 // RecordLoss records that the lease of a session expired while the session owned tasks.
-func (p *FlapDamper) Lost(now float64, name string) {
+func (p *FlapDamper) RecordLoss(now float64, name string) {
 	f := p.flaps[name]
 	if now > f.until+forgetAfter {
 		f.losses = 0
--- a/fleet/lease/gate.go
+++ b/fleet/lease/gate.go
@@ -7,27 +7,27 @@
 )
 
 // MaxTaskFences is the number of tasks whose fences a receiver remembers: four times the number of tasks in a registry.
-const MaxMarks = 4096
+const MaxTaskFences = 4096
 
 // StaleFenceError is returned for an action whose fence is lower than the highest fence seen for the task: the sender no longer owns
 // the task.
 type StaleFenceError struct {
-	Work           string
+	Task           string
 	Fence, Highest uint64
 }
 
 func (o *StaleFenceError) Error() string {
-	return fmt.Sprintf("%s: fence %d is stale, the highest fence seen is %d: the sender no longer owns the task", o.Work, o.Fence, o.Highest)
+	return fmt.Sprintf("%s: fence %d is stale, the highest fence seen is %d: the sender no longer owns the task", o.Task, o.Fence, o.Highest)
 }
 
 // TaskFence is the highest fence seen for a task.
-type FenceMark struct {
-	Work  string `json:"work" cbor:"1,keyasint"`
+type TaskFence struct {
+	Task  string `json:"work" cbor:"1,keyasint"`
 	Fence uint64 `json:"fence" cbor:"2,keyasint"`
 }
 
 // FenceChecker remembers the highest fence that a receiver has seen for each task. It is not safe for concurrent use.
-type Gate struct {
+type FenceChecker struct {
 	fences   map[string]fenceEntry
 	sequence uint64
 	floor    uint64 // highest fence of the evicted tasks
@@ -36,11 +36,11 @@
 type fenceEntry struct{ fence, sequence uint64 }
 
 // NewFenceChecker returns a checker that has seen no fences.
-func NewGate() *Gate { return &Gate{fences: map[string]fenceEntry{}} }
+func NewFenceChecker() *FenceChecker { return &FenceChecker{fences: map[string]fenceEntry{}} }
 
 // Accept checks the fence of an action and returns a *StaleFenceError if it is stale. raised reports that the fence is higher than all
 // fences seen before for the task. A receiver whose safety must survive a restart stores such a fence before it acts.
-func (g *Gate) Accept(task string, fence uint64) (raised bool, err error) {
+func (g *FenceChecker) Accept(task string, fence uint64) (raised bool, err error) {
 	entry, ok := g.fences[task]
 	if !ok {
 		entry.fence = g.floor
@@ -51,7 +51,7 @@
 	raised = fence > entry.fence || !ok
 	g.sequence++
 	g.fences[task] = fenceEntry{fence, g.sequence}
-	if len(g.fences) > MaxMarks {
+	if len(g.fences) > MaxTaskFences {
 		g.forget()
 	}
 	return raised, nil
@@ -59,7 +59,7 @@
 
 // forget evicts the least recently used task. The fences of all tasks come from one counter, so the highest evicted fence is a safe
 // lower bound for every task that is not remembered.
-func (g *Gate) forget() {
+func (g *FenceChecker) forget() {
 	oldest, oldestUse := "", g.sequence+1
 	for task, entry := range g.fences {
 		if entry.sequence < oldestUse {
@@ -71,7 +71,7 @@
 }
 
 // Highest returns the highest fence seen for a task, or the floor if the task is not remembered.
-func (g *Gate) Highest(task string) uint64 {
+func (g *FenceChecker) Highest(task string) uint64 {
 	if entry, ok := g.fences[task]; ok {
 		return entry.fence
 	}
@@ -79,19 +79,19 @@
 }
 
 // Export returns the state to be stored across a restart, sorted by task name.
-func (g *Gate) Export() (fences []FenceMark, floor uint64) {
+func (g *FenceChecker) Export() (fences []TaskFence, floor uint64) {
 	for task, entry := range g.fences {
-		fences = append(fences, FenceMark{task, entry.fence})
+		fences = append(fences, TaskFence{task, entry.fence})
 	}
-	slices.SortFunc(fences, func(a, b FenceMark) int { return cmp.Compare(a.Work, b.Work) })
+	slices.SortFunc(fences, func(a, b TaskFence) int { return cmp.Compare(a.Task, b.Task) })
 	return fences, g.floor
 }
 
 // Import restores the state returned by Export. It never lowers a fence.
-func (g *Gate) Import(fences []FenceMark, floor uint64) {
+func (g *FenceChecker) Import(fences []TaskFence, floor uint64) {
 	g.floor = max(g.floor, floor)
-	for _, m := range fences[:min(len(fences), MaxMarks)] {
+	for _, m := range fences[:min(len(fences), MaxTaskFences)] {
 		g.sequence++
-		g.fences[m.Work] = fenceEntry{max(m.Fence, g.fences[m.Work].fence), g.sequence}
+		g.fences[m.Task] = fenceEntry{max(m.Fence, g.fences[m.Task].fence), g.sequence}
 	}
 }
--- a/fleet/lease/owner.go
+++ b/fleet/lease/owner.go
@@ -26,7 +26,7 @@
 
 // Claim states that a session owns a task under a fence.
 type Claim struct {
-	Work  string `json:"work"`
+	Task  string `json:"work"`
 	Fence uint64 `json:"fence"`
 }
 
@@ -46,19 +46,19 @@
 }
 
 // SetTerms sets the terms that the coordinators use. They apply from the next confirmation on.
-func (o *Owner) Terms(t Terms) { o.terms = t }
+func (o *Owner) SetTerms(t Terms) { o.terms = t }
 
 // SessionID returns the number of the session, or 0 if there is none.
-func (o *Owner) Session() uint64 { return o.session }
+func (o *Owner) SessionID() uint64 { return o.session }
 
 // LeaseEnd returns the time at which the lease ends.
-func (o *Owner) Until() float64 { return o.leaseEnd }
+func (o *Owner) LeaseEnd() float64 { return o.leaseEnd }
 
 // ApplyConfirmation applies the coordinators' response to the heartbeat sent at sentAt. The response names the session and all tasks
 // that the session owns in the snapshot with the given number. Responses may arrive out of order: each extends the lease from the time
 // at which its heartbeat was sent, but the claims of a snapshot that is not newer than the last one are ignored. ApplyConfirmation
 // returns the claims that are no longer held.
-func (o *Owner) Confirmed(sentAt float64, number, session uint64, claims []Claim) (lost []Claim) {
+func (o *Owner) ApplyConfirmation(sentAt float64, number, session uint64, claims []Claim) (lost []Claim) {
 	if number <= o.snapshotNumber {
 		if session == o.session {
 			o.leaseEnd = max(o.leaseEnd, sentAt+o.terms.HolderDuration())
@@ -66,19 +66,19 @@
 		return nil
 	}
 	if session != o.session {
-		lost = o.Lose() // keeps o.released: the coordinators may not have received the releases yet
+		lost = o.EndSession() // keeps o.released: the coordinators may not have received the releases yet
 		o.session = session
 	}
 	o.snapshotNumber = number
 	o.leaseEnd = max(o.leaseEnd, sentAt+o.terms.HolderDuration())
 	confirmed := make(map[string]uint64, len(claims))
 	for _, c := range claims {
-		if c.Fence > o.released[c.Work] {
-			confirmed[c.Work] = c.Fence
+		if c.Fence > o.released[c.Task] {
+			confirmed[c.Task] = c.Fence
 		}
 	}
 	for _, c := range sortedClaims(o.held) {
-		if confirmed[c.Work] != c.Fence {
+		if confirmed[c.Task] != c.Fence {
 			lost = append(lost, c)
 		}
 	}
@@ -94,7 +94,7 @@
 // containsTask reports whether one of the claims is for the task.
 func containsTask(claims []Claim, task string) bool {
 	for _, c := range claims {
-		if c.Work == task {
+		if c.Task == task {
 			return true
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // EndSession drops the session, which has ended or belongs to another process now, and returns the claims that were held.
-func (o *Owner) Lose() (lost []Claim) {
+func (o *Owner) EndSession() (lost []Claim) {
 	lost = sortedClaims(o.held)
 	clear(o.held)
 	o.session, o.leaseEnd = 0, 0
@@ -120,7 +120,7 @@
 }
 
 // Released reports whether a claim was released.
-func (o *Owner) Released(c Claim) bool { return c.Fence <= o.released[c.Work] }
+func (o *Owner) Released(c Claim) bool { return c.Fence <= o.released[c.Task] }
 
 // Permit reports whether an action on a task that takes effect within duration seconds may begin now, and under which fence. Call it
 // immediately before the action: the result does not hold later.
@@ -130,7 +130,7 @@
 }
 
 // HeldClaims returns the claims on all tasks that the registry assigned to the session, whether or not the lease has expired.
-func (o *Owner) Held() []Claim {
+func (o *Owner) HeldClaims() []Claim {
 	return sortedClaims(o.held)
 }
 
--- a/fleet/lease/ownership_test.go
+++ b/fleet/lease/ownership_test.go
@@ -13,7 +13,7 @@
 func holderEndsFirst(terms Terms, ownerRate, coordinatorRate, sentAt, delay float64) bool {
 	freedAt := sentAt + delay + terms.Lease/coordinatorRate // in true time
 	o := NewOwner(terms)
-	o.Confirmed(sentAt*ownerRate, 1, 1, []Claim{{"w", 3}})
+	o.ApplyConfirmation(sentAt*ownerRate, 1, 1, []Claim{{"w", 3}})
 	_, ok := o.Permit((freedAt+1e-9)*ownerRate, "w", 0)
 	return !ok
 }
@@ -43,7 +43,7 @@
 
 func TestOwner(t *testing.T) {
 	o := NewOwner(Terms{Lease: 4, Drift: 0.05})
-	o.Confirmed(100, 1, 7, []Claim{{"a", 1}, {"b", 2}})
+	o.ApplyConfirmation(100, 1, 7, []Claim{{"a", 1}, {"b", 2}})
 	if f, ok := o.Permit(101, "a", 0.5); !ok || f != 1 {
 		t.Errorf("action within the lease: fence %v, permitted %v", f, ok)
 	}
@@ -53,21 +53,21 @@
 	if _, ok := o.Permit(130, "a", 0); ok {
 		t.Error("an action is permitted after a pause of 30 s")
 	}
-	o.Confirmed(131, 2, 7, []Claim{{"a", 1}, {"b", 2}})
+	o.ApplyConfirmation(131, 2, 7, []Claim{{"a", 1}, {"b", 2}})
 	o.Release("a")
-	o.Confirmed(132, 3, 7, []Claim{{"a", 1}, {"b", 2}}) // the coordinators have not applied the release yet
+	o.ApplyConfirmation(132, 3, 7, []Claim{{"a", 1}, {"b", 2}}) // the coordinators have not applied the release yet
 	if _, ok := o.Permit(132, "a", 0); ok {
 		t.Error("a released task is held again")
 	}
-	o.Confirmed(133, 4, 7, []Claim{{"b", 2}})
-	o.Confirmed(134, 5, 7, []Claim{{"a", 9}, {"b", 2}})
+	o.ApplyConfirmation(133, 4, 7, []Claim{{"b", 2}})
+	o.ApplyConfirmation(134, 5, 7, []Claim{{"a", 9}, {"b", 2}})
 	if f, ok := o.Permit(134, "a", 0); !ok || f != 9 {
 		t.Errorf("reacquired task: fence %v, permitted %v", f, ok)
 	}
-	if lost := o.Confirmed(134.5, 4, 7, nil); len(lost) > 0 {
+	if lost := o.ApplyConfirmation(134.5, 4, 7, nil); len(lost) > 0 {
 		t.Errorf("an older snapshot removed %v", lost)
 	}
-	if lost := o.Confirmed(135, 6, 8, nil); len(lost) != 2 {
+	if lost := o.ApplyConfirmation(135, 6, 8, nil); len(lost) != 2 {
 		t.Errorf("claims lost with the session: %v", lost)
 	}
 	if _, ok := o.Permit(135, "b", 0); ok {
@@ -79,7 +79,7 @@
 // after tasks were evicted.
 func TestGate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := NewGate()
+		g := NewFenceChecker()
 		highest := map[string]uint64{}
 		for range rapid.IntRange(1, 100).Draw(t, "acts") {
 			task := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "work")
@@ -98,16 +98,16 @@
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				fences, floor := g.Export()
-				g = NewGate()
+				g = NewFenceChecker()
 				g.Import(fences, floor)
 			}
 		}
 	})
-	g := NewGate()
-	for n := range uint64(3 * MaxMarks) {
+	g := NewFenceChecker()
+	for n := range uint64(3 * MaxTaskFences) {
 		g.Accept(fmt.Sprint(n), n+1)
 	}
-	if fences, _ := g.Export(); len(fences) > MaxMarks {
+	if fences, _ := g.Export(); len(fences) > MaxTaskFences {
 		t.Errorf("%d fences are exported", len(fences))
 	}
 	if _, err := g.Accept("0", 1); err == nil {
@@ -124,15 +124,15 @@
 	moved, load := 0, map[int]int{}
 	for w := range 300 {
 		task := fmt.Sprint("w", w)
-		k := Choose(candidates, task, "", none)
+		k := ChooseOwner(candidates, task, "", none)
 		load[k]++
-		if j := Choose(candidates[:29], task, "", none); k != 29 && j != k {
+		if j := ChooseOwner(candidates[:29], task, "", none); k != 29 && j != k {
 			moved++
 		}
-		if z := Choose(candidates, task, "z1", none); candidates[z].Zone != "z1" {
+		if z := ChooseOwner(candidates, task, "z1", none); candidates[z].Zone != "z1" {
 			t.Errorf("the owner of %s is in zone %s", task, candidates[z].Zone)
 		}
-		if p := Choose(candidates, task, "", func(n string) bool { return n == candidates[k].Name }); p == k {
+		if p := ChooseOwner(candidates, task, "", func(n string) bool { return n == candidates[k].Name }); p == k {
 			t.Errorf("%s is assigned to a suppressed candidate", task)
 		}
 	}
@@ -144,21 +144,21 @@
 		busy[k] = Candidate{Session: uint64(k + 1), Name: fmt.Sprint("n", k)}
 	}
 	for w := range 40 {
-		busy[Choose(busy, fmt.Sprint("w", w), "", none)].Tasks++
+		busy[ChooseOwner(busy, fmt.Sprint("w", w), "", none)].Tasks++
 	}
 	for _, c := range busy {
 		if c.Tasks > 14 {
 			t.Errorf("%s owns %d of 40", c.Name, c.Tasks)
 		}
 	}
-	if Choose(nil, "w", "", none) != -1 {
+	if ChooseOwner(nil, "w", "", none) != -1 {
 		t.Error("an owner is chosen without candidates")
 	}
 	p := NewFlapDamper()
 	lastSuppression := 0.0
 	for k := range 6 {
 		now := float64(100 * k)
-		p.Lost(now, "n1")
+		p.RecordLoss(now, "n1")
 		until := now
 		for p.Suppressed(until, "n1") {
 			until++
--- a/fleet/registry/entry.go
+++ b/fleet/registry/entry.go
@@ -18,18 +18,18 @@
 
 // The kinds of entries, each with the fields that it uses.
 const (
-	Nothing Kind = iota
-	Open         // Name, Incarnation, Zone, Region: a process takes part
-	Close        // Session: it has ended or its lease has expired; its tasks become free
-	Assign       // Task, Session, Zone: a free task gets an owner and a new fence
-	Release      // Task, Session, Fence: the owner releases the task
-	Drop         // Task: nobody needs it any more
-	Note         // Task, Session, Fence, Body: the owner stores an annotation
-	Ask          // Task: an operator asks the owner to release the task
-	Keep         // Coordinator, Name, Addr, Zone, ReadableVersion, Started: a coordinator joins or its data changes
-	Unkeep       // Coordinator: it is no longer a member
-	Floor        // Fence: no fence up to this value may be assigned again
-	Say          // Task, Body: an operator stores an annotation under a new fence; such a task has no owner
+	Noop               Kind = iota
+	Open                    // Name, Incarnation, Zone, Region: a process takes part
+	Close                   // Session: it has ended or its lease has expired; its tasks become free
+	Assign                  // Task, Session, Zone: a free task gets an owner and a new fence
+	Release                 // Task, Session, Fence: the owner releases the task
+	Drop                    // Task: nobody needs it any more
+	Annotation              // Task, Session, Fence, Body: the owner stores an annotation
+	RequestRelease          // Task: an operator asks the owner to release the task
+	SetCoordinator          // Coordinator, Name, Addr, Zone, ReadableVersion, Started: a coordinator joins or its data changes
+	RemoveCoordinator       // Coordinator: it is no longer a member
+	FenceFloor              // Fence: no fence up to this value may be assigned again
+	OperatorAnnotation      // Task, Body: an operator stores an annotation under a new fence; such a task has no owner
 	kindCount
 )
 
@@ -44,20 +44,20 @@
 
 // Entry is one change of the registry. Fields that its kind does not use are empty.
 type Entry struct {
-	Version     uint16 `cbor:"1,keyasint"`
-	Kind        Kind   `cbor:"2,keyasint"`
-	Session     uint64 `cbor:"3,keyasint,omitempty"`
-	Work        string `cbor:"4,keyasint,omitempty"`
-	Fence       uint64 `cbor:"5,keyasint,omitempty"`
-	Name        string `cbor:"6,keyasint,omitempty"`
-	Incarnation uint64 `cbor:"7,keyasint,omitempty"`
-	Zone        string `cbor:"8,keyasint,omitempty"`
-	Region      string `cbor:"9,keyasint,omitempty"`
-	Body        []byte `cbor:"10,keyasint,omitempty"`
-	Keeper      uint64 `cbor:"11,keyasint,omitempty"`
-	Addr        string `cbor:"12,keyasint,omitempty"`
-	Reads       uint16 `cbor:"13,keyasint,omitempty"`
-	Started     bool   `cbor:"14,keyasint,omitempty"`
+	Version         uint16 `cbor:"1,keyasint"`
+	Kind            Kind   `cbor:"2,keyasint"`
+	Session         uint64 `cbor:"3,keyasint,omitempty"`
+	Task            string `cbor:"4,keyasint,omitempty"`
+	Fence           uint64 `cbor:"5,keyasint,omitempty"`
+	Name            string `cbor:"6,keyasint,omitempty"`
+	Incarnation     uint64 `cbor:"7,keyasint,omitempty"`
+	Zone            string `cbor:"8,keyasint,omitempty"`
+	Region          string `cbor:"9,keyasint,omitempty"`
+	Body            []byte `cbor:"10,keyasint,omitempty"`
+	Coordinator     uint64 `cbor:"11,keyasint,omitempty"`
+	Addr            string `cbor:"12,keyasint,omitempty"`
+	ReadableVersion uint16 `cbor:"13,keyasint,omitempty"`
+	Started         bool   `cbor:"14,keyasint,omitempty"`
 }
 
 // ErrUnknown is the error for an entry written by a newer version of the program.
@@ -69,10 +69,10 @@
 	switch {
 	case e.Version == 0 || e.Version > Version || e.Kind >= kindCount:
 		return fmt.Errorf("%w: version %d, %v", ErrUnknown, e.Version, e.Kind)
-	case len(e.Body) > MostNote:
-		return fmt.Errorf("%v: annotation of %d bytes exceeds the maximum of %d", e.Kind, len(e.Body), MostNote)
+	case len(e.Body) > MaxAnnotation:
+		return fmt.Errorf("%v: annotation of %d bytes exceeds the maximum of %d", e.Kind, len(e.Body), MaxAnnotation)
 	}
-	for _, text := range [...]string{e.Work, e.Name, e.Zone, e.Region, e.Addr} {
+	for _, text := range [...]string{e.Task, e.Name, e.Zone, e.Region, e.Addr} {
 		if err := CheckName(text); err != nil {
 			return fmt.Errorf("%v: %v", e.Kind, err)
 		}
@@ -95,19 +95,19 @@
 			return "session"
 		}
 	case Assign:
-		if e.Session == 0 || e.Work == "" {
+		if e.Session == 0 || e.Task == "" {
 			return "session or work"
 		}
-	case Release, Note:
-		if e.Session == 0 || e.Work == "" || e.Fence == 0 {
+	case Release, Annotation:
+		if e.Session == 0 || e.Task == "" || e.Fence == 0 {
 			return "session, work or fence"
 		}
-	case Drop, Ask, Say:
-		if e.Work == "" {
+	case Drop, RequestRelease, OperatorAnnotation:
+		if e.Task == "" {
 			return "work"
 		}
-	case Keep, Unkeep:
-		if e.Keeper == 0 {
+	case SetCoordinator, RemoveCoordinator:
+		if e.Coordinator == 0 {
 			return "keeper"
 		}
 	}
@@ -116,8 +116,8 @@
 
 // CheckName returns an error if text is not a valid name in the registry.
 func CheckName(text string) error {
-	if len(text) > MostName {
-		return fmt.Errorf("name of %d bytes exceeds the maximum of %d", len(text), MostName)
+	if len(text) > MaxName {
+		return fmt.Errorf("name of %d bytes exceeds the maximum of %d", len(text), MaxName)
 	}
 	if !utf8.ValidString(text) {
 		return errors.New("name is not valid UTF-8")
@@ -137,7 +137,7 @@
 	decode = must(cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 8,
-		MaxMapPairs: 2 * MostWorks, MaxArrayElements: 2 * MostWorks,
+		MaxMapPairs: 2 * MaxTasks, MaxArrayElements: 2 * MaxTasks,
 	}.DecMode())
 )
 
@@ -179,7 +179,7 @@
 }
 
 // Snapshot returns the unique encoding of the registry: two registries are equal if their snapshots are.
-func (r *Record) Snapshot() ([]byte, error) {
+func (r *Registry) Snapshot() ([]byte, error) {
 	s, err := encode.Marshal(r.s)
 	if err != nil {
 		return nil, err
@@ -188,7 +188,7 @@
 }
 
 // Restore returns the registry of a snapshot.
-func Restore(data []byte) (*Record, error) {
+func Restore(data []byte) (*Registry, error) {
 	var s snapshot
 	if err := decode.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("snapshot: %v", err)
@@ -208,9 +208,9 @@
 }
 
 // validate returns an error if a decoded state cannot be the result of entries.
-func (r *Record) validate() error {
+func (r *Registry) validate() error {
 	s := &r.s
-	if len(s.Sessions) > MostSessions || len(s.Works) > MostWorks || len(s.Keepers) > MostKeepers {
+	if len(s.Sessions) > MaxSessions || len(s.Tasks) > MaxTasks || len(s.Coordinators) > MaxCoordinators {
 		return ErrFull
 	}
 	activeNames := map[string]bool{}
@@ -220,18 +220,18 @@
 		}
 		activeNames[x.Name] = activeNames[x.Name] || !x.Superseded
 	}
-	for name, w := range s.Works {
+	for name, w := range s.Tasks {
 		if w == nil || w.Name != name || name == "" || w.Fence == 0 || w.Fence > s.Fence || w.Owner != 0 && s.Sessions[w.Owner] == nil ||
-			len(w.Note) > MostNote || w.Noted > s.Index || w.By > w.Fence {
+			len(w.Annotation) > MaxAnnotation || w.AnnotatedAt > s.Index || w.AnnotationFence > w.Fence {
 			return fmt.Errorf("task %q is invalid", name)
 		}
 	}
-	for id, k := range s.Keepers {
-		if k == nil || k.ID != id || id == 0 || id > s.Keeper {
+	for id, k := range s.Coordinators {
+		if k == nil || k.ID != id || id == 0 || id > s.Coordinator {
 			return fmt.Errorf("coordinator %d is invalid", id)
 		}
 	}
-	for k, v := range map[string]bool{"sessions": s.Sessions == nil, "works": s.Works == nil, "keepers": s.Keepers == nil} {
+	for k, v := range map[string]bool{"sessions": s.Sessions == nil, "works": s.Tasks == nil, "keepers": s.Coordinators == nil} {
 		if v {
 			return fmt.Errorf("%s are missing", k)
 		}
--- a/fleet/registry/registry.go
+++ b/fleet/registry/registry.go
@@ -14,21 +14,21 @@
 // Size of the fleet that the bounds are computed for: 1,600 routers and 3,900 databases, plus a reserve (about a quarter
 // for routers).
 const (
-	MostRouters   = 2048
-	MostDatabases = 4096
+	MaxRouters   = 2048
+	MaxDatabases = 4096
 )
 
 // Bounds of the registry.
 const (
 	// MaxSessions allows for two sessions per router: if all routers restart at once, the session of each old process
 	// remains until its lease ends.
-	MostSessions = 2 * MostRouters
+	MaxSessions = 2 * MaxRouters
 	// MaxTasks allows for two tasks per database: its warm-up and its probes. Databases are never all cold and suspected at
 	// the same time, so the rest suffices for the tasks of tenants and the plan.
-	MostWorks   = 2 * MostDatabases
-	MostKeepers = 9    // more raft members make agreement slower without making it safer
-	MostName    = 120  // bytes
-	MostNote    = 2048 // bytes of the annotation that an owner stores
+	MaxTasks        = 2 * MaxDatabases
+	MaxCoordinators = 9    // more raft members make agreement slower without making it safer
+	MaxName         = 120  // bytes
+	MaxAnnotation   = 2048 // bytes of the annotation that an owner stores
 )
 
 // Bounds for entries of version 1, as applied by older coordinators. While an older coordinator is a member, all of them
@@ -43,21 +43,21 @@
 	if version < 2 {
 		return maxSessionsVersion1
 	}
-	return MostSessions
+	return MaxSessions
 }
 
 func maxTasks(version uint16) int {
 	if version < 2 {
 		return maxTasksVersion1
 	}
-	return MostWorks
+	return MaxTasks
 }
 
 // MaxSnapshot is the maximum size in bytes of the snapshot of a full registry: names and annotations of maximum length, and
 // some bytes for each field.
 const (
 	fixedFieldBytes = 64 // bytes of the numbers and keys of one session or task
-	MostSnapshot    = MostSessions*(3*MostName+fixedFieldBytes) + MostWorks*(3*MostName+MostNote+fixedFieldBytes) + 1<<16
+	MaxSnapshot     = MaxSessions*(3*MaxName+fixedFieldBytes) + MaxTasks*(3*MaxName+MaxAnnotation+fixedFieldBytes) + 1<<16
 )
 
 // Session is a process that takes part in the fleet. Only one session per name is active: an older one with the same name
@@ -72,19 +72,19 @@
 }
 
 // Task is a unit of work done for the fleet, by one owner at a time.
-type Work struct {
-	Name  string `cbor:"1,keyasint" json:"name"`
-	Owner uint64 `cbor:"2,keyasint,omitempty" json:"session,omitempty"` // owning session, 0: free
-	Fence uint64 `cbor:"3,keyasint" json:"fence"`                       // of the current or the last owner
-	Zone  string `cbor:"4,keyasint,omitempty" json:"zone,omitempty"`    // zone of the task, "": none
-	Note  []byte `cbor:"5,keyasint,omitempty" json:"note,omitempty"`    // stored by the last owner that wrote one, or by an operator
-	Noted uint64 `cbor:"6,keyasint,omitempty" json:"noted,omitempty"`   // index of the entry that stored it
-	By    uint64 `cbor:"7,keyasint,omitempty" json:"by,omitempty"`      // fence under which it was stored
-	Asked bool   `cbor:"8,keyasint,omitempty" json:"asked,omitempty"`   // an operator asked the owner to release the task
+type Task struct {
+	Name             string `cbor:"1,keyasint" json:"name"`
+	Owner            uint64 `cbor:"2,keyasint,omitempty" json:"session,omitempty"` // owning session, 0: free
+	Fence            uint64 `cbor:"3,keyasint" json:"fence"`                       // of the current or the last owner
+	Zone             string `cbor:"4,keyasint,omitempty" json:"zone,omitempty"`    // zone of the task, "": none
+	Annotation       []byte `cbor:"5,keyasint,omitempty" json:"note,omitempty"`    // stored by the last owner that wrote one, or by an operator
+	AnnotatedAt      uint64 `cbor:"6,keyasint,omitempty" json:"noted,omitempty"`   // index of the entry that stored it
+	AnnotationFence  uint64 `cbor:"7,keyasint,omitempty" json:"by,omitempty"`      // fence under which it was stored
+	ReleaseRequested bool   `cbor:"8,keyasint,omitempty" json:"asked,omitempty"`   // an operator asked the owner to release the task
 }
 
 // Coordinator is a member of the quorum that keeps the registry.
-type Keeper struct {
+type Coordinator struct {
 	ID      uint64 `cbor:"1,keyasint" json:"id"` // never reused: a coordinator that lost its data folder returns under a new ID
 	Name    string `cbor:"2,keyasint" json:"name"`
 	Addr    string `cbor:"3,keyasint" json:"addr"`
@@ -95,12 +95,12 @@
 
 // state is the content of a snapshot.
 type state struct {
-	Index    uint64              `cbor:"1,keyasint"`
-	Fence    uint64              `cbor:"2,keyasint"` // highest fence ever assigned
-	Keeper   uint64              `cbor:"3,keyasint"` // highest ID of a coordinator ever assigned
-	Sessions map[uint64]*Session `cbor:"4,keyasint"`
-	Works    map[string]*Work    `cbor:"5,keyasint"`
-	Keepers  map[uint64]*Keeper  `cbor:"6,keyasint"`
+	Index        uint64                  `cbor:"1,keyasint"`
+	Fence        uint64                  `cbor:"2,keyasint"` // highest fence ever assigned
+	Coordinator  uint64                  `cbor:"3,keyasint"` // highest ID of a coordinator ever assigned
+	Sessions     map[uint64]*Session     `cbor:"4,keyasint"`
+	Tasks        map[string]*Task        `cbor:"5,keyasint"`
+	Coordinators map[uint64]*Coordinator `cbor:"6,keyasint"`
 	// The lease in seconds and the clock drift that it allows for are agreed on once, when the registry is created, because
 	// coordinators that used different values would not be safe.
 	Lease float64 `cbor:"7,keyasint"`
@@ -108,28 +108,28 @@
 }
 
 // Registry is the state after a number of entries.
-type Record struct {
+type Registry struct {
 	s             state
 	sessionByName map[string]uint64           // active session of each name
-	tasksByOwner  map[uint64]map[string]*Work // so that access to one session's tasks does not scan all tasks
+	tasksByOwner  map[uint64]map[string]*Task // so that access to one session's tasks does not scan all tasks
 }
 
 // New returns an empty registry before its first entry.
-func New() *Record {
-	r := &Record{s: state{Sessions: map[uint64]*Session{}, Works: map[string]*Work{}, Keepers: map[uint64]*Keeper{}}}
+func New() *Registry {
+	r := &Registry{s: state{Sessions: map[uint64]*Session{}, Tasks: map[string]*Task{}, Coordinators: map[uint64]*Coordinator{}}}
 	r.rebuildIndexes()
 	return r
 }
 
 // Begin returns the registry of a new quorum with the given coordinators, as its first entry leaves it.
-func Begin(coordinators []Keeper, lease, drift float64) (*Record, error) {
+func Begin(coordinators []Coordinator, lease, drift float64) (*Registry, error) {
 	if !(lease >= 0.2 && lease <= 600) || !(drift >= 0 && drift <= 0.3) {
 		return nil, fmt.Errorf("lease %v s or clock drift %v out of range: want 0.2 to 600 s and 0 to 0.3", lease, drift)
 	}
 	r := New()
 	r.s.Index, r.s.Lease, r.s.Drift = 1, lease, drift
 	for _, k := range coordinators {
-		if err := r.setCoordinator(Entry{Keeper: k.ID, Name: k.Name, Addr: k.Addr, Zone: k.Zone}); err != nil {
+		if err := r.setCoordinator(Entry{Coordinator: k.ID, Name: k.Name, Addr: k.Addr, Zone: k.Zone}); err != nil {
 			return nil, err
 		}
 	}
@@ -137,11 +137,11 @@
 }
 
 // LeaseTerms returns the lease in seconds and the clock drift that it allows for.
-func (r *Record) Terms() (lease, drift float64) { return r.s.Lease, r.s.Drift }
+func (r *Registry) LeaseTerms() (lease, drift float64) { return r.s.Lease, r.s.Drift }
 
-func (r *Record) rebuildIndexes() {
-	r.sessionByName, r.tasksByOwner = map[string]uint64{}, map[uint64]map[string]*Work{}
-	for _, w := range r.s.Works {
+func (r *Registry) rebuildIndexes() {
+	r.sessionByName, r.tasksByOwner = map[string]uint64{}, map[uint64]map[string]*Task{}
+	for _, w := range r.s.Tasks {
 		r.setOwner(w, w.Owner)
 	}
 	for id, s := range r.s.Sessions {
@@ -152,7 +152,7 @@
 }
 
 // setOwner assigns a task to an owner, 0: frees it.
-func (r *Record) setOwner(w *Work, owner uint64) {
+func (r *Registry) setOwner(w *Task, owner uint64) {
 	delete(r.tasksByOwner[w.Owner], w.Name)
 	if len(r.tasksByOwner[w.Owner]) == 0 {
 		delete(r.tasksByOwner, w.Owner)
@@ -162,51 +162,51 @@
 		return
 	}
 	if r.tasksByOwner[owner] == nil {
-		r.tasksByOwner[owner] = map[string]*Work{}
+		r.tasksByOwner[owner] = map[string]*Task{}
 	}
 	r.tasksByOwner[owner][w.Name] = w
 }
 
 // Index returns the index of the last entry.
-func (r *Record) Index() uint64 { return r.s.Index }
+func (r *Registry) Index() uint64 { return r.s.Index }
 
 // Fence returns the highest fence that was ever assigned.
-func (r *Record) Fence() uint64 { return r.s.Fence }
+func (r *Registry) Fence() uint64 { return r.s.Fence }
 
 // Session returns the session with this ID, or nil.
-func (r *Record) Session(id uint64) *Session { return r.s.Sessions[id] }
+func (r *Registry) Session(id uint64) *Session { return r.s.Sessions[id] }
 
 // SessionByName returns the active session with this name, or nil.
-func (r *Record) Named(name string) *Session { return r.s.Sessions[r.sessionByName[name]] }
+func (r *Registry) SessionByName(name string) *Session { return r.s.Sessions[r.sessionByName[name]] }
 
 // Task returns the task with this name, or nil.
-func (r *Record) Work(name string) *Work { return r.s.Works[name] }
+func (r *Registry) Task(name string) *Task { return r.s.Tasks[name] }
 
 // Sessions returns all sessions in the order in which they were opened.
-func (r *Record) Sessions() []*Session { return inOrder(r.s.Sessions) }
+func (r *Registry) Sessions() []*Session { return inOrder(r.s.Sessions) }
 
 // Tasks returns all tasks, ordered by name.
-func (r *Record) Works() []*Work { return inOrder(r.s.Works) }
+func (r *Registry) Tasks() []*Task { return inOrder(r.s.Tasks) }
 
 // Coordinators returns all coordinators, ordered by ID.
-func (r *Record) Keepers() []*Keeper { return inOrder(r.s.Keepers) }
+func (r *Registry) Coordinators() []*Coordinator { return inOrder(r.s.Coordinators) }
 
 // Coordinator returns the coordinator with this ID, or nil.
-func (r *Record) Keeper(id uint64) *Keeper { return r.s.Keepers[id] }
+func (r *Registry) Coordinator(id uint64) *Coordinator { return r.s.Coordinators[id] }
 
 // NextCoordinatorID returns an ID that no coordinator has had.
-func (r *Record) NextKeeper() uint64 { return r.s.Keeper + 1 }
+func (r *Registry) NextCoordinatorID() uint64 { return r.s.Coordinator + 1 }
 
 // Size returns the number of sessions and tasks.
-func (r *Record) Size() (sessions, tasks int) { return len(r.s.Sessions), len(r.s.Works) }
+func (r *Registry) Size() (sessions, tasks int) { return len(r.s.Sessions), len(r.s.Tasks) }
 
 // TasksOf returns the tasks of a session, ordered by name.
-func (r *Record) Owned(session uint64) (all []*Work) {
+func (r *Registry) TasksOf(session uint64) (all []*Task) {
 	for _, w := range r.tasksByOwner[session] {
 		all = append(all, w)
 	}
 	if len(all) > 1 {
-		slices.SortFunc(all, func(a, b *Work) int { return cmp.Compare(a.Name, b.Name) })
+		slices.SortFunc(all, func(a, b *Task) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	return all
 }
@@ -221,9 +221,9 @@
 
 // ReadableVersion returns the newest version of entries that every coordinator reads, as far as reported. Newer entries
 // must not be proposed: a coordinator that cannot read an agreed entry has to stop.
-func (r *Record) Reads() uint16 {
+func (r *Registry) ReadableVersion() uint16 {
 	oldest := Version
-	for _, k := range r.s.Keepers {
+	for _, k := range r.s.Coordinators {
 		if k.Version > 0 {
 			oldest = min(oldest, k.Version)
 		}
@@ -233,18 +233,18 @@
 
 // Reasons why an entry has no effect. Such an entry is agreed on nevertheless, and every process rejects it alike.
 var (
-	ErrFull       = errors.New("the registry is full")
-	ErrNoSession  = errors.New("no such session")
-	ErrSuperseded = errors.New("a newer process uses this name")
-	ErrOwned      = errors.New("the task has another owner")
-	ErrFence      = errors.New("the fence does not match the owner's")
-	ErrNoWork     = errors.New("no such work")
-	ErrKeeper     = errors.New("no such coordinator, or too many")
+	ErrFull        = errors.New("the registry is full")
+	ErrNoSession   = errors.New("no such session")
+	ErrSuperseded  = errors.New("a newer process uses this name")
+	ErrOwned       = errors.New("the task has another owner")
+	ErrFence       = errors.New("the fence does not match the owner's")
+	ErrNoTask      = errors.New("no such work")
+	ErrCoordinator = errors.New("no such coordinator, or too many")
 )
 
 // Apply applies the entry with this index. An error is the reason why the entry changed nothing. Only ErrUnknown must stop
 // the process, as other processes may have been able to read the entry.
-func (r *Record) Apply(index uint64, e Entry) (fence uint64, err error) {
+func (r *Registry) Apply(index uint64, e Entry) (fence uint64, err error) {
 	if index <= r.s.Index {
 		return 0, fmt.Errorf("entry %d is not newer than entry %d", index, r.s.Index)
 	}
@@ -253,7 +253,7 @@
 	}
 	r.s.Index = index
 	switch e.Kind {
-	case Nothing:
+	case Noop:
 	case Open:
 		return 0, r.open(index, e)
 	case Close:
@@ -263,51 +263,51 @@
 	case Release:
 		return 0, r.release(e)
 	case Drop:
-		w := r.s.Works[e.Work]
+		w := r.s.Tasks[e.Task]
 		switch {
 		case w == nil:
-			return 0, ErrNoWork
+			return 0, ErrNoTask
 		case w.Owner != 0:
 			return 0, ErrOwned
 		}
-		delete(r.s.Works, e.Work) // its fences are not reused: all tasks share one fence counter
-	case Note:
-		w := r.s.Works[e.Work]
+		delete(r.s.Tasks, e.Task) // its fences are not reused: all tasks share one fence counter
+	case Annotation:
+		w := r.s.Tasks[e.Task]
 		if w == nil {
-			return 0, ErrNoWork
+			return 0, ErrNoTask
 		}
 		if w.Owner != e.Session || w.Fence != e.Fence {
 			return w.Fence, ErrFence
 		}
-		w.Note, w.Noted, w.By = slices.Clone(e.Body), index, e.Fence
-	case Ask:
-		w := r.s.Works[e.Work]
+		w.Annotation, w.AnnotatedAt, w.AnnotationFence = slices.Clone(e.Body), index, e.Fence
+	case RequestRelease:
+		w := r.s.Tasks[e.Task]
 		if w == nil || w.Owner == 0 {
-			return 0, ErrNoWork
+			return 0, ErrNoTask
 		}
-		w.Asked = true
-	case Keep:
+		w.ReleaseRequested = true
+	case SetCoordinator:
 		return 0, r.setCoordinator(e)
-	case Unkeep:
-		if r.s.Keepers[e.Keeper] == nil {
-			return 0, ErrKeeper
+	case RemoveCoordinator:
+		if r.s.Coordinators[e.Coordinator] == nil {
+			return 0, ErrCoordinator
 		}
-		delete(r.s.Keepers, e.Keeper)
-	case Floor:
+		delete(r.s.Coordinators, e.Coordinator)
+	case FenceFloor:
 		r.s.Fence = max(r.s.Fence, e.Fence)
-	case Say:
-		w, err := r.freeTask(e.Version, e.Work)
+	case OperatorAnnotation:
+		w, err := r.freeTask(e.Version, e.Task)
 		if err != nil {
 			return 0, err
 		}
-		w.By, w.Note, w.Noted = w.Fence, slices.Clone(e.Body), index
+		w.AnnotationFence, w.Annotation, w.AnnotatedAt = w.Fence, slices.Clone(e.Body), index
 		return w.Fence, nil
 	}
 	return 0, nil
 }
 
-func (r *Record) open(index uint64, e Entry) error {
-	previous := r.Named(e.Name)
+func (r *Registry) open(index uint64, e Entry) error {
+	previous := r.SessionByName(e.Name)
 	if previous != nil && previous.Incarnation == e.Incarnation {
 		return nil // repeated request: the session already exists
 	}
@@ -323,7 +323,7 @@
 	return nil
 }
 
-func (r *Record) close(id uint64) error {
+func (r *Registry) close(id uint64) error {
 	s := r.s.Sessions[id]
 	if s == nil {
 		return ErrNoSession
@@ -334,12 +334,12 @@
 	delete(r.s.Sessions, id)
 	for _, w := range r.tasksByOwner[id] {
 		r.setOwner(w, 0)
-		w.Asked = false
+		w.ReleaseRequested = false
 	}
 	return nil
 }
 
-func (r *Record) assign(e Entry) (uint64, error) {
+func (r *Registry) assign(e Entry) (uint64, error) {
 	s := r.s.Sessions[e.Session]
 	switch {
 	case s == nil:
@@ -347,55 +347,55 @@
 	case s.Superseded:
 		return 0, ErrSuperseded
 	}
-	w, err := r.freeTask(e.Version, e.Work)
+	w, err := r.freeTask(e.Version, e.Task)
 	if err != nil {
 		return 0, err
 	}
 	r.setOwner(w, e.Session)
-	w.Zone, w.Asked = e.Zone, false
+	w.Zone, w.ReleaseRequested = e.Zone, false
 	return w.Fence, nil
 }
 
 // freeTask returns a task without an owner under a new fence, the next value of the counter that all tasks share.
-func (r *Record) freeTask(version uint16, name string) (*Work, error) {
-	w := r.s.Works[name]
+func (r *Registry) freeTask(version uint16, name string) (*Task, error) {
+	w := r.s.Tasks[name]
 	switch {
 	case w != nil && w.Owner != 0:
 		return nil, ErrOwned
-	case w == nil && len(r.s.Works) >= maxTasks(version):
+	case w == nil && len(r.s.Tasks) >= maxTasks(version):
 		return nil, ErrFull
 	case w == nil:
-		w = &Work{Name: name}
-		r.s.Works[name] = w
+		w = &Task{Name: name}
+		r.s.Tasks[name] = w
 	}
 	r.s.Fence++
 	w.Fence = r.s.Fence
 	return w, nil
 }
 
-func (r *Record) release(e Entry) error {
-	w := r.s.Works[e.Work]
+func (r *Registry) release(e Entry) error {
+	w := r.s.Tasks[e.Task]
 	switch {
 	case w == nil:
-		return ErrNoWork
+		return ErrNoTask
 	case w.Owner != e.Session || w.Fence != e.Fence:
 		return ErrFence
 	}
 	r.setOwner(w, 0)
-	w.Asked = false
+	w.ReleaseRequested = false
 	return nil
 }
 
-func (r *Record) setCoordinator(e Entry) error {
-	k := r.s.Keepers[e.Keeper]
+func (r *Registry) setCoordinator(e Entry) error {
+	k := r.s.Coordinators[e.Coordinator]
 	if k == nil {
-		if e.Keeper <= r.s.Keeper || len(r.s.Keepers) >= MostKeepers {
-			return ErrKeeper // the ID was used before, or there are too many
+		if e.Coordinator <= r.s.Coordinator || len(r.s.Coordinators) >= MaxCoordinators {
+			return ErrCoordinator // the ID was used before, or there are too many
 		}
-		k = &Keeper{ID: e.Keeper}
-		r.s.Keepers[e.Keeper], r.s.Keeper = k, e.Keeper
+		k = &Coordinator{ID: e.Coordinator}
+		r.s.Coordinators[e.Coordinator], r.s.Coordinator = k, e.Coordinator
 	}
 	k.Name, k.Addr, k.Zone = e.Name, e.Addr, e.Zone
-	k.Version, k.Started = max(k.Version, e.Reads), k.Started || e.Started
+	k.Version, k.Started = max(k.Version, e.ReadableVersion), k.Started || e.Started
 	return nil
 }
--- a/fleet/registry/registry_test.go
+++ b/fleet/registry/registry_test.go
@@ -14,10 +14,10 @@
 func drawEntry(t *rapid.T) Entry {
 	fewNames := rapid.SampledFrom([]string{"n1", "n2", "n3"})
 	return Entry{Version: Version, Kind: Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind")),
-		Session: rapid.Uint64Range(0, 40).Draw(t, "session"), Work: rapid.SampledFrom([]string{"", "w1", "w2"}).Draw(t, "work"),
+		Session: rapid.Uint64Range(0, 40).Draw(t, "session"), Task: rapid.SampledFrom([]string{"", "w1", "w2"}).Draw(t, "work"),
 		Fence: rapid.Uint64Range(0, 20).Draw(t, "fence"), Name: fewNames.Draw(t, "name"),
 		Incarnation: rapid.Uint64Range(0, 4).Draw(t, "incarnation"), Zone: fewNames.Draw(t, "zone"),
-		Body: rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(t, "body"), Keeper: rapid.Uint64Range(0, 5).Draw(t, "keeper")}
+		Body: rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(t, "body"), Coordinator: rapid.Uint64Range(0, 5).Draw(t, "keeper")}
 }
 
 // TestProperties checks that the same entries give the same registry, also across snapshots; that each fence is assigned
@@ -40,8 +40,8 @@
 					t.Fatalf("fence %d was assigned after %d", fence, newest)
 				}
 				last = fence
-				if owner[e.Work] != 0 {
-					t.Fatalf("%q already belonged to session %d", e.Work, owner[e.Work])
+				if owner[e.Task] != 0 {
+					t.Fatalf("%q already belonged to session %d", e.Task, owner[e.Task])
 				}
 			}
 			checkOwners(t, a)
@@ -55,7 +55,7 @@
 }
 
 // applyToBoth applies an entry to two registries, whose results must be equal, and returns the result.
-func applyToBoth(t *rapid.T, a, b *Record, index uint64, e Entry) (uint64, error) {
+func applyToBoth(t *rapid.T, a, b *Registry, index uint64, e Entry) (uint64, error) {
 	fence, errA := a.Apply(index, e)
 	other, errB := b.Apply(index, e)
 	if fence != other || fmt.Sprint(errA) != fmt.Sprint(errB) {
@@ -65,17 +65,17 @@
 }
 
 // ownerByTask returns the owner of each task, 0: none.
-func ownerByTask(r *Record) map[string]uint64 {
+func ownerByTask(r *Registry) map[string]uint64 {
 	owner := map[string]uint64{}
-	for _, w := range r.Works() {
+	for _, w := range r.Tasks() {
 		owner[w.Name] = w.Owner
 	}
 	return owner
 }
 
 // checkOwnersKept checks that only an entry of kind Close or Release takes a task from its previous owner.
-func checkOwnersKept(t *rapid.T, r *Record, owner map[string]uint64, e Entry) {
-	for _, w := range r.Works() {
+func checkOwnersKept(t *rapid.T, r *Registry, owner map[string]uint64, e Entry) {
+	for _, w := range r.Tasks() {
 		if previous := owner[w.Name]; previous != 0 && w.Owner != previous && e.Kind != Close && e.Kind != Release {
 			t.Fatalf("%v took %q from its owner", e.Kind, w.Name)
 		}
@@ -83,7 +83,7 @@
 }
 
 // restoreFromSnapshot returns a registry restored from the snapshot of another.
-func restoreFromSnapshot(t *rapid.T, r *Record) *Record {
+func restoreFromSnapshot(t *rapid.T, r *Registry) *Registry {
 	data, err := r.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -96,17 +96,17 @@
 }
 
 // checkOwners checks that the owner of each task is a session, and that sessions list exactly the tasks that they own.
-func checkOwners(t *rapid.T, r *Record) {
+func checkOwners(t *rapid.T, r *Registry) {
 	owned := 0
 	for _, s := range r.Sessions() {
-		for _, w := range r.Owned(s.ID) {
+		for _, w := range r.TasksOf(s.ID) {
 			owned++
-			if w.Owner != s.ID || r.Work(w.Name) != w {
+			if w.Owner != s.ID || r.Task(w.Name) != w {
 				t.Fatalf("%q is listed under session %d: %+v", w.Name, s.ID, w)
 			}
 		}
 	}
-	for _, w := range r.Works() {
+	for _, w := range r.Tasks() {
 		if w.Owner != 0 {
 			owned--
 		}
@@ -120,9 +120,9 @@
 }
 
 // checkEqual checks that two registries are equal after an entry. One of them may have been restored from a snapshot.
-func checkEqual(t *rapid.T, a, b *Record, e Entry) {
+func checkEqual(t *rapid.T, a, b *Registry, e Entry) {
 	for _, s := range a.Sessions() {
-		if x, y := a.Owned(s.ID), b.Owned(s.ID); len(x) != len(y) {
+		if x, y := a.TasksOf(s.ID), b.TasksOf(s.ID); len(x) != len(y) {
 			t.Fatalf("session %d owns %d tasks, %d after restoring", s.ID, len(x), len(y))
 		}
 	}
@@ -137,14 +137,14 @@
 // annotations of maximum length keep the snapshot within its maximum size.
 func TestBounds(t *testing.T) {
 	r := New()
-	longName := func(kind string, n uint64) string { return fmt.Sprintf("%s%0*d", kind, MostName-len(kind), n) }
+	longName := func(kind string, n uint64) string { return fmt.Sprintf("%s%0*d", kind, MaxName-len(kind), n) }
 	index := uint64(0)
 	apply := func(e Entry) (uint64, error) {
 		index++
 		e.Version = Version
 		return r.Apply(index, e)
 	}
-	for n := range uint64(MostSessions) {
+	for n := range uint64(MaxSessions) {
 		if _, err := apply(Entry{Kind: Open, Name: longName("n", n), Zone: longName("z", n), Region: longName("r", n), Incarnation: 1 << 60}); err != nil {
 			t.Fatal(err)
 		}
@@ -152,25 +152,25 @@
 	if _, err := apply(Entry{Kind: Open, Name: "more", Incarnation: 1}); !errors.Is(err, ErrFull) {
 		t.Fatalf("one session too many: %v", err)
 	}
-	annotation := bytes.Repeat([]byte("x"), MostNote)
-	for n := range uint64(MostWorks) {
-		fence, err := apply(Entry{Kind: Assign, Session: 1, Work: longName("w", n), Zone: longName("z", n)})
+	annotation := bytes.Repeat([]byte("x"), MaxAnnotation)
+	for n := range uint64(MaxTasks) {
+		fence, err := apply(Entry{Kind: Assign, Session: 1, Task: longName("w", n), Zone: longName("z", n)})
 		if err == nil {
-			_, err = apply(Entry{Kind: Note, Session: 1, Work: longName("w", n), Fence: fence, Body: annotation})
+			_, err = apply(Entry{Kind: Annotation, Session: 1, Task: longName("w", n), Fence: fence, Body: annotation})
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := apply(Entry{Kind: Assign, Session: 1, Work: "more"}); !errors.Is(err, ErrFull) {
+	if _, err := apply(Entry{Kind: Assign, Session: 1, Task: "more"}); !errors.Is(err, ErrFull) {
 		t.Fatalf("one task too many: %v", err)
 	}
 	data, err := r.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(data) > MostSnapshot {
-		t.Errorf("the snapshot takes %d bytes, want at most %d", len(data), MostSnapshot)
+	if len(data) > MaxSnapshot {
+		t.Errorf("the snapshot takes %d bytes, want at most %d", len(data), MaxSnapshot)
 	}
 	if restored, err := Restore(data); err != nil || restored.Index() != index {
 		t.Fatalf("restoring a full registry: %v", err)
@@ -192,11 +192,11 @@
 		if err := apply(1, Entry{Kind: Open, Name: fmt.Sprint("n", n), Incarnation: 1}); err != nil {
 			t.Fatal(err)
 		}
-		if err := apply(1, Entry{Kind: Assign, Session: 1, Work: fmt.Sprint("w", n)}); err != nil {
+		if err := apply(1, Entry{Kind: Assign, Session: 1, Task: fmt.Sprint("w", n)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	extra := []Entry{{Kind: Open, Name: "more", Incarnation: 1}, {Kind: Assign, Session: 1, Work: "more"}}
+	extra := []Entry{{Kind: Open, Name: "more", Incarnation: 1}, {Kind: Assign, Session: 1, Task: "more"}}
 	for _, e := range extra {
 		if err := apply(1, e); !errors.Is(err, ErrFull) {
 			t.Errorf("version 1, %v: %v", e.Kind, err)
@@ -213,21 +213,21 @@
 	r := New()
 	index := uint64(0)
 	for incarnation := uint64(1); incarnation <= 2; incarnation++ {
-		for n := range MostRouters {
+		for n := range MaxRouters {
 			index++
 			if _, err := r.Apply(index, Entry{Version: Version, Kind: Open, Name: fmt.Sprint("n", n), Incarnation: incarnation}); err != nil {
 				t.Fatalf("process %d of router %d: %v", incarnation, n, err)
 			}
 		}
 	}
-	if sessions, _ := r.Size(); sessions != 2*MostRouters {
+	if sessions, _ := r.Size(); sessions != 2*MaxRouters {
 		t.Errorf("%d sessions", sessions)
 	}
 }
 
 // TestVersions checks that an entry of a newer version is rejected before it is proposed, whatever else it contains.
 func TestVersions(t *testing.T) {
-	if _, err := (Entry{Version: Version + 1, Kind: Nothing}).Marshal(); !errors.Is(err, ErrUnknown) {
+	if _, err := (Entry{Version: Version + 1, Kind: Noop}).Marshal(); !errors.Is(err, ErrUnknown) {
 		t.Errorf("newer version: %v", err)
 	}
 	if _, err := (Entry{Version: Version, Kind: kindCount}).Marshal(); !errors.Is(err, ErrUnknown) {
@@ -241,15 +241,15 @@
 		t.Errorf("encoded entry of a newer version: %v", err)
 	}
 	r := New()
-	r.Apply(1, Entry{Version: 1, Kind: Keep, Keeper: 1, Name: "k1", Reads: Version + 3})
-	r.Apply(2, Entry{Version: 1, Kind: Keep, Keeper: 2, Name: "k2", Reads: Version})
-	if r.Reads() != Version {
-		t.Errorf("version that all read: %d", r.Reads())
+	r.Apply(1, Entry{Version: 1, Kind: SetCoordinator, Coordinator: 1, Name: "k1", ReadableVersion: Version + 3})
+	r.Apply(2, Entry{Version: 1, Kind: SetCoordinator, Coordinator: 2, Name: "k2", ReadableVersion: Version})
+	if r.ReadableVersion() != Version {
+		t.Errorf("version that all read: %d", r.ReadableVersion())
 	}
-	if _, err := r.Apply(3, Entry{Version: 1, Kind: Unkeep, Keeper: 2}); err != nil {
+	if _, err := r.Apply(3, Entry{Version: 1, Kind: RemoveCoordinator, Coordinator: 2}); err != nil {
 		t.Error(err)
 	}
-	if _, err := r.Apply(4, Entry{Version: 1, Kind: Keep, Keeper: 2, Name: "k2"}); !errors.Is(err, ErrKeeper) {
+	if _, err := r.Apply(4, Entry{Version: 1, Kind: SetCoordinator, Coordinator: 2, Name: "k2"}); !errors.Is(err, ErrCoordinator) {
 		t.Errorf("reused the ID of a coordinator: %v", err)
 	}
 }
@@ -275,7 +275,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	valid, _ := Entry{Version: 1, Kind: Assign, Session: 3, Work: "warmth/7"}.Marshal()
+	valid, _ := Entry{Version: 1, Kind: Assign, Session: 3, Task: "warmth/7"}.Marshal()
 	f.Add(valid)
 	f.Add([]byte{0xbf, 0xff})
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
@@ -294,7 +294,7 @@
 func FuzzRestore(f *testing.F) {
 	r := New()
 	r.Apply(1, Entry{Version: 1, Kind: Open, Name: "n1", Incarnation: 7, Zone: "east"})
-	r.Apply(2, Entry{Version: 1, Kind: Assign, Session: 1, Work: "w"})
+	r.Apply(2, Entry{Version: 1, Kind: Assign, Session: 1, Task: "w"})
 	data, _ := r.Snapshot()
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -306,7 +306,7 @@
 		if index == 1<<64-1 {
 			return
 		}
-		r.Apply(index+1, Entry{Version: 1, Kind: Assign, Session: 1, Work: "w"})
+		r.Apply(index+1, Entry{Version: 1, Kind: Assign, Session: 1, Task: "w"})
 		restored, err := r.Snapshot()
 		if err != nil {
 			t.Fatal(err)
--- a/fleet/subset/ranking.go
+++ b/fleet/subset/ranking.go
@@ -47,7 +47,7 @@
 
 // sort orders the candidates that the widest subset may contain. The remaining ones follow in no particular order.
 func (r *Ranking) sort() {
-	r.sortedCount = min(r.options.maxMembersForShare(r.router.Share, r.options.Widest), len(r.candidates))
+	r.sortedCount = min(r.options.maxMembersForShare(r.router.TrafficShare, r.options.MaxWidth), len(r.candidates))
 	const headroom = 1.5 // factor on the expected number of scores below maxScore, so that a second pass over all candidates is rare
 	maxScore := (float64(r.sortedCount)*headroom + 16) / max(r.effectiveWeight, math.SmallestNonzeroFloat64)
 	belowMax := 0
@@ -74,8 +74,8 @@
 // markRequired marks the best candidates of each requirement.
 func (r *Ranking) markRequired() {
 	best := make([]int, 0, 8) // indices of the best candidates so far, best first
-	for n := range r.options.Needs {
-		best = r.bestFor(&r.options.Needs[n], best[:0])
+	for n := range r.options.Requirements {
+		best = r.bestFor(&r.options.Requirements[n], best[:0])
 		for _, k := range best {
 			if c := &r.candidates[k]; c.requirement == notRequired {
 				c.requirement = int16(n)
@@ -86,8 +86,8 @@
 }
 
 // bestFor appends the indices of a requirement's best candidates to an empty slice, best first.
-func (r *Ranking) bestFor(requirement *Need, best []int) []int {
-	if requirement.Least == 0 {
+func (r *Ranking) bestFor(requirement *Requirement, best []int) []int {
+	if requirement.Minimum == 0 {
 		return best
 	}
 	byRank := func(a, b int) int { return r.compare(r.candidates[a], r.candidates[b]) }
@@ -95,12 +95,12 @@
 		if !requirement.covers(&r.databases[r.candidates[k].index]) {
 			continue
 		}
-		if len(best) == requirement.Least && byRank(k, best[len(best)-1]) > 0 {
+		if len(best) == requirement.Minimum && byRank(k, best[len(best)-1]) > 0 {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(best, k, byRank)
-		if best = slices.Insert(best, at, k); len(best) > requirement.Least {
-			best = best[:requirement.Least]
+		if best = slices.Insert(best, at, k); len(best) > requirement.Minimum {
+			best = best[:requirement.Minimum]
 		}
 	}
 	return best
@@ -112,24 +112,24 @@
 // Size returns the size of the router's subset at a width, requirements and size slack aside: width 1 is the ordinary size, 2 twice
 // as many databases, and so on. The size depends on the router's share of the traffic and never exceeds the list.
 func (r *Ranking) Size(width int) int {
-	width = min(max(width, 1), max(r.options.Widest, 1))
-	return min(r.options.sizeForShare(r.router.Share)*width, len(r.candidates))
+	width = min(max(width, 1), max(r.options.MaxWidth, 1))
+	return min(r.options.sizeForShare(r.router.TrafficShare)*width, len(r.candidates))
 }
 
 // EffectiveWeight returns the weight of the pool as this router sees it, with the weights of databases in its own zone and region
 // multiplied by their locality factors. It is the value for Router.PlannedWeight.
-func (r *Ranking) Effective() float64 { return r.effectiveWeight }
+func (r *Ranking) EffectiveWeight() float64 { return r.effectiveWeight }
 
 // freePlaces returns the number of databases to select besides the required ones, and the limit above which the subset counts as
 // grown. With size slack, the free places go to databases whose scores are below the score at which the planned pool would fill the
 // size and half of the slack, within the size and its slack. A router whose ranking happens to be dense at its head selects some
 // more, and one whose ranking is sparse selects none with a worse score. This keeps the loads of the databases even.
 func (r *Ranking) freePlaces(size int) (freePlaces, limit int) {
-	slack := int(float64(size) * r.options.Room)
-	if slack == 0 || !(r.router.Planned > 0) {
+	slack := int(float64(size) * r.options.SizeSlack)
+	if slack == 0 || !(r.router.PlannedWeight > 0) {
 		return max(size-r.requiredCount, 0), size
 	}
-	maxScore := (float64(size) + float64(slack)/2) / r.router.Planned
+	maxScore := (float64(size) + float64(slack)/2) / r.router.PlannedWeight
 	belowMax := 0
 	for _, c := range r.candidates[:min(size+slack, len(r.candidates))] {
 		if c.score >= maxScore {
@@ -145,22 +145,22 @@
 
 // Select returns the subset of a width: the databases that the requirements need, then the head of the ranking. A wider subset
 // contains every narrower one.
-func (r *Ranking) Take(width int) Choice {
+func (r *Ranking) Select(width int) Selection {
 	freePlaces, limit := r.freePlaces(r.Size(width))
-	choice := Choice{Members: make([]Member, 0, freePlaces+r.requiredCount), Grown: max(r.requiredCount-limit, 0)}
+	choice := Selection{Members: make([]Member, 0, freePlaces+r.requiredCount), Excess: max(r.requiredCount-limit, 0)}
 	for _, c := range r.candidates {
-		member := Member{Index: int(c.index), Reason: Needed, Need: int(c.requirement)}
+		member := Member{Index: int(c.index), Reason: Required, Requirement: int(c.requirement)}
 		if c.requirement == notRequired {
 			if freePlaces == 0 {
 				continue
 			}
 			freePlaces--
-			member = Member{Index: int(c.index), Reason: Ranked, Need: notRequired}
+			member = Member{Index: int(c.index), Reason: Ranked, Requirement: notRequired}
 		}
-		member.Near = r.databases[c.index].Zone == r.router.Zone
+		member.InOwnZone = r.databases[c.index].Zone == r.router.Zone
 		choice.Members = append(choice.Members, member)
 	}
 	slices.SortFunc(choice.Members, func(a, b Member) int { return cmp.Compare(a.Index, b.Index) })
-	choice.Whole = len(choice.Members) == len(r.candidates)
+	choice.WholePool = len(choice.Members) == len(r.candidates)
 	return choice
 }
--- a/fleet/subset/requirements.go
+++ b/fleet/subset/requirements.go
@@ -13,22 +13,22 @@
 }
 
 // PoolLayout is the part of the settings from which the requirements of every subset follow.
-type Shape struct {
+type PoolLayout struct {
 	Zones, Kinds int
 	Placements   []Placement
-	ByZone       bool // duplicate requests of some profile are dropped within a zone only, so a second attempt needs a second database there
+	DedupByZone  bool // duplicate requests of some profile are dropped within a zone only, so a second attempt needs a second database there
 }
 
 // Requirements returns the minimum numbers of databases of a router's subset: of each kind and each placement; of each zone if
 // duplicates are dropped by zone; and of the zones outside the router's own zone and outside its region, which are what remains if
 // those fail. A negative zone or an empty region is unknown.
-func (s *Shape) Needs(zone int, regionZones []int, minimum int) []Need {
+func (s *PoolLayout) Requirements(zone int, regionZones []int, minimum int) []Requirement {
 	all := append(s.placementRequirements(), s.kindAndZoneRequirements()...)
 	all = append(all, s.outsideRequirements(zone, regionZones)...)
-	var distinct []Need
+	var distinct []Requirement
 	for _, n := range all {
 		if !slices.ContainsFunc(distinct, n.coversSame) {
-			n.Least = minimum
+			n.Minimum = minimum
 			distinct = append(distinct, n)
 		}
 	}
@@ -36,11 +36,11 @@
 }
 
 // placementRequirements returns one requirement for each placement that does not allow the whole pool.
-func (s *Shape) placementRequirements() []Need {
-	var requirements []Need
+func (s *PoolLayout) placementRequirements() []Requirement {
+	var requirements []Requirement
 	for _, p := range s.Placements {
 		if p.Zones != nil || p.Kinds != nil {
-			requirements = append(requirements, Need{Name: "profile " + p.Name, Zones: p.Zones, Kinds: p.Kinds})
+			requirements = append(requirements, Requirement{Name: "profile " + p.Name, Zones: p.Zones, Kinds: p.Kinds})
 		}
 	}
 	return requirements
@@ -48,34 +48,34 @@
 
 // kindAndZoneRequirements returns one requirement for each kind if there are several, and one for each zone if duplicates are
 // dropped by zone.
-func (s *Shape) kindAndZoneRequirements() []Need {
-	var requirements []Need
+func (s *PoolLayout) kindAndZoneRequirements() []Requirement {
+	var requirements []Requirement
 	if s.Kinds > 1 {
 		for kind := range s.Kinds {
-			requirements = append(requirements, Need{Name: fmt.Sprintf("kind %d", kind), Kinds: []int{kind}})
+			requirements = append(requirements, Requirement{Name: fmt.Sprintf("kind %d", kind), Kinds: []int{kind}})
 		}
 	}
-	if s.ByZone && s.Zones > 1 {
+	if s.DedupByZone && s.Zones > 1 {
 		for z := range s.Zones {
-			requirements = append(requirements, Need{Name: fmt.Sprintf("zone %d", z), Zones: []int{z}})
+			requirements = append(requirements, Requirement{Name: fmt.Sprintf("zone %d", z), Zones: []int{z}})
 		}
 	}
 	return requirements
 }
 
 // outsideRequirements returns the requirements for the zones outside the router's own zone and outside its region.
-func (s *Shape) outsideRequirements(zone int, regionZones []int) []Need {
-	var requirements []Need
+func (s *PoolLayout) outsideRequirements(zone int, regionZones []int) []Requirement {
+	var requirements []Requirement
 	if s.Zones > 1 && zone >= 0 {
-		requirements = append(requirements, Need{Name: "other zones", Zones: []int{zone}, Outside: true})
+		requirements = append(requirements, Requirement{Name: "other zones", Zones: []int{zone}, Outside: true})
 	}
 	if len(regionZones) > 0 && len(regionZones) < s.Zones {
-		requirements = append(requirements, Need{Name: "other regions", Zones: regionZones, Outside: true})
+		requirements = append(requirements, Requirement{Name: "other regions", Zones: regionZones, Outside: true})
 	}
 	return requirements
 }
 
 // coversSame reports whether two requirements cover the same databases, whatever their names.
-func (n Need) coversSame(other Need) bool {
+func (n Requirement) coversSame(other Requirement) bool {
 	return n.Outside == other.Outside && reflect.DeepEqual(n.Zones, other.Zones) && reflect.DeepEqual(n.Kinds, other.Kinds)
 }
--- a/fleet/subset/score.go
+++ b/fleet/subset/score.go
@@ -16,7 +16,7 @@
 }
 
 func newScorer(o *Options, r *Router) scorer {
-	s := scorer{router: r, keepCells: o.Together, unnumbered: r.Place < 0}
+	s := scorer{router: r, keepCells: o.KeepCellsTogether, unnumbered: r.Number < 0}
 	s.zoneFactor, s.regionFactor = o.localityFactors(r)
 	if s.unnumbered {
 		s.routerHash = hashName(r.Name)
@@ -44,7 +44,7 @@
 	if s.unnumbered {
 		return mix(key ^ s.routerHash)
 	}
-	return multiplier*uint64(s.router.Place) + mix(key+1)
+	return multiplier*uint64(s.router.Number) + mix(key+1)
 }
 
 // localityFactor returns the factor for the database's zone.
@@ -94,4 +94,4 @@
 
 // Jitter returns a number in [0, 1) that depends on the router's name. Routers use it to spread out in time actions that they would
 // otherwise take simultaneously.
-func Spread(router string) float64 { return unitInterval(hashName(router)) }
+func Jitter(router string) float64 { return unitInterval(hashName(router)) }
--- a/fleet/subset/subset.go
+++ b/fleet/subset/subset.go
@@ -24,27 +24,27 @@
 
 // Router is the router that selects a subset.
 type Router struct {
-	Name   string  // used for the ranking if Number is unknown
-	Place  int     // unique among the routers, preferably without gaps; negative: unknown, and the loads are then uneven
-	Zone   int     // negative: unknown, and no database is in the own zone
-	Region int     // negative: unknown
-	Share  float64 // traffic relative to the mean router's; 0: the mean
+	Name         string  // used for the ranking if Number is unknown
+	Number       int     // unique among the routers, preferably without gaps; negative: unknown, and the loads are then uneven
+	Zone         int     // negative: unknown, and no database is in the own zone
+	Region       int     // negative: unknown
+	TrafficShare float64 // traffic relative to the mean router's; 0: the mean
 	// PlannedWeight is the pool's effective weight, for this list or a similar one, from which the size of the subset is adjusted to even
 	// out the loads. 0: none; all subsets then have the same size.
-	Planned float64
+	PlannedWeight float64
 }
 
 // Requirement is a set of databases of which every subset must contain a minimum number: those in the listed zones and of the listed
 // kinds. Nil stands for all.
-type Need struct {
+type Requirement struct {
 	Name         string // used in messages
 	Zones, Kinds []int
 	Outside      bool // all zones except the listed ones count
-	Least        int
+	Minimum      int
 }
 
 // covers reports whether the database counts for the requirement.
-func (n *Need) covers(d *Database) bool {
+func (n *Requirement) covers(d *Database) bool {
 	if n.Zones != nil && slices.Contains(n.Zones, d.Zone) == n.Outside {
 		return false
 	}
@@ -56,12 +56,12 @@
 
 // The reasons; the first takes precedence.
 const (
-	Needed Reason = iota + 1 // without the database a requirement would have fewer than its minimum
-	Ranked                   // the database is at the head of the router's ranking
+	Required Reason = iota + 1 // without the database a requirement would have fewer than its minimum
+	Ranked                     // the database is at the head of the router's ranking
 )
 
 func (r Reason) String() string {
-	if r == Needed {
+	if r == Required {
 		return "needed"
 	}
 	return "ranked"
@@ -69,17 +69,17 @@
 
 // Member is one database of a subset.
 type Member struct {
-	Index  int // index in the list of databases
-	Reason Reason
-	Need   int // index of the first requirement that needs the database, if Reason is Required
-	Near   bool
+	Index       int // index in the list of databases
+	Reason      Reason
+	Requirement int // index of the first requirement that needs the database, if Reason is Required
+	InOwnZone   bool
 }
 
 // Selection is a subset, in the order of the list.
-type Choice struct {
-	Members []Member
-	Grown   int  // number of databases beyond the size limit that the requirements add
-	Whole   bool // the subset contains the whole list
+type Selection struct {
+	Members   []Member
+	Excess    int  // number of databases beyond the size limit that the requirements add
+	WholePool bool // the subset contains the whole list
 }
 
 // Pool is a list of databases prepared for ranking, for any number of routers. It is immutable.
@@ -110,7 +110,7 @@
 			continue
 		}
 		seen[d.Name] = struct{}{}
-		e := entry{index: int32(i), nameHash: hashName(d.Name), weight: CheckedWeight(d.Weight)}
+		e := entry{index: int32(i), nameHash: hashName(d.Name), weight: NormalizeWeight(d.Weight)}
 		e.cellHash = mix(uint64(uint32(d.Zone))<<32 | uint64(uint32(d.Cell)))
 		e.irrational, e.cellIrrational = irrational(e.nameHash), irrational(e.cellHash)
 		p.entries = append(p.entries, e)
@@ -122,4 +122,4 @@
 func (p *Pool) Len() int { return len(p.entries) }
 
 // Duplicates returns the names that occur in the list again, once for each repetition.
-func (p *Pool) Repeated() []string { return p.duplicates }
+func (p *Pool) Duplicates() []string { return p.duplicates }
--- a/fleet/subset/subset_test.go
+++ b/fleet/subset/subset_test.go
@@ -20,7 +20,7 @@
 
 // standard returns the options for which docs/design/subset.md gives figures.
 func standard(size int) Options {
-	return Options{Size: size, Room: 0.5, Widest: 4, Near: 0.5, Region: 0.2, ZonePart: 1.0 / fleetZones, RegionPart: 4.0 / fleetZones}
+	return Options{Size: size, SizeSlack: 0.5, MaxWidth: 4, OwnZoneShare: 0.5, OwnRegionShare: 0.2, ZoneWeightShare: 1.0 / fleetZones, RegionWeightShare: 4.0 / fleetZones}
 }
 
 func regionOf(zone int) int {
@@ -55,13 +55,13 @@
 // fleetRouter returns router k of n; routers are numbered zone by zone.
 func fleetRouter(k, n int) Router {
 	zone := k * fleetZones / n
-	return Router{Name: fmt.Sprint("router-", k), Place: k, Zone: zone, Region: regionOf(zone)}
+	return Router{Name: fmt.Sprint("router-", k), Number: k, Zone: zone, Region: regionOf(zone)}
 }
 
 // withRegionPart returns the options for the router's region.
 func withRegionPart(o Options, r Router) *Options {
 	if r.Region == 1 {
-		o.RegionPart = 3.0 / fleetZones
+		o.RegionWeightShare = 3.0 / fleetZones
 	}
 	return &o
 }
@@ -73,11 +73,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ranking.router.Planned = ranking.Effective()
+	ranking.router.PlannedWeight = ranking.EffectiveWeight()
 	return ranking
 }
 
-func namesOf(databases []Database, c Choice) []string {
+func namesOf(databases []Database, c Selection) []string {
 	var names []string
 	for _, m := range c.Members {
 		names = append(names, databases[m.Index].Name)
@@ -91,7 +91,7 @@
 	pool := NewPool(databases)
 	members = make([]int, len(databases))
 	for _, r := range routers {
-		c := rankPlanned(t, pool, withRegionPart(o, r), r).Take(width)
+		c := rankPlanned(t, pool, withRegionPart(o, r), r).Select(width)
 		total += len(c.Members)
 		for _, m := range c.Members {
 			members[m.Index]++
@@ -125,7 +125,7 @@
 		databases := fleetPool(seed, equalWeight)
 		for _, width := range []int{1, 2, 4} {
 			members, total := countMembers(t, databases, standard(64), routers, width)
-			if got := mostToMean(databases, members, total); got > Unevenness {
+			if got := mostToMean(databases, members, total); got > MaxUnevenness {
 				t.Errorf("names %s, width %d: the ratio of the largest load to the mean is %.3f", seed, width, got)
 			}
 			budget := ConnectionBudget(fleetRouters, standard(64).maxMembers(width), 1.0/fleetDatabases)
@@ -166,16 +166,16 @@
 	routers := allFleetRouters()
 	const busy = 2 * fleetZones // with consecutive numbers
 	for k := fleetRouters - busy; k < fleetRouters; k++ {
-		routers[k].Share, routers[k].Zone = 20, k%fleetZones
+		routers[k].TrafficShare, routers[k].Zone = 20, k%fleetZones
 		routers[k].Region = regionOf(routers[k].Zone)
 	}
 	pool := NewPool(databases)
 	last := routers[fleetRouters-1]
-	if got := len(rankPlanned(t, pool, withRegionPart(standard(64), last), last).Take(1).Members); got < 20*64 {
+	if got := len(rankPlanned(t, pool, withRegionPart(standard(64), last), last).Select(1).Members); got < 20*64 {
 		t.Errorf("a router with twenty times the traffic selects %d databases", got)
 	}
 	members, total := countMembers(t, databases, standard(64), routers, 1)
-	if got := mostToMean(databases, members, total); got > Unevenness {
+	if got := mostToMean(databases, members, total); got > MaxUnevenness {
 		t.Errorf("the ratio of the largest load to the mean is %.3f", got)
 	}
 }
@@ -186,12 +186,12 @@
 	databases := fleetPool("near", equalWeight)
 	pool := NewPool(databases)
 	inOwnZone, members := 0, 0
-	shape := Shape{Zones: fleetZones, Kinds: 2}
+	shape := PoolLayout{Zones: fleetZones, Kinds: 2}
 	for _, r := range allFleetRouters() {
 		zones := [fleetZones]int{}
 		o := withRegionPart(standard(64), r)
-		o.Needs = shape.Needs(r.Zone, zonesOf(r.Region), 4)
-		c := rankPlanned(t, pool, o, r).Take(1)
+		o.Requirements = shape.Requirements(r.Zone, zonesOf(r.Region), 4)
+		c := rankPlanned(t, pool, o, r).Select(1)
 		for _, m := range c.Members {
 			zones[databases[m.Index].Zone]++
 		}
@@ -231,11 +231,11 @@
 	for k := range fleetRouters {
 		zone := zones[k*len(zones)/fleetRouters]
 		o := standard(64)
-		o.ZonePart, o.RegionPart = float64(sizes[zone])/30, 1.0/3
+		o.ZoneWeightShare, o.RegionWeightShare = float64(sizes[zone])/30, 1.0/3
 		if regionOf(zone) == 1 {
-			o.RegionPart = 2.0 / 3
+			o.RegionWeightShare = 2.0 / 3
 		}
-		c := rankPlanned(t, pool, &o, Router{Place: k, Zone: zone, Region: regionOf(zone)}).Take(1)
+		c := rankPlanned(t, pool, &o, Router{Number: k, Zone: zone, Region: regionOf(zone)}).Select(1)
 		for _, m := range c.Members {
 			members[m.Index]++
 			total++
@@ -260,18 +260,18 @@
 		d.databases = append(d.databases, Database{Name: fmt.Sprintf("s-%d", i), Zone: zone, Region: zone / 2, Cell: i / 4,
 			Kind: rapid.IntRange(0, kinds-1).Draw(t, "kind"), Weight: rapid.SampledFrom([]float64{0.5, 1, 1, 1, 2, 8}).Draw(t, "weight")})
 	}
-	d.options = Options{Size: rapid.IntRange(1, 24).Draw(t, "size"), Widest: 4, Near: 0.5, Region: 0.2, ZonePart: 1 / float64(zones),
-		RegionPart: float64(min(zones, 2)) / float64(zones), Room: rapid.SampledFrom([]float64{0, 0.25, 0.5}).Draw(t, "room"), Together: rapid.Bool().Draw(t, "together")}
+	d.options = Options{Size: rapid.IntRange(1, 24).Draw(t, "size"), MaxWidth: 4, OwnZoneShare: 0.5, OwnRegionShare: 0.2, ZoneWeightShare: 1 / float64(zones),
+		RegionWeightShare: float64(min(zones, 2)) / float64(zones), SizeSlack: rapid.SampledFrom([]float64{0, 0.25, 0.5}).Draw(t, "room"), KeepCellsTogether: rapid.Bool().Draw(t, "together")}
 	for n := range rapid.IntRange(0, maxRequirements).Draw(t, "needs") {
-		d.options.Needs = append(d.options.Needs, Need{Name: fmt.Sprint(n), Zones: rapid.SampledFrom([][]int{nil, {0}, {0, 1}}).Draw(t, "in"),
+		d.options.Requirements = append(d.options.Requirements, Requirement{Name: fmt.Sprint(n), Zones: rapid.SampledFrom([][]int{nil, {0}, {0, 1}}).Draw(t, "in"),
 			Kinds: rapid.SampledFrom([][]int{nil, {0}, {1}}).Draw(t, "of"), Outside: rapid.Bool().Draw(t, "outside"),
-			Least: rapid.IntRange(0, 4).Draw(t, "least")})
+			Minimum: rapid.IntRange(0, 4).Draw(t, "least")})
 	}
-	d.router = Router{Name: "r", Place: rapid.IntRange(-1, 2000).Draw(t, "place"), Zone: rapid.IntRange(-1, zones-1).Draw(t, "at"),
-		Region: rapid.IntRange(-1, 1).Draw(t, "region"), Share: rapid.SampledFrom([]float64{0, 0.1, 1, 3}).Draw(t, "share")}
+	d.router = Router{Name: "r", Number: rapid.IntRange(-1, 2000).Draw(t, "place"), Zone: rapid.IntRange(-1, zones-1).Draw(t, "at"),
+		Region: rapid.IntRange(-1, 1).Draw(t, "region"), TrafficShare: rapid.SampledFrom([]float64{0, 0.1, 1, 3}).Draw(t, "share")}
 	// The planned weight is close to this pool's, so that most sizes lie within the slack.
 	planned := rapid.SampledFrom([]float64{0, 0.5, 0.95, 1, 1.05, 2}).Draw(t, "planned")
-	d.router.Planned = planned * d.rank(t, d.databases).Effective()
+	d.router.PlannedWeight = planned * d.rank(t, d.databases).EffectiveWeight()
 	return d
 }
 
@@ -293,7 +293,7 @@
 		without := slices.Delete(slices.Clone(d.databases), gone, gone+1)
 		for _, width := range []int{1, 2, 4} {
 			ranking := d.rank(t, d.databases)
-			before, after := namesOf(d.databases, ranking.Take(width)), namesOf(without, d.rank(t, without).Take(width))
+			before, after := namesOf(d.databases, ranking.Select(width)), namesOf(without, d.rank(t, without).Select(width))
 			if !slices.Contains(before, d.databases[gone].Name) {
 				if !slices.Equal(before, after) {
 					t.Fatalf("width %d: after the removal of a database that was not selected, %v becomes %v", width, before, after)
@@ -301,8 +301,8 @@
 				continue
 			}
 			covering := 0
-			for n := range d.options.Needs {
-				if d.options.Needs[n].Least > 0 && d.options.Needs[n].covers(&d.databases[gone]) {
+			for n := range d.options.Requirements {
+				if d.options.Requirements[n].Minimum > 0 && d.options.Requirements[n].covers(&d.databases[gone]) {
 					covering++
 				}
 			}
@@ -329,9 +329,9 @@
 }
 
 // checkRequirements checks that a selection meets each requirement's minimum, or contains all databases that the requirement covers.
-func (d *drawnCase) checkRequirements(t *rapid.T, c Choice) {
-	for n := range d.options.Needs {
-		requirement := &d.options.Needs[n]
+func (d *drawnCase) checkRequirements(t *rapid.T, c Selection) {
+	for n := range d.options.Requirements {
+		requirement := &d.options.Requirements[n]
 		has, available := 0, 0
 		for _, m := range c.Members {
 			if requirement.covers(&d.databases[m.Index]) {
@@ -343,8 +343,8 @@
 				available++
 			}
 		}
-		if has < min(requirement.Least, available) {
-			t.Fatalf("requirement %d has %d of %d databases", n, has, min(requirement.Least, available))
+		if has < min(requirement.Minimum, available) {
+			t.Fatalf("requirement %d has %d of %d databases", n, has, min(requirement.Minimum, available))
 		}
 	}
 }
@@ -357,17 +357,17 @@
 		ranking := d.rank(t, d.databases)
 		narrower := []string{}
 		for _, width := range []int{1, 2, 4} {
-			c := ranking.Take(width)
+			c := ranking.Select(width)
 			d.checkRequirements(t, c)
 			size := min(ranking.Size(width), len(d.databases))
 			if len(c.Members) < size {
 				t.Fatalf("%d databases are selected, the size is %d", len(c.Members), size)
 			}
-			if maxMembers := max(int(float64(size)*(1+d.options.Room)), ranking.requiredCount); len(c.Members) > maxMembers {
+			if maxMembers := max(int(float64(size)*(1+d.options.SizeSlack)), ranking.requiredCount); len(c.Members) > maxMembers {
 				t.Fatalf("%d databases are selected, the limit is %d", len(c.Members), maxMembers)
 			}
-			if _, limit := ranking.freePlaces(size); c.Grown != max(ranking.requiredCount-limit, 0) {
-				t.Fatalf("grown by %d with %d required databases", c.Grown, ranking.requiredCount)
+			if _, limit := ranking.freePlaces(size); c.Excess != max(ranking.requiredCount-limit, 0) {
+				t.Fatalf("grown by %d with %d required databases", c.Excess, ranking.requiredCount)
 			}
 			names := namesOf(d.databases, c)
 			if left, _ := countMoved(narrower, names); left > 0 {
@@ -384,7 +384,7 @@
 		d := drawCase(t, 3)
 		permuted := rapid.Permutation(d.databases).Draw(t, "mixed")
 		permuted = append(permuted, permuted[0])
-		a, b := namesOf(d.databases, d.rank(t, d.databases).Take(1)), namesOf(permuted, d.rank(t, permuted).Take(1))
+		a, b := namesOf(d.databases, d.rank(t, d.databases).Select(1)), namesOf(permuted, d.rank(t, permuted).Select(1))
 		if !slices.Equal(a, b) {
 			t.Fatalf("subset %v becomes %v after a reordering of the list", a, b)
 		}
@@ -396,11 +396,11 @@
 func TestLostZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawCase(t, 0)
-		shape := Shape{Zones: 4, Kinds: 3}
-		d.options.Needs = shape.Needs(d.router.Zone, nil, 1)
+		shape := PoolLayout{Zones: 4, Kinds: 3}
+		d.options.Requirements = shape.Requirements(d.router.Zone, nil, 1)
 		rest := slices.DeleteFunc(slices.Clone(d.databases), func(x Database) bool { return x.Zone == d.router.Zone })
 		outside := 0
-		for _, m := range d.rank(t, d.databases).Take(1).Members {
+		for _, m := range d.rank(t, d.databases).Select(1).Members {
 			if d.databases[m.Index].Zone != d.router.Zone {
 				outside++
 			}
@@ -408,7 +408,7 @@
 		if outside == 0 && len(rest) > 0 {
 			t.Fatal("all databases of the subset are in the own zone")
 		}
-		if got, want := len(d.rank(t, rest).Take(1).Members), min(d.options.Size, len(rest)); got < want {
+		if got, want := len(d.rank(t, rest).Select(1).Members), min(d.options.Size, len(rest)); got < want {
 			t.Fatalf("%d databases without the zone, want %d", got, want)
 		}
 	})
@@ -423,7 +423,7 @@
 		invalid[at].Weight = rapid.SampledFrom([]float64{0, -1, math.NaN(), math.Inf(1), 1e308, 5e-324}).Draw(t, "weight")
 		normalized := slices.Clone(invalid)
 		normalized[at].Weight = 1
-		if a, b := namesOf(invalid, d.rank(t, invalid).Take(1)), namesOf(normalized, d.rank(t, normalized).Take(1)); !slices.Equal(a, b) {
+		if a, b := namesOf(invalid, d.rank(t, invalid).Select(1)), namesOf(normalized, d.rank(t, normalized).Select(1)); !slices.Equal(a, b) {
 			t.Fatalf("subset %v with the invalid weight, %v with weight 1", a, b)
 		}
 	})
@@ -435,16 +435,16 @@
 		message string
 	}{
 		{func(o *Options) { o.Size = 0 }, "size: 0"},
-		{func(o *Options) { o.Size = MostSize + 1 }, "size"},
-		{func(o *Options) { o.Room = math.NaN() }, "room"},
-		{func(o *Options) { o.Room = 1.5 }, "room"},
-		{func(o *Options) { o.Widest = 3 }, "power of two"},
-		{func(o *Options) { o.Near = math.NaN() }, "near"},
-		{func(o *Options) { o.Near, o.Region = 0.8, 0.2 }, "near"},
-		{func(o *Options) { o.RegionPart = math.NaN() }, "zones"},
-		{func(o *Options) { o.ZonePart = 7 }, "zones"},
-		{func(o *Options) { o.Needs = []Need{{Least: -1}} }, "needs/0"},
-		{func(o *Options) { o.Needs = make([]Need, MostNeeds+1) }, "needs"},
+		{func(o *Options) { o.Size = MaxSize + 1 }, "size"},
+		{func(o *Options) { o.SizeSlack = math.NaN() }, "room"},
+		{func(o *Options) { o.SizeSlack = 1.5 }, "room"},
+		{func(o *Options) { o.MaxWidth = 3 }, "power of two"},
+		{func(o *Options) { o.OwnZoneShare = math.NaN() }, "near"},
+		{func(o *Options) { o.OwnZoneShare, o.OwnRegionShare = 0.8, 0.2 }, "near"},
+		{func(o *Options) { o.RegionWeightShare = math.NaN() }, "zones"},
+		{func(o *Options) { o.ZoneWeightShare = 7 }, "zones"},
+		{func(o *Options) { o.Requirements = []Requirement{{Minimum: -1}} }, "needs/0"},
+		{func(o *Options) { o.Requirements = make([]Requirement, MaxRequirements+1) }, "needs"},
 	} {
 		o := standard(64)
 		c.change(&o)
