--- a/fleet/subset/width_test.go
+++ b/fleet/subset/width_test.go
@@ -8,7 +8,7 @@
 )
 
 var (
-	sufficient   = Summary{Held: 64, Usable: 60, Classes: []Room{{64, 60}, {4, 3}}}
+	sufficient   = Summary{Held: 64, Usable: 60, Classes: []ClassCapacity{{64, 60}, {4, 3}}}
 	insufficient = Summary{Held: 64, Usable: 31}
 )
 
@@ -21,12 +21,12 @@
 		{"all well", sufficient, false},
 		{"half usable", Summary{Held: 64, Usable: 32}, false},
 		{"under half usable", insufficient, true},
-		{"a class has none", Summary{Held: 64, Usable: 60, Classes: []Room{{64, 60}, {1, 0}}}, true},
-		{"a class is barred", Summary{Held: 64, Usable: 60, Classes: []Room{{0, 0}}}, true},
-		{"a class has under half", Summary{Held: 64, Usable: 60, Classes: []Room{{9, 4}}}, true},
+		{"a class has none", Summary{Held: 64, Usable: 60, Classes: []ClassCapacity{{64, 60}, {1, 0}}}, true},
+		{"a class is barred", Summary{Held: 64, Usable: 60, Classes: []ClassCapacity{{0, 0}}}, true},
+		{"a class has under half", Summary{Held: 64, Usable: 60, Classes: []ClassCapacity{{9, 4}}}, true},
 		{"nothing held", Summary{}, false},
 	} {
-		if got := c.summary.Short(); got != c.want {
+		if got := c.summary.Insufficient(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -35,30 +35,30 @@
 // TestWidth checks that an insufficient subset widens at once and then by one step a second up to the maximum, and that a sufficient
 // one narrows step by step.
 func TestWidth(t *testing.T) {
-	var w Width
+	var w WidthController
 	now, jitter := 100.0, 0.5
-	if !w.Step(now, &insufficient, &insufficient, 4, jitter) || w.Factor() != 2 {
+	if !w.Update(now, &insufficient, &insufficient, 4, jitter) || w.Factor() != 2 {
 		t.Fatalf("an insufficient subset is not widened at once: width %d", w.Factor())
 	}
-	if w.Step(now+WidenEvery/2, &insufficient, &insufficient, 4, jitter) {
+	if w.Update(now+WidenInterval/2, &insufficient, &insufficient, 4, jitter) {
 		t.Fatal("it widens again before the added databases could have been tried")
 	}
-	if !w.Step(now+WidenEvery, &insufficient, &insufficient, 4, jitter) || w.Factor() != 4 {
+	if !w.Update(now+WidenInterval, &insufficient, &insufficient, 4, jitter) || w.Factor() != 4 {
 		t.Fatalf("it does not widen further: width %d", w.Factor())
 	}
-	if w.Step(now+2*WidenEvery, &insufficient, &insufficient, 4, jitter) {
+	if w.Update(now+2*WidenInterval, &insufficient, &insufficient, 4, jitter) {
 		t.Fatal("it widens beyond the maximum")
 	}
 	now += 10
-	if w.Step(now, &sufficient, &insufficient, 4, jitter) || w.Step(now+2*CalmFor, &sufficient, &insufficient, 4, jitter) {
+	if w.Update(now, &sufficient, &insufficient, 4, jitter) || w.Update(now+2*NarrowDelay, &sufficient, &insufficient, 4, jitter) {
 		t.Fatal("it narrows although the narrower subset would be insufficient")
 	}
-	now += 3 * CalmFor
-	w.Step(now, &sufficient, &sufficient, 4, jitter)
-	if w.Step(now+CalmFor, &sufficient, &sufficient, 4, jitter) {
+	now += 3 * NarrowDelay
+	w.Update(now, &sufficient, &sufficient, 4, jitter)
+	if w.Update(now+NarrowDelay, &sufficient, &sufficient, 4, jitter) {
 		t.Fatal("it narrows before the jitter has passed")
 	}
-	if !w.Step(now+CalmFor*(1+jitter/2), &sufficient, &sufficient, 4, jitter) || w.Factor() != 2 {
+	if !w.Update(now+NarrowDelay*(1+jitter/2), &sufficient, &sufficient, 4, jitter) || w.Factor() != 2 {
 		t.Fatalf("a sufficient subset does not narrow: width %d", w.Factor())
 	}
 }
@@ -67,7 +67,7 @@
 // does not narrow within NarrowDelay after the subset was insufficient.
 func TestWidthStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Width
+		var w WidthController
 		now, lastInsufficient := 0.0, math.Inf(-1)
 		widest := rapid.SampledFrom([]int{0, 1, 2, 4, 8}).Draw(t, "widest")
 		summaries := [...]*Summary{&sufficient, &insufficient}
@@ -78,7 +78,7 @@
 				lastInsufficient = now
 			}
 			before := w.Factor()
-			changed := w.Step(now, summaries[current], summaries[narrower], widest, 0)
+			changed := w.Update(now, summaries[current], summaries[narrower], widest, 0)
 			after := w.Factor()
 			switch {
 			case changed != (before != after):
@@ -87,7 +87,7 @@
 				t.Fatalf("width %d, the maximum is %d", after, widest)
 			case after > 2*before || before > 2*after:
 				t.Fatalf("the width changes from %d to %d in one step", before, after)
-			case after < before && now-lastInsufficient < CalmFor:
+			case after < before && now-lastInsufficient < NarrowDelay:
 				t.Fatalf("it narrows %.1f s after the subset was insufficient", now-lastInsufficient)
 			}
 		}
@@ -99,7 +99,7 @@
 	for _, c := range []struct{ before, effective, want float64 }{
 		{0, 3900, 3900}, {3900, 3899, 3900}, {3900, 3706, 3900}, {3900, 3700, 3700}, {3900, 4100, 4100}, {3900, 0, 0},
 	} {
-		if got := Plan(c.before, c.effective); got != c.want {
+		if got := NextPlannedWeight(c.before, c.effective); got != c.want {
 			t.Errorf("planned weight %v, effective weight %v: next planned weight %v", c.before, c.effective, got)
 		}
 	}
--- a/internal/agentdriver/link.go
+++ b/internal/agentdriver/link.go
@@ -60,14 +60,14 @@
 	f := cfg.Operator.Fleet
 	l := &Link{log: log, zones: cfg.Settings.Zones}
 	zone := f.Zone
-	if z := cfg.Settings.Brain.Zone; zone == "" && z >= 0 && z < len(l.zones) {
+	if z := cfg.Settings.Admission.Zone; zone == "" && z >= 0 && z < len(l.zones) {
 		zone = l.zones[z]
 	}
-	works := f.Works
+	works := f.TaskKinds
 	if len(works) == 0 {
-		works = []string{agent.Warmth, agent.Trials, agent.Quotas, agent.Plans}
+		works = []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind, agent.PlanKind}
 	}
-	var kept agent.Kept
+	var kept agent.PersistentState
 	var v *vault
 	if f.Folder != "" {
 		var err error
@@ -82,14 +82,14 @@
 	var trace func(agent.Trace)
 	if f.Trace {
 		trace = func(t agent.Trace) {
-			log.Info("trace "+t.What+" "+t.Work, zap.String("what", t.What), zap.String("work", t.Work), zap.Uint64("fence", t.Fence),
-				zap.Float64("part", t.Part), zap.Float64("at", t.At), zap.Float64("until", t.Until))
+			log.Info("trace "+t.Event+" "+t.Task, zap.String("what", t.Event), zap.String("work", t.Task), zap.Uint64("fence", t.Fence),
+				zap.Float64("part", t.Share), zap.Float64("at", t.At), zap.Float64("until", t.Until))
 		}
 	}
-	m := agent.New(agent.Config{Zones: len(l.zones), ZoneNames: l.zones, ZoneNumber: cfg.Settings.Brain.Zone, Way: ways(l.zones, f.Regions), Name: cfg.Name, Tenants: cfg.Settings.Tenants, Zone: zone, Region: f.Region, Incarnation: rand.Uint64()&digits | 1, Seed: rand.Uint64(),
-		Stands: works, Members: max(cfg.Settings.Brain.Routers, 1), Window: cfg.Settings.Brain.FallWindow, Began: boottime.Now(),
-		Keeps: v != nil, Now: boottime.Now, Trace: trace, Log: func(text string) { log.Info(text) }}, kept)
-	l.Driver = newDriver(m, coordserver.NewClient(f.Keepers, f.From), v)
+	m := agent.New(agent.Config{ZoneCount: len(l.zones), ZoneNames: l.zones, ZoneNumber: cfg.Settings.Admission.Zone, RoundTrips: ways(l.zones, f.Regions), Name: cfg.Name, Tenants: cfg.Settings.Tenants, Zone: zone, Region: f.Region, Incarnation: rand.Uint64()&digits | 1, Seed: rand.Uint64(),
+		CandidateKinds: works, RouterCount: max(cfg.Settings.Admission.Routers, 1), Window: cfg.Settings.Admission.FallWindow, StartedAt: boottime.Now(),
+		Persistent: v != nil, Now: boottime.Now, Trace: trace, Log: func(text string) { log.Info(text) }}, kept)
+	l.Driver = newDriver(m, coordserver.NewClient(f.Coordinators, f.From), v)
 	return l, nil
 }
 
@@ -133,10 +133,10 @@
 	return g.l.M.Guide().Price(now+g.l.ahead, zone, work)
 }
 func (g guide) Sent(now float64, zone int, work float64) {
-	g.l.M.Guide().Sent(now+g.l.ahead, zone, work)
+	g.l.M.Guide().RecordSent(now+g.l.ahead, zone, work)
 }
 func (g guide) Keeps(now, price, work float64) bool {
-	return g.l.M.Guide().Keeps(now+g.l.ahead, price, work)
+	return g.l.M.Guide().Admits(now+g.l.ahead, price, work)
 }
 
 // Run its goroutines.
@@ -165,9 +165,9 @@
 
 // carry one request to the keepers, or to the disk, and its answer back.
 func (l *Driver) carry(ctx context.Context, r agent.Request) {
-	if r.Keep != nil {
-		err := l.vault.keep(*r.Keep)
-		l.tell(ctx, func() { l.M.Kept(r.Seq, *r.Keep, err) })
+	if r.Persist != nil {
+		err := l.vault.keep(*r.Persist)
+		l.tell(ctx, func() { l.M.Persisted(r.Seq, *r.Persist, err) })
 		return
 	}
 	ask, cancel := context.WithTimeout(ctx, patience)
@@ -175,20 +175,20 @@
 	var value any
 	var err error
 	switch {
-	case r.Beat != nil:
-		var v coordinator.View
-		err = l.client.Call(ask, "/v1/beat", r.Beat, &v)
+	case r.Heartbeat != nil:
+		var v coordinator.Snapshot
+		err = l.client.Call(ask, "/v1/beat", r.Heartbeat, &v)
 		value = v
-	case r.Mail != nil:
-		var p coordinator.Posted
-		err = l.client.Call(ask, "/v1/mail", r.Mail, &p)
+	case r.Messages != nil:
+		var p coordinator.PostResult
+		err = l.client.Call(ask, "/v1/mail", r.Messages, &p)
 		value = p
-	case r.Act != nil:
-		var p coordinator.Posted
-		err = l.client.Call(ask, "/v1/act", r.Act, &p)
+	case r.Action != nil:
+		var p coordinator.PostResult
+		err = l.client.Call(ask, "/v1/act", r.Action, &p)
 		var old *lease.StaleFenceError
 		if errors.As(err, &old) {
-			old.Fence = r.Act.Fence
+			old.Fence = r.Action.Fence
 		}
 		value = p
 	}
@@ -211,8 +211,8 @@
 		select {
 		case l.work <- r:
 		default:
-			if r.Keep != nil {
-				l.M.Kept(r.Seq, *r.Keep, agent.ErrNoAnswer)
+			if r.Persist != nil {
+				l.M.Persisted(r.Seq, *r.Persist, agent.ErrNoAnswer)
 			} else {
 				l.M.Answer(boottime.Now(), r.Seq, nil, agent.ErrNoAnswer)
 			}
@@ -224,23 +224,23 @@
 func (l *Driver) News() <-chan func() { return l.news }
 
 // Tick tells the fleet what the module has use for, and lets time pass.
-func (l *Link) Tick(now float64, mind *admission.Brain) {
+func (l *Link) Tick(now float64, mind *admission.Controller) {
 	mine := boottime.Now()
 	l.ahead = mine - now
 	var d agent.Demand
-	engine := func(id uint32, zone int, start float64) agent.Engine {
-		e := agent.Engine{ID: id, Start: start}
+	engine := func(id uint32, zone int, start float64) agent.Server {
+		e := agent.Server{ID: id, Start: start}
 		if zone >= 0 && zone < len(l.zones) {
 			e.Zone = l.zones[zone]
 		}
 		return e
 	}
-	mind.Needs(now, admission.Use{
+	mind.Needs(now, admission.NeedsSink{
 		Cold: func(id uint32, zone int, start, need, least float64) {
-			d.Cold = append(d.Cold, agent.Cold{Engine: engine(id, zone, start), Need: need, Least: least})
+			d.ColdServers = append(d.ColdServers, agent.ColdServer{Server: engine(id, zone, start), Need: need, Least: least})
 		},
-		Doubted: func(id uint32, zone int, start float64) {
-			d.Doubted = append(d.Doubted, agent.Health{Engine: engine(id, zone, start)})
+		Suspected: func(id uint32, zone int, start float64) {
+			d.Suspected = append(d.Suspected, agent.Health{Server: engine(id, zone, start)})
 		},
 		Tenant: func(tenant int, need float64) {
 			d.Tenants = append(d.Tenants, agent.Tenant{Number: tenant, Need: need})
@@ -248,10 +248,10 @@
 	})
 	d.Health = func(id uint32) (agent.Health, bool) {
 		start, ill, heard, ok := mind.Health(id)
-		return agent.Health{Engine: agent.Engine{ID: id, Start: start}, Ill: ill, Heard: heard}, ok
+		return agent.Health{Server: agent.Server{ID: id, Start: start}, Unhealthy: ill, SinceAnswer: heard}, ok
 	}
 	d.Report = func() failover.Report { return mind.Report(now, len(l.zones)) }
-	l.M.Tell(mine, d)
+	l.M.SetDemand(mine, d)
 	l.Put(l.M.Tick(mine))
 	l.account(mine)
 }
@@ -264,9 +264,9 @@
 	}
 	s, was := l.M.Stats, l.last
 	l.last, l.lastAt = s, now
-	if s.Dealt+s.Pledges+s.Refused+s.Late+s.ToldOld != was.Dealt+was.Pledges+was.Refused+was.Late+was.ToldOld {
-		l.log.Info("work for the fleet", zap.Int("sessions", l.M.Fleet()), zap.Int("works", len(l.M.Held())), zap.Int("dealt", s.Dealt-was.Dealt),
-			zap.Int("pledged", s.Pledges-was.Pledges), zap.Int("late", s.Late-was.Late), zap.Int("refused", s.Refused-was.Refused+s.ToldOld-was.ToldOld))
+	if s.Granted+s.Relinquishments+s.RejectedStale+s.LateGrants+s.StaleNotices != was.Granted+was.Relinquishments+was.RejectedStale+was.LateGrants+was.StaleNotices {
+		l.log.Info("work for the fleet", zap.Int("sessions", l.M.FleetSize()), zap.Int("works", len(l.M.Held())), zap.Int("dealt", s.Granted-was.Granted),
+			zap.Int("pledged", s.Relinquishments-was.Relinquishments), zap.Int("late", s.LateGrants-was.LateGrants), zap.Int("refused", s.RejectedStale-was.RejectedStale+s.StaleNotices-was.StaleNotices))
 	}
 }
 
@@ -275,22 +275,22 @@
 
 // What the module asks, by the router's clock.
 
-// Part is this router's share of a server's budget, where the fleet has granted one.
-func (l *Link) Part(now float64, engine uint32, start float64) (float64, bool) {
-	return l.M.Part(now+l.ahead, engine, start)
+// WarmUpShare is this router's share of a server's budget, where the fleet has granted one.
+func (l *Link) WarmUpShare(now float64, engine uint32, start float64) (float64, bool) {
+	return l.M.WarmUpShare(now+l.ahead, engine, start)
 }
 
-// Quota is this router's share of a tenant's quota, where the fleet has granted one.
-func (l *Link) Quota(now float64, tenant int) (float64, bool) {
-	return l.M.Quota(now+l.ahead, tenant)
+// QuotaShare is this router's share of a tenant's quota, where the fleet has granted one.
+func (l *Link) QuotaShare(now float64, tenant int) (float64, bool) {
+	return l.M.QuotaShare(now+l.ahead, tenant)
 }
 
-// TrialAt is when this router may probe a suspected server, given the time that it would choose alone.
-func (l *Link) TrialAt(now float64, engine uint32, start, own float64) float64 {
-	return l.M.TrialAt(now+l.ahead, engine, start, own+l.ahead) - l.ahead
+// NextProbe is when this router may probe a suspected server, given the time that it would choose alone.
+func (l *Link) NextProbe(now float64, engine uint32, start, own float64) float64 {
+	return l.M.NextProbe(now+l.ahead, engine, start, own+l.ahead) - l.ahead
 }
 
-// Tried takes the result of a probe of a suspected server.
-func (l *Link) Tried(now float64, engine uint32, start float64, well bool) {
-	l.M.Tried(now+l.ahead, engine, start, well)
+// Probed takes the result of a probe of a suspected server.
+func (l *Link) Probed(now float64, engine uint32, start float64, well bool) {
+	l.M.Probed(now+l.ahead, engine, start, well)
 }
--- a/internal/agentdriver/plan.go
+++ b/internal/agentdriver/plan.go
@@ -21,7 +21,7 @@
 // planWords is what operators see of the fleet's plan, and say of it.
 func planWords(root *cobra.Command, asJSON *bool, client func(*cobra.Command) (*coordserver.Client, context.Context, context.CancelFunc, error)) {
 	// agreed is the plan and the operators' words on it, as the record has them.
-	agreed := func(k *coordserver.Client, ctx context.Context) (p failover.Published, o failover.Orders, err error) {
+	agreed := func(k *coordserver.Client, ctx context.Context) (p failover.PublishedPlan, o failover.Orders, err error) {
 		var picture coordserver.Picture
 		if err = k.Ask(ctx, "/v1/record", nil, &picture); err != nil {
 			return p, o, err
@@ -29,11 +29,11 @@
 		found := false
 		for _, w := range picture.Works {
 			switch {
-			case len(w.Note) == 0:
-			case w.Name == agent.PlanWork:
-				found, err = true, json.Unmarshal(w.Note, &p)
-			case w.Name == agent.WordsWork:
-				err = json.Unmarshal(w.Note, &o)
+			case len(w.Annotation) == 0:
+			case w.Name == agent.PlanTask:
+				found, err = true, json.Unmarshal(w.Annotation, &p)
+			case w.Name == agent.OrdersTask:
+				err = json.Unmarshal(w.Annotation, &o)
 			}
 			if err != nil {
 				return p, o, fmt.Errorf("%s: %v", w.Name, err)
@@ -57,7 +57,7 @@
 		if *asJSON {
 			return printJSON(c.OutOrStdout(), map[string]any{"plan": p, "orders": o})
 		}
-		fmt.Fprintf(c.OutOrStdout(), "plan %d: %s\n", p.Epoch, p.Why)
+		fmt.Fprintf(c.OutOrStdout(), "plan %d: %s\n", p.Epoch, p.Reason)
 		if o.Freeze {
 			fmt.Fprintln(c.OutOrStdout(), "frozen by an operator")
 		}
@@ -85,12 +85,12 @@
 				if z = slices.Index(p.Zones, args[0]); z < 0 {
 					return fmt.Errorf("no zone is called %q: there are %v", args[0], p.Zones)
 				}
-				for len(o.Away) < len(p.Zones) {
-					o.Away = append(o.Away, false)
+				for len(o.Evacuate) < len(p.Zones) {
+					o.Evacuate = append(o.Evacuate, false)
 				}
 			}
 			change(&o, z)
-			if zone && o.Away[z] {
+			if zone && o.Evacuate[z] {
 				wrong, err := rehearse(c.OutOrStdout(), p, o)
 				if err != nil {
 					return err
@@ -107,7 +107,7 @@
 			if err != nil {
 				return err
 			}
-			if err := k.Call(ctx, "/v1/order", coordinator.Order{Kind: "say", Work: agent.WordsWork, Body: body}, &coordinator.Posted{}); err != nil {
+			if err := k.Call(ctx, "/v1/order", coordinator.Order{Kind: "say", Task: agent.OrdersTask, Body: body}, &coordinator.PostResult{}); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(c.OutOrStdout(), "agreed")
@@ -120,21 +120,21 @@
 		root.AddCommand(cmd)
 	}
 	say("evacuate ZONE", "Have a zone's work go elsewhere", "Evacuate prints the load that each zone would get and what would be shed, and refuses where the others can't carry it.",
-		true, func(o *failover.Orders, z int) { o.Away[z] = true })
-	say("restore ZONE", "Let work return to a zone, in steps", "", true, func(o *failover.Orders, z int) { o.Away[z] = false })
+		true, func(o *failover.Orders, z int) { o.Evacuate[z] = true })
+	say("restore ZONE", "Let work return to a zone, in steps", "", true, func(o *failover.Orders, z int) { o.Evacuate[z] = false })
 	say("freeze", "Keep the plan as it is", "", false, func(o *failover.Orders, _ int) { o.Freeze = true })
 	say("thaw", "Let the plan change by itself again", "", false, func(o *failover.Orders, _ int) { o.Freeze = false })
-	say("unbound", "Lift the bound on what is moved in a minute", "", false, func(o *failover.Orders, _ int) { o.Free = true })
-	say("bound", "Set the bound on what is moved in a minute again", "", false, func(o *failover.Orders, _ int) { o.Free = false })
+	say("unbound", "Lift the bound on what is moved in a minute", "", false, func(o *failover.Orders, _ int) { o.Unlimited = true })
+	say("bound", "Set the bound on what is moved in a minute again", "", false, func(o *failover.Orders, _ int) { o.Unlimited = false })
 }
 
 // rehearse prints what a plan would be with the zones away that orders name, and tells what is wrong with it, "": nothing.
-func rehearse(out io.Writer, p failover.Published, o failover.Orders) (wrong string, err error) {
+func rehearse(out io.Writer, p failover.PublishedPlan, o failover.Orders) (wrong string, err error) {
 	n := len(p.Demand)
-	if n == 0 || len(p.Room) != n || p.Plan.Check(n) != nil {
+	if n == 0 || len(p.PlanCapacity) != n || p.Plan.Check(n) != nil {
 		return "", errors.New("the plan tells no loads yet")
 	}
-	room, way := slices.Clone(p.Room), make([][]float64, n)
+	room, way := slices.Clone(p.PlanCapacity), make([][]float64, n)
 	for z := range way {
 		way[z] = make([]float64, n)
 		for y := range way[z] {
@@ -142,13 +142,13 @@
 				way[z][y] = 1
 			}
 		}
-		if z < len(o.Away) && o.Away[z] {
+		if z < len(o.Evacuate) && o.Evacuate[z] {
 			room[z] = 0
 		}
 	}
 	q := p
-	q.Room = room
-	to := failover.Solve(failover.Problem{Demand: p.Demand, Pinned: make([]float64, n), Capacity: room, Way: way})
+	q.PlanCapacity = room
+	to := failover.Solve(failover.Problem{Demand: p.Demand, Pinned: make([]float64, n), Capacity: room, RoundTrip: way})
 	if err := table(out, q, to); err != nil {
 		return "", err
 	}
@@ -162,7 +162,7 @@
 	return "", nil
 }
 
-func table(out io.Writer, p failover.Published, plan failover.Plan) error {
+func table(out io.Writer, p failover.PublishedPlan, plan failover.Plan) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	name := func(z int) string {
 		if z < len(p.Zones) {
@@ -184,13 +184,13 @@
 		}
 		fmt.Fprintf(w, "%.0f %%\t\n", 100*math.Max(1-sum, 0))
 	}
-	if len(p.Demand) == len(plan.Share) && len(p.Room) == len(plan.Share) {
+	if len(p.Demand) == len(plan.Share) && len(p.PlanCapacity) == len(plan.Share) {
 		fmt.Fprint(w, "load\t")
 		for _, x := range plan.Load(p.Demand) {
 			fmt.Fprintf(w, "%.1f\t", x)
 		}
 		fmt.Fprint(w, "\t\nof\t")
-		for _, x := range p.Room {
+		for _, x := range p.PlanCapacity {
 			fmt.Fprintf(w, "%.1f\t", x)
 		}
 		fmt.Fprintln(w, "\t")
--- a/internal/agentdriver/subset.go
+++ b/internal/agentdriver/subset.go
@@ -63,7 +63,7 @@
 // chosen is one router with its subset.
 type chosen struct {
 	subsets.Chooser
-	choice subset.Choice
+	choice subset.Selection
 }
 
 // newSubsetChart has each router choose from the databases known at the start.
@@ -72,7 +72,7 @@
 		return nil, errors.New("no subsets: name an operators' file with a section subset by --operator")
 	}
 	list := discovery.New(cfg.Settings.Zones, cfg.Settings.Kinds)
-	if _, err := list.Start(cfg.Known); err != nil {
+	if _, err := list.ApplyConfig(cfg.Known); err != nil {
 		return nil, err
 	}
 	setup := subsets.New(cfg)
@@ -80,10 +80,10 @@
 	pool := subset.NewPool(chart.databases)
 	choosers := []subsets.Chooser{}
 	for k := range cfg.Operator.Subset.Routers {
-		choosers = append(choosers, setup.Listed(k))
+		choosers = append(choosers, setup.ListedRouter(k))
 	}
 	if cfg.Operator.Subset.Find(cfg.Name) < 0 {
-		choosers = append(choosers, setup.Self(cfg))
+		choosers = append(choosers, setup.OwnRouter(cfg))
 	}
 	for _, chooser := range choosers {
 		choice, err := chooser.Choose(pool, width)
@@ -125,14 +125,14 @@
 	o := &subsetOverview{Databases: len(s.databases)}
 	places, total := make([]float64, len(s.databases)), 0
 	for _, r := range s.routers {
-		row := routerRow{Name: r.Router.Name, Zone: s.zoneOf(r.Router.Zone), Place: r.Router.Place, Held: len(r.choice.Members),
-			Grown: r.choice.Grown, Whole: r.choice.Whole}
+		row := routerRow{Name: r.Router.Name, Zone: s.zoneOf(r.Router.Zone), Place: r.Router.Number, Held: len(r.choice.Members),
+			Grown: r.choice.Excess, Whole: r.choice.WholePool}
 		for _, m := range r.choice.Members {
-			places[m.Index] += 1 / subset.CheckedWeight(s.databases[m.Index].Weight)
-			if m.Near {
+			places[m.Index] += 1 / subset.NormalizeWeight(s.databases[m.Index].Weight)
+			if m.InOwnZone {
 				row.Near++
 			}
-			if m.Reason == subset.Needed {
+			if m.Reason == subset.Required {
 				row.Needed++
 			}
 		}
@@ -141,7 +141,7 @@
 	}
 	weight, most := 0.0, 0.0
 	for k := range s.databases {
-		weight += subset.CheckedWeight(s.databases[k].Weight)
+		weight += subset.NormalizeWeight(s.databases[k].Weight)
 		most = max(most, places[k])
 	}
 	if total > 0 {
@@ -187,14 +187,14 @@
 		h.Router, known = name, true
 		for _, m := range r.choice.Members {
 			d := &s.databases[m.Index]
-			h.Holds = append(h.Holds, holding{d.Name, s.zoneOf(d.Zone), reasonOf(&r, m), m.Near})
+			h.Holds = append(h.Holds, holding{d.Name, s.zoneOf(d.Zone), reasonOf(&r, m), m.InOwnZone})
 		}
 		return h, nil
 	}
 	for _, r := range s.routers {
 		for _, m := range r.choice.Members {
 			if s.databases[m.Index].Name == name {
-				h.Holds = append(h.Holds, holding{r.Router.Name, s.zoneOf(r.Router.Zone), reasonOf(&r, m), m.Near})
+				h.Holds = append(h.Holds, holding{r.Router.Name, s.zoneOf(r.Router.Zone), reasonOf(&r, m), m.InOwnZone})
 			}
 		}
 	}
@@ -208,8 +208,8 @@
 }
 
 func reasonOf(r *chosen, m subset.Member) string {
-	if m.Reason == subset.Needed {
-		return "needed for " + r.Options.Needs[m.Need].Name
+	if m.Reason == subset.Required {
+		return "needed for " + r.Options.Requirements[m.Requirement].Name
 	}
 	return m.Reason.String()
 }
--- a/internal/agentdriver/vault.go
+++ b/internal/agentdriver/vault.go
@@ -26,8 +26,8 @@
 
 // openVault reads what an earlier process of the name left. Nothing there is not the word of a clean end: a folder may be lost,
 // and then a part may still be laid down.
-func openVault(folder, name string) (*vault, agent.Kept, error) {
-	unknown := agent.Kept{Pledged: true}
+func openVault(folder, name string) (*vault, agent.PersistentState, error) {
+	unknown := agent.PersistentState{Relinquished: true}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, unknown, fmt.Errorf("/fleet/folder: %v", err)
 	}
@@ -45,7 +45,7 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return v, unknown, nil
 	}
-	var k agent.Kept
+	var k agent.PersistentState
 	if err == nil {
 		k, err = parseKept(text)
 	}
@@ -56,7 +56,7 @@
 	return v, k, nil
 }
 
-func parseKept(text []byte) (k agent.Kept, err error) {
+func parseKept(text []byte) (k agent.PersistentState, err error) {
 	if len(text) < len(magic)+8 || string(text[:len(magic)]) != magic {
 		return k, errors.New("it is no file of fences")
 	}
@@ -67,7 +67,7 @@
 	return k, cbor.Unmarshal(body, &k)
 }
 
-func (v *vault) keep(k agent.Kept) error {
+func (v *vault) keep(k agent.PersistentState) error {
 	body, err := cbor.Marshal(k)
 	if err != nil {
 		return err
--- a/internal/agentdriver/words.go
+++ b/internal/agentdriver/words.go
@@ -43,10 +43,10 @@
 			if f.Fleet == nil {
 				return nil, nil, nil, errors.New("no keepers: name them by --keepers, or an operators' file with a section fleet by --operator")
 			}
-			addrs = f.Fleet.Keepers
+			addrs = f.Fleet.Coordinators
 		}
 		for _, a := range addrs {
-			if err := netaddr.Check(a); err != nil {
+			if err := netaddr.CheckPrivate(a); err != nil {
 				return nil, nil, nil, err
 			}
 		}
@@ -79,7 +79,7 @@
 			if owner == "" {
 				owner = "-"
 			}
-			if x.Asked {
+			if x.ReleaseRequested {
 				owner += " (asked to let go)"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t\n", x.Name, owner, x.Fence, x.Zone)
@@ -131,8 +131,8 @@
 					continue
 				}
 				led := ""
-				if s.Led > 0 {
-					led = fmt.Sprintf("%.0f s", s.Led)
+				if s.LeaderFor > 0 {
+					led = fmt.Sprintf("%.0f s", s.LeaderFor)
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t\n", s.Name, addrs[n], s.State, s.Term, s.Applied, led)
 			}
@@ -168,12 +168,12 @@
 	if err := client.Ask(ctx, "/v1/record", nil, &picture); err != nil {
 		return err
 	}
-	at := slices.IndexFunc(picture.Works, func(x registry.Work) bool { return x.Name == work })
+	at := slices.IndexFunc(picture.Works, func(x registry.Task) bool { return x.Name == work })
 	if at < 0 || picture.Works[at].Owner == 0 {
-		return registry.ErrNoWork
+		return registry.ErrNoTask
 	}
-	order := coordinator.Order{Kind: "release", Work: work, Fence: picture.Works[at].Fence}
-	return client.Ask(ctx, "/v1/order", order, &coordinator.Posted{})
+	order := coordinator.Order{Kind: "release", Task: work, Fence: picture.Works[at].Fence}
+	return client.Ask(ctx, "/v1/order", order, &coordinator.PostResult{})
 }
 
 // namedPicture is a picture of the record for scripts, in which each work has its owner's name beside the session's number.
@@ -183,7 +183,7 @@
 }
 
 type namedWork struct {
-	registry.Work
+	registry.Task
 	Owner string `json:"owner,omitempty"` // the router's name, none: free
 }
 
--- a/internal/backends/answers.go
+++ b/internal/backends/answers.go
@@ -13,7 +13,7 @@
 
 // HandleMessage processes one message of a server. It returns false for a message that cannot be valid, which ends
 // the connection. A valid message that belongs to no outstanding attempt, such as a duplicate, is ignored.
-func (c *conn) Answer(a lineproto.Answer) bool {
+func (c *conn) HandleMessage(a lineproto.Message) bool {
 	c.partialSince = 0
 	var ref Ref
 	if len(a.ID) != len(ref) {
@@ -24,16 +24,16 @@
 	if j == nil {
 		return true // late: the attempt was abandoned
 	}
-	switch string(a.Word) {
+	switch string(a.Verb) {
 	case "update":
 		if kind, value, ok := parseProgress(a.Fields); ok {
-			c.pool.owner.Noted(j, kind, value)
+			c.pool.owner.AttemptProgressed(j, kind, value)
 		}
 		return true
 	case "served":
 		return c.handleServed(j, a)
 	case "rows":
-		n, ok := lineproto.Number(lineproto.Field(a.Fields, "pos"))
+		n, ok := lineproto.ParseNumber(lineproto.Field(a.Fields, "pos"))
 		if !ok || n < 1 || n >= len(j.Pages) || !validRows(a.Body) {
 			return false
 		}
@@ -46,7 +46,7 @@
 		}
 		return true
 	}
-	end, ok := endOfMessage(a.Word)
+	end, ok := endOfMessage(a.Verb)
 	if ok {
 		c.addSpentID(j)
 		j.finish(c.pool, end)
@@ -55,9 +55,9 @@
 }
 
 // handleServed stores the first page and requests all others at once, which takes one round trip for all of them.
-func (c *conn) handleServed(j *Job, a lineproto.Answer) bool {
+func (c *conn) handleServed(j *Attempt, a lineproto.Message) bool {
 	const maxPages = 64 // pages: a result has at most 48,000 bytes, a page some thousand
-	count, ok := lineproto.Number(lineproto.Field(a.Fields, "count"))
+	count, ok := lineproto.ParseNumber(lineproto.Field(a.Fields, "count"))
 	work, ok1 := parseOptionalFloat(lineproto.Field(a.Fields, "ticks"))
 	memory, ok2 := parseOptionalFloat(lineproto.Field(a.Fields, "footprint"))
 	if !ok || !ok1 || !ok2 || count < 1 || count > maxPages || !validRows(a.Body) {
@@ -73,13 +73,13 @@
 	j.storePage(c.pool, 0, a.Body)
 	switch {
 	case count == 1:
-		j.finish(c.pool, admission.Answered)
-	case j.Unwanted:
+		j.finish(c.pool, admission.Completed)
+	case j.ResultUnwanted:
 		c.finishResult(j)
 	default:
 		b := c.pool.scratch[:0]
 		for n := 1; n < count; n++ {
-			b = lineproto.More(b, j.Ref[:], n)
+			b = lineproto.AppendMore(b, j.Ref[:], n)
 		}
 		c.writeControl(b)
 	}
@@ -87,13 +87,13 @@
 }
 
 // finishResult completes an attempt while the server still keeps its pages, and tells the server to release them.
-func (c *conn) finishResult(j *Job) {
-	c.writeControl(lineproto.Done(c.pool.scratch[:0], j.Ref[:]))
-	j.finish(c.pool, admission.Answered)
+func (c *conn) finishResult(j *Attempt) {
+	c.writeControl(lineproto.AppendDone(c.pool.scratch[:0], j.Ref[:]))
+	j.finish(c.pool, admission.Completed)
 }
 
 // storePage copies the bytes of one page.
-func (j *Job) storePage(p *Pool, n int, body []byte) {
+func (j *Attempt) storePage(p *Pool, n int, body []byte) {
 	var buf []byte
 	if k := len(p.sparePages); k > 0 {
 		buf, p.sparePages = p.sparePages[k-1], p.sparePages[:k-1]
@@ -104,7 +104,7 @@
 	j.pagesReceived, j.lastPageAt = j.pagesReceived+1, p.now
 }
 
-func (p *Pool) freePages(j *Job) {
+func (p *Pool) freePages(j *Attempt) {
 	const maxSparePages = 512 // 3 MB of page buffers are kept for reuse
 	for _, b := range j.Pages {
 		if b != nil && len(p.sparePages) < maxSparePages {
@@ -132,14 +132,14 @@
 	return true
 }
 
-func parseProgress(fields []byte) (admission.NoteKind, float64, bool) {
+func parseProgress(fields []byte) (admission.ProgressKind, float64, bool) {
 	value, ok := parseOptionalFloat(lineproto.Field(fields, "reading"))
 	if !ok {
 		return 0, 0, false
 	}
 	switch string(lineproto.Field(fields, "res")) {
 	case "p":
-		return admission.Progressed, value, true
+		return admission.ShareDone, value, true
 	case "s":
 		return admission.Spilling, value, true
 	case "w":
--- a/internal/backends/ends.go
+++ b/internal/backends/ends.go
@@ -11,11 +11,11 @@
 func endOfMessage(word []byte) (admission.End, bool) {
 	switch string(word) {
 	case "overload":
-		return admission.TurnedAway, true
+		return admission.Rejected, true
 	case "crashed":
 		return admission.Errored, true
 	case "nobody":
-		return admission.Moot, true
+		return admission.Withdrawn, true
 	}
 	return 0, false
 }
@@ -24,9 +24,9 @@
 // it may have run.
 func endOfConnection(how transport.Ending, begun bool) admission.End {
 	switch {
-	case how == transport.Refused || how == transport.NeverUp || !begun:
+	case how == transport.Refused || how == transport.NotConnected || !begun:
 		return admission.Unreachable
 	default:
-		return admission.Cut
+		return admission.ConnectionLost
 	}
 }
--- a/internal/backends/idle.go
+++ b/internal/backends/idle.go
@@ -5,7 +5,7 @@
 // close at the same time.
 func (p *Pool) closeLongestIdle() bool {
 	const maxClosing = 4 // of the descriptors held in reserve; a connection without outstanding attempts closes at once
-	if len(p.conns) >= p.limits.Conns+maxClosing {
+	if len(p.conns) >= p.limits.MaxConns+maxClosing {
 		return false
 	}
 	var longest *conn
--- a/internal/backends/observer.go
+++ b/internal/backends/observer.go
@@ -10,9 +10,9 @@
 	ServerChanged(server uint32, from, to admission.State, withdrawn, running int)
 	// ConnectionClosing reports that a connection accepts no more attempts and closes, and how many attempts are
 	// outstanding on it.
-	Closing(server uint32, why CloseReason, out int)
+	ConnectionClosing(server uint32, why CloseReason, out int)
 	// AttemptWriting reports that an attempt's bytes are handed to its connection.
-	Writing(j *Job)
+	AttemptWriting(j *Attempt)
 }
 
 // CloseReason is why this side closes a connection to a server.
@@ -20,14 +20,14 @@
 
 // The reasons for closing a connection to a server.
 const (
-	ServerLeft   CloseReason = iota // the server drains, is gone or has another address
-	Undelivered                     // requests have not arrived there and must not arrive any more
-	IdleLong                        // closed before the server does so, which closes idle connections
-	RoomNeeded                      // another attempt needs the descriptor
-	Unreadable                      // the input is invalid or stopped in the middle of a message
-	AttemptLate                     // an attempt timed out there, so the connection may be dead
-	IDsSpent                        // too many request IDs can no longer be used there
-	ServerClosed                    // the server closed its side
+	ServerLeft      CloseReason = iota // the server drains, is gone or has another address
+	Undelivered                        // requests have not arrived there and must not arrive any more
+	IdleTooLong                        // closed before the server does so, which closes idle connections
+	RoomNeeded                         // another attempt needs the descriptor
+	Unreadable                         // the input is invalid or stopped in the middle of a message
+	AttemptTimedOut                    // an attempt timed out there, so the connection may be dead
+	IDsSpent                           // too many request IDs can no longer be used there
+	ServerClosed                       // the server closed its side
 )
 
 func (r CloseReason) String() string {
@@ -36,20 +36,20 @@
 }
 
 // SetObserver sets the observer, which is notified from now on.
-func (p *Pool) Observe(o Observer) { p.observer = o }
+func (p *Pool) SetObserver(o Observer) { p.observer = o }
 
 // noObserver is the observer of a pool without one.
 type noObserver struct{}
 
 func (noObserver) ServerChanged(uint32, admission.State, admission.State, int, int) {}
-func (noObserver) Closing(uint32, CloseReason, int)                                 {}
-func (noObserver) Writing(*Job)                                                     {}
+func (noObserver) ConnectionClosing(uint32, CloseReason, int)                       {}
+func (noObserver) AttemptWriting(*Attempt)                                          {}
 
 // retireFor makes a connection accept no more attempts. It reports the first reason, and Undelivered also after
 // another one.
 func (c *conn) retireFor(why CloseReason) {
 	if !c.retired || why == Undelivered {
 		c.retired = true
-		c.pool.observer.Closing(c.server, why, len(c.outstanding))
+		c.pool.observer.ConnectionClosing(c.server, why, len(c.outstanding))
 	}
 }
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -19,22 +19,22 @@
 
 // Attempt is one attempt of a request, from the fetch to the last page. Its owner sets the first group of fields and
 // reads the second after the attempt has ended.
-type Job struct {
-	ID        uint32 // as the admission module numbers requests
-	Number    int    // counts the request's attempts from 0
-	Engine    uint32
-	Ref       Ref
-	Profile   string
-	Statement []byte
-	Token     []byte
-	Level     int
-	At, Until float64
-	LeaveBy   float64 // no byte may leave from this time on; 0: no limit
-	Unwanted  bool    // no client waits for the result any more
+type Attempt struct {
+	ID               uint32 // as the admission module numbers requests
+	AttemptNumber    int    // counts the request's attempts from 0
+	Server           uint32
+	Ref              Ref
+	Profile          string
+	Statement        []byte
+	Token            []byte
+	Priority         int
+	SentAt, Deadline float64
+	LeaveBy          float64 // no byte may leave from this time on; 0: no limit
+	ResultUnwanted   bool    // no client waits for the result any more
 
 	Pages        [][]byte // valid until AttemptEnded returns
 	Work, Memory float64
-	Unsent       bool // no byte of it had left
+	NeverSent    bool // no byte of it had left
 
 	outstanding         bool
 	withdrawalRequested bool // a withdrawal was requested, but bytes may have left
@@ -49,43 +49,43 @@
 }
 
 // Outstanding reports whether the attempt's end has not been reported yet.
-func (j *Job) Out() bool { return j.outstanding }
+func (j *Attempt) Outstanding() bool { return j.outstanding }
 
 // Owner is notified of the progress of attempts. Send, Abandon, SetPriority and UpdateServers never call it.
 type Owner interface {
-	Ended(j *Job, end admission.End)
-	Noted(j *Job, kind admission.NoteKind, value float64)
-	Lost(server uint32, how transport.Ending)
+	AttemptEnded(j *Attempt, end admission.End)
+	AttemptProgressed(j *Attempt, kind admission.ProgressKind, value float64)
+	ConnLost(server uint32, how transport.Ending)
 }
 
 // Connection takes the bytes sent to a server.
-type Line interface {
+type Connection interface {
 	Append(b []byte) int64
 	AppendRequest(b []byte) int64
-	Begun(from int64) bool
+	WriteBegun(from int64) bool
 	Delivered() bool // all requests for which a write has begun have arrived
 	Withdraw(from int64, size int) bool
 	Finish()
 	Drop()
-	Bad()
+	DropUnreadable()
 }
 
 // Limits are the limits of the connections.
 type Limits struct {
-	Streams int     // attempts on one connection
-	Conns   int     // connections in total
-	Idle    float64 // servers close connections that are idle for this time
-	Stall   float64 // longest pause within a message, and longest wait for a requested page; 0: no limit
+	StreamsPerConn int     // attempts on one connection
+	MaxConns       int     // connections in total
+	IdleTimeout    float64 // servers close connections that are idle for this time
+	StallTimeout   float64 // longest pause within a message, and longest wait for a requested page; 0: no limit
 }
 
 // Pool holds the listed servers and the connections to them. Only the owner's goroutine may use it.
 type Pool struct {
 	owner         Owner
 	limits        Limits
-	dial          func(addr netip.AddrPort, sink transport.Sink) Line
+	dial          func(addr netip.AddrPort, sink transport.Sink) Connection
 	servers       map[uint32]*server
 	conns         []*conn
-	endedAttempts []*Job // attempts that ended within a call from the owner
+	endedAttempts []*Attempt // attempts that ended within a call from the owner
 	sparePages    [][]byte
 	scratch       []byte
 	now           float64
@@ -104,13 +104,13 @@
 type conn struct {
 	pool              *Pool
 	server            uint32
-	socket            Line
+	socket            Connection
 	up                bool
 	unreadable        bool // the input is invalid
 	retired           bool // accepts no more attempts and closes when none is outstanding
 	parser            lineproto.Parser
-	outstanding       map[Ref]*Job
-	waiting           []*Job           // attempts that wait until the connection is established
+	outstanding       map[Ref]*Attempt
+	waiting           []*Attempt       // attempts that wait until the connection is established
 	spent             map[Ref]struct{} // IDs that ended here without a result: later messages under them are late
 	usedAt            float64
 	unwantedSince     float64 // since when all outstanding attempts are unwanted and not delivered, 0: not the case
@@ -119,29 +119,29 @@
 }
 
 // New makes a pool without servers. dial begins a connection to one.
-func New(owner Owner, limits Limits, dial func(netip.AddrPort, transport.Sink) Line) *Pool {
+func New(owner Owner, limits Limits, dial func(netip.AddrPort, transport.Sink) Connection) *Pool {
 	return &Pool{owner: owner, limits: limits, dial: dial, servers: map[uint32]*server{},
 		observer: noObserver{}}
 }
 
 // SetTime sets the current time for the calls that follow.
-func (p *Pool) At(now float64) { p.now = now }
+func (p *Pool) SetTime(now float64) { p.now = now }
 
 // UpdateServers applies a new server list. Attempts that wait for a connection to a server that drains or is gone are
 // not written any more.
-func (p *Pool) Members(list []admission.Entry, addr func(uint32) netip.AddrPort) {
+func (p *Pool) UpdateServers(list []admission.Entry, addr func(uint32) netip.AddrPort) {
 	for _, e := range p.servers {
 		e.previousState, e.state = e.state, admission.Gone
 	}
 	for _, n := range list {
-		e := p.servers[n.Engine]
+		e := p.servers[n.Server]
 		if e == nil {
 			e = &server{}
-			p.servers[n.Engine] = e
+			p.servers[n.Server] = e
 		}
-		if a := addr(n.Engine); e.addr != a {
+		if a := addr(n.Server); e.addr != a {
 			if e.addr.IsValid() {
-				p.retire(n.Engine)
+				p.retire(n.Server)
 			}
 			e.addr = a
 		}
@@ -191,7 +191,7 @@
 }
 
 // withdraw takes an attempt back if none of its bytes has left. The check and the removal are one atomic step.
-func (c *conn) withdraw(j *Job) bool { return !j.written || c.socket.Withdraw(j.offset, j.size) }
+func (c *conn) withdraw(j *Attempt) bool { return !j.written || c.socket.Withdraw(j.offset, j.size) }
 
 // stalledSince reports whether a message or the pages of a result have made no progress since the given time. The
 // server has the whole result when it sends the first page.
@@ -206,22 +206,22 @@
 
 // sortedAttempts returns the connection's outstanding attempts in the order in which the requests came to the admission
 // module.
-func (c *conn) sortedAttempts() []*Job {
-	return slices.SortedFunc(maps.Values(c.outstanding), func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
+func (c *conn) sortedAttempts() []*Attempt {
+	return slices.SortedFunc(maps.Values(c.outstanding), func(a, b *Attempt) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // Send sends an attempt to its server.
-func (p *Pool) Send(j *Job) {
+func (p *Pool) Send(j *Attempt) {
 	j.outstanding, j.endPending, j.written, j.conn, j.pagesReceived, j.Pages = true, false, false, nil, 0, j.Pages[:0]
 	j.withdrawalRequested = false
-	j.Work, j.Memory, j.Unsent = 0, 0, false
-	e := p.servers[j.Engine]
+	j.Work, j.Memory, j.NeverSent = 0, 0, false
+	e := p.servers[j.Server]
 	if e == nil || e.state != admission.Ready {
-		p.endLater(j, admission.Moot)
+		p.endLater(j, admission.Withdrawn)
 		return
 	}
-	if j.Until <= p.now {
-		j.Unsent = true
+	if j.Deadline <= p.now {
+		j.NeverSent = true
 		p.endLater(j, admission.TimedOut)
 		return
 	}
@@ -244,47 +244,47 @@
 // closing connections and for new servers. Beyond that share attempts share connections. After an attempt ended on a
 // connection without its result, the request's next attempt uses another connection: a late message or a duplicate
 // may still come there under the same ID.
-func (p *Pool) conn(j *Job, e *server) *conn {
+func (p *Pool) conn(j *Attempt, e *server) *conn {
 	var best *conn
 	connCount := 0
 	for _, c := range p.conns {
-		if c.server != j.Engine || c.retired {
+		if c.server != j.Server || c.retired {
 			continue
 		}
 		connCount++
 		_, outstanding := c.outstanding[j.Ref]
 		_, spent := c.spent[j.Ref]
-		if len(c.outstanding) < p.limits.Streams && !outstanding && !spent && (best == nil || len(c.outstanding) < len(best.outstanding)) {
+		if len(c.outstanding) < p.limits.StreamsPerConn && !outstanding && !spent && (best == nil || len(c.outstanding) < len(best.outstanding)) {
 			best = c
 		}
 	}
-	if best != nil && (len(best.outstanding) == 0 || connCount >= p.limits.Conns*3/4/len(p.servers)) || best != nil && len(p.conns) >= p.limits.Conns {
+	if best != nil && (len(best.outstanding) == 0 || connCount >= p.limits.MaxConns*3/4/len(p.servers)) || best != nil && len(p.conns) >= p.limits.MaxConns {
 		return best
 	}
-	if len(p.conns) >= p.limits.Conns && !p.closeLongestIdle() {
+	if len(p.conns) >= p.limits.MaxConns && !p.closeLongestIdle() {
 		return nil
 	}
-	c := &conn{pool: p, server: j.Engine, outstanding: map[Ref]*Job{}, spent: map[Ref]struct{}{}}
+	c := &conn{pool: p, server: j.Server, outstanding: map[Ref]*Attempt{}, spent: map[Ref]struct{}{}}
 	c.socket = p.dial(e.addr, c)
 	p.conns = append(p.conns, c)
 	return c
 }
 
 // writeAttempt hands an attempt's bytes to the connection, unless it may not leave any more.
-func (c *conn) writeAttempt(j *Job) {
+func (c *conn) writeAttempt(j *Attempt) {
 	switch {
-	case j.Until <= c.pool.now:
-		j.Unsent = true
+	case j.Deadline <= c.pool.now:
+		j.NeverSent = true
 		c.pool.endLater(j, admission.TimedOut)
 		return
 	case j.LeaveBy > 0 && j.LeaveBy <= c.pool.now:
-		c.pool.endLater(j, admission.Moot)
+		c.pool.endLater(j, admission.Withdrawn)
 		return
 	}
 	j.written = true
-	c.pool.observer.Writing(j)
-	waitMillis := int(math.Ceil((j.Until - c.pool.now) * 1000))
-	c.pool.scratch = lineproto.Fetch(c.pool.scratch[:0], j.Ref[:], j.Profile, max(waitMillis, 1), j.Level, j.Token, j.Statement)
+	c.pool.observer.AttemptWriting(j)
+	waitMillis := int(math.Ceil((j.Deadline - c.pool.now) * 1000))
+	c.pool.scratch = lineproto.AppendFetch(c.pool.scratch[:0], j.Ref[:], j.Profile, max(waitMillis, 1), j.Priority, j.Token, j.Statement)
 	j.offset, j.size = c.socket.AppendRequest(c.pool.scratch), len(c.pool.scratch)
 }
 
@@ -295,13 +295,13 @@
 }
 
 // Withdraw ends an attempt of which no byte has left. Any other continues if it arrives soon.
-func (p *Pool) Withdraw(j *Job) {
+func (p *Pool) Withdraw(j *Attempt) {
 	c := j.conn
 	if c == nil {
 		return
 	}
 	if c.withdraw(j) {
-		p.endLater(j, admission.Moot)
+		p.endLater(j, admission.Withdrawn)
 		return
 	}
 	j.withdrawalRequested = true
@@ -309,42 +309,42 @@
 
 // Abandon ends an outstanding attempt. If it was written, it is withdrawn or cancelled on the wire before another
 // attempt leaves.
-func (p *Pool) GiveUp(j *Job, end admission.End) {
+func (p *Pool) Abandon(j *Attempt, end admission.End) {
 	if c := j.conn; c != nil && j.written {
-		if j.Unsent = c.withdraw(j); !j.Unsent {
+		if j.NeverSent = c.withdraw(j); !j.NeverSent {
 			if j.pagesReceived == 0 {
-				c.writeControl(lineproto.Abort(p.scratch[:0], j.Ref[:]))
+				c.writeControl(lineproto.AppendAbort(p.scratch[:0], j.Ref[:]))
 			} else {
-				c.writeControl(lineproto.Done(p.scratch[:0], j.Ref[:]))
+				c.writeControl(lineproto.AppendDone(p.scratch[:0], j.Ref[:]))
 			}
 			c.addSpentID(j)
 		}
 		// A timeout may be caused by the connection rather than the server, so nothing more is sent there.
 		if end == admission.TimedOut {
-			c.retireFor(AttemptLate)
+			c.retireFor(AttemptTimedOut)
 		}
 	} else if c != nil {
-		j.Unsent = true
+		j.NeverSent = true
 	}
 	p.endLater(j, end)
 }
 
 // addSpentID records that an attempt has ended here without its result.
-func (c *conn) addSpentID(j *Job) {
+func (c *conn) addSpentID(j *Attempt) {
 	c.spent[j.Ref] = struct{}{}
-	if len(c.spent) >= 10*c.pool.limits.Streams { // old IDs must not accumulate
+	if len(c.spent) >= 10*c.pool.limits.StreamsPerConn { // old IDs must not accumulate
 		c.retireFor(IDsSpent)
 	}
 }
 
 // SetPriority sends the priority of a running attempt. An attempt not yet written carries it in its fetch.
-func (p *Pool) Renice(j *Job) {
+func (p *Pool) SetPriority(j *Attempt) {
 	if j.conn != nil && j.written && j.pagesReceived == 0 {
-		j.conn.writeControl(lineproto.Renice(p.scratch[:0], j.Ref[:], j.Level))
+		j.conn.writeControl(lineproto.AppendRenice(p.scratch[:0], j.Ref[:], j.Priority))
 	}
 }
 
-func (p *Pool) endLater(j *Job, end admission.End) {
+func (p *Pool) endLater(j *Attempt, end admission.End) {
 	if j.outstanding && !j.endPending {
 		j.unlink()
 		j.endPending, j.end = true, end
@@ -353,7 +353,7 @@
 }
 
 // unlink removes an attempt from its connection.
-func (j *Job) unlink() {
+func (j *Attempt) unlink() {
 	if c := j.conn; c != nil {
 		j.conn = nil
 		delete(c.outstanding, j.Ref)
@@ -374,42 +374,42 @@
 	}
 }
 
-func (j *Job) finish(p *Pool, end admission.End) {
+func (j *Attempt) finish(p *Pool, end admission.End) {
 	j.unlink()
 	j.outstanding = false
-	if end != admission.Answered { // a partial result is discarded, and the attempt may be sent again at once
+	if end != admission.Completed { // a partial result is discarded, and the attempt may be sent again at once
 		p.freePages(j)
 	}
-	p.owner.Ended(j, end)
-	if end == admission.Answered {
+	p.owner.AttemptEnded(j, end)
+	if end == admission.Completed {
 		p.freePages(j)
 	}
 }
 
 // ReportEnds reports the attempts that ended within the owner's own calls, until there are none.
-func (p *Pool) Settle() {
+func (p *Pool) ReportEnds() {
 	for k := 0; k < len(p.endedAttempts); k++ {
 		j := p.endedAttempts[k]
 		p.freePages(j)
 		j.outstanding = false
-		p.owner.Ended(j, j.end)
+		p.owner.AttemptEnded(j, j.end)
 	}
 	p.endedAttempts = p.endedAttempts[:0]
 }
 
 // CloseIdle closes idle connections before the servers do, so that no attempt is sent to a connection while the
 // server closes it.
-func (p *Pool) Tidy() {
+func (p *Pool) CloseIdle() {
 	const idleShare = 0.8 // of the servers' idle timeout: earlier by far more than any network delay
 	for _, c := range p.conns {
-		if c.up && len(c.outstanding) == 0 && p.now-c.usedAt > idleShare*p.limits.Idle {
-			c.retireFor(IdleLong)
+		if c.up && len(c.outstanding) == 0 && p.now-c.usedAt > idleShare*p.limits.IdleTimeout {
+			c.retireFor(IdleTooLong)
 			c.finishIfIdle()
 		}
 	}
 }
 
-func (c *conn) Up() {
+func (c *conn) Connected() {
 	c.up = true
 	c.writeWaiting()
 	c.finishIfIdle()
@@ -421,7 +421,7 @@
 	}
 	if c.parser.Feed(b, c) != nil {
 		c.closeUnreadable()
-	} else if !c.parser.Half() {
+	} else if !c.parser.HasPartial() {
 		c.partialSince = 0
 	} else if c.partialSince == 0 {
 		c.partialSince = c.pool.now
@@ -433,15 +433,15 @@
 func (c *conn) closeUnreadable() {
 	c.unreadable, c.partialSince = true, 0
 	c.retireFor(Unreadable)
-	c.socket.Bad()
+	c.socket.DropUnreadable()
 }
 
 func (c *conn) Ended(how transport.Ending) {
-	if how == transport.Finished { // the server sends no more messages and reads nothing that leaves from now on
+	if how == transport.PeerFinished { // the server sends no more messages and reads nothing that leaves from now on
 		c.retireFor(ServerClosed)
 		for _, j := range c.sortedAttempts() {
 			if c.withdraw(j) {
-				c.pool.endLater(j, admission.Moot)
+				c.pool.endLater(j, admission.Withdrawn)
 			}
 		}
 		c.socket.Drop()
@@ -455,9 +455,9 @@
 		}
 	}
 	if len(c.outstanding) > 0 {
-		p.owner.Lost(c.server, how)
+		p.owner.ConnLost(c.server, how)
 	}
 	for _, j := range c.sortedAttempts() {
-		p.endLater(j, endOfConnection(how, j.written && c.socket.Begun(j.offset)))
+		p.endLater(j, endOfConnection(how, j.written && c.socket.WriteBegun(j.offset)))
 	}
 }
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -13,9 +13,9 @@
 
 // harness acts as the pool's owner and creates its connections.
 type harness struct {
-	say       script.Say
+	say       script.Printf
 	pool      *Pool
-	attempts  map[uint32]*Job
+	attempts  map[uint32]*Attempt
 	fakeConns []*fakeConn
 }
 
@@ -39,7 +39,7 @@
 	w.harness.say("line %d writes %q", w.number, b)
 	return from
 }
-func (w *fakeConn) Begun(from int64) bool { return from < w.begun }
+func (w *fakeConn) WriteBegun(from int64) bool { return from < w.begun }
 func (w *fakeConn) AppendRequest(b []byte) int64 {
 	from := w.Append(b)
 	if w.waitingRequestEnd = w.appended; !w.stalled {
@@ -62,9 +62,9 @@
 	}
 	return from >= w.begun
 }
-func (w *fakeConn) Finish() { w.end("finishes") }
-func (w *fakeConn) Drop()   { w.end("is dropped") }
-func (w *fakeConn) Bad()    { w.end("is dropped, unreadable") }
+func (w *fakeConn) Finish()         { w.end("finishes") }
+func (w *fakeConn) Drop()           { w.end("is dropped") }
+func (w *fakeConn) DropUnreadable() { w.end("is dropped, unreadable") }
 func (w *fakeConn) end(how string) {
 	if !w.ended {
 		w.ended = true
@@ -74,22 +74,22 @@
 
 var ends = [...]string{"answered", "errored", "turned away", "timed out", "unreachable", "cut", "cancelled", "moot"}
 
-func (y *harness) Ended(j *Job, end admission.End) {
+func (y *harness) AttemptEnded(j *Attempt, end admission.End) {
 	text := make([]string, len(j.Pages))
 	for k, p := range j.Pages {
 		text[k] = string(p)
 	}
-	y.say("%d/%d %s %q work %g memory %g", j.ID, j.Number, ends[end], strings.Join(text, ""), j.Work, j.Memory)
+	y.say("%d/%d %s %q work %g memory %g", j.ID, j.AttemptNumber, ends[end], strings.Join(text, ""), j.Work, j.Memory)
 }
-func (y *harness) Noted(j *Job, kind admission.NoteKind, value float64) {
-	y.say("%d/%d note %d %g", j.ID, j.Number, kind, value)
+func (y *harness) AttemptProgressed(j *Attempt, kind admission.ProgressKind, value float64) {
+	y.say("%d/%d note %d %g", j.ID, j.AttemptNumber, kind, value)
 }
-func (y *harness) Lost(id uint32, how transport.Ending) { y.say("engine %d lost: %v", id, how) }
+func (y *harness) ConnLost(id uint32, how transport.Ending) { y.say("engine %d lost: %v", id, how) }
 
-func play(byteByByte bool) func(*testing.T, script.Say) func([]string) {
-	return func(t *testing.T, say script.Say) func([]string) {
-		y := &harness{say: say, attempts: map[uint32]*Job{}}
-		y.pool = New(y, Limits{Streams: 2, Conns: 4, Idle: 30, Stall: 0.25}, func(a netip.AddrPort, sink transport.Sink) Line {
+func play(byteByByte bool) func(*testing.T, script.Printf) func([]string) {
+	return func(t *testing.T, say script.Printf) func([]string) {
+		y := &harness{say: say, attempts: map[uint32]*Attempt{}}
+		y.pool = New(y, Limits{StreamsPerConn: 2, MaxConns: 4, IdleTimeout: 30, StallTimeout: 0.25}, func(a netip.AddrPort, sink transport.Sink) Connection {
 			w := &fakeConn{harness: y, number: len(y.fakeConns) + 1, sink: sink}
 			y.fakeConns = append(y.fakeConns, w)
 			say("line %d dials %v", w.number, a)
@@ -112,44 +112,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	y.pool.At(now)
-	defer y.pool.Settle()
+	y.pool.SetTime(now)
+	defer y.pool.ReportEnds()
 	switch w[1] {
 	case "list": // server=state; the address is made from the number
 		var list []admission.Entry
 		for _, e := range w[2:] {
 			n, state, _ := strings.Cut(e, "=")
-			list = append(list, admission.Entry{Engine: parseID(t, n),
+			list = append(list, admission.Entry{Server: parseID(t, n),
 				State: map[string]admission.State{"ready": admission.Ready, "drains": admission.Draining}[state]})
 		}
-		y.pool.Members(list, func(n uint32) netip.AddrPort {
+		y.pool.UpdateServers(list, func(n uint32) netip.AddrPort {
 			return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 4100)
 		})
 	case "send": // id server deadline
 		j := y.attempts[parseID(t, w[2])]
 		if j == nil {
-			j = &Job{ID: parseID(t, w[2]), Number: -1, Profile: "report", Statement: []byte("SELECT 1"), Level: 1}
+			j = &Attempt{ID: parseID(t, w[2]), AttemptNumber: -1, Profile: "report", Statement: []byte("SELECT 1"), Priority: 1}
 			copy(j.Ref[:], "00000000000000"+w[2])
 			y.attempts[j.ID] = j
 		}
-		j.Number++
-		j.Engine, j.At = parseID(t, w[3]), now
-		j.Until, _ = strconv.ParseFloat(w[4], 64)
+		j.AttemptNumber++
+		j.Server, j.SentAt = parseID(t, w[3]), now
+		j.Deadline, _ = strconv.ParseFloat(w[4], 64)
 		y.pool.Send(j)
 	case "give-up":
-		y.pool.GiveUp(y.attempts[parseID(t, w[2])], admission.TimedOut)
+		y.pool.Abandon(y.attempts[parseID(t, w[2])], admission.TimedOut)
 	case "unwanted":
-		y.attempts[parseID(t, w[2])].Unwanted = true
+		y.attempts[parseID(t, w[2])].ResultUnwanted = true
 	case "renice":
 		j := y.attempts[parseID(t, w[2])]
-		j.Level = int(parseID(t, w[3]))
-		y.pool.Renice(j)
+		j.Priority = int(parseID(t, w[3]))
+		y.pool.SetPriority(j)
 	case "unstick":
-		y.pool.Unstick()
+		y.pool.DropStalled()
 	case "tidy":
-		y.pool.Tidy()
+		y.pool.CloseIdle()
 	case "up":
-		y.fakeConns[parseID(t, w[2])-1].sink.Up()
+		y.fakeConns[parseID(t, w[2])-1].sink.Connected()
 	case "stalled":
 		l := y.fakeConns[parseID(t, w[2])-1]
 		if l.stalled = len(w) < 4 || w[3] == "yes"; !l.stalled {
@@ -172,8 +172,8 @@
 			y.fakeConns[parseID(t, w[2])-1].sink.Feed([]byte(text[:size]))
 		}
 	case "ends":
-		how := map[string]transport.Ending{"refused": transport.Refused, "never-up": transport.NeverUp,
-			"finished": transport.Finished, "reset": transport.Reset, "closed": transport.Closed}
+		how := map[string]transport.Ending{"refused": transport.Refused, "never-up": transport.NotConnected,
+			"finished": transport.PeerFinished, "reset": transport.Reset, "closed": transport.Closed}
 		y.fakeConns[parseID(t, w[2])-1].sink.Ended(how[w[3]])
 	default:
 		t.Fatalf("%q", w)
@@ -183,18 +183,18 @@
 // TestTurnover guards against a leak: however many servers come and go, some at the same address, the pool keeps
 // nothing of them.
 func TestTurnover(t *testing.T) {
-	y := &harness{say: func(string, ...any) {}, attempts: map[uint32]*Job{}}
-	y.pool = New(y, Limits{Streams: 2, Conns: 4, Idle: 30}, func(_ netip.AddrPort, sink transport.Sink) Line {
+	y := &harness{say: func(string, ...any) {}, attempts: map[uint32]*Attempt{}}
+	y.pool = New(y, Limits{StreamsPerConn: 2, MaxConns: 4, IdleTimeout: 30}, func(_ netip.AddrPort, sink transport.Sink) Connection {
 		y.fakeConns = append(y.fakeConns, &fakeConn{harness: y, sink: sink})
 		return y.fakeConns[len(y.fakeConns)-1]
 	})
 	for k := range 1000 {
 		n := uint32(k + 1)
-		y.pool.Members([]admission.Entry{{Engine: n, State: admission.Ready}}, func(uint32) netip.AddrPort { return netip.AddrPort{} })
-		j := &Job{ID: n, Engine: n, Until: 9, Profile: "report"}
+		y.pool.UpdateServers([]admission.Entry{{Server: n, State: admission.Ready}}, func(uint32) netip.AddrPort { return netip.AddrPort{} })
+		j := &Attempt{ID: n, Server: n, Deadline: 9, Profile: "report"}
 		copy(j.Ref[:], "0000000000000000")
 		y.pool.Send(j)
-		y.fakeConns[k].sink.Up()
+		y.fakeConns[k].sink.Connected()
 		y.fakeConns[k].sink.Feed([]byte("0000000000000000 served count=1 5\r\na\tb\t\n\r\n"))
 		if k > 0 {
 			y.fakeConns[k-1].sink.Ended(transport.Closed)
@@ -206,4 +206,4 @@
 }
 
 // TestScripts plays each script with the servers' messages in one piece and byte by byte.
-func TestScripts(t *testing.T) { script.Play(t, play(false), play(true)) }
+func TestScripts(t *testing.T) { script.Run(t, play(false), play(true)) }
--- a/internal/backends/undelivered.go
+++ b/internal/backends/undelivered.go
@@ -5,16 +5,16 @@
 // This file ends connections on which requests, messages or pages stop making progress.
 
 // DropStalledInterval is how often DropStalled is to be called, in seconds.
-const UnstickEvery = 0.1
+const DropStalledInterval = 0.1
 
 // DropStalled drops connections whose requests should have been delivered by now and are not, since they would arrive
 // some time later. This holds also if the attempts are no longer outstanding, as the bytes of an abandoned attempt
 // arrive as well. It also drops connections on which a message is incomplete, or a page does not come, for too long.
 // It withdraws attempts whose bytes may not leave any more at the time of its next call.
-func (p *Pool) Unstick() {
+func (p *Pool) DropStalled() {
 	for _, c := range p.conns {
 		undelivered := c.withdrawExpired()
-		if p.limits.Stall > 0 && !c.unreadable && c.stalledSince(p.now-p.limits.Stall) {
+		if p.limits.StallTimeout > 0 && !c.unreadable && c.stalledSince(p.now-p.limits.StallTimeout) {
 			c.closeUnreadable()
 		}
 		if c.dropUndeliveredAt > 0 && p.now >= c.dropUndeliveredAt {
@@ -33,11 +33,11 @@
 // therefore have arrived.
 func (c *conn) withdrawExpired() (haveLeft bool) {
 	for _, j := range c.sortedAttempts() {
-		if j.LeaveBy == 0 || c.pool.now+UnstickEvery < j.LeaveBy {
+		if j.LeaveBy == 0 || c.pool.now+DropStalledInterval < j.LeaveBy {
 			continue
 		}
 		if c.withdraw(j) {
-			c.pool.endLater(j, admission.Moot)
+			c.pool.endLater(j, admission.Withdrawn)
 			continue
 		}
 		j.LeaveBy, haveLeft = 0, true
@@ -49,7 +49,7 @@
 // next: a system may take some hundredths of a second to acknowledge them. The attempts end as cancelled, since the
 // server did not cause it.
 func (c *conn) dropUnwanted() {
-	const minUnwanted = 0.9 * UnstickEvery
+	const minUnwanted = 0.9 * DropStalledInterval
 	now := c.pool.now
 	switch {
 	case !c.allUnwanted() || c.socket.Delivered():
@@ -68,7 +68,7 @@
 // allUnwanted reports whether the clients of all outstanding attempts have disconnected or closed their sides.
 func (c *conn) allUnwanted() bool {
 	for _, j := range c.outstanding {
-		if !j.written || !j.Unwanted && !j.withdrawalRequested {
+		if !j.written || !j.ResultUnwanted && !j.withdrawalRequested {
 			return false
 		}
 	}
--- a/internal/benchwire/serve.go
+++ b/internal/benchwire/serve.go
@@ -16,7 +16,7 @@
 // router is one hosted instance. Instances share only the reply that their actions are appended to.
 type router struct {
 	id         uint32
-	controller *admission.Brain
+	controller *admission.Controller
 	profiles   int
 	fields     []string // names of the load report values, in order
 	load       admission.Load
@@ -115,7 +115,7 @@
 		list = append(list, admission.Entry{
 			Kind: int(be.Uint16(rows)), Weight: f32(rows[2:]), ReadyAt: f64(rows[6:]) * ms,
 			Cell: int(be.Uint16(rows[14:])), State: state,
-			Zone: int(be.Uint16(rows[17:])), Engine: be.Uint32(rows[19:]),
+			Zone: int(be.Uint16(rows[17:])), Server: be.Uint32(rows[19:]),
 		})
 	}
 	s.lists[listNumber], s.received[listNumber] = list, true
@@ -134,7 +134,7 @@
 	r := &router{id: id, profiles: len(parsed.Profiles), fields: parsed.LoadFields, out: &s.out}
 	s.routers[id] = r
 	s.out.router = id
-	r.recoverPanic(func() { r.controller = admission.New(parsed.Brain, s.now, r) })
+	r.recoverPanic(func() { r.controller = admission.New(parsed.Admission, s.now, r) })
 	return r, nil
 }
 
@@ -159,7 +159,7 @@
 	m, now := r.controller, s.now
 	switch e[0] {
 	case 20: // PeersKnown
-		scopes := [4]admission.Scope{admission.Delta, admission.Cached, admission.Full, admission.FailedAsk}
+		scopes := [4]admission.Scope{admission.Delta, admission.Cached, admission.Full, admission.ListUnavailable}
 		if e[1] > 3 {
 			return fmt.Errorf("invalid list scope %d", e[1])
 		}
@@ -171,11 +171,11 @@
 			}
 			list = s.lists[listNumber]
 		}
-		m.Members(now, scopes[e[1]], list)
+		m.UpdateServers(now, scopes[e[1]], list)
 	case 30: // WorkItem
-		c := admission.Command{
+		c := admission.Request{
 			ID: be.Uint32(e[1:]), Profile: int(e[5]), Tenant: int(be.Uint16(e[6:])), Key: be.Uint64(e[8:]),
-			TimeLeft: f64(e[16:]) * ms, Memory: f32(e[32:]), Area: uint32(f32(e[36:])), Retry: e[40]&2 != 0,
+			TimeLeft: f64(e[16:]) * ms, Memory: f32(e[32:]), SubjectArea: uint32(f32(e[36:])), Retry: e[40]&2 != 0,
 		}
 		if e[40]&1 != 0 {
 			c.Cost = f64(e[24:]) * ms
@@ -186,24 +186,24 @@
 		if math.IsNaN(c.TimeLeft) || math.IsNaN(c.Cost) {
 			return fmt.Errorf("time left or cost is not a number")
 		}
-		m.Command(now, c)
+		m.Request(now, c)
 	case 40: // UnderWay
-		m.Started(now, be.Uint32(e[1:]), int(be.Uint16(e[13:])))
+		m.StreamStarted(now, be.Uint32(e[1:]), int(be.Uint16(e[13:])))
 	case 50: // Outcome
 		o := admission.Outcome{
-			ID: be.Uint32(e[1:]), Lag: f64(e[7:]) * ms, Over: e[15] != 0,
-			Engine: be.Uint32(e[20:]), Send: int(be.Uint16(e[24:])), Load: r.parseLoad(e[26:]),
+			ID: be.Uint32(e[1:]), Latency: f64(e[7:]) * ms, Final: e[15] != 0,
+			Server: be.Uint32(e[20:]), Attempt: int(be.Uint16(e[24:])), Load: r.parseLoad(e[26:]),
 		}
 		var err error
 		if o.End, err = parseEnd(be.Uint16(e[5:])); err != nil {
 			return err
 		}
-		if cost := be.Uint32(e[16:]); o.End == admission.Answered && cost > 0 {
+		if cost := be.Uint32(e[16:]); o.End == admission.Completed && cost > 0 {
 			o.Work, o.Memory = float64(cost>>12)*ms, float64(cost&0xfff)*4
 		}
 		m.Outcome(now, o)
 	case 60: // Left
-		m.Left(now, be.Uint32(e[1:]))
+		m.ClientLeft(now, be.Uint32(e[1:]))
 	case 70: // Due
 		m.Woken(now, be.Uint64(e[1:]))
 	case 80: // Pong
@@ -217,11 +217,11 @@
 		if err != nil {
 			return err
 		}
-		m.Peer(now, int(be.Uint32(e[1:])), data)
+		m.PeerMessage(now, int(be.Uint32(e[1:])), data)
 	case 110: // StatusNote
-		m.Note(now, admission.Note{
-			ID: be.Uint32(e[1:]), Kind: admission.NoteKind(e[5]), Send: int(be.Uint16(e[6:])),
-			Value: f32(e[8:]), Engine: be.Uint32(e[12:]),
+		m.Progress(now, admission.Progress{
+			ID: be.Uint32(e[1:]), Kind: admission.ProgressKind(e[5]), Attempt: int(be.Uint16(e[6:])),
+			Value: f32(e[8:]), Server: be.Uint32(e[12:]),
 		})
 	}
 	return nil
@@ -240,12 +240,12 @@
 	if n == 0 || n > 4 || n > len(r.fields) {
 		return nil
 	}
-	r.load = admission.Load{Held: -1, Waiting: -1, Cores: -1, Memory: -1, Disks: -1}
+	r.load = admission.Load{Requests: -1, Waiting: -1, Cores: -1, Memory: -1, Disks: -1}
 	for i := range n {
 		v := f32(e[1+4*i:])
 		switch r.fields[i] {
 		case "active":
-			r.load.Held = v
+			r.load.Requests = v
 		case "waiting":
 			r.load.Waiting = v
 		case "cpu":
@@ -271,7 +271,7 @@
 	be.PutUint32(f[12:], engine)
 }
 
-func (r *router) Shed(id uint32, pause float64) {
+func (r *router) Reject(id uint32, pause float64) {
 	f := r.out.action(50)
 	be.PutUint32(f, id)
 	be.PutUint64(f[4:], millis(pause))
@@ -302,7 +302,7 @@
 	be.PutUint64(f[8:], token)
 }
 
-func (r *router) Tell(peer int, data []byte) {
+func (r *router) SendToPeer(peer int, data []byte) {
 	f := r.out.action(130)
 	be.PutUint16(f, uint16(peer)) // -1 sets every bit: all peers
 	r.out.attach(f[2:], string(data))
@@ -314,5 +314,5 @@
 	}
 }
 
-func (r *router) Told(uint32, waittime.Kind, waittime.Estimate) {} // the protocol has no action for it
-func (r *router) Log(text string)                               { r.out.attach(r.out.action(40), text) }
+func (r *router) ReportEstimate(uint32, waittime.TimeKind, waittime.Estimate) {} // the protocol has no action for it
+func (r *router) Log(text string)                                             { r.out.attach(r.out.action(40), text) }
--- a/internal/benchwire/wire_test.go
+++ b/internal/benchwire/wire_test.go
@@ -88,13 +88,13 @@
 	r := &router{id: 3, out: &o}
 	r.Send(0x5d3a91c4, 0x03124a07, 0.08, 0)
 	r.Wake(0.5, 0x4d)
-	r.Shed(0x0e6f2b19, 0.25)
+	r.Reject(0x0e6f2b19, 0.25)
 	r.Fail(0x0e6f2b19)
 	r.Cancel(0x5d3a91c4, 0)
 	r.Probe(0x2c9011f2)
 	r.Priority(0x5d3a91c4, 2, 640)
 	r.Watch(true)
-	r.Tell(-1, []byte("hi 7"))
+	r.SendToPeer(-1, []byte("hi 7"))
 	r.Log("two servers known")
 	var lines []string
 	for b := o.head[8:]; len(b) > 0; b = b[actionSize:] {
@@ -126,9 +126,9 @@
 		"Group":"cell","Worth":3,"RunsIn":[1],"ByArrival":true}],"FamilyInfo":{"Dop":[4]},"Obligations":{"FurtherRatio":0.1,
 		"LookBack":10000,"KeyRest":500}}`), 7)
 	want := admission.Settings{Seed: 7, Routers: 1, KeyRest: 0.5, BudgetShare: 0.1, BudgetWindow: 10,
-		Profiles: []admission.Profile{{Target: 0.8, Stretch: 2, Benefit: 3, Effect: admission.Uniqued,
+		Profiles: []admission.Profile{{Target: 0.8, Stretch: 2, Benefit: 3, Effect: admission.IdempotentByKey,
 			Group: admission.GroupCell, Window: 5, Ordered: true, Zones: []int{1}, Threads: 4}}}
-	if diff := cmp.Diff(want, all.Brain); diff != "" || err != nil {
+	if diff := cmp.Diff(want, all.Admission); diff != "" || err != nil {
 		t.Errorf("%v\n%s", err, diff)
 	}
 }
@@ -177,7 +177,7 @@
 	be.PutUint32(e[1:], math.Float32bits(0.5))
 	be.PutUint32(e[5:], math.Float32bits(12))
 	r := &router{fields: []string{"cpu", "active"}}
-	if diff := cmp.Diff(&admission.Load{Held: 12, Waiting: -1, Cores: 0.5, Memory: -1, Disks: -1}, r.parseLoad(e[:])); diff != "" {
+	if diff := cmp.Diff(&admission.Load{Requests: 12, Waiting: -1, Cores: 0.5, Memory: -1, Disks: -1}, r.parseLoad(e[:])); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -26,7 +26,7 @@
 
 // ExitStatus returns the exit status for an error: that of the program that was run, where its failure is the error; 2
 // where the check command found an error in a file; else 1.
-func Status(err error) int {
+func ExitStatus(err error) int {
 	var c *exec.ExitError
 	if errors.As(err, &c) {
 		return c.ExitCode()
@@ -39,21 +39,21 @@
 }
 
 // AlreadyReported reports whether the error is the failure of another program, which has printed its own error message.
-func Said(err error) bool {
+func AlreadyReported(err error) bool {
 	var c *exec.ExitError
 	return errors.As(err, &c)
 }
 
 // Extensions are the parts that only some programs link beside the router.
-type With struct {
-	Fleet func(config.Config, *zap.Logger) (router.Fleet, error)              // the router's membership in the fleet; nil: only dunefleet has it
-	State func(set operator.State, name string, log *zap.Logger) router.State // the state kept in a folder; nil: only dunefleet has it
-	Words *cobra.Command                                                      // the command `fleet` with its subcommands
+type Extensions struct {
+	Fleet        func(config.Config, *zap.Logger) (router.Fleet, error)              // the router's membership in the fleet; nil: only dunefleet has it
+	State        func(set operator.State, name string, log *zap.Logger) router.State // the state kept in a folder; nil: only dunefleet has it
+	FleetCommand *cobra.Command                                                      // the command `fleet` with its subcommands
 }
 
 // Run executes one command line.
-func Run(args []string, env func(string) string, out, log io.Writer, extensions With) error {
-	operatorFile := env(operator.Variable)
+func Run(args []string, env func(string) string, out, log io.Writer, extensions Extensions) error {
+	operatorFile := env(operator.EnvVariable)
 	load := func() (config.Config, error) { return config.Load(env, operatorFile, checkOperatorFile) }
 	serveCommand := func(*cobra.Command, []string) error { return serve(load, extensions, log) }
 	root := &cobra.Command{
@@ -77,7 +77,7 @@
 		Args: cobra.NoArgs, RunE: serveCommand, SilenceErrors: true, SilenceUsage: true,
 	}
 	root.PersistentFlags().StringVar(&operatorFile, "operator", operatorFile,
-		"path of the operators' file (default: the value of "+operator.Variable+")")
+		"path of the operators' file (default: the value of "+operator.EnvVariable+")")
 	root.AddCommand(&cobra.Command{
 		Use: "serve", Short: "Serve until SIGTERM (the default command)", Args: cobra.NoArgs, RunE: serveCommand,
 	}, &cobra.Command{
@@ -91,7 +91,7 @@
 				return configError{err}
 			}
 			if f := c.Operator.Fleet; f != nil {
-				fmt.Fprintf(out, "fleet: %d coordinators\n", len(f.Keepers))
+				fmt.Fprintf(out, "fleet: %d coordinators\n", len(f.Coordinators))
 			}
 			if s := c.Operator.State; s != nil {
 				fmt.Fprintf(out, "state: kept in %s\n", s.Folder)
@@ -125,12 +125,12 @@
 			return err
 		},
 	})
-	if extensions.Words == nil {
-		extensions.Words = &cobra.Command{Use: "fleet", Short: "Inspect and control the tasks that routers do for the whole fleet (dunereach fleet --help)",
+	if extensions.FleetCommand == nil {
+		extensions.FleetCommand = &cobra.Command{Use: "fleet", Short: "Inspect and control the tasks that routers do for the whole fleet (dunereach fleet --help)",
 			DisableFlagParsing: true, // dunefleet parses the flags
 			RunE:               func(*cobra.Command, []string) error { return execProgram(fleetProgram, args) }}
 	}
-	root.AddCommand(extensions.Words)
+	root.AddCommand(extensions.FleetCommand)
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(log)
--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -72,7 +72,7 @@
 // of its own keeps the work and its memory out of the process that serves.
 func checkExpectations(ctx context.Context, c config.Config) error {
 	expect := c.Operator.Expect
-	if expect == nil || !expect.Refuse {
+	if expect == nil || !expect.RejectFailing {
 		return nil
 	}
 	self, err := os.Executable()
@@ -80,12 +80,12 @@
 		return err
 	}
 	const defaultSeconds, defaultMB = 60, 256 // 80 expectations take some seconds on four cores, and 60 MB
-	timeout := time.Duration(cmp.Or(expect.Seconds, defaultSeconds) * 1e9)
+	timeout := time.Duration(cmp.Or(expect.Timeout, defaultSeconds) * 1e9)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	checker := exec.CommandContext(ctx, filepath.Join(filepath.Dir(self), "dunecheck"), "expect", "--config", c.Files[0],
 		"--operator", c.Files[1], expect.Folder)
-	checker.Env = append(os.Environ(), fmt.Sprintf("GOMEMLIMIT=%.0fMiB", cmp.Or(expect.Memory, defaultMB)))
+	checker.Env = append(os.Environ(), fmt.Sprintf("GOMEMLIMIT=%.0fMiB", cmp.Or(expect.MemoryMB, defaultMB)))
 	switch output, err := checker.CombinedOutput(); {
 	case ctx.Err() != nil:
 		return fmt.Errorf("its expectations were not checked within %v", timeout)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 )
 
-func serve(load func() (config.Config, error), extensions With, out io.Writer) error {
+func serve(load func() (config.Config, error), extensions Extensions, out io.Writer) error {
 	// Handlers are installed first, so that a signal during the start does not kill the process. Several SIGHUPs in a row cause one reload.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,7 +20,7 @@
 	Listen     netip.AddrPort
 	NameServer netip.AddrPort
 	Limits     Limits
-	Known      discovery.Known
+	Known      discovery.ConfiguredList
 	Settings   settings.Settings
 	Operator   operator.File
 	Files      [2]string      // paths that were read: the configuration's and the operators'
@@ -35,13 +35,13 @@
 }
 
 type configFile struct {
-	Name       string          `json:"name"`
-	Listen     string          `json:"listen"`
-	Seed       string          `json:"seed"`
-	Limits     Limits          `json:"limits"`
-	NameServer string          `json:"nameserver"`
-	Known      discovery.Known `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	Name       string                   `json:"name"`
+	Listen     string                   `json:"listen"`
+	Seed       string                   `json:"seed"`
+	Limits     Limits                   `json:"limits"`
+	NameServer string                   `json:"nameserver"`
+	Known      discovery.ConfiguredList `json:"known"`
+	Settings   json.RawMessage          `json:"settings"`
 }
 
 // Load reads the configuration and the operators' file, where one is named. Name and address in the environment override those of
--- a/internal/coordserver/admin.go
+++ b/internal/coordserver/admin.go
@@ -16,7 +16,7 @@
 )
 
 // ParseKeepers reads "k1=127.0.0.1:7001@east,k2=...": name, address and, after the @, zone.
-func ParseKeepers(text string) (all []registry.Keeper, err error) {
+func ParseKeepers(text string) (all []registry.Coordinator, err error) {
 	names := map[string]bool{}
 	for n, part := range strings.Split(text, ",") {
 		name, rest, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -24,14 +24,14 @@
 		if !ok || name == "" {
 			return nil, fmt.Errorf("keeper %d, %q: NAME=ADDRESS:PORT or NAME=ADDRESS:PORT@ZONE is wanted", n+1, part)
 		}
-		if err := netaddr.Check(addr); err != nil {
+		if err := netaddr.CheckPrivate(addr); err != nil {
 			return nil, fmt.Errorf("keeper %q: %v", name, err)
 		}
 		if names[name] {
 			return nil, fmt.Errorf("keeper %q is named twice", name)
 		}
 		names[name] = true
-		all = append(all, registry.Keeper{ID: uint64(n + 1), Name: name, Addr: addr, Zone: zone})
+		all = append(all, registry.Coordinator{ID: uint64(n + 1), Name: name, Addr: addr, Zone: zone})
 	}
 	if len(all) != 1 && len(all) != 3 && len(all) != 5 {
 		return nil, fmt.Errorf("%d keepers: one (for trying out), three or five can begin a record", len(all))
@@ -64,7 +64,7 @@
 	if len(id.Token) > 64 || strings.Trim(id.Token, "0123456789abcdef") != "" {
 		return id, fmt.Errorf("%q is no token of a record", id.Token)
 	}
-	stored, err := coordinator.Begin(all, lease, drift)
+	stored, err := coordinator.InitialState(all, lease, drift)
 	if err != nil {
 		return id, err
 	}
@@ -74,7 +74,7 @@
 // Join makes the folder of a keeper that takes the place of one that was lost, or comes to the others.
 func Join(ctx context.Context, folder, name, listen, zone, ask string) (Identity, error) {
 	for _, a := range [...]string{listen, ask} {
-		if err := netaddr.Check(a); err != nil {
+		if err := netaddr.CheckPrivate(a); err != nil {
 			return Identity{}, err
 		}
 	}
@@ -87,7 +87,7 @@
 		}
 		// While the others choose a leader it is asked again; one that was taken in and has not started is told its number again.
 		again := false
-		for _, e := range []error{coordinator.ErrElsewhere, coordinator.ErrBusy, coordinator.ErrUnsure, agent.ErrNoAnswer} {
+		for _, e := range []error{coordinator.ErrNotLeader, coordinator.ErrBusy, coordinator.ErrOutcomeUnknown, agent.ErrNoAnswer} {
 			again = again || errors.Is(err, e)
 		}
 		if !again || ctx.Err() != nil {
@@ -106,6 +106,6 @@
 	if err != nil {
 		return Identity{}, err
 	}
-	id := Identity{ID: n, Name: name, Listen: listen, Zone: zone, Token: st.Record, Peers: now.Keepers}
-	return id, Create(folder, id, coordinator.Stored{})
+	id := Identity{ID: n, Name: name, Listen: listen, Zone: zone, Token: st.Registry, Peers: now.Keepers}
+	return id, Create(folder, id, coordinator.PersistedState{})
 }
--- a/internal/coordserver/ask.go
+++ b/internal/coordserver/ask.go
@@ -98,7 +98,7 @@
 
 // transient tells whether another coordinator, or the same one a little later, may decide.
 func transient(err error) bool {
-	for _, e := range []error{coordinator.ErrElsewhere, coordinator.ErrUnsure, agent.ErrNoAnswer} {
+	for _, e := range []error{coordinator.ErrNotLeader, coordinator.ErrOutcomeUnknown, agent.ErrNoAnswer} {
 		if errors.Is(err, e) {
 			return true
 		}
--- a/internal/coordserver/ask_test.go
+++ b/internal/coordserver/ask_test.go
@@ -77,12 +77,12 @@
 		case n == times:
 			return http.StatusConflict, &Fault{Error: "unsure"}
 		}
-		return http.StatusOK, coordinator.Posted{}
+		return http.StatusOK, coordinator.PostResult{}
 	}
 	a, _ := fakeCoordinator(t, moves)
 	b, _ := fakeCoordinator(t, elsewhere(a))
-	order := coordinator.Order{Kind: "release", Work: "w", Fence: 3}
-	if err := NewClient([]string{a, b}, "").Ask(t.Context(), "/v1/order", order, &coordinator.Posted{}); err != nil {
+	order := coordinator.Order{Kind: "release", Task: "w", Fence: 3}
+	if err := NewClient([]string{a, b}, "").Ask(t.Context(), "/v1/order", order, &coordinator.PostResult{}); err != nil {
 		t.Error(err)
 	}
 }
@@ -99,14 +99,14 @@
 
 // TestAskDecided: a coordinator's decision is told at once and asked for once; where nobody decides, the context ends it.
 func TestAskDecided(t *testing.T) {
-	refuses, asked := fakeCoordinator(t, func(int64) (int, any) { return http.StatusConflict, faultOf(registry.ErrNoWork, "") })
-	if err := NewClient([]string{refuses}, "").Ask(t.Context(), "/v1/order", coordinator.Order{}, &coordinator.Posted{}); !errors.Is(err, registry.ErrNoWork) || asked.Load() != 1 {
+	refuses, asked := fakeCoordinator(t, func(int64) (int, any) { return http.StatusConflict, faultOf(registry.ErrNoTask, "") })
+	if err := NewClient([]string{refuses}, "").Ask(t.Context(), "/v1/order", coordinator.Order{}, &coordinator.PostResult{}); !errors.Is(err, registry.ErrNoTask) || asked.Load() != 1 {
 		t.Errorf("%v, asked %d times", err, asked.Load())
 	}
 	nobody, _ := fakeCoordinator(t, elsewhere(""))
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	if err := NewClient([]string{nobody, stoppedCoordinator(t)}, "").Ask(ctx, "/v1/record", nil, &json.RawMessage{}); !errors.Is(err, coordinator.ErrElsewhere) {
+	if err := NewClient([]string{nobody, stoppedCoordinator(t)}, "").Ask(ctx, "/v1/record", nil, &json.RawMessage{}); !errors.Is(err, coordinator.ErrNotLeader) {
 		t.Errorf("where nobody leads: %v", err)
 	}
 }
--- a/internal/coordserver/client.go
+++ b/internal/coordserver/client.go
@@ -148,8 +148,8 @@
 		}
 		c.mu.Lock()
 		switch {
-		case errors.Is(err, coordinator.ErrElsewhere):
-			c.find.Elsewhere(at, leader)
+		case errors.Is(err, coordinator.ErrNotLeader):
+			c.find.Redirect(at, leader)
 		case errors.Is(err, agent.ErrNoAnswer):
 			c.find.Failed(at)
 		default:
--- a/internal/coordserver/serve.go
+++ b/internal/coordserver/serve.go
@@ -24,9 +24,9 @@
 
 // Wire errors, by the word that stands for them in an answer.
 var wireErrors = map[string]error{
-	"elsewhere": coordinator.ErrElsewhere, "unsure": coordinator.ErrUnsure, "session": coordinator.ErrSession, "bad": coordinator.ErrBad,
+	"elsewhere": coordinator.ErrNotLeader, "unsure": coordinator.ErrOutcomeUnknown, "session": coordinator.ErrUnknownSession, "bad": coordinator.ErrBadRequest,
 	"busy": coordinator.ErrBusy, "superseded": registry.ErrSuperseded, "full": registry.ErrFull, "owned": registry.ErrOwned,
-	"fence": registry.ErrFence, "work": registry.ErrNoWork, "keeper": registry.ErrKeeper, "no session": registry.ErrNoSession,
+	"fence": registry.ErrFence, "work": registry.ErrNoTask, "keeper": registry.ErrCoordinator, "no session": registry.ErrNoSession,
 	"version": registry.ErrUnknown,
 }
 
@@ -35,13 +35,13 @@
 	Error  string           `json:"error"`
 	Text   string           `json:"text,omitempty"`
 	Leader string           `json:"leader,omitempty"` // address of who leads
-	Old    *lease.FenceMark `json:"old,omitempty"`
+	Old    *lease.TaskFence `json:"old,omitempty"`
 }
 
 // Err is the error that a fault stands for.
 func (f *Fault) Err() error {
 	if f.Old != nil {
-		return &lease.StaleFenceError{Work: f.Old.Work, Highest: f.Old.Fence}
+		return &lease.StaleFenceError{Task: f.Old.Task, Highest: f.Old.Fence}
 	}
 	if e := wireErrors[f.Error]; e != nil {
 		if f.Text != "" {
@@ -55,7 +55,7 @@
 func faultOf(err error, leader string) *Fault {
 	var old *lease.StaleFenceError
 	if errors.As(err, &old) {
-		return &Fault{Error: "fence", Text: err.Error(), Old: &lease.FenceMark{Work: old.Work, Fence: old.Highest}}
+		return &Fault{Error: "fence", Text: err.Error(), Old: &lease.TaskFence{Task: old.Task, Fence: old.Highest}}
 	}
 	for word, e := range wireErrors {
 		if errors.Is(err, e) {
@@ -68,19 +68,19 @@
 // request for the owner's goroutine.
 type request struct {
 	number uint64 // the owner's goroutine's
-	do     func(k *coordinator.Keeper, now float64, number uint64)
+	do     func(k *coordinator.Coordinator, now float64, number uint64)
 	answer chan reply // room for one: nobody waits for who went away
 }
 
 type reply struct {
-	coordinator.Answer
+	coordinator.Response
 	leader string
 }
 
 // server of one keeper.
 type server struct {
 	store  *Store
-	k      *coordinator.Keeper
+	k      *coordinator.Coordinator
 	log    *zap.Logger
 	inbox  chan func(now float64)
 	asks   chan *request
@@ -93,7 +93,7 @@
 const (
 	mostBody = 8 << 20 // bytes of one request of a router or an operator
 	// mostRaft is the bound on one request of another keeper: a snapshot, and entries that wait with it.
-	mostRaft = registry.MostSnapshot + 8<<20
+	mostRaft = registry.MaxSnapshot + 8<<20
 	tick     = 20 * time.Millisecond
 )
 
@@ -115,7 +115,7 @@
 	if o.Listen != "" {
 		listen = o.Listen
 	}
-	if err := netaddr.Check(listen); err != nil {
+	if err := netaddr.CheckPrivate(listen); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", listen)
@@ -151,7 +151,7 @@
 }
 
 // own is the goroutine that has the keeper.
-func (s *server) own(ctx context.Context, stored coordinator.Stored) error {
+func (s *server) own(ctx context.Context, stored coordinator.PersistedState) error {
 	id := s.store.Identity
 	if id.Fresh {
 		if err := s.begin(ctx); err != nil {
@@ -160,7 +160,7 @@
 	}
 	const holds = 1.0 // seconds: a quarter of a lease of four, the usual one
 	var err error
-	s.k, err = coordinator.New(coordinator.Config{ID: id.ID, Name: id.Name, Token: id.Token, Hold: holds, Logger: quiet{s.log.Sugar()},
+	s.k, err = coordinator.New(coordinator.Config{ID: id.ID, Name: id.Name, RegistryToken: id.Token, HoldTime: holds, Logger: quiet{s.log.Sugar()},
 		Log: func(text string) { s.log.Info(text) }}, stored, boottime.Now())
 	if err != nil {
 		return err
@@ -175,8 +175,8 @@
 		case <-ticker.C:
 			now := boottime.Now()
 			s.k.Tick(now)
-			if s.k.Leads() {
-				s.k.Version(id.ID, registry.Version)
+			if s.k.IsLeader() {
+				s.k.ReportVersion(id.ID, registry.Version)
 			}
 		case do := <-s.inbox:
 			do(boottime.Now())
@@ -218,17 +218,17 @@
 			return err
 		}
 		s.wire.send(out.Messages, s.k)
-		for _, a := range out.Answers {
+		for _, a := range out.Responses {
 			r := s.open[a.Request]
 			delete(s.open, a.Request)
 			if r == nil {
 				continue
 			}
 			leader := ""
-			if x := s.k.Record().Keeper(a.Leader); x != nil {
+			if x := s.k.Registry().Coordinator(a.Leader); x != nil {
 				leader = x.Addr
 			}
-			if rec, ok := a.Value.(*registry.Record); ok { // as it is now: it goes on changing
+			if rec, ok := a.Value.(*registry.Registry); ok { // as it is now: it goes on changing
 				a.Value = picture(rec)
 			}
 			r.answer <- reply{a, leader}
@@ -236,32 +236,32 @@
 		if err := s.k.Done(); err != nil {
 			return err
 		}
-		s.wire.peers(s.k.Record())
+		s.wire.peers(s.k.Registry())
 	}
 }
 
 // Picture of the record, for people and scripts.
 type Picture struct {
-	Index    uint64             `json:"index"`
-	Fence    uint64             `json:"fence"`
-	Lease    float64            `json:"lease"`
-	Drift    float64            `json:"drift"`
-	Keepers  []registry.Keeper  `json:"keepers"`
-	Sessions []registry.Session `json:"sessions"`
-	Works    []registry.Work    `json:"works"`
-	Owners   map[string]string  `json:"owners"` // name of each owned work's owner
+	Index    uint64                 `json:"index"`
+	Fence    uint64                 `json:"fence"`
+	Lease    float64                `json:"lease"`
+	Drift    float64                `json:"drift"`
+	Keepers  []registry.Coordinator `json:"keepers"`
+	Sessions []registry.Session     `json:"sessions"`
+	Works    []registry.Task        `json:"works"`
+	Owners   map[string]string      `json:"owners"` // name of each owned work's owner
 }
 
-func picture(r *registry.Record) Picture {
-	p := Picture{Index: r.Index(), Fence: r.Fence(), Owners: map[string]string{}, Sessions: []registry.Session{}, Works: []registry.Work{}}
-	p.Lease, p.Drift = r.Terms()
-	for _, k := range r.Keepers() {
+func picture(r *registry.Registry) Picture {
+	p := Picture{Index: r.Index(), Fence: r.Fence(), Owners: map[string]string{}, Sessions: []registry.Session{}, Works: []registry.Task{}}
+	p.Lease, p.Drift = r.LeaseTerms()
+	for _, k := range r.Coordinators() {
 		p.Keepers = append(p.Keepers, *k)
 	}
 	for _, x := range r.Sessions() {
 		p.Sessions = append(p.Sessions, *x)
 	}
-	for _, x := range r.Works() {
+	for _, x := range r.Tasks() {
 		p.Works = append(p.Works, *x)
 		if o := r.Session(x.Owner); o != nil {
 			p.Owners[x.Name] = o.Name
@@ -273,34 +273,34 @@
 func (s *server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/beat", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(b *coordinator.Beat) func(*coordinator.Keeper, float64, uint64) {
-			return func(k *coordinator.Keeper, now float64, n uint64) { k.Beat(now, n, b) }
+		handle(s, w, r, func(b *coordinator.Heartbeat) func(*coordinator.Coordinator, float64, uint64) {
+			return func(k *coordinator.Coordinator, now float64, n uint64) { k.Heartbeat(now, n, b) }
 		})
 	})
 	mux.HandleFunc("POST /v1/mail", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(m *coordinator.Mail) func(*coordinator.Keeper, float64, uint64) {
-			return func(k *coordinator.Keeper, now float64, n uint64) { k.Post(now, n, m) }
+		handle(s, w, r, func(m *coordinator.MessageBatch) func(*coordinator.Coordinator, float64, uint64) {
+			return func(k *coordinator.Coordinator, now float64, n uint64) { k.PostMessages(now, n, m) }
 		})
 	})
 	mux.HandleFunc("POST /v1/act", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(a *coordinator.Act) func(*coordinator.Keeper, float64, uint64) {
-			return func(k *coordinator.Keeper, now float64, n uint64) { k.Do(now, n, a) }
+		handle(s, w, r, func(a *coordinator.Action) func(*coordinator.Coordinator, float64, uint64) {
+			return func(k *coordinator.Coordinator, now float64, n uint64) { k.Perform(now, n, a) }
 		})
 	})
 	mux.HandleFunc("POST /v1/order", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(o *coordinator.Order) func(*coordinator.Keeper, float64, uint64) {
-			return func(k *coordinator.Keeper, now float64, n uint64) { k.Order(now, n, o) }
+		handle(s, w, r, func(o *coordinator.Order) func(*coordinator.Coordinator, float64, uint64) {
+			return func(k *coordinator.Coordinator, now float64, n uint64) { k.ExecuteOrder(now, n, o) }
 		})
 	})
 	mux.HandleFunc("GET /v1/record", func(w http.ResponseWriter, r *http.Request) {
-		s.wait(w, r, func(k *coordinator.Keeper, now float64, n uint64) { k.Read(now, n) })
+		s.wait(w, r, func(k *coordinator.Coordinator, now float64, n uint64) { k.ReadRegistry(now, n) })
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) { s.status(w, r) })
 	mux.HandleFunc("POST /raft/{record}", s.wire.receive)
 	return mux
 }
 
-func handle[T any](s *server, w http.ResponseWriter, r *http.Request, of func(*T) func(*coordinator.Keeper, float64, uint64)) {
+func handle[T any](s *server, w http.ResponseWriter, r *http.Request, of func(*T) func(*coordinator.Coordinator, float64, uint64)) {
 	var v T
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBody)).Decode(&v); err != nil {
 		write(w, http.StatusBadRequest, &Fault{Error: "bad", Text: err.Error()})
@@ -310,7 +310,7 @@
 }
 
 // wait for the owner's answer. Beats are held for a second, and a change of leaders takes two: four are long.
-func (s *server) wait(w http.ResponseWriter, r *http.Request, do func(*coordinator.Keeper, float64, uint64)) {
+func (s *server) wait(w http.ResponseWriter, r *http.Request, do func(*coordinator.Coordinator, float64, uint64)) {
 	const patience = 4 * time.Second
 	q := &request{do: do, answer: make(chan reply, 1)}
 	timeout := time.NewTimer(patience)
@@ -327,7 +327,7 @@
 	case a := <-q.answer:
 		if a.Err != nil {
 			status := http.StatusConflict
-			if errors.Is(a.Err, coordinator.ErrElsewhere) {
+			if errors.Is(a.Err, coordinator.ErrNotLeader) {
 				status = http.StatusMisdirectedRequest
 			}
 			write(w, status, faultOf(a.Err, a.leader))
@@ -341,7 +341,7 @@
 		case s.inbox <- func(float64) {
 			delete(s.open, q.number)
 			if s.k != nil {
-				s.k.Gone(q.number)
+				s.k.RequestClosed(q.number)
 			}
 		}:
 		case <-s.wire.ctx.Done():
@@ -361,7 +361,7 @@
 	case s.inbox <- func(float64) {
 		if s.k == nil {
 			id := s.store.Identity
-			got <- coordinator.Status{ID: id.ID, Name: id.Name, Record: id.Token, State: "waiting for the others to begin", Started: []int{}}
+			got <- coordinator.Status{ID: id.ID, Name: id.Name, Registry: id.Token, State: "waiting for the others to begin", Started: []int{}}
 			return
 		}
 		got <- s.k.Status()
@@ -394,10 +394,10 @@
 		case do := <-s.inbox: // others ask for our status
 			do(boottime.Now())
 		case r := <-s.asks:
-			r.answer <- reply{Answer: coordinator.Answer{Err: coordinator.ErrElsewhere}}
+			r.answer <- reply{Response: coordinator.Response{Err: coordinator.ErrNotLeader}}
 		case st := <-results:
-			if st.Record != id.Token {
-				return fmt.Errorf("the keeper %q at its address keeps another record (%s, this one is %s)", st.Name, st.Record, id.Token)
+			if st.Registry != id.Token {
+				return fmt.Errorf("the keeper %q at its address keeps another record (%s, this one is %s)", st.Name, st.Registry, id.Token)
 			}
 			for _, n := range st.Started {
 				if uint64(n) == id.ID {
--- a/internal/coordserver/store.go
+++ b/internal/coordserver/store.go
@@ -22,13 +22,13 @@
 
 // Identity of a keeper, made with its folder and never again.
 type Identity struct {
-	ID     uint64            `json:"id"`
-	Name   string            `json:"name"`
-	Listen string            `json:"listen"`
-	Zone   string            `json:"zone,omitempty"`
-	Token  string            `json:"record"` // of the record
-	Peers  []registry.Keeper `json:"keepers"`
-	Fresh  bool              `json:"fresh"` // it has not taken part yet
+	ID     uint64                 `json:"id"`
+	Name   string                 `json:"name"`
+	Listen string                 `json:"listen"`
+	Zone   string                 `json:"zone,omitempty"`
+	Token  string                 `json:"record"` // of the record
+	Peers  []registry.Coordinator `json:"keepers"`
+	Fresh  bool                   `json:"fresh"` // it has not taken part yet
 }
 
 // Store is a keeper's folder.
@@ -54,7 +54,7 @@
 var ErrEmpty = errors.New("the folder holds no record: `dunekeep init` begins one, `dunekeep join` takes the place of a keeper that was lost")
 
 // Create a folder for a new keeper.
-func Create(folder string, id Identity, stored coordinator.Stored) error {
+func Create(folder string, id Identity, stored coordinator.PersistedState) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 		return err
 	}
 	var out coordinator.Output
-	out.Keep.Snapshot, out.Keep.HardState = stored.Snapshot, stored.HardState
+	out.Persist.Snapshot, out.Persist.HardState = stored.Snapshot, stored.HardState
 	return s.Keep(&out)
 }
 
@@ -134,7 +134,7 @@
 }
 
 // Load what was kept.
-func (s *Store) Load() (st coordinator.Stored, err error) {
+func (s *Store) Load() (st coordinator.PersistedState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		if text := meta.Get(snapKey); text != nil {
@@ -166,7 +166,7 @@
 
 // Keep what has to be on the disk before anything is sent: all of it or nothing.
 func (s *Store) Keep(out *coordinator.Output) error {
-	k := &out.Keep
+	k := &out.Persist
 	if k.Snapshot == nil && k.HardState == nil && len(k.Entries) == 0 {
 		return nil
 	}
--- a/internal/coordserver/store_test.go
+++ b/internal/coordserver/store_test.go
@@ -37,7 +37,7 @@
 	if _, err := Open(folder); !errors.Is(err, ErrEmpty) {
 		t.Errorf("an empty folder: %v", err)
 	}
-	begin, err := coordinator.Begin([]registry.Keeper{{ID: 1, Name: "k1", Addr: "127.0.0.1:1"}}, 4, 0.05)
+	begin, err := coordinator.InitialState([]registry.Coordinator{{ID: 1, Name: "k1", Addr: "127.0.0.1:1"}}, 4, 0.05)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,19 +63,19 @@
 		}
 	}
 	keep(func(o *coordinator.Output) {
-		o.Keep.Entries = []*pb.Entry{entry(2, 2), entry(3, 2), entry(4, 2), entry(5, 2)}
-		o.Keep.HardState = &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(1)), Commit: new(uint64(3))}
+		o.Persist.Entries = []*pb.Entry{entry(2, 2), entry(3, 2), entry(4, 2), entry(5, 2)}
+		o.Persist.HardState = &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(1)), Commit: new(uint64(3))}
 	})
-	keep(func(o *coordinator.Output) { o.Keep.Entries = []*pb.Entry{entry(4, 3)} })
+	keep(func(o *coordinator.Output) { o.Persist.Entries = []*pb.Entry{entry(4, 3)} })
 	if all, from := indexes(t, s); len(all) != 3 || from != 1 {
 		t.Errorf("entries %v behind %d", all, from)
 	}
-	keep(func(o *coordinator.Output) { o.Keep.Snapshot, o.Keep.Compact = snapshot(3, 2), 2 })
+	keep(func(o *coordinator.Output) { o.Persist.Snapshot, o.Persist.Compact = snapshot(3, 2), 2 })
 	if all, from := indexes(t, s); len(all) != 1 || all[0] != 4 || from != 3 {
 		t.Errorf("entries %v behind our own snapshot %d", all, from)
 	}
-	keep(func(o *coordinator.Output) { o.Keep.Entries = []*pb.Entry{entry(5, 3), entry(6, 3), entry(7, 3)} })
-	keep(func(o *coordinator.Output) { o.Keep.Snapshot = snapshot(5, 4) })
+	keep(func(o *coordinator.Output) { o.Persist.Entries = []*pb.Entry{entry(5, 3), entry(6, 3), entry(7, 3)} })
+	keep(func(o *coordinator.Output) { o.Persist.Snapshot = snapshot(5, 4) })
 	s.Close()
 	if s, err = Open(folder); err != nil {
 		t.Fatal(err)
--- a/internal/coordserver/transport.go
+++ b/internal/coordserver/transport.go
@@ -42,18 +42,18 @@
 }
 
 // peers follows the record's list.
-func (t *transport) peers(r *registry.Record) {
+func (t *transport) peers(r *registry.Registry) {
 	if r.Index() == t.index && len(t.to) > 0 {
 		return
 	}
 	t.index = r.Index()
 	for id, p := range t.to {
-		if k := r.Keeper(id); k == nil && len(r.Keepers()) > 0 || k != nil && k.Addr != p.addr {
+		if k := r.Coordinator(id); k == nil && len(r.Coordinators()) > 0 || k != nil && k.Addr != p.addr {
 			p.stop()
 			delete(t.to, id)
 		}
 	}
-	for _, k := range r.Keepers() {
+	for _, k := range r.Coordinators() {
 		t.add(k.ID, k.Addr)
 	}
 }
@@ -99,7 +99,7 @@
 }
 
 // send messages; what finds no room is lost, as on any network.
-func (t *transport) send(all []*pb.Message, k *coordinator.Keeper) {
+func (t *transport) send(all []*pb.Message, k *coordinator.Coordinator) {
 	by := map[uint64][]*pb.Message{}
 	for _, m := range all {
 		by[m.GetTo()] = append(by[m.GetTo()], m)
@@ -112,10 +112,10 @@
 		select {
 		case p.box <- batch:
 		default:
-			k.Unreachable(id)
+			k.ReportUnreachable(id)
 			for _, m := range batch {
 				if m.GetType() == pb.MsgSnap {
-					k.Sent(id, false)
+					k.ReportSnapshot(id, false)
 				}
 			}
 		}
@@ -154,10 +154,10 @@
 			select {
 			case t.s.inbox <- func(float64) {
 				if err != nil {
-					t.s.k.Unreachable(id)
+					t.s.k.ReportUnreachable(id)
 				}
 				if snap {
-					t.s.k.Sent(id, err == nil)
+					t.s.k.ReportSnapshot(id, err == nil)
 				}
 			}:
 			case <-ctx.Done():
@@ -224,7 +224,7 @@
 		for _, m := range all {
 			t.s.k.Step(now, m)
 		}
-		t.s.k.Version(from, uint16(reads))
+		t.s.k.ReportVersion(from, uint16(reads))
 	}:
 		w.WriteHeader(http.StatusNoContent)
 	case <-t.ctx.Done():
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -103,7 +103,7 @@
 
 // setUp starts a name server and model servers, and writes the router's files to a folder.
 func (o *Options) setUp(ctx context.Context, d *fake.Desk, dir string) (f files, err error) {
-	names := fake.NewNameServer(d, discovery.Record)
+	names := fake.NewNameServer(d, discovery.ServiceName)
 	var list, targets []string
 	for k := range o.Engines {
 		heard := make(chan fake.Said, 1000) // more than an engine has sessions: a reader waits for none
--- a/internal/discovery/answer.go
+++ b/internal/discovery/answer.go
@@ -16,13 +16,13 @@
 // a problem, but the answer may have been applied nevertheless: servers with invalid records are left out, as
 // rejecting the whole list would ignore the drains in it, and the error names the last of them. A server that is
 // listed without its own records is not gone: it stays as it was known.
-func (f *Follower) Answer(msg []byte) (changed bool, err error) {
-	parsed, err := dns.Parse(msg, Record)
+func (f *Follower) HandleAnswer(msg []byte) (changed bool, err error) {
+	parsed, err := dns.Parse(msg, ServiceName)
 	if err != nil {
-		return false, Unread{err}
+		return false, UnreadableAnswer{err}
 	}
 	if !slices.Contains(f.questionIDs[:min(f.questionCount, len(f.questionIDs))], parsed.ID) {
-		return false, Unread{errUnexpectedID}
+		return false, UnreadableAnswer{errUnexpectedID}
 	}
 	if bytes.Equal(msg[idSize:], f.lastAgreed) {
 		return f.agreed(), f.lastProblem
@@ -41,7 +41,7 @@
 
 // UnreadableAnswer is the error of an answer that can't be parsed or answers no query of this router. Any other error
 // comes with an answer that was read.
-type Unread struct{ error }
+type UnreadableAnswer struct{ error }
 
 // idSize is the size of the ID at the start of a message.
 const idSize = 2
@@ -55,7 +55,7 @@
 		if s.Priority > 0 {
 			state = admission.Draining
 		}
-		if !s.Addr.IsValid() || len(s.Text) == 0 {
+		if !s.Addr.IsValid() || len(s.Texts) == 0 {
 			problem = fmt.Errorf("server %s: address or text record is missing", uid)
 			e, addr, ok := f.current.find(f.serverNumbers[uid]) // an unknown name gives 0, which no server has
 			if !ok {
@@ -68,11 +68,11 @@
 		}
 		zone, _, _ := strings.Cut(rest, ".")
 		e := admission.Entry{Zone: indexFold(f.zones, zone), Kind: -1, Weight: float64(s.Weight) / 10, State: state}
-		if err := f.parseTexts(&e, s.Text); err != nil || uid == "" || e.Zone < 0 || e.Kind < 0 {
-			problem = fmt.Errorf("server %s left out: zone %q, text %q, address %v", uid, zone, s.Text, s.Addr)
+		if err := f.parseTexts(&e, s.Texts); err != nil || uid == "" || e.Zone < 0 || e.Kind < 0 {
+			problem = fmt.Errorf("server %s left out: zone %q, text %q, address %v", uid, zone, s.Texts, s.Addr)
 			continue
 		}
-		e.Engine = f.number(uid)
+		e.Server = f.number(uid)
 		list.add(e, netip.AddrPortFrom(s.Addr, s.Port))
 	}
 	return list, problem
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -15,10 +15,10 @@
 )
 
 // ServiceName is the name whose records list all servers.
-const Record = "_data._tcp.farm.lan"
+const ServiceName = "_data._tcp.farm.lan"
 
 // Event is a change of the server list, as the configuration lists those before the start.
-type Notice struct {
+type Event struct {
 	Rev  uint32 `json:"rev"`
 	Pool *struct {
 		All     bool     `json:"all"`
@@ -39,9 +39,9 @@
 }
 
 // ConfiguredList holds the events before the start.
-type Known struct {
-	Rev     uint32   `json:"rev"`
-	Notices []Notice `json:"notices"`
+type ConfiguredList struct {
+	Rev     uint32  `json:"rev"`
+	Notices []Event `json:"notices"`
 }
 
 // Follower holds the server list as far as it can be trusted (trust.go).
@@ -66,7 +66,7 @@
 
 // ApplyConfig applies the events of the configuration in order: those that are new, or none if one is invalid. The
 // configuration needs no confirmation, unlike an answer.
-func (f *Follower) Start(k Known) (hasNew bool, err error) {
+func (f *Follower) ApplyConfig(k ConfiguredList) (hasNew bool, err error) {
 	previous := f.current.serial
 	list := f.current.clone()
 	for n, event := range k.Notices {
@@ -106,9 +106,9 @@
 	if !ok {
 		return fmt.Errorf("server %s has unknown state %q", t.UID, t.State)
 	}
-	e := admission.Entry{Engine: f.number(t.UID), Kind: indexFold(f.kinds, t.Kind), Zone: indexFold(f.zones, t.Zone),
+	e := admission.Entry{Server: f.number(t.UID), Kind: indexFold(f.kinds, t.Kind), Zone: indexFold(f.zones, t.Zone),
 		Cell: t.Cell, Weight: t.Weight, ReadyAt: t.BootMs / 1000, State: state}
-	list.remove(e.Engine)
+	list.remove(e.Server)
 	if state == admission.Gone {
 		return nil
 	}
@@ -160,14 +160,14 @@
 }
 
 // Revision returns the number of the current list.
-func (f *Follower) Rev() uint32 { return f.current.serial }
+func (f *Follower) Revision() uint32 { return f.current.serial }
 
 // AppendQuery appends a query for the list. Its ID is random, because whoever guesses it could answer in the name
 // server's place.
-func (f *Follower) Question(b []byte) []byte {
+func (f *Follower) AppendQuery(b []byte) []byte {
 	var id [2]byte
 	rand.Read(id[:])
 	f.questionIDs[f.questionCount%len(f.questionIDs)] = binary.BigEndian.Uint16(id[:])
 	f.questionCount++
-	return dns.Query(b, binary.BigEndian.Uint16(id[:]), Record)
+	return dns.AppendQuery(b, binary.BigEndian.Uint16(id[:]), ServiceName)
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -22,16 +22,16 @@
 		{"uid":"s-00c41f7c","endpoint":"10.1.0.7:4100","az":"east","model":"big","pod_group":1,"state":"ready","capacity_hint":8,"boot_ms":1700000000500}]}}]}`
 
 func reply(id uint16, serial uint32, servers ...string) []byte {
-	return fake.Reply(id, serial, Record, servers...)
+	return fake.Reply(id, serial, ServiceName, servers...)
 }
 
 func configuredFollower(t *testing.T) *Follower {
 	f := New([]string{"east", "west"}, []string{"std", "big"})
-	var k Known
+	var k ConfiguredList
 	if err := json.Unmarshal([]byte(configJSON), &k); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Start(k); err != nil {
+	if _, err := f.ApplyConfig(k); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -42,20 +42,20 @@
 	f := configuredFollower(t)
 	before := state(f)
 	gone := Target{UID: "s-00c41f7b", State: "gone"}
-	notice := func(rev uint32, targets ...Target) (k Known) {
+	notice := func(rev uint32, targets ...Target) (k ConfiguredList) {
 		json.Unmarshal([]byte(configJSON), &k)
-		k.Notices = append(k.Notices, Notice{Rev: rev})
+		k.Notices = append(k.Notices, Event{Rev: rev})
 		json.Unmarshal([]byte(`{"pool":{"targets":[]}}`), &k.Notices[2])
 		k.Notices[2].Pool.Targets = targets
 		return k
 	}
-	if fresh, err := f.Start(notice(41, gone)); fresh || err != nil || state(f) != before {
+	if fresh, err := f.ApplyConfig(notice(41, gone)); fresh || err != nil || state(f) != before {
 		t.Error("nothing new, but applied:", fresh, err, state(f))
 	}
-	if fresh, err := f.Start(notice(42, gone, Target{UID: "s-1", State: "ready"})); fresh || err == nil || state(f) != before {
+	if fresh, err := f.ApplyConfig(notice(42, gone, Target{UID: "s-1", State: "ready"})); fresh || err == nil || state(f) != before {
 		t.Error("partly invalid, but applied:", fresh, err, state(f))
 	}
-	if fresh, err := f.Start(notice(42, gone)); !fresh || err != nil || f.Rev() != 42 || len(f.List()) != 2 {
+	if fresh, err := f.ApplyConfig(notice(42, gone)); !fresh || err != nil || f.Revision() != 42 || len(f.List()) != 2 {
 		t.Error("new, but not applied:", fresh, err, state(f))
 	}
 }
@@ -64,15 +64,15 @@
 var sameServers = []string{"s-00c41f7a.east 0 40 std 2 0 10.1.0.9:4100", "S-00C41F7B.West 1 80 big 1 0 10.1.0.8:4100", "s-00c41f7c.east 0 80 big 1 1700000000500 10.1.0.7:4100"}
 
 func state(f *Follower) (s string) {
-	s = fmt.Sprintf("rev %d\n", f.Rev())
+	s = fmt.Sprintf("rev %d\n", f.Revision())
 	for _, e := range f.List() {
-		s += fmt.Sprintf("%s %v kind %d zone %d cell %d weight %g ready at %g state %d\n", f.Name(e.Engine), f.Addr(e.Engine),
+		s += fmt.Sprintf("%s %v kind %d zone %d cell %d weight %g ready at %g state %d\n", f.Name(e.Server), f.Addr(e.Server),
 			e.Kind, e.Zone, e.Cell, e.Weight, e.ReadyAt, e.State)
 	}
 	return s
 }
 
-func ask(f *Follower) uint16 { return binary.BigEndian.Uint16(f.Question(nil)) }
+func ask(f *Follower) uint16 { return binary.BigEndian.Uint16(f.AppendQuery(nil)) }
 
 // TestConfigAndAnswerAgree: the configuration and an answer of the name server about the same servers give the same
 // list.
@@ -87,8 +87,8 @@
 		t.Errorf("known (-want +got):\n%s", diff)
 	}
 	before := append([]admission.Entry(nil), f.List()...)
-	if fresh, err := f.Answer(reply(ask(f), 42, sameServers...)); fresh || err != nil || f.Rev() != 42 { // a new number without a change
-		t.Fatal(fresh, err, f.Rev())
+	if fresh, err := f.HandleAnswer(reply(ask(f), 42, sameServers...)); fresh || err != nil || f.Revision() != 42 { // a new number without a change
+		t.Fatal(fresh, err, f.Revision())
 	}
 	if diff := cmp.Diff(before, f.List()); diff != "" {
 		t.Errorf("configuration and answer differ (-configuration +answer):\n%s", diff)
@@ -105,18 +105,18 @@
 		ask(f)
 	}
 	for what, msg := range map[string][]byte{"older": reply(slow, 40), "as old": reply(slow, 41), "not asked": reply(slow^1, 50, sameServers...)} {
-		if fresh, _ := f.Answer(msg); fresh || state(f) != was {
+		if fresh, _ := f.HandleAnswer(msg); fresh || state(f) != was {
 			t.Errorf("%s: applied", what)
 		}
 	}
 	// Servers with invalid records are left out and reported; the rest of the list is applied.
 	news := reply(slow, 50, "s-1.north 0 40 std 2 0 10.1.0.9:4100", "s-2.east 0 40 odd 2 0 10.1.0.9:4100",
 		"s-00c41f7d.east 0 40 std 2 0 10.1.0.9:4100", "s-3.east 0 40 std 2 soon 10.1.0.9:4100")
-	if fresh, err := f.Answer(news); !fresh || err == nil || f.Ready() != 0 || len(f.List()) != 3 {
+	if fresh, err := f.HandleAnswer(news); !fresh || err == nil || f.Ready() != 0 || len(f.List()) != 3 {
 		t.Error("after one answer the servers missing in it are still ready, or a new one is:", fresh, err, state(f))
 	}
 	for n := 2; n <= grantAfter; n++ {
-		if fresh, err := f.Answer(news); fresh != (n == grantAfter) || err == nil {
+		if fresh, err := f.HandleAnswer(news); fresh != (n == grantAfter) || err == nil {
 			t.Error("a new server is not usable exactly from the last required answer on:", n, fresh, err)
 		}
 	}
@@ -135,7 +135,7 @@
 	f := configuredFollower(t)
 	cut := func(serial uint32, drop int, servers ...string) []byte { // changes the type of the record with that index, counted from 0
 		msg := reply(ask(f), serial, servers...)
-		at := len(dns.Query(nil, 0, Record))
+		at := len(dns.AppendQuery(nil, 0, ServiceName))
 		for range drop {
 			at += 12 + int(binary.BigEndian.Uint16(msg[at+10:]))
 		}
@@ -144,30 +144,30 @@
 	}
 	drains := []string{"s-00c41f7a.east 1 40 std 2 0 10.1.0.9:4100", sameServers[1], sameServers[2]}
 	for drop := 1; drop <= 2; drop++ { // its address, its text
-		if fresh, err := f.Answer(cut(41+uint32(drop), drop, drains...)); fresh != (drop == 1) || err == nil || len(f.List()) != 3 ||
-			f.Rev() != 41+uint32(drop) || f.List()[0].State != admission.Draining || f.Addr(f.List()[0].Engine).String() != "10.1.0.9:4100" {
+		if fresh, err := f.HandleAnswer(cut(41+uint32(drop), drop, drains...)); fresh != (drop == 1) || err == nil || len(f.List()) != 3 ||
+			f.Revision() != 41+uint32(drop) || f.List()[0].State != admission.Draining || f.Addr(f.List()[0].Server).String() != "10.1.0.9:4100" {
 			t.Error(drop, fresh, err, state(f))
 		}
 	}
 	added := append(drains, "s-new.east 0 40 std 2 0 10.1.0.6:4100")
-	if fresh, err := f.Answer(cut(50, 10, added...)); fresh || err == nil || len(f.List()) != 3 || f.Rev() != 50 {
+	if fresh, err := f.HandleAnswer(cut(50, 10, added...)); fresh || err == nil || len(f.List()) != 3 || f.Revision() != 50 {
 		t.Error(fresh, err, state(f))
 	}
-	if fresh, err := f.Answer(reply(ask(f), 49, sameServers...)); fresh || err != errOlder || f.List()[0].State != admission.Draining {
+	if fresh, err := f.HandleAnswer(reply(ask(f), 49, sameServers...)); fresh || err != errOlder || f.List()[0].State != admission.Draining {
 		t.Error("an older list after a newer incomplete one:", fresh, err, state(f))
 	}
-	if fresh, err := f.Answer(reply(ask(f), 50, added...)); fresh || err != nil || len(f.List()) != 3 || f.Rev() != 50 {
+	if fresh, err := f.HandleAnswer(reply(ask(f), 50, added...)); fresh || err != nil || len(f.List()) != 3 || f.Revision() != 50 {
 		t.Error(fresh, err, state(f))
 	}
 	for n := 2; n <= grantAfter; n++ {
-		if fresh, err := f.Answer(reply(ask(f), 50, added...)); fresh != (n == grantAfter) || err != nil {
+		if fresh, err := f.HandleAnswer(reply(ask(f), 50, added...)); fresh != (n == grantAfter) || err != nil {
 			t.Error(n, fresh, err, state(f))
 		}
 	}
 	if len(f.List()) != 4 {
 		t.Error(state(f))
 	}
-	if fresh, err := f.Answer(reply(ask(f), 49, sameServers...)); fresh || err != errOlder {
+	if fresh, err := f.HandleAnswer(reply(ask(f), 49, sameServers...)); fresh || err != errOlder {
 		t.Error("an older list:", fresh, err)
 	}
 }
@@ -177,7 +177,7 @@
 	f := configuredFollower(t)
 	for k := range 3000 {
 		for range grantAfter {
-			f.Answer(reply(ask(f), 50+uint32(k), fmt.Sprintf("s-%d.east 0 40 std 2 0 10.1.0.9:4100", k)))
+			f.HandleAnswer(reply(ask(f), 50+uint32(k), fmt.Sprintf("s-%d.east 0 40 std 2 0 10.1.0.9:4100", k)))
 		}
 	}
 	if len(f.List()) != 1 || len(f.serverNames) > 1001 || len(f.serverNumbers) != len(f.serverNames) || len(f.usable.addrs) != 1 {
@@ -189,7 +189,7 @@
 // forward, has a name that is too long, is truncated or has an error code.
 func TestBadMessages(t *testing.T) {
 	good := reply(7, 50, sameServers...)
-	if l, err := dns.Parse(good, Record); err != nil || len(l.Services) != 3 {
+	if l, err := dns.Parse(good, ServiceName); err != nil || len(l.Services) != 3 {
 		t.Fatal(l, err)
 	}
 	bad := map[string][]byte{}
@@ -200,7 +200,7 @@
 		bad[what] = append([]byte(nil), good...)
 		copy(bad[what][at:], b)
 	}
-	question := len(dns.Query(nil, 7, Record))
+	question := len(dns.AppendQuery(nil, 7, ServiceName))
 	change("pointer to itself", question, 0xc0, byte(question))
 	change("pointer forward", question, 0xc0, byte(question+40))
 	change("no such label", question, 0x80)
@@ -214,7 +214,7 @@
 	}
 	bad["name too long"] = append(long, make([]byte, 40)...)
 	for what, msg := range bad {
-		if l, err := dns.Parse(msg, Record); err == nil {
+		if l, err := dns.Parse(msg, ServiceName); err == nil {
 			t.Errorf("%s: parsed as %v", what, l)
 		}
 	}
@@ -223,5 +223,5 @@
 // FuzzAnswer: no message may cause a panic.
 func FuzzAnswer(f *testing.F) {
 	f.Add(reply(0, 50, sameServers...))
-	f.Fuzz(func(t *testing.T, msg []byte) { dns.Parse(msg, Record) })
+	f.Fuzz(func(t *testing.T, msg []byte) { dns.Parse(msg, ServiceName) })
 }
--- a/internal/discovery/linear_test.go
+++ b/internal/discovery/linear_test.go
@@ -27,7 +27,7 @@
 		for revision := uint32(1); revision <= 2; revision++ {
 			known := configWith(databases, revision)
 			began := time.Now()
-			if fresh, err := f.Start(known); err != nil || !fresh {
+			if fresh, err := f.ApplyConfig(known); err != nil || !fresh {
 				t.Fatal(fresh, err)
 			}
 			if revision == 2 {
@@ -41,12 +41,12 @@
 	return shortest
 }
 
-func configWith(databases int, revision uint32) Known {
+func configWith(databases int, revision uint32) ConfiguredList {
 	targets := make([]Target, databases)
 	for k := range targets {
 		targets[k] = Target{UID: fmt.Sprint("d-", k), Endpoint: "127.0.0.1:9", Zone: "hall", Kind: "std", State: "ready"}
 	}
-	known := Known{Rev: revision, Notices: []Notice{{Rev: revision}}}
+	known := ConfiguredList{Rev: revision, Notices: []Event{{Rev: revision}}}
 	known.Notices[0].Pool = &struct {
 		All     bool     `json:"all"`
 		Targets []Target `json:"targets"`
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -33,11 +33,11 @@
 
 // add appends a server. If it is listed already it keeps its position, and drains if either entry does.
 func (s *snapshot) add(e admission.Entry, addr netip.AddrPort) {
-	if k, ok := s.positions[e.Engine]; ok {
+	if k, ok := s.positions[e.Server]; ok {
 		s.entries[k].State = min(s.entries[k].State, e.State)
 		return
 	}
-	s.positions[e.Engine] = len(s.entries)
+	s.positions[e.Server] = len(s.entries)
 	s.entries, s.addrs = append(s.entries, e), append(s.addrs, addr)
 }
 
@@ -50,7 +50,7 @@
 	s.entries, s.addrs = slices.Delete(s.entries, k, k+1), slices.Delete(s.addrs, k, k+1)
 	delete(s.positions, server)
 	for ; k < len(s.entries); k++ {
-		s.positions[s.entries[k].Engine] = k
+		s.positions[s.entries[k].Server] = k
 	}
 }
 
@@ -80,7 +80,7 @@
 
 // findProcess returns the entry of a server's process: the same start at the same address.
 func (s *snapshot) findProcess(e admission.Entry, addr netip.AddrPort) (same admission.Entry, ok bool) {
-	same, listedAddr, ok := s.find(e.Engine)
+	same, listedAddr, ok := s.find(e.Server)
 	return same, ok && math.Abs(same.ReadyAt-e.ReadyAt) <= sameStart && listedAddr == addr
 }
 
@@ -93,7 +93,7 @@
 // sameWeights reports whether the servers in both lists have the same weights.
 func (s *snapshot) sameWeights(o *snapshot) bool {
 	for _, e := range s.entries {
-		if other, _, ok := o.find(e.Engine); ok && other.Weight != e.Weight {
+		if other, _, ok := o.find(e.Server); ok && other.Weight != e.Weight {
 			return false
 		}
 	}
--- a/internal/discovery/trust.go
+++ b/internal/discovery/trust.go
@@ -76,17 +76,17 @@
 
 // recordDrain records that a server drains, or is gone, according to the list with that number.
 func (c *trust) recordDrain(e admission.Entry, serial uint32) {
-	if known, ok := c.drains[e.Engine]; ok && known.start == e.ReadyAt && known.serial >= serial {
+	if known, ok := c.drains[e.Server]; ok && known.start == e.ReadyAt && known.serial >= serial {
 		return
 	}
-	c.drains[e.Engine] = drain{e.ReadyAt, serial}
+	c.drains[e.Server] = drain{e.ReadyAt, serial}
 }
 
 // withDrains returns a list in which servers are draining if a report that is as new or newer says so.
 func (c *trust) withDrains(list *snapshot) *snapshot {
 	withDrains := list
 	for k, e := range list.entries {
-		d, ok := c.drains[e.Engine]
+		d, ok := c.drains[e.Server]
 		if !ok || e.State != admission.Ready || math.Abs(d.start-e.ReadyAt) > sameStart || d.serial < list.serial {
 			continue
 		}
@@ -118,7 +118,7 @@
 
 // Unconfirmed reports whether the current list waits for other answers to agree, or the last answer may have hidden a
 // change.
-func (c *trust) Unsettled() bool { return c.answersAwaited > 0 || c.contrary != nil || c.lastStale }
+func (c *trust) Unconfirmed() bool { return c.answersAwaited > 0 || c.contrary != nil || c.lastStale }
 
 // update processes the list of an answer. changed means that the usable list has changed.
 func (c *trust) update(list *snapshot) (changed bool, err error) {
@@ -140,7 +140,7 @@
 	}
 	c.confirmed = true
 	for _, e := range c.usable.entries { // servers missing in all these answers are gone
-		if !c.current.has(e.Engine) {
+		if !c.current.has(e.Server) {
 			c.recordDrain(e, c.current.serial)
 		}
 	}
@@ -197,7 +197,7 @@
 func (h *history) permitted(used, newest *snapshot) *snapshot {
 	list := newSnapshot(newest.serial, len(used.entries))
 	for k, e := range used.entries {
-		if newest.has(e.Engine) || h.has(e.Engine) {
+		if newest.has(e.Server) || h.has(e.Server) {
 			list.add(h.stateInAll(e, used.addrs[k], newest), used.addrs[k])
 		}
 	}
--- a/internal/discovery/trust_test.go
+++ b/internal/discovery/trust_test.go
@@ -20,7 +20,7 @@
 		}
 		lines[k] = fmt.Sprintf("s-%s.east %d 40 std 2 0 10.1.0.9:4100", name, priority)
 	}
-	return f.Answer(reply(ask(f), serial, lines...))
+	return f.HandleAnswer(reply(ask(f), serial, lines...))
 }
 
 // ready reports whether attempts may be sent to a server.
@@ -105,7 +105,7 @@
 func TestOutvoted(t *testing.T) {
 	f := confirmedFollower(9, "a", "b")
 	for range 2 * outvoteConfirmed {
-		if _, err := f.answerWith(1, "a", "-b"); err != errOlder || !f.ready("b") || !f.Unsettled() {
+		if _, err := f.answerWith(1, "a", "-b"); err != errOlder || !f.ready("b") || !f.Unconfirmed() {
 			t.Fatal(err, f.readyNames("a", "b"))
 		}
 	}
@@ -128,13 +128,13 @@
 func TestConfigAfterStaleAnswer(t *testing.T) {
 	f := confirmedFollower(1, "a", "-b")
 	f.answerWith(5, "a", "b")
-	notice := Notice{Rev: 6}
+	notice := Event{Rev: 6}
 	notice.Pool = &struct {
 		All     bool     `json:"all"`
 		Targets []Target `json:"targets"`
 	}{Targets: []Target{{UID: "s-c", Endpoint: "10.1.0.9:4100", Zone: "east", Kind: "std", State: "draining"}}}
-	if fresh, err := f.Start(Known{Rev: 6, Notices: []Notice{notice}}); !fresh || err != nil || f.Rev() != 6 {
-		t.Fatal(fresh, err, f.Rev())
+	if fresh, err := f.ApplyConfig(ConfiguredList{Rev: 6, Notices: []Event{notice}}); !fresh || err != nil || f.Revision() != 6 {
+		t.Fatal(fresh, err, f.Revision())
 	}
 	if got := f.readyNames("a", "b", "c"); got != "a" {
 		t.Errorf("ready %q", got)
--- a/internal/dns/dns.go
+++ b/internal/dns/dns.go
@@ -25,7 +25,7 @@
 	Priority, Weight uint16
 	Port             uint16
 	Addr             netip.Addr // the zero Addr if there was no A record
-	Text             []string
+	Texts            []string
 }
 
 // List is a parsed response.
@@ -36,7 +36,7 @@
 }
 
 // AppendQuery appends a query for the SRV records of a name.
-func Query(b []byte, id uint16, name string) []byte {
+func AppendQuery(b []byte, id uint16, name string) []byte {
 	b = be.AppendUint16(b, id)
 	b = append(b, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0) // recursion desired, one question
 	for label := range strings.SplitSeq(name, ".") {
@@ -86,7 +86,7 @@
 	}
 	for k := range p.list.Services {
 		s := &p.list.Services[k]
-		s.Addr, s.Text = p.addrs[s.Name], p.texts[s.Name]
+		s.Addr, s.Texts = p.addrs[s.Name], p.texts[s.Name]
 	}
 	return p.list, nil
 }
--- a/internal/expect/conditions.go
+++ b/internal/expect/conditions.go
@@ -53,7 +53,7 @@
 
 // values are the fields' places; what does not change is set.
 func (w *world) values() map[string]any {
-	b := &w.settings.Brain
+	b := &w.settings.Admission
 	v := map[string]any{"grace": w.grace, "longest_pause": b.MaxPause, "key_rest": b.KeyRest, "fall_multiple": b.FallMultiple, "warm_up": b.WarmUp,
 		"cold_from": b.ColdFrom, "sends_most": int64(b.MaxSends),
 		"further_free": b.BudgetFree, "further_share": b.BudgetShare, "routers": int64(w.set.Routers), "priorities": b.Priorities}
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -58,7 +58,7 @@
 func TestFiles(t *testing.T) {
 	u := example(t)
 	script.Compare(t, func(t *testing.T, text string) string {
-		return script.Lines(text, func(line string) string {
+		return script.Annotate(text, func(line string) string {
 			f, err := expect.Parse([]byte(line), schema.CheckExpectations)
 			all := expect.Check(u, []expect.Source{{Name: "file", File: f, Err: err}}, expect.Options{})
 			var said []string
--- a/internal/expect/world.go
+++ b/internal/expect/world.go
@@ -45,8 +45,8 @@
 		return nil, err
 	}
 	t := &w.set
-	*t = cluster.Settings{Seed: seed, Brain: w.settings.Brain, Zones: w.settings.Zones, Kinds: w.settings.Kinds,
-		Length: 30, Routers: w.settings.Brain.Routers, Waits: op.Waits != nil}
+	*t = cluster.Settings{Seed: seed, Brain: w.settings.Admission, Zones: w.settings.Zones, Kinds: w.settings.Kinds,
+		Length: 30, Routers: w.settings.Admission.Routers, Waits: op.Waits != nil}
 	// What needs probes, word from other routers or asking for the list is not in a router on sockets either.
 	t.Brain.Peers, t.Brain.ProbeLoads, t.Brain.Ask = false, false, false
 	var tree *fairshare.Tree
@@ -55,7 +55,7 @@
 		if tree, err = fairshare.New(w.spec, 0); err != nil {
 			return nil, err
 		}
-		for h := range tree.Teams() {
+		for h := range tree.TeamCount() {
 			w.teams = append(w.teams, tree.Name(h))
 		}
 	}
@@ -194,7 +194,7 @@
 			}
 		}
 		if s.Deadline == 0 {
-			s.Deadline = w.settings.Deadlines[s.Profile]
+			s.Deadline = w.settings.ClientTimeouts[s.Profile]
 		}
 		s.Rate, s.Peak = cluster.Steady(g.Rate)
 		if sum += g.Rate * w.set.Length; sum > mostCommands {
--- a/internal/fake/standin.go
+++ b/internal/fake/standin.go
@@ -29,7 +29,7 @@
 // Reply is an answer that lists engines, each "uid.zone priority weight kind cell started address:port", with
 // names compressed.
 func Reply(id uint16, serial uint32, name string, engines ...string) []byte {
-	b := dns.Query(nil, id, name)
+	b := dns.AppendQuery(nil, id, name)
 	b[2] |= 0x84
 	record := func(owner uint16, kind uint16, data []byte) {
 		b = binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(b, owner), kind)
@@ -277,15 +277,15 @@
 
 // Call is the message that asks for a statement to be run.
 func Call(seq int32, body string, fields ...string) []byte {
-	b := thrift.Begin(nil, thrift.Call, "call", seq)
-	b = thrift.AppendPairs(thrift.AppendField(b, thrift.Map, 1), fields...)
-	return thrift.End(thrift.AppendBytes(thrift.AppendField(b, thrift.String, 2), body))
+	b := thrift.BeginMessage(nil, thrift.Call, "call", seq)
+	b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), fields...)
+	return thrift.EndMessage(thrift.AppendBytes(thrift.AppendField(b, thrift.String, 2), body))
 }
 
 // Cancel stops waiting for a call.
 func (c *Client) Cancel(seq int32) {
-	b := thrift.AppendField(thrift.Begin(nil, thrift.Oneway, "cancel", 0), thrift.I32, 1)
-	c.Raw(thrift.End(binary.BigEndian.AppendUint32(b, uint32(seq))))
+	b := thrift.AppendField(thrift.BeginMessage(nil, thrift.Oneway, "cancel", 0), thrift.I32, 1)
+	c.Raw(thrift.EndMessage(binary.BigEndian.AppendUint32(b, uint32(seq))))
 }
 
 // Health asks whether the router is there.
@@ -298,8 +298,8 @@
 // AskHealth is the question of Health, with its answer yet to be read.
 func (c *Client) AskHealth() {
 	c.seq++
-	b := thrift.AppendField(thrift.Begin(nil, thrift.Call, "health", c.seq), thrift.Bool, 1)
-	c.Raw(thrift.End(append(b, 1)))
+	b := thrift.AppendField(thrift.BeginMessage(nil, thrift.Call, "health", c.seq), thrift.Bool, 1)
+	c.Raw(thrift.EndMessage(append(b, 1)))
 }
 
 // Raw sends bytes as they are. What can't be sent shows in what comes back.
@@ -337,19 +337,19 @@
 // Show prints a message.
 func Show(frame []byte) string {
 	r := thrift.NewReader(frame)
-	kind, name, seq := r.Message()
+	kind, name, seq := r.MessageHeader()
 	return fmt.Sprintf("%d/%d %s%s", kind, seq, name, show(&r, thrift.Struct))
 }
 
 func show(r *thrift.Reader, t thrift.Type) (s string) {
 	switch t {
 	case thrift.Struct:
-		for t, id := r.Field(); t != thrift.Stop; t, id = r.Field() {
+		for t, id := r.FieldHeader(); t != thrift.Stop; t, id = r.FieldHeader() {
 			s += fmt.Sprintf(" %d=%s", id, show(r, t))
 		}
 		return "{" + s + " }"
 	case thrift.Map:
-		for _, _, n := r.Pairs(); n > 0; n-- {
+		for _, _, n := r.MapHeader(); n > 0; n-- {
 			s += fmt.Sprintf(" %s=%s", r.Bytes(), r.Bytes())
 		}
 		return "[" + s + " ]"
--- a/internal/faultrig/cases_test.go
+++ b/internal/faultrig/cases_test.go
@@ -130,7 +130,7 @@
 // noted waits until the record has what zones ask for.
 func noted(t *testing.T, r *Rig) {
 	t.Helper()
-	await(t, r, 30, "a note of what is asked for", func() bool { p, err := r.Plan(); return err == nil && len(p.Asked) == 3 })
+	await(t, r, 30, "a note of what is asked for", func() bool { p, err := r.Plan(); return err == nil && len(p.LastDemand) == 3 })
 }
 
 // sever or join what two processes say to each other.
--- a/internal/faultrig/observers.go
+++ b/internal/faultrig/observers.go
@@ -26,8 +26,8 @@
 	}
 	for k := range many {
 		zone := k % n
-		m := agent.New(agent.Config{Name: fmt.Sprint("observer", k+1), Zone: fmt.Sprint("z", zone+1), Incarnation: uint64(k + 1), Seed: uint64(k + 1), Zones: n,
-			ZoneNumber: zone, Way: way, Stands: []string{agent.Plans}, Members: many, Window: 1, Began: boottime.Now(), Clean: true, Log: func(string) {}}, agent.Kept{})
+		m := agent.New(agent.Config{Name: fmt.Sprint("observer", k+1), Zone: fmt.Sprint("z", zone+1), Incarnation: uint64(k + 1), Seed: uint64(k + 1), ZoneCount: n,
+			ZoneNumber: zone, RoundTrips: way, CandidateKinds: []string{agent.PlanKind}, RouterCount: many, Window: 1, StartedAt: boottime.Now(), CleanStart: true, Log: func(string) {}}, agent.PersistentState{})
 		d := agentdriver.NewDriver(m, coordserver.NewClient(r.fronts(), ""))
 		d.Run(ctx, group)
 		group.Go(func() error {
@@ -41,7 +41,7 @@
 					take()
 				case <-tick.C:
 					now := boottime.Now()
-					m.Tell(now, agent.Demand{Report: func() failover.Report { return report(zone) }})
+					m.SetDemand(now, agent.Demand{Report: func() failover.Report { return report(zone) }})
 					d.Put(m.Tick(now))
 				}
 			}
--- a/internal/faultrig/rig.go
+++ b/internal/faultrig/rig.go
@@ -74,7 +74,7 @@
 const cores = 8
 
 // Plan is the fleet's plan as the record has it.
-func (r *Rig) Plan() (p failover.Published, err error) {
+func (r *Rig) Plan() (p failover.PublishedPlan, err error) {
 	c := coordserver.NewClient(r.fronts(), "")
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -84,8 +84,8 @@
 		return p, err
 	}
 	for _, w := range picture.Works {
-		if w.Name == agent.PlanWork && len(w.Note) > 0 {
-			return p, json.Unmarshal(w.Note, &p)
+		if w.Name == agent.PlanTask && len(w.Annotation) > 0 {
+			return p, json.Unmarshal(w.Annotation, &p)
 		}
 	}
 	return p, errors.New("there is no plan")
@@ -388,7 +388,7 @@
 	name, term := "", uint64(0)
 	for n := range r.file.Keepers {
 		k := fmt.Sprint("k", n+1)
-		if s, err := r.status(k); err == nil && s.Led > 0 && s.Term > term {
+		if s, err := r.status(k); err == nil && s.LeaderFor > 0 && s.Term > term {
 			name, term = k, s.Term
 		}
 	}
--- a/internal/faultrig/rig_test.go
+++ b/internal/faultrig/rig_test.go
@@ -18,7 +18,7 @@
 var bin string
 
 func TestMain(m *testing.M) {
-	script.Programs(m, func(dir string) { bin = dir }, "../../cmd/dunereach", "../../cmd/dunefleet", "../../cmd/dunekeep", "../../cmd/dunecheck")
+	script.BuildAndRun(m, func(dir string) { bin = dir }, "../../cmd/dunereach", "../../cmd/dunefleet", "../../cmd/dunekeep", "../../cmd/dunecheck")
 }
 
 // started is a fleet with load, closed when the test ends.
--- a/internal/faultrig/setup.go
+++ b/internal/faultrig/setup.go
@@ -63,7 +63,7 @@
 			return nil, errors.New("90 routers and nine keepers at most have addresses here")
 		}
 	}
-	r.names = fake.NewNameServer(r.desk, discovery.Record)
+	r.names = fake.NewNameServer(r.desk, discovery.ServiceName)
 	var targets []string
 	boot := time.Now().Add(-time.Second).UnixMilli()
 	if o.Warm {
@@ -191,7 +191,7 @@
 
 // own list and engines' addresses of one router: links of its own before each.
 func (r *Rig) own(name string) (targets []string, names string, err error) {
-	o := &ownList{server: fake.NewNameServer(r.desk, discovery.Record)}
+	o := &ownList{server: fake.NewNameServer(r.desk, discovery.ServiceName)}
 	for n, addr := range r.engines {
 		e := fmt.Sprint("e", n+1)
 		l, err := newLinks("127.0.0.1:0", addr, e, func(string) string { return name })
--- a/internal/faultrig/slow_test.go
+++ b/internal/faultrig/slow_test.go
@@ -50,12 +50,12 @@
 
 // lies are what a lying observer says: a zone is lost that is well, or well that is lost.
 func lies(zone, of int, lost bool) failover.Report {
-	p := failover.Report{Zone: zone, Demand: 0.1, Sights: make([]failover.Sight, 3)}
-	for z := range p.Sights {
-		s := &p.Sights[z]
-		*s = failover.Sight{Sent: 50, Work: 0.4, Slow: 1.2, Ready: 16}
+	p := failover.Report{Zone: zone, Demand: 0.1, Observations: make([]failover.ZoneObservation, 3)}
+	for z := range p.Observations {
+		s := &p.Observations[z]
+		*s = failover.ZoneObservation{Attempts: 50, Work: 0.4, Slow: 1.2, Ready: 16}
 		if z == of && lost {
-			s.Bad, s.Work, s.Doubt = 50, 0, 16
+			s.Failed, s.Work, s.SuspectCores = 50, 0, 16
 		}
 	}
 	return p
--- a/internal/faultrig/zones_test.go
+++ b/internal/faultrig/zones_test.go
@@ -52,7 +52,7 @@
 }
 
 // to is the most that any origin gives a zone by the fleet's plan.
-func to(p failover.Published, zone int) (most float64) {
+func to(p failover.PublishedPlan, zone int) (most float64) {
 	for _, row := range p.Plan.Share {
 		most = max(most, row[zone])
 	}
@@ -164,7 +164,7 @@
 		out, err := exec.Command(bin+"/dunefleet", append([]string{"fleet", "--keepers", strings.Join(r.Fronts(), ",")}, args...)...).CombinedOutput()
 		return string(out), err
 	}
-	await(t, r, 20, "a note of what is asked for", func() bool { p, err := r.Plan(); return err == nil && len(p.Asked) == 3 })
+	await(t, r, 20, "a note of what is asked for", func() bool { p, err := r.Plan(); return err == nil && len(p.LastDemand) == 3 })
 	if out, err := words("evacuate", "z9"); err == nil || !strings.Contains(out, "no zone is called") {
 		t.Errorf("a zone that is none: %s", out)
 	}
--- a/internal/frontend/closereason.go
+++ b/internal/frontend/closereason.go
@@ -5,16 +5,16 @@
 
 // The reasons for closing a client connection.
 const (
-	Kept         CloseReason = iota // it is not closed
-	NothingWhole                    // no complete message came in time
-	IdleLong                        // no request came for a long time
-	RoomNeeded                      // another client needs the descriptor
-	NoRoom                          // there was no descriptor for it: its first request was rejected
-	Unreadable                      // a message can't be read
-	RouterEnds                      // the router has been asked to stop
-	ClientClosed                    // the client has closed its side, and all requests are answered
+	NotClosed         CloseReason = iota // it is not closed
+	NoCompleteMessage                    // no complete message came in time
+	Idle                                 // no request came for a long time
+	DescriptorNeeded                     // another client needs the descriptor
+	NoDescriptor                         // there was no descriptor for it: its first request was rejected
+	Unreadable                           // a message can't be read
+	RouterStopping                       // the router has been asked to stop
+	ClientClosed                         // the client has closed its side, and all requests are answered
 
-	CloseReasons = iota // number of reasons
+	CloseReasonCount = iota // number of reasons
 )
 
 func (r CloseReason) String() string {
--- a/internal/frontend/idle.go
+++ b/internal/frontend/idle.go
@@ -24,10 +24,10 @@
 )
 
 // SetArrival records how many bytes arrived before the session began and how long the connection has been silent. It precedes any Feed.
-func (s *Session) Waited(arrival transport.Arrival) {
-	s.quietTicks = int(min(arrival.Silent/TickEvery, messageTicks))
+func (s *Session) SetArrival(arrival transport.Arrival) {
+	s.quietTicks = int(min(arrival.SilentFor/TickEvery, messageTicks))
 	s.partialTicks = s.quietTicks
-	s.earlyBytes, s.earlyAge = arrival.Bytes, arrival.Silent
+	s.earlyBytes, s.earlyAge = arrival.Bytes, arrival.SilentFor
 }
 
 // messageAge is the minimum time for which the message read now has been unread: in the kernel before the session began, or while the
@@ -36,8 +36,8 @@
 	switch {
 	case s.earlyBytes > 0:
 		return s.earlyAge
-	case s.handler.Behind():
-		return s.Line.InputAge()
+	case s.handler.InputDelayed():
+		return s.Conn.InputAge()
 	}
 	return 0
 }
@@ -49,11 +49,11 @@
 	}
 	switch {
 	case s.messageOverdue():
-		s.Last(NothingWhole)
-	case len(s.open) == 0 && s.quietTicks >= idleTicks && !s.Line.InputPending():
-		s.Last(IdleLong)
+		s.CloseWhenIdle(NoCompleteMessage)
+	case len(s.open) == 0 && s.quietTicks >= idleTicks && !s.Conn.InputPending():
+		s.CloseWhenIdle(Idle)
 	}
-	if s.rejectFirst && s.quietTicks >= firstRequestTicks && !s.Line.InputPending() {
+	if s.rejectFirst && s.quietTicks >= firstRequestTicks && !s.Conn.InputPending() {
 		s.rejectFirst = false
 		s.closeIfIdle()
 	}
@@ -65,12 +65,12 @@
 	if !partial && (s.messageReceived || s.quietTicks < messageTicks) {
 		return false
 	}
-	return partial && s.partialTicks >= messageTicks+extraPartialTicks || !s.Line.InputPending()
+	return partial && s.partialTicks >= messageTicks+extraPartialTicks || !s.Conn.InputPending()
 }
 
 // CloseRank reports whether the connection can be closed to free its descriptor, and its rank. Connections that had time to send a message
 // but never did rank highest, then those that have been quiet for longest. The caller must check InTransit before it closes one.
-func (s *Session) Spare() (rank int, ok bool) {
+func (s *Session) CloseRank() (rank int, ok bool) {
 	if rank = s.quietTicks; !s.messageReceived {
 		rank += neverAskedRank
 	}
@@ -79,10 +79,10 @@
 }
 
 // InTransit reports whether bytes are in transit in either direction. It makes system calls.
-func (s *Session) InTransit() bool { return s.Line.InputPending() || s.Line.OutputPending() }
+func (s *Session) InTransit() bool { return s.Conn.InputPending() || s.Conn.OutputPending() }
 
 // MayFreeDescriptor reports whether the connection is closing, or can be closed within messageTicks unless it sends a request.
-func (s *Session) GivesRoom() bool { return s.closing || s.idle() }
+func (s *Session) MayFreeDescriptor() bool { return s.closing || s.idle() }
 
 // Closing reports whether the connection is closing.
 func (s *Session) Closing() bool { return s.closing }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -16,46 +16,46 @@
 )
 
 // Request is a client's request as received. Its byte slices are valid only during the call that it is passed to.
-type Ask struct {
-	Ref                   [16]byte
-	Profile, Tenant, Team []byte  // Team: as the request names it, if the operator's file allows that
-	Allow, Effort, Memory float64 // in seconds, seconds and MB
-	Statement             []byte
-	Key                   []byte  // requests of ordered profiles with the same key run one after the other
-	Token                 []byte  // of a request that is idempotent by key: servers recognise a repeat by it
-	Waited                float64 // seconds for which it was unread; its client has waited as long
-	seenFields            uint    // fields received so far, as bits by their index in fields
+type Request struct {
+	Ref                           [16]byte
+	Profile, Tenant, Team         []byte  // Team: as the request names it, if the operator's file allows that
+	Timeout, CostEstimate, Memory float64 // in seconds, seconds and MB
+	Statement                     []byte
+	Key                           []byte  // requests of ordered profiles with the same key run one after the other
+	Token                         []byte  // of a request that is idempotent by key: servers recognise a repeat by it
+	Waited                        float64 // seconds for which it was unread; its client has waited as long
+	seenFields                    uint    // fields received so far, as bits by their index in fields
 }
 
 // Caller is the client of a request. seq is the sequence number of the request on its connection. Each registered request gets one answer.
 type Caller interface {
-	Hold(seq int32, id uint32)
-	Answered(seq int32, pages [][]byte, waitInfo *Told)
-	Shed(seq int32, pause float64, waitInfo *Told)
+	Register(seq int32, id uint32)
+	Completed(seq int32, pages [][]byte, waitInfo *WaitInfo)
+	Rejected(seq int32, pause float64, waitInfo *WaitInfo)
 	Failed(seq int32)
 }
 
 // WaitInfo is sent with an answer or a rejection if the operator's file enables it. All values are in seconds.
-type Told struct {
+type WaitInfo struct {
 	P50, P90 float64 // estimated time until the answer, as of the arrival; with a rejection, until the request would be admitted
 	Waited   float64 // time before the first attempt
 }
 
 // RequestHandler handles the requests of clients. A request that a caller has registered gets one answer, unless Left is called for it.
-type Desk interface {
-	Take(c Caller, seq int32, a *Ask)
-	Left(id uint32)       // its client no longer waits
+type RequestHandler interface {
+	HandleRequest(c Caller, seq int32, a *Request)
+	ClientLeft(id uint32) // its client no longer waits
 	HalfClosed(id uint32) // its client has closed its sending side: it may have left or may still read
 	Ready() bool
-	Behind() bool        // input may have been unread for a while
-	Room(bytes int) bool // reserves memory for incomplete messages, or frees it; false: the limit is exceeded
-	Bad(text string)
+	InputDelayed() bool           // input may have been unread for a while
+	ReserveMemory(bytes int) bool // reserves memory for incomplete messages, or frees it; false: the limit is exceeded
+	BadMessage(text string)
 	ClientClosing(s *Session, reason CloseReason) // a connection takes no more requests, and closes
-	Closed(s *Session)
+	SessionClosed(s *Session)
 }
 
 // Conn is the connection that a session writes to.
-type Line interface {
+type Conn interface {
 	Append(b []byte) int64
 	Finish()
 	InputPending() bool      // bytes have arrived that were not fed yet
@@ -65,10 +65,10 @@
 
 // Session is the protocol state of one client connection.
 type Session struct {
-	Line            Line
+	Conn            Conn
 	Serial          uint64 // arrival number: an older connection has a lower one
-	handler         Desk
-	frames          thrift.Frames
+	handler         RequestHandler
+	frames          thrift.FrameSplitter
 	scratch         *[]byte
 	open            map[int32]uint32 // ids of the open requests by sequence number
 	partialBytes    int              // bytes of an incomplete frame
@@ -85,12 +85,12 @@
 }
 
 // NewSession creates a session. Answers are built in scratch, one at a time; sessions may share it.
-func NewSession(handler Desk, scratch *[]byte) *Session {
+func NewSession(handler RequestHandler, scratch *[]byte) *Session {
 	return &Session{handler: handler, scratch: scratch, open: map[int32]uint32{}}
 }
 
 // Up is called when the connection is established. There is nothing to do.
-func (s *Session) Up() {}
+func (s *Session) Connected() {}
 
 // Feed processes received bytes. Once the session is closing it discards them, as an answer could not be sent any more.
 func (s *Session) Feed(b []byte) {
@@ -100,11 +100,11 @@
 	err := s.frames.Feed(b, s.frame)
 	s.earlyBytes = max(s.earlyBytes-len(b), 0)
 	before := s.partialBytes
-	if s.partialBytes = s.frames.Kept(); !s.handler.Room(s.partialBytes-before) && err == nil {
+	if s.partialBytes = s.frames.Buffered(); !s.handler.ReserveMemory(s.partialBytes-before) && err == nil {
 		err = errPartialLimit
 	}
 	if err != nil && !s.closing { // nothing after it can be read; earlier answers are still sent
-		s.handler.Bad(err.Error())
+		s.handler.BadMessage(err.Error())
 		s.abandonRequests()
 		s.noteReason(Unreadable)
 		s.finish()
@@ -113,18 +113,18 @@
 
 // abandonRequests reports for all open requests that the client no longer waits.
 func (s *Session) abandonRequests() {
-	s.handler.Room(-s.partialBytes)
-	s.partialBytes, s.frames = 0, thrift.Frames{}
+	s.handler.ReserveMemory(-s.partialBytes)
+	s.partialBytes, s.frames = 0, thrift.FrameSplitter{}
 	for _, seq := range slices.Sorted(maps.Keys(s.open)) { // sorted, so that equal input has the same effect
 		id := s.open[seq]
 		delete(s.open, seq)
-		s.handler.Left(id)
+		s.handler.ClientLeft(id)
 	}
 }
 
 // noteReason records the reason for closing the connection, if it is the first.
 func (s *Session) noteReason(reason CloseReason) {
-	if s.reason == Kept {
+	if s.reason == NotClosed {
 		s.reason = reason
 	}
 }
@@ -134,13 +134,13 @@
 	if !s.closing {
 		s.closing = true
 		s.handler.ClientClosing(s, s.reason)
-		s.Line.Finish()
+		s.Conn.Finish()
 	}
 }
 
 // Ended handles the end of a connection. A client that has closed its side may still read; one whose connection is gone has left.
 func (s *Session) Ended(how transport.Ending) {
-	if how == transport.Finished {
+	if how == transport.PeerFinished {
 		s.halfClosed = true
 		s.noteReason(ClientClosed)
 		for _, seq := range slices.Sorted(maps.Keys(s.open)) {
@@ -153,12 +153,12 @@
 	}
 	s.closing = true
 	s.abandonRequests()
-	s.handler.Closed(s)
+	s.handler.SessionClosed(s)
 }
 
 // CloseWhenIdle closes the connection as soon as no request is open on it. Requests that arrive until then are rejected: otherwise a client
 // could keep the connection open for as long as it likes.
-func (s *Session) Last(reason CloseReason) {
+func (s *Session) CloseWhenIdle(reason CloseReason) {
 	s.closeWhenIdle = true
 	s.noteReason(reason)
 	s.closeIfIdle()
@@ -166,7 +166,7 @@
 
 // RejectFirst rejects the first request that arrives and closes the connection. If it were closed immediately, a request on its way would
 // cause a reset.
-func (s *Session) TurnAway(reason CloseReason) {
+func (s *Session) RejectFirst(reason CloseReason) {
 	s.closeWhenIdle, s.rejectFirst = true, true
 	s.noteReason(reason)
 }
@@ -181,7 +181,7 @@
 const maxOpen = 32 // open requests on one connection, as the protocol specifies
 
 // Register records the id of an open request.
-func (s *Session) Hold(seq int32, id uint32) { s.open[seq] = id }
+func (s *Session) Register(seq int32, id uint32) { s.open[seq] = id }
 
 var (
 	errProtocol     = errors.New("message is not of the strict binary protocol")
@@ -192,8 +192,8 @@
 // frame handles one message.
 func (s *Session) frame(frame []byte) error {
 	r := thrift.NewReader(frame)
-	kind, name, seq := r.Message()
-	if r.Bad || kind != thrift.Call && kind != thrift.Oneway {
+	kind, name, seq := r.MessageHeader()
+	if r.Failed || kind != thrift.Call && kind != thrift.Oneway {
 		return errProtocol
 	}
 	if s.closing { // by the previous message
@@ -206,25 +206,25 @@
 			return errDuplicateSeq
 		}
 		if s.closeWhenIdle {
-			s.Shed(seq, 0, nil)
+			s.Rejected(seq, 0, nil)
 			return nil
 		}
 		if len(s.open) >= maxOpen {
 			s.writeException(string(name), seq, thrift.ProtocolError, "too many open calls")
 			return nil
 		}
-		var a Ask
+		var a Request
 		if fault := a.read(&r); fault != "" {
 			s.writeException(string(name), seq, thrift.ProtocolError, fault)
 			return nil
 		}
 		a.Waited = s.messageAge().Seconds()
-		s.handler.Take(s, seq, &a)
+		s.handler.HandleRequest(s, seq, &a)
 	case "cancel":
 		if target, ok := readCancel(&r); ok {
 			if id, ok := s.open[target]; ok {
 				delete(s.open, target)
-				s.handler.Left(id)
+				s.handler.ClientLeft(id)
 				s.closeIfIdle()
 			}
 		}
@@ -242,10 +242,10 @@
 // readCancel reads the arguments of a cancel message: the sequence number of the request to cancel.
 func readCancel(r *thrift.Reader) (seq int32, ok bool) {
 	for {
-		t, id := r.Field()
+		t, id := r.FieldHeader()
 		switch {
 		case t == thrift.Stop:
-			return seq, ok && !r.Bad
+			return seq, ok && !r.Failed
 		case t == thrift.I32 && id == 1:
 			seq, ok = r.I32(), true
 		default:
@@ -255,22 +255,22 @@
 }
 
 // read reads the arguments of a request; fault describes what is wrong with them.
-func (a *Ask) read(r *thrift.Reader) (fault string) {
+func (a *Request) read(r *thrift.Reader) (fault string) {
 	var present struct{ fields, body bool }
 	for {
-		t, id := r.Field()
+		t, id := r.FieldHeader()
 		if t == thrift.Stop {
 			break
 		}
 		switch {
 		case t == thrift.Map && id == 1:
 			present.fields = true
-			k, v, n := r.Pairs()
+			k, v, n := r.MapHeader()
 			if n > 0 && (k != thrift.String || v != thrift.String) {
 				return "fields are no map of strings"
 			}
 			for ; n > 0; n-- {
-				if name, value := r.Bytes(), r.Bytes(); !r.Bad && !a.setField(string(name), value) {
+				if name, value := r.Bytes(), r.Bytes(); !r.Failed && !a.setField(string(name), value) {
 					return "field " + string(name) + " can't be used"
 				}
 			}
@@ -281,9 +281,9 @@
 		}
 	}
 	switch {
-	case r.Bad:
+	case r.Failed:
 		return "arguments can't be read"
-	case !present.body || !present.fields || a.Ref == [16]byte{} || a.Allow == 0 || a.Profile == nil:
+	case !present.body || !present.fields || a.Ref == [16]byte{} || a.Timeout == 0 || a.Profile == nil:
 		return "a field is missing"
 	case len(bytes.TrimSpace(a.Statement)) == 0 || bytes.IndexByte(a.Statement, 0) >= 0 || !utf8.Valid(a.Statement):
 		return "the statement is no text"
@@ -294,7 +294,7 @@
 const maxToken = 128 // bytes; four times what clients send
 
 // setField sets one field. It returns false if the value is invalid or a field of the table fields is repeated.
-func (a *Ask) setField(name string, value []byte) (ok bool) {
+func (a *Request) setField(name string, value []byte) (ok bool) {
 	ok = true
 	if k := slices.Index(fields[:], name); k >= 0 {
 		if a.seenFields&(1<<k) != 0 {
@@ -316,7 +316,7 @@
 		}
 		copy(a.Ref[:], value)
 	case "allow":
-		a.Allow, ok = parseNumber(value, 1000)
+		a.Timeout, ok = parseNumber(value, 1000)
 	case "replay":
 		a.Token, ok = value, len(value) <= maxToken
 		for _, c := range value { // servers get it as the value of a field
@@ -325,8 +325,8 @@
 	case "lookup":
 		a.Key = value
 	case "effort":
-		a.Effort, ok = parseNumber(value, 1000)
-		ok = ok && a.Effort < 1e6 // days of work on one core are no credible estimate
+		a.CostEstimate, ok = parseNumber(value, 1000)
+		ok = ok && a.CostEstimate < 1e6 // days of work on one core are no credible estimate
 	case "memory":
 		a.Memory, ok = parseNumber(value, 1)
 	}
@@ -348,7 +348,7 @@
 }
 
 // Completed sends a complete result: the pages as received from the server.
-func (s *Session) Answered(seq int32, pages [][]byte, waitInfo *Told) {
+func (s *Session) Completed(seq int32, pages [][]byte, waitInfo *WaitInfo) {
 	delete(s.open, seq)
 	s.reply("call", seq, pages, true, waitInfo.pairs()...)
 	s.closeIfIdle()
@@ -360,19 +360,19 @@
 	for _, p := range pages {
 		size += len(p)
 	}
-	b := thrift.Begin(*s.scratch, thrift.Reply, name, seq)
+	b := thrift.BeginMessage(*s.scratch, thrift.Reply, name, seq)
 	b = thrift.AppendField(b, thrift.Struct, 0)
-	b = thrift.AppendSize(thrift.AppendField(b, thrift.String, 1), size)
+	b = thrift.AppendStringLength(thrift.AppendField(b, thrift.String, 1), size)
 	for _, p := range pages {
 		b = append(b, p...)
 	}
-	b = thrift.AppendPairs(thrift.AppendField(b, thrift.Map, 2), pairs...)
+	b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 2), pairs...)
 	b = thrift.AppendBool(thrift.AppendField(b, thrift.Bool, 3), good)
-	s.write(thrift.End(append(b, byte(thrift.Stop))))
+	s.write(thrift.EndMessage(append(b, byte(thrift.Stop))))
 }
 
 // Rejected rejects a request: the client may retry it safely, best after the pause.
-func (s *Session) Shed(seq int32, pause float64, waitInfo *Told) {
+func (s *Session) Rejected(seq int32, pause float64, waitInfo *WaitInfo) {
 	pairs := waitInfo.pairs()
 	if pause > 0 {
 		pairs = append(pairs, "cooldown", millis(pause))
@@ -384,7 +384,7 @@
 func millis(seconds float64) string { return strconv.Itoa(int(seconds*1000 + 0.5)) }
 
 // pairs returns the fields of the message as names and values; nil has none.
-func (t *Told) pairs() []string {
+func (t *WaitInfo) pairs() []string {
 	if t == nil {
 		return nil
 	}
@@ -397,20 +397,20 @@
 // replyException writes one of the exceptions that the protocol declares: field 1 for a rejection, 2 for a failure.
 func (s *Session) replyException(seq int32, field uint16, pairs ...string) {
 	delete(s.open, seq)
-	b := thrift.Begin(*s.scratch, thrift.Reply, "call", seq)
+	b := thrift.BeginMessage(*s.scratch, thrift.Reply, "call", seq)
 	b = thrift.AppendField(b, thrift.Struct, field)
-	b = thrift.AppendPairs(thrift.AppendField(b, thrift.Map, 1), pairs...)
-	s.write(thrift.End(append(b, byte(thrift.Stop))))
+	b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), pairs...)
+	s.write(thrift.EndMessage(append(b, byte(thrift.Stop))))
 	s.closeIfIdle()
 }
 
 // writeException writes an exception of the RPC layer, for a message that can't be handled.
 func (s *Session) writeException(name string, seq int32, kind int32, text string) {
-	s.write(thrift.Except(*s.scratch, name, seq, kind, text))
+	s.write(thrift.ExceptionFrame(*s.scratch, name, seq, kind, text))
 }
 
 func (s *Session) write(b []byte) {
 	*s.scratch = b
 	s.quietTicks = 0
-	s.Line.Append(b)
+	s.Conn.Append(b)
 }
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -16,30 +16,30 @@
 
 // testHandler accepts every request, numbered from 1, and is the session's connection too.
 type testHandler struct {
-	say          script.Say
+	say          script.Printf
 	s            *Session
 	lastID       uint32
 	ready        bool
 	partialBytes int
 }
 
-func (h *testHandler) Take(s Caller, seq int32, request *Ask) {
+func (h *testHandler) HandleRequest(s Caller, seq int32, request *Request) {
 	h.lastID++
-	s.Hold(seq, h.lastID)
+	s.Register(seq, h.lastID)
 	h.say("takes %d: call %d ref %s profile %s tenant %s allow %g effort %g memory %g, %q", h.lastID, seq, request.Ref, request.Profile,
-		request.Tenant, request.Allow, request.Effort, request.Memory, request.Statement)
+		request.Tenant, request.Timeout, request.CostEstimate, request.Memory, request.Statement)
 }
-func (h *testHandler) Left(id uint32)                               { h.say("%d left", id) }
+func (h *testHandler) ClientLeft(id uint32)                         { h.say("%d left", id) }
 func (h *testHandler) HalfClosed(id uint32)                         { h.say("%d half-closed", id) }
 func (h *testHandler) Ready() bool                                  { return h.ready }
-func (h *testHandler) Room(n int) bool                              { h.partialBytes += n; return h.partialBytes < 200 }
-func (h *testHandler) Bad(text string)                              { h.say("bad: %s", text) }
-func (h *testHandler) Closed(*Session)                              { h.say("closed") }
+func (h *testHandler) ReserveMemory(n int) bool                     { h.partialBytes += n; return h.partialBytes < 200 }
+func (h *testHandler) BadMessage(text string)                       { h.say("bad: %s", text) }
+func (h *testHandler) SessionClosed(*Session)                       { h.say("closed") }
 func (h *testHandler) ClientClosing(_ *Session, reason CloseReason) { h.say("closing: %v", reason) }
 func (h *testHandler) Finish()                                      { h.say("finishes") }
 func (h *testHandler) InputPending() bool                           { return false }
 func (h *testHandler) InputAge() time.Duration                      { return 0 }
-func (h *testHandler) Behind() bool                                 { return false }
+func (h *testHandler) InputDelayed() bool                           { return false }
 func (h *testHandler) OutputPending() bool                          { return false }
 func (h *testHandler) Append(b []byte) int64 {
 	h.say("answers %s", fake.Show(b[4:]))
@@ -47,12 +47,12 @@
 }
 
 // start returns a player of scripts that feeds frames in one piece, or byte by byte if pieces is set.
-func start(pieces bool) func(*testing.T, script.Say) func([]string) {
-	return func(t *testing.T, say script.Say) func([]string) {
+func start(pieces bool) func(*testing.T, script.Printf) func([]string) {
+	return func(t *testing.T, say script.Printf) func([]string) {
 		h := &testHandler{say: say, ready: true}
 		var scratch []byte
 		h.s = NewSession(h, &scratch)
-		h.s.Line = h
+		h.s.Conn = h
 		return func(w []string) { h.step(t, w, pieces) }
 	}
 }
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		frame = thrift.Begin(nil, thrift.Call, "call", number)
+		frame = thrift.BeginMessage(nil, thrift.Call, "call", number)
 		frame = thrift.AppendBytes(thrift.AppendField(frame, thrift.String, 2), body) // the statement before the fields: their order is free
 		var pairs []string
 		for _, p := range w[2 : len(w)-1] {
@@ -83,12 +83,12 @@
 			k, v, _ := strings.Cut(p, "=")
 			pairs = append(pairs, k, v)
 		}
-		frame = thrift.End(thrift.AppendPairs(thrift.AppendField(frame, thrift.Map, 1), pairs...))
+		frame = thrift.EndMessage(thrift.AppendStringMap(thrift.AppendField(frame, thrift.Map, 1), pairs...))
 	case "cancel":
-		frame = thrift.Begin(nil, thrift.Oneway, "cancel", 0)
-		frame = thrift.End(append(thrift.AppendField(frame, thrift.I32, 1), 0, 0, 0, byte(number)))
+		frame = thrift.BeginMessage(nil, thrift.Oneway, "cancel", 0)
+		frame = thrift.EndMessage(append(thrift.AppendField(frame, thrift.I32, 1), 0, 0, 0, byte(number)))
 	case "health", "unknown":
-		frame = thrift.End(thrift.AppendBool(thrift.AppendField(thrift.Begin(nil, thrift.Call, w[0], number), thrift.Bool, 1), true))
+		frame = thrift.EndMessage(thrift.AppendBool(thrift.AppendField(thrift.BeginMessage(nil, thrift.Call, w[0], number), thrift.Bool, 1), true))
 	case "raw":
 		b, err := hex.DecodeString(strings.Join(w[1:], ""))
 		if err != nil {
@@ -97,15 +97,15 @@
 		frame = b
 	case "again": // a new connection
 		h.s = NewSession(h, h.s.scratch)
-		h.s.Line = h
+		h.s.Conn = h
 	case "ready":
 		h.ready = w[1] == "yes"
 	case "answered":
-		h.s.Answered(number, [][]byte{[]byte("a\tb\n"), []byte("c\td\n")}, nil)
+		h.s.Completed(number, [][]byte{[]byte("a\tb\n"), []byte("c\td\n")}, nil)
 	case "shed":
-		h.s.Shed(number, 0.25, nil)
+		h.s.Rejected(number, 0.25, nil)
 	case "shed-now":
-		h.s.Shed(number, 0, nil)
+		h.s.Rejected(number, 0, nil)
 	case "failed":
 		h.s.Failed(number)
 	case "idle":
@@ -113,16 +113,16 @@
 			h.s.Tick()
 		}
 	case "spare":
-		rank, ok := h.s.Spare()
+		rank, ok := h.s.CloseRank()
 		h.say("can be spared: %v, %d", ok, rank)
 	case "waited": // milliseconds
-		h.s.Waited(transport.Arrival{Silent: time.Duration(number) * time.Millisecond})
+		h.s.SetArrival(transport.Arrival{SilentFor: time.Duration(number) * time.Millisecond})
 	case "last":
-		h.s.Last(RouterEnds)
+		h.s.CloseWhenIdle(RouterStopping)
 	case "turn-away":
-		h.s.TurnAway(NoRoom)
+		h.s.RejectFirst(NoDescriptor)
 	case "ends":
-		h.s.Ended(map[string]transport.Ending{"finished": transport.Finished, "reset": transport.Reset, "closed": transport.Closed}[w[1]])
+		h.s.Ended(map[string]transport.Ending{"finished": transport.PeerFinished, "reset": transport.Reset, "closed": transport.Closed}[w[1]])
 	default:
 		t.Fatalf("%q", w)
 	}
@@ -135,7 +135,7 @@
 }
 
 // TestScripts plays each script with frames fed in one piece, and byte by byte.
-func TestScripts(t *testing.T) { script.Play(t, start(false), start(true)) }
+func TestScripts(t *testing.T) { script.Run(t, start(false), start(true)) }
 
 // FuzzFeed guards against input that makes a session panic or read beyond the input.
 func FuzzFeed(f *testing.F) {
@@ -145,7 +145,7 @@
 		h := &testHandler{say: func(string, ...any) {}}
 		var scratch []byte
 		h.s = NewSession(h, &scratch)
-		h.s.Line = h
+		h.s.Conn = h
 		h.s.Feed(b)
 	})
 }
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -171,8 +171,8 @@
 	defer cancel()
 	leader, led := -1, 0.0
 	for n, status := range f.statuses(ctx) {
-		if status != nil && status.Led > 0 && (leader < 0 || status.Led < led) { // of two that say so the newer one
-			leader, led = n, status.Led
+		if status != nil && status.LeaderFor > 0 && (leader < 0 || status.LeaderFor < led) { // of two that say so the newer one
+			leader, led = n, status.LeaderFor
 		}
 	}
 	return leader
--- a/internal/hollow/list.go
+++ b/internal/hollow/list.go
@@ -38,8 +38,8 @@
 	list := &databaseList{entries: slices.Clone(entries), addresses: make(map[uint32]netip.AddrPort, len(entries)),
 		names: make(map[uint32]string, len(entries)), numbers: make(map[string]uint32, len(entries))}
 	for _, e := range entries {
-		name := follower.Name(e.Engine)
-		list.addresses[e.Engine], list.names[e.Engine], list.numbers[name] = follower.Addr(e.Engine), name, e.Engine
+		name := follower.Name(e.Server)
+		list.addresses[e.Server], list.names[e.Server], list.numbers[name] = follower.Addr(e.Server), name, e.Server
 	}
 	return list, nil
 }
@@ -56,7 +56,7 @@
 		zones[n] = zone.Name
 	}
 	follower := discovery.New(zones, []string{databaseKind})
-	if _, err := follower.Start(known(s)); err != nil {
+	if _, err := follower.ApplyConfig(known(s)); err != nil {
 		return nil, err
 	}
 	read.follower, read.databases = follower, s.Databases
@@ -64,16 +64,16 @@
 }
 
 // known is the list as a configuration names it.
-func known(s *Setup) discovery.Known {
+func known(s *Setup) discovery.ConfiguredList {
 	all := make([]discovery.Target, s.Databases)
 	for n := range all {
 		all[n] = discovery.Target{UID: fmt.Sprint("db-", n+1), Endpoint: fmt.Sprintf("10.%d.%d.%d:7000", n>>16, n>>8&255, n&255),
 			Zone: s.Zones[n%len(s.Zones)].Name, Kind: databaseKind, State: "ready", Weight: 1}
 	}
-	notice := discovery.Notice{Rev: 1}
+	notice := discovery.Event{Rev: 1}
 	notice.Pool = &struct {
 		All     bool               `json:"all"`
 		Targets []discovery.Target `json:"targets"`
 	}{true, all}
-	return discovery.Known{Rev: 1, Notices: []discovery.Notice{notice}}
+	return discovery.ConfiguredList{Rev: 1, Notices: []discovery.Event{notice}}
 }
--- a/internal/hollow/router.go
+++ b/internal/hollow/router.go
@@ -76,13 +76,13 @@
 	id := fmt.Sprintf("%s/%x", r.name, r.incarnation)
 	r.client = coordserver.NewClientOver(s.Coordinators, n.Dial(r.zone.Region))
 	r.member = agent.New(agent.Config{Name: r.name, Zone: r.zone.Name, Region: r.zone.Region, Incarnation: r.incarnation, Seed: rand.Uint64(),
-		Stands: []string{agent.Warmth, agent.Trials, agent.Quotas, agent.Plans}, Zones: len(names), ZoneNames: names, ZoneNumber: at, Way: ways,
-		Members: s.Routers, Window: 1, Began: boottime.Now(), Now: boottime.Now,
+		CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind, agent.PlanKind}, ZoneCount: len(names), ZoneNames: names, ZoneNumber: at, RoundTrips: ways,
+		RouterCount: s.Routers, Window: 1, StartedAt: boottime.Now(), Now: boottime.Now,
 		Trace: func(t agent.Trace) {
-			if t.What == "act" {
-				act(Act{Task: t.Work, Router: id, Fence: t.Fence, At: t.At, Until: t.Until})
+			if t.Event == "act" {
+				act(Act{Task: t.Task, Router: id, Fence: t.Fence, At: t.At, Until: t.Until})
 			}
-		}}, agent.Kept{})
+		}}, agent.PersistentState{})
 	r.driver = agentdriver.NewDriver(r.member, r.client)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
@@ -118,7 +118,7 @@
 			take()
 		case <-tick.C:
 			now := boottime.Now()
-			r.member.Tell(now, r.needs(r.demand()))
+			r.member.SetDemand(now, r.needs(r.demand()))
 			r.driver.Put(r.member.Tick(now))
 		}
 		r.publish()
@@ -132,7 +132,7 @@
 func (r *router) needs(d Demand) agent.Demand {
 	var all agent.Demand
 	for n := range d.Cold {
-		all.Cold = append(all.Cold, agent.Cold{Engine: engine(n, d.Generation), Need: needs / float64(max(r.member.Fleet(), 1))})
+		all.ColdServers = append(all.ColdServers, agent.ColdServer{Server: engine(n, d.Generation), Need: needs / float64(max(r.member.FleetSize(), 1))})
 	}
 	if d.Reports {
 		all.Report = r.report
@@ -141,19 +141,19 @@
 }
 
 // engine is a cold database of one generation.
-func engine(n, generation int) agent.Engine {
-	return agent.Engine{ID: uint32(n + 1), Start: float64(generation + 1)}
+func engine(n, generation int) agent.Server {
+	return agent.Server{ID: uint32(n + 1), Start: float64(generation + 1)}
 }
 
 // report is evidence of a second in which all went well, with traffic in the router's own zone and a little in each other.
 func (r *router) report() failover.Report {
 	const work, cores = 3.75, 16.0 // core seconds a second: 750 requests of 5 ms; ready cores in a zone
-	report := failover.Report{Demand: work, Sights: make([]failover.Sight, r.zoneCount)}
-	report.Zone = (r.number - 1) % len(report.Sights)
-	for z := range report.Sights {
-		report.Sights[z] = failover.Sight{Sent: 10, Work: work / 100, Slow: 1.2, Ready: cores}
+	report := failover.Report{Demand: work, Observations: make([]failover.ZoneObservation, r.zoneCount)}
+	report.Zone = (r.number - 1) % len(report.Observations)
+	for z := range report.Observations {
+		report.Observations[z] = failover.ZoneObservation{Attempts: 10, Work: work / 100, Slow: 1.2, Ready: cores}
 	}
-	report.Sights[report.Zone] = failover.Sight{Sent: 700, Work: work, Slow: 1.2, Ready: cores}
+	report.Observations[report.Zone] = failover.ZoneObservation{Attempts: 700, Work: work, Slow: 1.2, Ready: cores}
 	return report
 }
 
@@ -163,17 +163,17 @@
 	shares := 0
 	for n := range d.Cold {
 		e := engine(n, d.Generation)
-		if part, ok := r.member.Part(now, e.ID, e.Start); ok && part > 0 {
+		if part, ok := r.member.WarmUpShare(now, e.ID, e.Start); ok && part > 0 {
 			shares++
 		}
 	}
 	stats := r.member.Stats
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if stats.Confirmed > r.state.confirmed && r.state.since == 0 {
+	if stats.SnapshotsApplied > r.state.confirmed && r.state.since == 0 {
 		r.state.since = now
 	}
-	r.state.session, r.state.confirmed, r.state.held, r.state.shares, r.state.stats = r.member.Session() != 0, stats.Confirmed, len(r.member.Held()), shares, stats
+	r.state.session, r.state.confirmed, r.state.held, r.state.shares, r.state.stats = r.member.Session() != 0, stats.SnapshotsApplied, len(r.member.Held()), shares, stats
 }
 
 // mark has confirmations count from now on.
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -194,5 +194,5 @@
 	s := r.look()
 	requests, bytes := r.client.Traffic()
 	return Report{Requests: requests, Bytes: bytes, ByPath: r.client.TrafficByPath(),
-		Grants: s.stats.Dealt, Relinquished: s.stats.Pledges, Late: s.stats.Late, Refused: s.stats.Refused, Lost: s.stats.Lost}
+		Grants: s.stats.Granted, Relinquished: s.stats.Relinquishments, Late: s.stats.LateGrants, Refused: s.stats.RejectedStale, Lost: s.stats.Lost}
 }
--- a/internal/jobrunner/runner.go
+++ b/internal/jobrunner/runner.go
@@ -18,8 +18,8 @@
 // Meter collects what a run reports about itself.
 type Meter struct{ bytes float64 }
 
-// Wrote adds bytes written.
-func (m *Meter) Wrote(n int) { m.bytes += float64(n) }
+// AddBytes adds bytes written.
+func (m *Meter) AddBytes(n int) { m.bytes += float64(n) }
 
 // Task does one run of a job. It returns soon after its context is done.
 type Task func(ctx context.Context, m *Meter) error
--- a/internal/jobrunner/runner_test.go
+++ b/internal/jobrunner/runner_test.go
@@ -22,7 +22,7 @@
 	errNoDisk := errors.New("no disk")
 	first := true
 	request := r.Add(jobs.Job{Name: "a"}, func(_ context.Context, m *Meter) error {
-		m.Wrote(10)
+		m.AddBytes(10)
 		ran <- "a"
 		if first {
 			first = false
@@ -63,7 +63,7 @@
 // TestStuckRunAndTimeout: a run that ignores its context delays the end of Run by no more than the timeout of Run, and the context of a
 // run that exceeds its own timeout is cancelled.
 func TestStuckRunAndTimeout(t *testing.T) {
-	r := New(jobs.Limits{Parallel: 2}, func(string, int, error) {})
+	r := New(jobs.Limits{MaxParallel: 2}, func(string, int, error) {})
 	timedOut, release := make(chan bool), make(chan bool)
 	limited := r.Add(jobs.Job{Name: "limited", Timeout: 0.02}, func(ctx context.Context, _ *Meter) error {
 		<-ctx.Done()
--- a/internal/lineproto/lines.go
+++ b/internal/lineproto/lines.go
@@ -17,23 +17,23 @@
 )
 
 // Message is one message of a server. Its bytes are valid only during the call that passes it.
-type Answer struct{ ID, Word, Fields, Body []byte }
+type Message struct{ ID, Verb, Fields, Body []byte }
 
 // ErrMalformed is returned for a line that does not follow the protocol.
-var ErrGarbled = errors.New("malformed line")
+var ErrMalformed = errors.New("malformed line")
 
 // Parser splits a stream of bytes into messages. It buffers only the bytes of an unfinished one.
 type Parser struct{ unfinished []byte }
 
 // Handler receives messages.
-type Reader interface {
+type Handler interface {
 	// HandleMessage processes a message. It returns false for a message that cannot be valid; nothing more is read
 	// then.
-	Answer(a Answer) bool
+	HandleMessage(a Message) bool
 }
 
 // Feed calls the handler with each message that is complete now.
-func (p *Parser) Feed(b []byte, to Reader) error {
+func (p *Parser) Feed(b []byte, to Handler) error {
 	if len(p.unfinished) > 0 {
 		p.unfinished = append(p.unfinished, b...)
 		b = p.unfinished
@@ -46,8 +46,8 @@
 		if n == 0 {
 			break
 		}
-		if !to.Answer(a) {
-			return ErrGarbled
+		if !to.HandleMessage(a) {
+			return ErrMalformed
 		}
 		b = b[n:]
 	}
@@ -56,14 +56,14 @@
 }
 
 // HasPartial reports whether an unfinished message is buffered.
-func (p *Parser) Half() bool { return len(p.unfinished) > 0 }
+func (p *Parser) HasPartial() bool { return len(p.unfinished) > 0 }
 
 // parseAnswer parses the message at the start of b. n is 0 if it is incomplete.
-func parseAnswer(b []byte) (a Answer, n int, err error) {
+func parseAnswer(b []byte) (a Message, n int, err error) {
 	end := bytes.Index(b[:min(len(b), maxLine)], []byte("\r\n"))
 	if end < 0 {
 		if len(b) >= maxLine {
-			err = ErrGarbled
+			err = ErrMalformed
 		}
 		return a, 0, err
 	}
@@ -72,13 +72,13 @@
 	for k := range words {
 		word, after, more := bytes.Cut(rest, []byte(" "))
 		if len(word) == 0 || more != (k < 3) {
-			return a, 0, ErrGarbled
+			return a, 0, ErrMalformed
 		}
 		words[k], rest = word, after
 	}
-	size, ok := Number(words[3])
+	size, ok := ParseNumber(words[3])
 	if !ok || size > maxBody || !allOf(words[0], isTagChar) || !allOf(words[1], isLetter) || !validFields(words[2]) {
-		return a, 0, ErrGarbled
+		return a, 0, ErrMalformed
 	}
 	from := end + 2
 	n = from + size + 2
@@ -86,9 +86,9 @@
 		return a, 0, nil
 	}
 	if b[n-2] != '\r' || b[n-1] != '\n' {
-		return a, 0, ErrGarbled
+		return a, 0, ErrMalformed
 	}
-	return Answer{words[0], words[1], words[2], b[from : n-2]}, n, nil
+	return Message{words[0], words[1], words[2], b[from : n-2]}, n, nil
 }
 
 // An ID or tag consists of letters, digits and some punctuation, a verb of letters. Any other byte is noise, and
@@ -139,7 +139,7 @@
 }
 
 // ParseNumber parses a decimal count. ok is false if b is not one.
-func Number(b []byte) (n int, ok bool) {
+func ParseNumber(b []byte) (n int, ok bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
 	}
@@ -156,7 +156,7 @@
 
 // AppendFetch appends a request to run a query. A priority of 1 is the default and is left out; token is the key of a
 // request that is idempotent by key, or empty.
-func Fetch(b, id []byte, kind string, wait, priority int, token, statement []byte) []byte {
+func AppendFetch(b, id []byte, kind string, wait, priority int, token, statement []byte) []byte {
 	b = append(append(append(b, "fetch "...), id...), " kind="...)
 	b = strconv.AppendInt(append(append(b, kind...), ",ms="...), int64(wait), 10)
 	if priority != 1 {
@@ -171,7 +171,7 @@
 
 // ValidFieldValue reports whether a text can be the value of a field: some characters would end the field, the word
 // or the line.
-func Usable(value string) bool {
+func ValidFieldValue(value string) bool {
 	ends := func(r rune) bool {
 		return r == ',' || r == utf8.RuneError || unicode.IsSpace(r) || unicode.IsControl(r)
 	}
@@ -179,16 +179,18 @@
 }
 
 // AppendAbort appends a message that aborts a query none of whose result has come.
-func Abort(b, id []byte) []byte { return append(append(append(b, "abort "...), id...), "\r\n"...) }
+func AppendAbort(b, id []byte) []byte {
+	return append(append(append(b, "abort "...), id...), "\r\n"...)
+}
 
 // AppendDone appends a message that releases the pages of a result kept by the server.
-func Done(b, id []byte) []byte { return append(append(append(b, "done "...), id...), "\r\n"...) }
+func AppendDone(b, id []byte) []byte { return append(append(append(b, "done "...), id...), "\r\n"...) }
 
 // AppendRenice appends a message that changes a query's priority to n.
-func Renice(b, id []byte, n int) []byte { return appendNumbered(b, "renice ", id, n) }
+func AppendRenice(b, id []byte, n int) []byte { return appendNumbered(b, "renice ", id, n) }
 
 // AppendMore appends a message that requests page n of a result.
-func More(b, id []byte, n int) []byte { return appendNumbered(b, "more ", id, n) }
+func AppendMore(b, id []byte, n int) []byte { return appendNumbered(b, "more ", id, n) }
 
 func appendNumbered(b []byte, verb string, id []byte, n int) []byte {
 	b = append(append(append(b, verb...), id...), ' ')
--- a/internal/lineproto/lines_test.go
+++ b/internal/lineproto/lines_test.go
@@ -10,9 +10,9 @@
 
 type reader struct{ strings.Builder }
 
-func (r *reader) Answer(a Answer) bool {
-	fmt.Fprintf(r, "%s %s %s %q\n", a.ID, a.Word, a.Fields, a.Body)
-	return string(a.Word) != "stop"
+func (r *reader) HandleMessage(a Message) bool {
+	fmt.Fprintf(r, "%s %s %s %q\n", a.ID, a.Verb, a.Fields, a.Body)
+	return string(a.Verb) != "stop"
 }
 
 // feed parses a text in pieces of the given size and returns the messages and the error.
--- a/internal/measure/budgets.go
+++ b/internal/measure/budgets.go
@@ -53,7 +53,7 @@
 const cores = 32.0
 
 func teams(weights ...float64) *fairshare.Spec {
-	s := &fairshare.Spec{Default: "t0", Ageing: 0.1, Turns: true, Changes: 20, GuardSpill: true}
+	s := &fairshare.Spec{Default: "t0", Ageing: 0.1, TurnsForBypassed: true, MaxPriorityChanges: 20, ProtectSpilling: true}
 	for k, w := range weights {
 		s.Nodes = append(s.Nodes, fairshare.Node{Name: fmt.Sprintf("t%d", k), Weight: w, Tenants: []int{k}})
 	}
@@ -108,7 +108,7 @@
 			s := yard(1)
 			s.Teams = teams(1, 1)
 			if !on {
-				s.Teams.Ageing, s.Teams.Turns = 0, false
+				s.Teams.Ageing, s.Teams.TurnsForBypassed = 0, false
 			}
 			s.Streams = []cluster.Stream{asks(0, report, 0.15), asks(c.team, lookup, 3)}
 			r, err := cluster.Run(s)
@@ -347,7 +347,7 @@
 			s.Engines[k].Memory, s.Engines[k].Spill = 2800, 3
 		}
 		s.Teams = teams(1, 1)
-		s.Teams.Changes, s.Teams.GuardSpill = c.changes, c.guard
+		s.Teams.MaxPriorityChanges, s.Teams.ProtectSpilling = c.changes, c.guard
 		s.Length = 620
 		long, others := asks(0, report, 1.5), asks(1, report, 1)
 		s.Brain.Profiles = append(s.Brain.Profiles, admission.Profile{Target: 20, Stretch: 3, Benefit: 10, Threads: 2})
--- a/internal/measure/decision.go
+++ b/internal/measure/decision.go
@@ -13,22 +13,22 @@
 // deaf carries out nothing, and remembers where the last send went.
 type deaf struct{ engine uint32 }
 
-func (d *deaf) Send(_, engine uint32, _, _ float64)           { d.engine = engine }
-func (d *deaf) Withdraw(uint32, int)                          {}
-func (d *deaf) Shed(uint32, float64)                          {}
-func (d *deaf) Fail(uint32)                                   {}
-func (d *deaf) Cancel(uint32, int)                            {}
-func (d *deaf) Probe(uint32)                                  {}
-func (d *deaf) Priority(uint32, int, float64)                 {}
-func (d *deaf) Wake(float64, uint64)                          {}
-func (d *deaf) Tell(int, []byte)                              {}
-func (d *deaf) Watch(bool)                                    {}
-func (d *deaf) Log(string)                                    {}
-func (d *deaf) Told(uint32, waittime.Kind, waittime.Estimate) {}
+func (d *deaf) Send(_, engine uint32, _, _ float64)                         { d.engine = engine }
+func (d *deaf) Withdraw(uint32, int)                                        {}
+func (d *deaf) Reject(uint32, float64)                                      {}
+func (d *deaf) Fail(uint32)                                                 {}
+func (d *deaf) Cancel(uint32, int)                                          {}
+func (d *deaf) Probe(uint32)                                                {}
+func (d *deaf) Priority(uint32, int, float64)                               {}
+func (d *deaf) Wake(float64, uint64)                                        {}
+func (d *deaf) SendToPeer(int, []byte)                                      {}
+func (d *deaf) Watch(bool)                                                  {}
+func (d *deaf) Log(string)                                                  {}
+func (d *deaf) ReportEstimate(uint32, waittime.TimeKind, waittime.Estimate) {}
 
 // played is a module that takes, sends and has answered one command after another.
 type played struct {
-	m    *admission.Brain
+	m    *admission.Controller
 	host deaf
 	now  float64
 	k    int
@@ -41,9 +41,9 @@
 		KindCores: []float64{8}}, 0, &p.host)
 	var list []admission.Entry
 	for k := range 8 {
-		list = append(list, admission.Entry{Engine: uint32(k + 1), State: admission.Ready})
+		list = append(list, admission.Entry{Server: uint32(k + 1), State: admission.Ready})
 	}
-	p.m.Members(0, admission.Full, list)
+	p.m.UpdateServers(0, admission.Full, list)
 	return p
 }
 
@@ -52,8 +52,8 @@
 		p.now += 0.001
 		p.k++
 		id := uint32(p.k)
-		p.m.Command(p.now, admission.Command{ID: id, Tenant: p.k & 1, Cost: 0.1, TimeLeft: 4})
-		p.m.Outcome(p.now+0.0005, admission.Outcome{ID: id, Engine: p.host.engine, End: admission.Answered, Lag: 0.0005, Work: 0.1, Over: true})
+		p.m.Request(p.now, admission.Request{ID: id, Tenant: p.k & 1, Cost: 0.1, TimeLeft: 4})
+		p.m.Outcome(p.now+0.0005, admission.Outcome{ID: id, Server: p.host.engine, End: admission.Completed, Latency: 0.0005, Work: 0.1, Final: true})
 		if p.k%50 == 0 {
 			p.m.Woken(p.now, 0)
 		}
@@ -62,9 +62,9 @@
 
 // decision is what a command costs in the module with the fleet on, beside what it costs without, and what it allocates.
 func decision() ([]Row, error) {
-	m := agent.New(agent.Config{Name: "n1", Incarnation: 1, Stands: []string{agent.Warmth, agent.Trials, agent.Quotas}, Members: 300, Window: 1,
-		Tenants: []string{"a", "b"}, Clean: true}, agent.Kept{})
-	m.Tell(0, agent.Demand{Tenants: []agent.Tenant{{Number: 0, Need: 0.1}, {Number: 1, Need: 0.1}}})
+	m := agent.New(agent.Config{Name: "n1", Incarnation: 1, CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind}, RouterCount: 300, Window: 1,
+		Tenants: []string{"a", "b"}, CleanStart: true}, agent.PersistentState{})
+	m.SetDemand(0, agent.Demand{Tenants: []agent.Tenant{{Number: 0, Need: 0.1}, {Number: 1, Need: 0.1}}})
 	off, on := newPlayed(nil), newPlayed(m)
 	const block, blocks = 4000, 400 // some milliseconds each, in turn, so that what else runs on the machine meets both
 	var without, with []float64
--- a/internal/measure/failover.go
+++ b/internal/measure/failover.go
@@ -212,7 +212,7 @@
 func evidenceBytes(n int) ([]Row, error) {
 	r := failover.Report{Zone: n - 1, Demand: 123.456789, Pinned: 1.23456789, Epoch: 123456, Span: 1.00123456}
 	for range n {
-		r.Sights = append(r.Sights, failover.Sight{Sent: 1234, Bad: 12, Turned: 3, Late: 45, Work: 123.456789, Slow: 1.23456789, Ready: 64, Cold: 7.123456789, Drains: 8, Doubt: 16})
+		r.Observations = append(r.Observations, failover.ZoneObservation{Attempts: 1234, Failed: 12, Rejected: 3, Late: 45, Work: 123.456789, Slow: 1.23456789, Ready: 64, ColdCores: 7.123456789, DrainingCores: 8, SuspectCores: 16})
 	}
 	body, err := json.Marshal(r)
 	return []Row{AtMost(fmt.Sprintf("evidence of %d zones, everything seen: bytes a router and second", n), float64(len(body)), 2048)}, err
--- a/internal/measure/owner.go
+++ b/internal/measure/owner.go
@@ -343,7 +343,7 @@
 		c := coordserver.NewClient(r.Fronts(), "")
 		clients = append(clients, c)
 		m := agent.New(agent.Config{Name: fmt.Sprint("s", n+1), Zone: fmt.Sprint("z", n%2+1), Incarnation: uint64(n + 1), Seed: uint64(n + 77),
-			Stands: []string{agent.Warmth}, Members: many, Window: 1, Began: boottime.Now(), Clean: true}, agent.Kept{})
+			CandidateKinds: []string{agent.WarmUpKind}, RouterCount: many, Window: 1, StartedAt: boottime.Now(), CleanStart: true}, agent.PersistentState{})
 		d := agentdriver.NewDriver(m, c)
 		d.Run(ctx, group)
 		group.Go(func() error {
@@ -360,11 +360,11 @@
 					var demand agent.Demand
 					if _, on := cold.Load("on"); on {
 						for e := range 4 {
-							demand.Cold = append(demand.Cold, agent.Cold{Engine: agent.Engine{ID: uint32(e + 1), Start: 1}, Need: 2 / float64(many)})
+							demand.ColdServers = append(demand.ColdServers, agent.ColdServer{Server: agent.Server{ID: uint32(e + 1), Start: 1}, Need: 2 / float64(many)})
 						}
 					}
 					now := boottime.Now()
-					m.Tell(now, demand)
+					m.SetDemand(now, demand)
 					d.Put(m.Tick(now))
 				}
 				if !said && m.Session() != 0 {
--- a/internal/measure/state.go
+++ b/internal/measure/state.go
@@ -200,7 +200,7 @@
 	settings, rates := []uint64{1}, []float64{2}
 	then := warmstart.Timestamp{Wall: 1e9, Up: 1e6, Boot: "b"}
 	kept := warmstart.Snapshot{At: then, Profiles: []warmstart.Profile{{Settings: 1, Work: 0.1, Seen: 100, Hinted: 10, Worked: 20, Slow: 3, Times: warmstart.Times{Counts: []float64{1000}, Sum: 100}}},
-		Quick: warmstart.Record{At: then, Known: warmstart.Knowledge{Engines: []warmstart.Server{{ID: 1, Slow: 2, Fails: 0.8, Ill: true, Pause: 1}}, Tenants: []warmstart.Tenant{{Left: -60, Rate: 2}}}}}
+		Quick: warmstart.JournalRecord{At: then, Known: warmstart.Knowledge{Engines: []warmstart.Server{{ID: 1, Slow: 2, Fails: 0.8, Ill: true, Pause: 1}}, Tenants: []warmstart.Tenant{{Left: -60, Rate: 2}}}}}
 	for _, a := range []struct {
 		name              string
 		age               float64
@@ -263,7 +263,7 @@
 	if err := s.Snapshot(body); err != nil {
 		return nil, err
 	}
-	quick, err := cbor.Marshal(warmstart.Record{Known: warmstart.Knowledge{Engines: fullKept().Quick.Known.Engines[:500]}})
+	quick, err := cbor.Marshal(warmstart.JournalRecord{Known: warmstart.Knowledge{Engines: fullKept().Quick.Known.Engines[:500]}})
 	if err != nil {
 		return nil, err
 	}
@@ -279,11 +279,11 @@
 		return nil, err
 	}
 	var k warmstart.Snapshot
-	var q warmstart.Record
+	var q warmstart.JournalRecord
 	if err := errors.Join(cbor.Unmarshal(r.Body, &k), cbor.Unmarshal(r.Records[len(r.Records)-1], &q)); err != nil {
 		return nil, err
 	}
-	warmstart.Restore(k, []warmstart.Record{q}, warmstart.Timestamp{Wall: 2, Up: 2}, make([]uint64, warmstart.MaxProfiles), make([]float64, warmstart.MaxTenants))
+	warmstart.Restore(k, []warmstart.JournalRecord{q}, warmstart.Timestamp{Wall: 2, Up: 2}, make([]uint64, warmstart.MaxProfiles), make([]float64, warmstart.MaxTenants))
 	took := time.Since(began)
 	runtime.ReadMemStats(&after)
 	_, bytes := store.Size(dir, "n1")
@@ -349,7 +349,7 @@
 			if err != nil {
 				return err
 			}
-			m.Wrote(len(body))
+			m.AddBytes(len(body))
 			return s.Snapshot(body)
 		})
 	}
@@ -375,8 +375,8 @@
 
 // regret is what a restart in the peak costs: all routers restart at once, with what they knew and with nothing, against never.
 func regret(days int) ([]Row, error) {
-	believed := func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.Beliefs {
-		b := warmstart.Believe(k, age, true, admission.Fingerprints(s.Profiles), s.Rates())
+	believed := func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
+		b := warmstart.Discount(k, age, true, admission.Fingerprints(s.Profiles), s.TenantRates())
 		return &b
 	}
 	peak := func(seed uint64, restart bool, recall cluster.Recall) cluster.Settings {
@@ -471,8 +471,8 @@
 	for r := range routers { // the last of them is back just after
 		s.Happens = append(s.Happens, cluster.Happening{At: began + 3 + (ended-began-3)*float64(r)/float64(routers), For: 0.2, Act: cluster.Restart, Routers: []int{r}})
 	}
-	s.Recall = func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.Beliefs {
-		b := warmstart.Believe(k, age, true, admission.Fingerprints(s.Profiles), s.Rates())
+	s.Recall = func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
+		b := warmstart.Discount(k, age, true, admission.Fingerprints(s.Profiles), s.TenantRates())
 		return &b
 	}
 	const slot = 0.05
--- a/internal/netaddr/netaddr.go
+++ b/internal/netaddr/netaddr.go
@@ -8,7 +8,7 @@
 
 // CheckPrivate returns an error for an address that coordinators may not listen on or be called at: only loopback and private ranges are
 // allowed. Coordinators and routers do not authenticate each other, so whoever reaches the port could end sessions and take tasks.
-func Check(addr string) error {
+func CheckPrivate(addr string) error {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return fmt.Errorf("%q is not an address with a port: %v", addr, err)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -14,8 +14,8 @@
 	"dunereach/internal/seconds"
 )
 
-// Variable is the environment variable with the path of the file; a flag overrides it.
-const Variable = "DUNEREACH_OPERATOR"
+// EnvVariable is the environment variable with the path of the file; a flag overrides it.
+const EnvVariable = "DUNEREACH_OPERATOR"
 
 // File holds all sections. The schema in deploy/operator.schema.json is generated from these types: their names and the texts in the
 // tags appear in it.
@@ -33,7 +33,7 @@
 // Team is one node in the tree of teams.
 type Team struct {
 	Name    string   `json:"name" jsonschema:"minLength=1,maxLength=100,description=Unique in the file."`
-	Under   string   `json:"under,omitempty" jsonschema:"description=The name of what it belongs to. Absent: the top."`
+	Parent  string   `json:"under,omitempty" jsonschema:"description=The name of what it belongs to. Absent: the top."`
 	Weight  float64  `json:"weight" jsonschema:"exclusiveMinimum=0,maximum=1000000,description=Its part of what its parent has: in proportion to the weights beside it."`
 	Floor   float64  `json:"floor,omitempty" jsonschema:"minimum=0,maximum=1,description=Share of the pool's work that it gets before all others while it asks for it."`
 	Ceiling float64  `json:"ceiling,omitempty" jsonschema:"minimum=0,maximum=1,description=Share of the pool's work that it never passes for longer than its burst lasts. 0 or absent: none."`
@@ -43,40 +43,40 @@
 
 // Budgets configures how team budgets are applied.
 type Budgets struct {
-	Default    string   `json:"default" jsonschema:"minLength=1,description=The team of commands whose tenant has none or whose call names an unknown one."`
-	ByCall     bool     `json:"by_call,omitempty" jsonschema:"description=Whether the field 'team' of a call names its team."`
-	Ageing     *float64 `json:"ageing,omitempty" jsonschema:"minimum=0,maximum=1000,description=Within a team: seconds of work per benefit that a second of waiting makes up for. Absent: 0.1."`
-	Turns      *bool    `json:"turns,omitempty" jsonschema:"description=Whether a command whose turn was passed over gets the next places that come free. Absent: true."`
-	Changes    *float64 `json:"changes,omitempty" jsonschema:"minimum=0,maximum=1000,description=Changes of priority of running sends a second at most; 0 lowers none. Absent: 20."`
-	GuardSpill *bool    `json:"guard_spill,omitempty" jsonschema:"description=Whether sends that spill to disk are never lowered and are raised again. Absent: true."`
+	Default            string   `json:"default" jsonschema:"minLength=1,description=The team of commands whose tenant has none or whose call names an unknown one."`
+	RequestMayNameTeam bool     `json:"by_call,omitempty" jsonschema:"description=Whether the field 'team' of a call names its team."`
+	Ageing             *float64 `json:"ageing,omitempty" jsonschema:"minimum=0,maximum=1000,description=Within a team: seconds of work per benefit that a second of waiting makes up for. Absent: 0.1."`
+	TurnsForBypassed   *bool    `json:"turns,omitempty" jsonschema:"description=Whether a command whose turn was passed over gets the next places that come free. Absent: true."`
+	MaxPriorityChanges *float64 `json:"changes,omitempty" jsonschema:"minimum=0,maximum=1000,description=Changes of priority of running sends a second at most; 0 lowers none. Absent: 20."`
+	ProtectSpilling    *bool    `json:"guard_spill,omitempty" jsonschema:"description=Whether sends that spill to disk are never lowered and are raised again. Absent: true."`
 }
 
 // Waits configures which waiting times clients are sent.
 type Waits struct {
-	Fields bool `json:"fields" jsonschema:"description=Whether answers and refusals carry wait_p50 and wait_p90 and waited in milliseconds."`
+	SendWaits bool `json:"fields" jsonschema:"description=Whether answers and refusals carry wait_p50 and wait_p90 and waited in milliseconds."`
 }
 
 // Fleet configures this router's membership in the fleet. The length of leases is not set here: the coordinators fix it when the
 // registry is created.
 type Fleet struct {
-	Keepers []string            `json:"keepers" jsonschema:"minItems=1,maxItems=9,description=Addresses and ports of the keepers. Loopback or private ones only."`
-	Zone    string              `json:"zone,omitempty" jsonschema:"maxLength=120,description=This router's zone; owners near a work's place come first. Absent: the settings' zone."`
-	Region  string              `json:"region,omitempty" jsonschema:"maxLength=120,description=This router's region."`
-	Works   []string            `json:"works,omitempty" jsonschema:"uniqueItems=true,enum=warmth,enum=trial,enum=quota,enum=plan,description=Kinds of work that this router takes part in and may own: warmth deals out cold engines' allowances; trial tries suspected engines for all; quota deals out tenants' quotas; plan makes the shares of work between zones. All routers have to name the same. Absent: all."`
-	Regions map[string][]string `json:"regions,omitempty" jsonschema:"description=Zones of the settings by region: work goes to another region only after the zones of its own. Absent: all are near."`
-	From    string              `json:"from,omitempty" jsonschema:"description=Address that calls to keepers come from. Absent: the system's choice."`
-	Trace   bool                `json:"trace,omitempty" jsonschema:"description=Whether each act on behalf of the fleet is logged, for looking at a fault: some lines a second for each cold engine."`
-	Folder  string              `json:"folder,omitempty" jsonschema:"description=Where fences are kept that must outlive the process. Absent: a router that restarts leaves cold engines alone for some five seconds."`
+	Coordinators []string            `json:"keepers" jsonschema:"minItems=1,maxItems=9,description=Addresses and ports of the keepers. Loopback or private ones only."`
+	Zone         string              `json:"zone,omitempty" jsonschema:"maxLength=120,description=This router's zone; owners near a work's place come first. Absent: the settings' zone."`
+	Region       string              `json:"region,omitempty" jsonschema:"maxLength=120,description=This router's region."`
+	TaskKinds    []string            `json:"works,omitempty" jsonschema:"uniqueItems=true,enum=warmth,enum=trial,enum=quota,enum=plan,description=Kinds of work that this router takes part in and may own: warmth deals out cold engines' allowances; trial tries suspected engines for all; quota deals out tenants' quotas; plan makes the shares of work between zones. All routers have to name the same. Absent: all."`
+	Regions      map[string][]string `json:"regions,omitempty" jsonschema:"description=Zones of the settings by region: work goes to another region only after the zones of its own. Absent: all are near."`
+	From         string              `json:"from,omitempty" jsonschema:"description=Address that calls to keepers come from. Absent: the system's choice."`
+	Trace        bool                `json:"trace,omitempty" jsonschema:"description=Whether each act on behalf of the fleet is logged, for looking at a fault: some lines a second for each cold engine."`
+	Folder       string              `json:"folder,omitempty" jsonschema:"description=Where fences are kept that must outlive the process. Absent: a router that restarts leaves cold engines alone for some five seconds."`
 }
 
 // State configures the state that a router keeps across restarts. Only the folder is required.
 type State struct {
-	Folder   string         `json:"folder" jsonschema:"minLength=1,description=Where the files lie; routers of different names may share it."`
-	Snapshot seconds.Length `json:"snapshot_s,omitempty" jsonschema:"description=Time between two snapshots of all that is known: 30s or a number of seconds. Absent: 30."`
-	Record   seconds.Length `json:"record_s,omitempty" jsonschema:"description=Time between two records of what changes fast: as much may be lost by a kill. 1s or a number of seconds. Absent: 1."`
-	MB       float64        `json:"most_mb,omitempty" jsonschema:"minimum=0,maximum=1024,description=All files together. Absent: 32."`
-	CPU      float64        `json:"cpu,omitempty" jsonschema:"minimum=0,maximum=1,description=Part of a core that writing may take. Absent: 0.01."`
-	Bytes    float64        `json:"bytes_s,omitempty" jsonschema:"minimum=0,description=Bytes a second that writing may take. Absent: 1048576."`
+	Folder            string           `json:"folder" jsonschema:"minLength=1,description=Where the files lie; routers of different names may share it."`
+	SnapshotInterval  seconds.Duration `json:"snapshot_s,omitempty" jsonschema:"description=Time between two snapshots of all that is known: 30s or a number of seconds. Absent: 30."`
+	FastStateInterval seconds.Duration `json:"record_s,omitempty" jsonschema:"description=Time between two records of what changes fast: as much may be lost by a kill. 1s or a number of seconds. Absent: 1."`
+	MaxMB             float64          `json:"most_mb,omitempty" jsonschema:"minimum=0,maximum=1024,description=All files together. Absent: 32."`
+	MaxCPU            float64          `json:"cpu,omitempty" jsonschema:"minimum=0,maximum=1,description=Part of a core that writing may take. Absent: 0.01."`
+	MaxBytesPerSecond float64          `json:"bytes_s,omitempty" jsonschema:"minimum=0,description=Bytes a second that writing may take. Absent: 1048576."`
 }
 
 // Check makes the checks of the section that the schema can't express.
@@ -89,8 +89,8 @@
 			return fmt.Errorf("/fleet/from: %v", err)
 		}
 	}
-	for k, a := range f.Keepers {
-		if err := netaddr.Check(a); err != nil {
+	for k, a := range f.Coordinators {
+		if err := netaddr.CheckPrivate(a); err != nil {
 			return fmt.Errorf("/fleet/keepers/%d: %v", k, err)
 		}
 	}
@@ -99,10 +99,10 @@
 
 // Expect configures whether a new configuration that fails its expectations is rejected.
 type Expect struct {
-	Folder  string         `json:"folder" jsonschema:"minLength=1,description=Where the expectations lie."`
-	Refuse  bool           `json:"refuse" jsonschema:"description=Whether SIGHUP takes no configuration that fails them."`
-	Seconds seconds.Length `json:"seconds,omitempty" jsonschema:"description=How long checking may take: 1m or a number of seconds. Absent: 60. What is not checked by then is not taken."`
-	Memory  float64        `json:"memory_mb,omitempty" jsonschema:"minimum=0,description=What the checking program aims to keep to. Absent: 256."`
+	Folder        string           `json:"folder" jsonschema:"minLength=1,description=Where the expectations lie."`
+	RejectFailing bool             `json:"refuse" jsonschema:"description=Whether SIGHUP takes no configuration that fails them."`
+	Timeout       seconds.Duration `json:"seconds,omitempty" jsonschema:"description=How long checking may take: 1m or a number of seconds. Absent: 60. What is not checked by then is not taken."`
+	MemoryMB      float64          `json:"memory_mb,omitempty" jsonschema:"minimum=0,description=What the checking program aims to keep to. Absent: 256."`
 }
 
 // Load reads a file. With an empty path there is no file and all subsystems are off. check validates the text against the schema; the
@@ -136,13 +136,13 @@
 	if f.Budgets != nil {
 		b = *f.Budgets
 	}
-	s = fairshare.Spec{Default: b.Default, ByCall: b.ByCall, Turns: b.Turns == nil || *b.Turns,
-		Ageing:  orDefault(b.Ageing, 0.1), // behind an endless flood of their own team 0.34 of reports were sent at 0.07, 0.74 at 0.1, 0.95 at 0.14
-		Changes: orDefault(b.Changes, 20), // per second: some hundred attempts run, and a wave of some seconds may lower the priority of each
+	s = fairshare.Spec{Default: b.Default, RequestMayNameTeam: b.RequestMayNameTeam, TurnsForBypassed: b.TurnsForBypassed == nil || *b.TurnsForBypassed,
+		Ageing:             orDefault(b.Ageing, 0.1),            // behind an endless flood of their own team 0.34 of reports were sent at 0.07, 0.74 at 0.1, 0.95 at 0.14
+		MaxPriorityChanges: orDefault(b.MaxPriorityChanges, 20), // per second: some hundred attempts run, and a wave of some seconds may lower the priority of each
 		// An attempt that spills to disk at low priority holds its memory for longer; that costs more than the processor time it yields.
-		GuardSpill: b.GuardSpill == nil || *b.GuardSpill}
+		ProtectSpilling: b.ProtectSpilling == nil || *b.ProtectSpilling}
 	for i, t := range f.Teams {
-		n := fairshare.Node{Name: t.Name, Under: t.Under, Weight: t.Weight, Floor: t.Floor, Ceiling: t.Ceiling, Burst: t.Burst}
+		n := fairshare.Node{Name: t.Name, Under: t.Parent, Weight: t.Weight, Floor: t.Floor, Ceiling: t.Ceiling, Burst: t.Burst}
 		for k, name := range t.Tenants {
 			tenant := slices.Index(tenants, name)
 			if tenant < 0 {
--- a/internal/operator/schema/durations.go
+++ b/internal/operator/schema/durations.go
@@ -22,7 +22,7 @@
 
 // durationSchema returns the schema of seconds.Duration, which has two forms in JSON: a number or a string.
 func durationSchema(t reflect.Type) *reflector.Schema {
-	if t != reflect.TypeFor[seconds.Length]() {
+	if t != reflect.TypeFor[seconds.Duration]() {
 		return nil
 	}
 	return &reflector.Schema{AnyOf: []*reflector.Schema{{Type: "number", Minimum: "0"}, {Type: "string"}}}
--- a/internal/operator/schema/schema_test.go
+++ b/internal/operator/schema/schema_test.go
@@ -30,7 +30,7 @@
 
 // TestOperatorFileErrors checks each line of the scripts as an operators' file and compares the results.
 func TestOperatorFileErrors(t *testing.T) {
-	script.Compare(t, func(t *testing.T, text string) string { return script.Lines(text, checkResult) })
+	script.Compare(t, func(t *testing.T, text string) string { return script.Annotate(text, checkResult) })
 }
 
 func checkResult(line string) string {
--- a/internal/operator/subset.go
+++ b/internal/operator/subset.go
@@ -56,7 +56,7 @@
 }
 
 // MinPerNeed returns the minimum number of databases for every need.
-func (s *Subset) LeastOf() int { return orDefault(s.Least, defaultLeast) }
+func (s *Subset) MinPerNeed() int { return orDefault(s.Least, defaultLeast) }
 
 // RegionsOf returns the region number of each zone. Regions are numbered in order of first appearance; nil means that no regions are
 // configured.
@@ -86,7 +86,7 @@
 }
 
 // ZoneShares returns the share of the pool's weight that each zone has.
-func (s *Subset) ZonePartsOf(zones []string) []float64 {
+func (s *Subset) ZoneShares(zones []string) []float64 {
 	shares, sum := make([]float64, len(zones)), 0.0
 	for z, name := range zones {
 		if shares[z] = s.Zones[name]; len(s.Zones) == 0 {
@@ -104,16 +104,16 @@
 // In a pool of one zone or one region no part of a subset is reserved for that zone or region.
 func (f *File) SubsetOptions(zoneShare, regionShare float64) subset.Options {
 	s := f.Subset
-	o := subset.Options{Size: s.Size, Room: orDefault(s.Room, defaultRoom), Widest: s.Widest, Near: orDefault(s.Near, defaultNear)}
-	if o.Widest == 0 {
-		o.Widest = defaultWidest
+	o := subset.Options{Size: s.Size, SizeSlack: orDefault(s.Room, defaultRoom), MaxWidth: s.Widest, OwnZoneShare: orDefault(s.Near, defaultNear)}
+	if o.MaxWidth == 0 {
+		o.MaxWidth = defaultWidest
 	}
-	o.Region = orDefault(s.Region, min(defaultRegion, max(subset.MostNear-o.Near, 0)))
+	o.OwnRegionShare = orDefault(s.Region, min(defaultRegion, max(subset.MaxLocalShare-o.OwnZoneShare, 0)))
 	if zoneShare < 1 {
-		o.ZonePart = zoneShare
+		o.ZoneWeightShare = zoneShare
 	}
 	if regionShare < 1 {
-		o.RegionPart = regionShare
+		o.RegionWeightShare = regionShare
 	}
 	return o
 }
@@ -147,7 +147,7 @@
 		if !slices.Contains(zones, name) {
 			return fmt.Errorf("/subset/zones/%s: it is no zone of the settings", name)
 		}
-		if !subset.UsableWeight(weight) {
+		if !subset.ValidWeight(weight) {
 			return fmt.Errorf("/subset/zones/%s: %v is no weight from 1e-6 to 1e6", name, weight)
 		}
 	}
