--- a/internal/router/arrivals.go
+++ b/internal/router/arrivals.go
@@ -39,7 +39,7 @@
 	pending      uint64 // had to wait for a descriptor
 	rejected     uint64 // had their first request rejected for lack of a descriptor
 	closedUnread uint64 // closed without reading anything, as no descriptor was left
-	closed       [frontend.CloseReasons]uint64
+	closed       [frontend.CloseReasonCount]uint64
 }
 
 // nextArrival is the channel of new client connections. It is nil while an earlier connection waits for a descriptor.
@@ -104,10 +104,10 @@
 	c := s.startSession(nc, crowded || s.clock.now()-s.clientArrivals.lastWaitAt < queuedArrivalWindow)
 	switch {
 	case closing:
-		c.TurnAway(frontend.RouterEnds)
+		c.RejectFirst(frontend.RouterStopping)
 	case !room:
 		s.clientArrivals.counts.rejected++
-		c.TurnAway(frontend.NoRoom)
+		c.RejectFirst(frontend.NoDescriptor)
 	}
 	return true
 }
@@ -118,12 +118,12 @@
 	const maxOutput = 2 << 20
 	c := frontend.NewSession(s, &s.scratch)
 	conn := s.net.New(c, maxOutput)
-	conn.Patience(max(transport.UsualPatience, time.Duration(s.cfg.Settings.Longest*1e9)))
-	c.Line = conn
+	conn.SetWriteTimeout(max(transport.DefaultWriteTimeout, time.Duration(s.cfg.Settings.LongestTimeout*1e9)))
+	c.Conn = conn
 	s.lastSerial++
 	c.Serial = s.lastSerial
 	if mayHaveWaited {
-		c.Waited(transport.ArrivalOf(nc))
+		c.SetArrival(transport.ArrivalOf(nc))
 	}
 	s.sessions[c] = struct{}{}
 	s.clientArrived(c, len(s.sessions))
@@ -149,7 +149,7 @@
 // roomExpected reports whether some client connection will free its descriptor in bounded time unless it sends a request.
 func (s *service) roomExpected() bool {
 	for c := range s.sessions {
-		if c.GivesRoom() {
+		if c.MayFreeDescriptor() {
 			return true
 		}
 	}
@@ -166,7 +166,7 @@
 func (s *service) makeRoom() bool {
 	var candidates []closeCandidate
 	for c := range s.sessions {
-		if rank, ok := c.Spare(); ok {
+		if rank, ok := c.CloseRank(); ok {
 			candidates = append(candidates, closeCandidate{c, rank})
 		}
 	}
@@ -175,7 +175,7 @@
 	})
 	for _, best := range candidates {
 		if !best.session.InTransit() {
-			best.session.Last(frontend.RoomNeeded)
+			best.session.CloseWhenIdle(frontend.DescriptorNeeded)
 			return true
 		}
 	}
@@ -183,7 +183,7 @@
 }
 
 // SessionClosed removes the session of a client connection that has ended.
-func (s *service) Closed(c *frontend.Session) {
+func (s *service) SessionClosed(c *frontend.Session) {
 	delete(s.sessions, c)
 	s.clientArrivals.recheck = true
 }
@@ -229,7 +229,7 @@
 	a := &s.clientArrivals
 	current, logged := &a.counts, &a.loggedCounts
 	if current.pending == logged.pending && current.rejected == logged.rejected && current.closedUnread == logged.closedUnread &&
-		current.closed[frontend.RoomNeeded] == logged.closed[frontend.RoomNeeded] {
+		current.closed[frontend.DescriptorNeeded] == logged.closed[frontend.DescriptorNeeded] {
 		return
 	}
 	fields := []zap.Field{zap.Uint64("arrived", current.arrived), zap.Uint64("waited", current.pending), zap.Uint64("turned away", current.rejected),
--- a/internal/router/arrivals_test.go
+++ b/internal/router/arrivals_test.go
@@ -49,8 +49,8 @@
 	}
 	h.deliver(1) // the request, or the end of the connection that was closed
 	h.deliver(1)
-	if h.Owed() != 1 {
-		t.Errorf("%d requests are in progress, want 1", h.Owed())
+	if h.Unanswered() != 1 {
+		t.Errorf("%d requests are in progress, want 1", h.Unanswered())
 	}
 }
 
@@ -102,7 +102,7 @@
 		t.Errorf("open connections are %v, want the oldest, and not the next", open)
 	}
 	h.deliver(2)
-	if h.Owed() != 1 {
-		t.Errorf("%d requests are in progress, want 1", h.Owed())
+	if h.Unanswered() != 1 {
+		t.Errorf("%d requests are in progress, want 1", h.Unanswered())
 	}
 }
--- a/internal/router/close_test.go
+++ b/internal/router/close_test.go
@@ -37,17 +37,17 @@
 	group, ctx := errgroup.WithContext(ctx)
 	profile := admission.Profile{Target: 20, Benefit: 1, Threads: 1}
 	once := profile
-	once.Effect, once.Window = admission.Uniqued, dedupWindow
+	once.Effect, once.Window = admission.IdempotentByKey, dedupWindow
 	never := profile
-	never.Effect = admission.NonReplayable
-	set := settings.Settings{Profiles: []string{"lookup", "once", "never"}, Open: 99, Longest: 30, ConnectTimeout: 10, Brain: admission.Settings{
+	never.Effect = admission.NonIdempotent
+	set := settings.Settings{Profiles: []string{"lookup", "once", "never"}, MaxOpenRequests: 99, LongestTimeout: 30, ConnectTimeout: 10, Admission: admission.Settings{
 		Routers: 1, Tick: 0.005, KindCores: []float64{8}, Profiles: []admission.Profile{profile, once, never}}}
 	inbox := make(transport.Inbox, 256)
 	h := &harness{t: t, received: make(chan fake.Said, 100), service: &service{Router: New(set, 1<<20, zap.NewNop(), func(uint32) string { return "" }),
 		cfg:   config.Config{Settings: set, Limits: config.Limits{Sockets: descriptors}},
 		clock: newClock(), log: zap.NewNop(), inbox: inbox, arrivals: make(chan net.Conn), acceptDone: make(chan struct{}),
-		sessions: map[*frontend.Session]struct{}{}, ctx: ctx, group: group, net: transport.NewNet(ctx, group, inbox, 1<<20, 8)}}
-	h.Start(h.clock.now(), backends.New(h.Router, backends.Limits{Streams: 100, Conns: 10, Idle: 30}, h.dial))
+		sessions: map[*frontend.Session]struct{}{}, ctx: ctx, group: group, net: transport.NewNetwork(ctx, group, inbox, 1<<20, 8)}}
+	h.Start(h.clock.now(), backends.New(h.Router, backends.Limits{StreamsPerConn: 100, MaxConns: 10, IdleTimeout: 30}, h.dial))
 	for range serverCount {
 		h.servers = append(h.servers, fake.NewEngine(t, h.received))
 	}
@@ -62,9 +62,9 @@
 
 // listServer adds a server to the list, by its index.
 func (h *harness) listServer(k int) {
-	h.list = append(h.list, admission.Entry{Engine: uint32(k + 1), State: admission.Ready})
+	h.list = append(h.list, admission.Entry{Server: uint32(k + 1), State: admission.Ready})
 	h.Members(h.clock.now(), admission.Full, h.list, func() {
-		h.pool.Members(h.list, func(n uint32) netip.AddrPort { return netip.MustParseAddrPort(h.servers[n-1].Addr) })
+		h.pool.UpdateServers(h.list, func(n uint32) netip.AddrPort { return netip.MustParseAddrPort(h.servers[n-1].Addr) })
 	})
 }
 
@@ -125,10 +125,10 @@
 	h.call(c, "a")
 	h.waitForInput(1)
 	for s := range h.sessions {
-		s.Last(frontend.RouterEnds)
+		s.CloseWhenIdle(frontend.RouterStopping)
 	}
 	h.deliver(1)
-	if h.Owed() != 0 {
+	if h.Unanswered() != 0 {
 		t.Error("the request was taken")
 	}
 	h.expectReply(c, "closed")
@@ -144,14 +144,14 @@
 	h.call(open, "a")
 	h.waitForInput(1)
 	fresh := h.client()
-	for end := time.Now().Add(fake.Patience); h.Owed() < 1 || len(h.sessions) < 2; { // until the accepting goroutine has passed it on
+	for end := time.Now().Add(fake.Patience); h.Unanswered() < 1 || len(h.sessions) < 2; { // until the accepting goroutine has passed it on
 		h.closeFrontend(h.listener)
 		if time.Now().After(end) {
 			t.Fatal("the input that was ready was not taken")
 		}
 	}
-	if h.Owed() != 1 || len(h.sessions) != 2 {
-		t.Errorf("%d requests are in progress, of %d clients", h.Owed(), len(h.sessions))
+	if h.Unanswered() != 1 || len(h.sessions) != 2 {
+		t.Errorf("%d requests are in progress, of %d clients", h.Unanswered(), len(h.sessions))
 	}
 	h.call(open, "b")
 	h.deliver(1)
@@ -183,7 +183,7 @@
 		h.expectReply(c, rejectedReply)
 		h.expectReply(c, "closed")
 	}
-	if h.Owed() != 0 {
+	if h.Unanswered() != 0 {
 		t.Error("a request was taken")
 	}
 }
@@ -206,7 +206,7 @@
 	h.deliver(1)
 	h.expectReply(c, rejectedReply)
 	h.expectReply(c, "closed")
-	if h.Owed() != 8 {
-		t.Errorf("%d requests are in progress", h.Owed())
+	if h.Unanswered() != 8 {
+		t.Errorf("%d requests are in progress", h.Unanswered())
 	}
 }
--- a/internal/router/descriptors_test.go
+++ b/internal/router/descriptors_test.go
@@ -54,7 +54,7 @@
 	h.call(fresh, "a")
 	h.call(second, "b")
 	h.deliver(2)
-	if h.Owed() != 2 {
-		t.Errorf("%d requests of new clients are in progress, want 2", h.Owed())
+	if h.Unanswered() != 2 {
+		t.Errorf("%d requests of new clients are in progress, want 2", h.Unanswered())
 	}
 }
--- a/internal/router/eventorder_test.go
+++ b/internal/router/eventorder_test.go
@@ -106,7 +106,7 @@
 	case "decide":
 		r.closeDecided = true
 		for s := range r.sessions {
-			s.Last(frontend.RouterEnds)
+			s.CloseWhenIdle(frontend.RouterStopping)
 		}
 	case "take":
 		r.takeInput()
@@ -137,7 +137,7 @@
 
 // takeInput delivers the client's input to the router.
 func (r *connectionRun) takeInput() {
-	e, before := *r.clientInput, r.Owed()
+	e, before := *r.clientInput, r.Unanswered()
 	r.clientInput = nil
 	r.Deliver(r.clock.now(), e)
 	if r.inputIsEnd {
@@ -147,7 +147,7 @@
 	if r.closeDecided && r.open > 0 && r.clientEnd != "reset" { // rejected
 		r.got = append(r.got, r.c.Next())
 	}
-	for range r.Owed() - before {
+	for range r.Unanswered() - before {
 		r.taken++
 		r.open++
 		r.running = append(r.running, <-r.received)
@@ -193,8 +193,8 @@
 // check checks the result of a run.
 func (r *connectionRun) check(order string) {
 	r.t.Helper()
-	if r.Owed() != 0 || len(r.requests) != 0 || len(r.received) != 0 && !strings.Contains(order, "reset") {
-		r.t.Errorf("%s: %d requests unanswered, %d in progress, %d messages sent to servers", order, r.Owed(), len(r.requests), len(r.received))
+	if r.Unanswered() != 0 || len(r.requests) != 0 || len(r.received) != 0 && !strings.Contains(order, "reset") {
+		r.t.Errorf("%s: %d requests unanswered, %d in progress, %d messages sent to servers", order, r.Unanswered(), len(r.requests), len(r.received))
 	}
 	if r.clientEnd == "reset" {
 		return
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -36,7 +36,7 @@
 	}
 	h.call(c, "a")
 	h.deliver(1)
-	if h.Owed() != 1 {
+	if h.Unanswered() != 1 {
 		h.t.Fatal("the request is not in progress")
 	}
 	if held {
@@ -66,7 +66,7 @@
 				h := newHarness(t, 100, 1)
 				c := h.leaveWhile(held, leave)
 				h.expectNothingSent()
-				if h.Owed() != 0 || len(h.requests) != 0 {
+				if h.Unanswered() != 0 || len(h.requests) != 0 {
 					t.Error("the request is still in progress")
 				}
 				if name == "half-closes" {
--- a/internal/router/nameserver.go
+++ b/internal/router/nameserver.go
@@ -84,7 +84,7 @@
 // sendQuestion queries the list of servers.
 func (s *service) sendQuestion() {
 	s.answerPending = true
-	s.querySocket.Write(s.list.Question(nil))
+	s.querySocket.Write(s.list.AppendQuery(nil))
 }
 
 // repeatedFault counts consecutive answers of the name server with the same fault.
@@ -102,7 +102,7 @@
 		return
 	case err != nil:
 		s.answerFault = repeatedFault{err.Error(), 1}
-		s.log.Warn("list of engines", zap.Error(err), zap.Uint32("rev", s.list.Rev()))
+		s.log.Warn("list of engines", zap.Error(err), zap.Uint32("rev", s.list.Revision()))
 	case previous.count > 0:
 		s.answerFault = repeatedFault{}
 		s.log.Info("the name server's answers are good again", zap.String("were", previous.text), zap.Int("answers", previous.count))
@@ -111,20 +111,20 @@
 
 // handleAnswer processes an answer of the name server and publishes the list if it has changed.
 func (s *service) handleAnswer(msg []byte) {
-	previousRev := s.list.Rev()
-	updated, err := s.list.Answer(msg)
+	previousRev := s.list.Revision()
+	updated, err := s.list.HandleAnswer(msg)
 	s.logAnswerFault(err)
-	if errors.As(err, &discovery.Unread{}) {
+	if errors.As(err, &discovery.UnreadableAnswer{}) {
 		return
 	}
-	s.answerPending = s.list.Unsettled()
+	s.answerPending = s.list.Unconfirmed()
 	if s.lastAnswerAt = s.clock.now(); s.nameServerSilent {
 		s.nameServerSilent = false
 		s.log.Info("the name server answers again")
 	}
-	if updated || s.list.Rev() != previousRev {
-		s.listSerial = s.list.Rev()
-		s.log.Info("list of engines", zap.Uint32("rev", s.list.Rev()), zap.Int("engines", len(s.list.List())))
+	if updated || s.list.Revision() != previousRev {
+		s.listSerial = s.list.Revision()
+		s.log.Info("list of engines", zap.Uint32("rev", s.list.Revision()), zap.Int("engines", len(s.list.List())))
 	}
 	if updated {
 		s.publishList(admission.Full)
--- a/internal/router/ownerdelay.go
+++ b/internal/router/ownerdelay.go
@@ -25,10 +25,10 @@
 }
 
 // InputDelayed reports whether the owner is delayed, so that input may have been unread for a while.
-func (r *Router) Behind() bool { return r.ownerDelay.holding }
+func (r *Router) InputDelayed() bool { return r.ownerDelay.holding }
 
 // DetectOwnerDelay makes the router hold attempts whenever its owner has been delayed. The owner must call Tick at least every 0.05 s.
-func (r *Router) WatchBacklog() { r.ownerDelay.enabled = true }
+func (r *Router) DetectOwnerDelay() { r.ownerDelay.enabled = true }
 
 // noteDelay records that input has waited unread for the given seconds.
 func (r *Router) noteDelay(now, seconds float64) {
@@ -59,6 +59,6 @@
 	}
 	d.holding = false
 	r.pool.Release()
-	r.pool.Settle()
+	r.pool.ReportEnds()
 	return next
 }
--- a/internal/router/ownerdelay_test.go
+++ b/internal/router/ownerdelay_test.go
@@ -38,14 +38,14 @@
 	}
 	b := &busyHarness{harness: h, client: h.client()}
 	h.acceptClient(<-h.arrivals, false)
-	nameServer := fake.NewNameServer(t, discovery.Record)
+	nameServer := fake.NewNameServer(t, discovery.ServiceName)
 	h.cfg.NameServer = netip.MustParseAddrPort(nameServer.Addr)
 	h.service.list, h.answers = discovery.New(nil, nil), make(chan datagram)
 	if err := h.openQuerySocket(h.cfg.NameServer); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.closeQuerySockets) // runs before the harness waits for its goroutines
-	h.WatchBacklog()
+	h.DetectOwnerDelay()
 	return b
 }
 
@@ -107,7 +107,7 @@
 	// The list that names a server is read before the client's departure; the attempt needs a connection, which takes longer.
 	"held for want of a server": func(b *busyHarness, leave func(*fake.Client)) func() {
 		b.list = b.list[:0]
-		b.Members(b.clock.now(), admission.Full, nil, func() { b.pool.Members(nil, nil) })
+		b.Members(b.clock.now(), admission.Full, nil, func() { b.pool.UpdateServers(nil, nil) })
 		b.deliver(2) // the server's connections end
 		b.call(b.client, "a")
 		b.deliver(1)
@@ -132,7 +132,7 @@
 		", at the end": func(b *busyHarness) {
 			b.End()
 			for s := range b.sessions {
-				s.Last(frontend.RouterEnds)
+				s.CloseWhenIdle(frontend.RouterStopping)
 			}
 		},
 	}
@@ -149,8 +149,8 @@
 					time.Sleep(20 * time.Millisecond) // enough for a writer to write what it may
 					b.waitForInput(1)                 // the client's departure
 					b.expectNothingSent()
-					if b.Owed() != 0 || len(b.requests) != 0 {
-						t.Errorf("%d requests are unanswered, %d in progress", b.Owed(), len(b.requests))
+					if b.Unanswered() != 0 || len(b.requests) != 0 {
+						t.Errorf("%d requests are unanswered, %d in progress", b.Unanswered(), len(b.requests))
 					}
 				})
 			}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -26,20 +26,20 @@
 	client    frontend.Caller
 	seq       int32
 	deadline  float64
-	waitInfo  frontend.Told
+	waitInfo  frontend.WaitInfo
 	arrivedAt float64
-	attempt   backends.Job // the latest attempt; id, statement and priority are the request's
+	attempt   backends.Attempt // the latest attempt; id, statement and priority are the request's
 
 	lastEnd admission.End // end of the previous attempt, if there was one
 }
 
 // done reports whether the client has its answer or has left.
-func (req *request) done() bool { return req.attempt.Unwanted }
+func (req *request) done() bool { return req.attempt.ResultUnwanted }
 
 // Router hosts the admission controller. Only the owner's goroutine calls its methods.
 type Router struct {
 	set        settings.Settings
-	controller *admission.Brain
+	controller *admission.Controller
 	pool       *backends.Pool
 	log        *zap.Logger
 	serverName func(id uint32) string
@@ -73,9 +73,9 @@
 	r := &Router{set: set, log: log, serverName: serverName, statementBudget: statementBudget,
 		requests: map[uint32]*request{}, activeRefs: map[backends.Ref]struct{}{}, profiles: map[string]int{}, tenants: map[string]int{}}
 	// Probes, messages to other routers and requests for the list are off: the service fetches the list by itself.
-	r.set.Brain.Peers, r.set.Brain.ProbeLoads, r.set.Brain.Ask = false, false, false
+	r.set.Admission.Peers, r.set.Admission.ProbeLoads, r.set.Admission.Ask = false, false, false
 	for k, name := range set.Profiles {
-		if !lineproto.Usable(name) {
+		if !lineproto.ValidFieldValue(name) {
 			log.Error("class name can't be told to servers, its requests fail", zap.String("name", name))
 			continue
 		}
@@ -88,37 +88,39 @@
 }
 
 // SetTeams makes the router enforce team budgets. It is called before Start.
-func (r *Router) Teams(t *fairshare.Tree, ageing float64) {
-	r.teams, r.set.Brain.Teams, r.set.Brain.Ageing = t, t, ageing
+func (r *Router) SetTeams(t *fairshare.Tree, ageing float64) {
+	r.teams, r.set.Admission.Teams, r.set.Admission.Ageing = t, t, ageing
 }
 
 // SetWaits makes the router estimate waits. If on is set it reports them to clients, else it only uses and audits them itself.
-func (r *Router) Waits(e *waittime.Estimator, on bool) { r.set.Brain.Waits, r.reportWaits = e, on }
+func (r *Router) SetWaits(e *waittime.Estimator, on bool) {
+	r.set.Admission.Waits, r.reportWaits = e, on
+}
 
 // SetFleet connects the router to the fleet and its plan.
-func (r *Router) Fleet(f admission.Fleet, p admission.Plan) {
-	r.set.Brain.Fleet, r.set.Brain.Plan = f, p
+func (r *Router) SetFleet(f admission.Fleet, p admission.Plan) {
+	r.set.Admission.Fleet, r.set.Admission.Plan = f, p
 }
 
 // Audit logs how accurate the reported waits were since the last audit, and how many requests named unknown teams.
 func (r *Router) Audit() {
 	if r.teams != nil {
-		if n := r.teams.TakeUnknown(); n > 0 {
+		if n := r.teams.TakeUnknownTeamCount(); n > 0 {
 			r.log.Warn("requests named unknown teams", zap.Int("calls", n))
 		}
 	}
-	estimator := r.set.Brain.Waits
+	estimator := r.set.Admission.Waits
 	if estimator == nil {
 		return
 	}
-	for _, kind := range [...]waittime.Kind{waittime.Start, waittime.Answer, waittime.Return} {
-		estimator.EachAudit(kind, func(team int, accuracy waittime.Accuracy) {
+	for _, kind := range [...]waittime.TimeKind{waittime.Start, waittime.Completion, waittime.RetryAdmission} {
+		estimator.EachAccuracy(kind, func(team int, accuracy waittime.Accuracy) {
 			name := ""
 			if r.teams != nil {
 				name = r.teams.Name(team)
 			}
 			r.log.Info("accuracy of reported waits", zap.String("of", kind.String()), zap.String("team", name), zap.Int("kept", accuracy.Count),
-				zap.Float64("actual over median", accuracy.Ratio), zap.Float64("under p90", accuracy.Covered))
+				zap.Float64("actual over median", accuracy.Ratio), zap.Float64("under p90", accuracy.Coverage))
 		})
 	}
 }
@@ -126,16 +128,16 @@
 // Start creates the admission controller.
 func (r *Router) Start(now float64, pool *backends.Pool) {
 	r.pool = pool
-	pool.Observe(r)
+	pool.SetObserver(r)
 	r.at(now)
-	r.controller = admission.New(r.set.Brain, now, r)
+	r.controller = admission.New(r.set.Admission, now, r)
 }
 
 // at sets the current time for the calls that follow.
 func (r *Router) at(now float64) {
 	r.noteDelay(now, now-r.now)
 	r.now = max(r.now, now)
-	r.pool.At(r.now)
+	r.pool.SetTime(r.now)
 }
 
 // Deliver processes the input of a connection.
@@ -143,7 +145,7 @@
 	r.at(now)
 	r.noteEntryDelay(e)
 	e.Deliver()
-	r.pool.Settle()
+	r.pool.ReportEnds()
 }
 
 // Members passes a list of servers to the connections and the controller.
@@ -151,8 +153,8 @@
 	r.at(now)
 	r.listReceived = r.listReceived || len(list) > 0
 	updateConnections() // first, so that attempts that must not be sent any more are withdrawn
-	r.controller.Members(r.now, scope, list)
-	r.pool.Settle()
+	r.controller.UpdateServers(r.now, scope, list)
+	r.pool.ReportEnds()
 }
 
 // Tick runs the timers that are due and returns the time of the next one.
@@ -162,10 +164,10 @@
 		t := r.timers.pop()
 		if t.kind == timerWake {
 			r.controller.Woken(r.now, t.token)
-		} else if req := r.requests[uint32(t.token)]; req != nil && req.attempt.Out() && req.attempt.Number == int(t.token>>32) {
-			r.pool.GiveUp(&req.attempt, admission.TimedOut)
+		} else if req := r.requests[uint32(t.token)]; req != nil && req.attempt.Outstanding() && req.attempt.AttemptNumber == int(t.token>>32) {
+			r.pool.Abandon(&req.attempt, admission.TimedOut)
 		}
-		r.pool.Settle()
+		r.pool.ReportEnds()
 	}
 	if len(r.timers) == 0 {
 		return r.releaseHeld(r.now + 1)
@@ -174,7 +176,7 @@
 }
 
 // Unanswered is the number of requests that have no final answer yet.
-func (r *Router) Owed() int { return r.unanswered }
+func (r *Router) Unanswered() int { return r.unanswered }
 
 // End records that the router has been asked to stop.
 func (r *Router) End() { r.ending = true }
@@ -185,7 +187,7 @@
 func (r *Router) Ready() bool { return r.listReceived && !r.ending }
 
 // HandleRequest passes a request to the controller, unless it is invalid or exceeds a limit.
-func (r *Router) Take(client frontend.Caller, seq int32, a *frontend.Ask) {
+func (r *Router) HandleRequest(client frontend.Caller, seq int32, a *frontend.Request) {
 	profile, ok := r.profiles[string(a.Profile)]
 	tenant, knownTenant := r.tenants[string(a.Tenant)]
 	if !ok || !knownTenant && len(r.tenants) > 0 {
@@ -194,9 +196,9 @@
 		return
 	}
 	// Requests beyond the settings' limit or the memory for statements never reach the controller.
-	if r.set.Open > 0 && r.unanswered >= r.set.Open || r.statementBytes+len(a.Statement) > r.statementBudget {
+	if r.set.MaxOpenRequests > 0 && r.unanswered >= r.set.MaxOpenRequests || r.statementBytes+len(a.Statement) > r.statementBudget {
 		r.log.Warn("too many requests in progress", zap.Int("commands", r.unanswered), zap.Int("bytes", r.statementBytes))
-		client.Shed(seq, r.set.Brain.MaxPause, nil) // the longest pause that clients honour: the load takes a while to clear
+		client.Rejected(seq, r.set.Admission.MaxPause, nil) // the longest pause that clients honour: the load takes a while to clear
 		return
 	}
 	if _, inUse := r.activeRefs[a.Ref]; inUse { // the answer to the other request could be taken for this one's
@@ -212,26 +214,26 @@
 	}
 	for r.lastID++; r.requests[r.lastID] != nil || r.lastID == 0; r.lastID++ {
 	}
-	if r.set.Longest > 0 { // no client waits longer, and no request may be kept for longer
-		a.Allow = min(a.Allow, r.set.Longest)
+	if r.set.LongestTimeout > 0 { // no client waits longer, and no request may be kept for longer
+		a.Timeout = min(a.Timeout, r.set.LongestTimeout)
 	}
-	const minAllow = 0.001                    // seconds; the controller rejects requests that can't be in time
-	a.Allow = max(a.Allow-a.Waited, minAllow) // the remaining part
-	*req = request{client: client, seq: seq, arrivedAt: r.now, deadline: r.now + a.Allow,
-		attempt: backends.Job{ID: r.lastID, Number: -1, Ref: a.Ref, Profile: r.set.Profiles[profile],
+	const minAllow = 0.001                        // seconds; the controller rejects requests that can't be in time
+	a.Timeout = max(a.Timeout-a.Waited, minAllow) // the remaining part
+	*req = request{client: client, seq: seq, arrivedAt: r.now, deadline: r.now + a.Timeout,
+		attempt: backends.Attempt{ID: r.lastID, AttemptNumber: -1, Ref: a.Ref, Profile: r.set.Profiles[profile],
 			Statement: append(req.attempt.Statement[:0], a.Statement...), Token: append(req.attempt.Token[:0], a.Token...),
-			Level: defaultPriority, Pages: req.attempt.Pages}}
+			Priority: defaultPriority, Pages: req.attempt.Pages}}
 	r.requests[req.attempt.ID], r.activeRefs[a.Ref] = req, struct{}{}
 	r.unanswered++
 	r.statementBytes += len(req.attempt.Statement)
-	client.Hold(seq, req.attempt.ID)
-	area, _ := statement.Group(a.Statement)
+	client.Register(seq, req.attempt.ID)
+	area, _ := statement.TableGroup(a.Statement)
 	team := 0
 	if r.teams != nil {
 		team = r.teams.TeamOf(tenant, a.Team)
 	}
-	r.controller.Command(r.now, admission.Command{ID: req.attempt.ID, Team: team, Mark: r.fingerprint(a), Profile: profile, Tenant: tenant,
-		TimeLeft: a.Allow, Cost: a.Effort, Memory: a.Memory, Area: area, Key: orderKey(a.Key)})
+	r.controller.Request(r.now, admission.Request{ID: req.attempt.ID, Team: team, RequestKey: r.fingerprint(a), Profile: profile, Tenant: tenant,
+		TimeLeft: a.Timeout, Cost: a.CostEstimate, Memory: a.Memory, SubjectArea: area, Key: orderKey(a.Key)})
 }
 
 // orderKey hashes a request's order key for the controller. Requests whose keys collide wait for each other, which does no harm.
@@ -243,8 +245,8 @@
 }
 
 // fingerprint identifies a request across its client's retries, which have new ids but the same content.
-func (r *Router) fingerprint(a *frontend.Ask) uint64 {
-	if r.set.Brain.Waits == nil {
+func (r *Router) fingerprint(a *frontend.Request) uint64 {
+	if r.set.Admission.Waits == nil {
 		return 0
 	}
 	h := xxhash.Sum64(a.Statement)
@@ -254,11 +256,11 @@
 	return h | 1 // 0 means no fingerprint
 }
 
-// Left ends a request whose client no longer waits for it.
-func (r *Router) Left(id uint32) {
+// ClientLeft ends a request whose client no longer waits for it.
+func (r *Router) ClientLeft(id uint32) {
 	if req := r.requests[id]; req != nil && !req.done() {
 		r.done(req)
-		r.controller.Left(r.now, id)
+		r.controller.ClientLeft(r.now, id)
 		r.recycle(req)
 	}
 }
@@ -271,19 +273,19 @@
 }
 
 // ReserveMemory reserves memory for incomplete messages, up to half the budget for statements, or frees it if bytes is negative.
-func (r *Router) Room(bytes int) bool {
+func (r *Router) ReserveMemory(bytes int) bool {
 	r.partialBytes += bytes
 	return bytes <= 0 || r.partialBytes <= r.statementBudget/2
 }
 
 // BadMessage logs that a client sent an unreadable message; its connection is being closed.
-func (r *Router) Bad(reason string) {
+func (r *Router) BadMessage(reason string) {
 	r.log.Warn("unreadable message from client", zap.String("why", reason))
 }
 
 // done records that a request's client needs no answer any more.
 func (r *Router) done(req *request) {
-	req.attempt.Unwanted, req.client = true, nil
+	req.attempt.ResultUnwanted, req.client = true, nil
 	delete(r.activeRefs, req.attempt.Ref)
 	r.unanswered--
 	r.statementBytes -= len(req.attempt.Statement)
@@ -291,7 +293,7 @@
 
 // recycle frees a request that is done and has no attempt out.
 func (r *Router) recycle(req *request) {
-	if id := req.attempt.ID; req.done() && !req.attempt.Out() && r.requests[id] == req {
+	if id := req.attempt.ID; req.done() && !req.attempt.Outstanding() && r.requests[id] == req {
 		delete(r.requests, id)
 		const maxFree, maxStatement = 1024, 4 << 10 // requests and statement bytes kept for reuse: those of a busy second, 4 MB at most
 		if cap(req.attempt.Statement) > maxStatement {
@@ -305,30 +307,30 @@
 
 // Methods of backends.Owner and backends.Observer, on the progress of attempts.
 
-// Ended handles the end of an attempt: it sends the result to the client if that still waits, and reports the outcome to the controller.
-func (r *Router) Ended(j *backends.Job, end admission.End) {
+// AttemptEnded handles the end of an attempt: it sends the result to the client if that still waits, and reports the outcome to the controller.
+func (r *Router) AttemptEnded(j *backends.Attempt, end admission.End) {
 	req := r.requests[j.ID]
 	r.attemptEnded(req, end)
 	req.lastEnd = end
-	if end == admission.Answered && !req.done() {
-		req.client.Answered(req.seq, j.Pages, r.waitInfo(req))
+	if end == admission.Completed && !req.done() {
+		req.client.Completed(req.seq, j.Pages, r.waitInfo(req))
 		r.done(req)
 	}
-	o := admission.Outcome{ID: j.ID, Engine: j.Engine, Send: j.Number, End: end, Unsent: j.Unsent, Lag: r.now - j.At, Over: req.done()}
-	if end == admission.Answered {
+	o := admission.Outcome{ID: j.ID, Server: j.Server, Attempt: j.AttemptNumber, End: end, Unsent: j.NeverSent, Latency: r.now - j.SentAt, Final: req.done()}
+	if end == admission.Completed {
 		o.Work, o.Memory = j.Work, j.Memory
 	}
 	r.controller.Outcome(r.now, o)
 	r.recycle(req)
 }
 
-// Noted passes on a server's progress report on a running attempt.
-func (r *Router) Noted(j *backends.Job, kind admission.NoteKind, value float64) {
-	r.controller.Note(r.now, admission.Note{ID: j.ID, Engine: j.Engine, Send: j.Number, Kind: kind, Value: value})
+// AttemptProgressed passes on a server's progress report on a running attempt.
+func (r *Router) AttemptProgressed(j *backends.Attempt, kind admission.ProgressKind, value float64) {
+	r.controller.Progress(r.now, admission.Progress{ID: j.ID, Server: j.Server, Attempt: j.AttemptNumber, Kind: kind, Value: value})
 }
 
-// Lost logs that a connection to a server has ended.
-func (r *Router) Lost(server uint32, how transport.Ending) {
+// ConnLost logs that a connection to a server has ended.
+func (r *Router) ConnLost(server uint32, how transport.Ending) {
 	r.log.Info("connection lost", zap.String("engine", r.serverName(server)), zap.Stringer("how", how))
 }
 
@@ -343,26 +345,26 @@
 		until = min(until, r.now+limit)
 	}
 	j := &req.attempt
-	if j.Number++; j.Number == 0 {
+	if j.AttemptNumber++; j.AttemptNumber == 0 {
 		req.waitInfo.Waited = r.now - req.arrivedAt
 	}
-	j.Engine, j.At, j.Until, j.LeaveBy = server, r.now, until, by
+	j.Server, j.SentAt, j.Deadline, j.LeaveBy = server, r.now, until, by
 	r.attemptsBegun++
 	r.attemptBegun(req)
 	r.pool.Send(j)
-	if j.Out() {
-		r.timers.push(timer{at: until, kind: timerAttemptLimit, token: uint64(id) | uint64(j.Number)<<32})
+	if j.Outstanding() {
+		r.timers.push(timer{at: until, kind: timerAttemptLimit, token: uint64(id) | uint64(j.AttemptNumber)<<32})
 	}
 }
 
 // Reject rejects a request and asks its client to pause for the given seconds.
-func (r *Router) Shed(id uint32, pause float64) {
+func (r *Router) Reject(id uint32, pause float64) {
 	if req := r.requests[id]; !req.done() {
-		if req.attempt.Number < 0 {
+		if req.attempt.AttemptNumber < 0 {
 			req.waitInfo.Waited = r.now - req.arrivedAt
 		}
 		r.logNotServed(req, "request rejected")
-		req.client.Shed(req.seq, pause, r.waitInfo(req))
+		req.client.Rejected(req.seq, pause, r.waitInfo(req))
 		r.done(req)
 		r.recycle(req)
 	}
@@ -380,23 +382,23 @@
 
 // Cancel stops waiting for an attempt of a request, if it is the latest one.
 func (r *Router) Cancel(id uint32, number int) {
-	if req := r.requests[id]; req != nil && req.attempt.Number == number {
-		r.pool.GiveUp(&req.attempt, admission.Cancelled)
+	if req := r.requests[id]; req != nil && req.attempt.AttemptNumber == number {
+		r.pool.Abandon(&req.attempt, admission.Cancelled)
 	}
 }
 
 // Withdraw ends an attempt of which nothing has been sent yet, if it is the latest one; any other goes on.
 func (r *Router) Withdraw(id uint32, number int) {
-	if req := r.requests[id]; req != nil && req.attempt.Number == number {
+	if req := r.requests[id]; req != nil && req.attempt.AttemptNumber == number {
 		r.pool.Withdraw(&req.attempt)
 	}
 }
 
 // Priority changes the priority at which a request runs.
 func (r *Router) Priority(id uint32, level int, _ float64) {
-	if req := r.requests[id]; req != nil && req.attempt.Level != level {
-		req.attempt.Level = level
-		r.pool.Renice(&req.attempt) // has no effect if no attempt is out
+	if req := r.requests[id]; req != nil && req.attempt.Priority != level {
+		req.attempt.Priority = level
+		r.pool.SetPriority(&req.attempt) // has no effect if no attempt is out
 	}
 }
 
@@ -410,21 +412,21 @@
 // Probe is not called: probes are off.
 func (r *Router) Probe(uint32) {}
 
-// Tell is not called: there are no other routers to send messages to.
-func (r *Router) Tell(int, []byte) {}
+// SendToPeer is not called: there are no other routers to send messages to.
+func (r *Router) SendToPeer(int, []byte) {}
 
 // Watch is not called: the list is queried at fixed times.
 func (r *Router) Watch(bool) {}
 
-// Told records how long a request is expected to take. It is reported to the client with the answer or the rejection.
-func (r *Router) Told(id uint32, k waittime.Kind, e waittime.Estimate) {
+// ReportEstimate records how long a request is expected to take. It is reported to the client with the answer or the rejection.
+func (r *Router) ReportEstimate(id uint32, k waittime.TimeKind, e waittime.Estimate) {
 	if req := r.requests[id]; req != nil && k != waittime.Start { // clients get the estimates of answers and returns
 		req.waitInfo.P50, req.waitInfo.P90 = e.P50, e.P90
 	}
 }
 
 // waitInfo returns the wait times to report to a request's client; nil: none.
-func (r *Router) waitInfo(c *request) *frontend.Told {
+func (r *Router) waitInfo(c *request) *frontend.WaitInfo {
 	if !r.reportWaits {
 		return nil
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -22,7 +22,7 @@
 type fakeConn struct{ last []byte }
 
 func (w *fakeConn) Append(b []byte) int64        { w.last = append(w.last[:0], b...); return 0 }
-func (w *fakeConn) Begun(int64) bool             { return true }
+func (w *fakeConn) WriteBegun(int64) bool        { return true }
 func (w *fakeConn) AppendRequest(b []byte) int64 { return w.Append(b) }
 func (w *fakeConn) Delivered() bool              { return true }
 func (w *fakeConn) Withdraw(int64, int) bool {
@@ -33,7 +33,7 @@
 func (w *fakeConn) InputAge() time.Duration { return 0 }
 func (w *fakeConn) OutputPending() bool     { return false }
 func (w *fakeConn) Drop()                   {}
-func (w *fakeConn) Bad()                    {}
+func (w *fakeConn) DropUnreadable()         {}
 
 // testRouter is a router with one server and one client on fake connections.
 type testRouter struct {
@@ -43,37 +43,37 @@
 	server  fakeConn
 	sink    transport.Sink
 	scratch []byte
-	request frontend.Ask
+	request frontend.Request
 	list    []admission.Entry
 	lastRef int
 }
 
-func (s *testRouter) Closed(*frontend.Session) {}
+func (s *testRouter) SessionClosed(*frontend.Session) {}
 
 func newTestRouter(open int) *testRouter {
-	set := settings.Settings{Profiles: []string{"lookup"}, Open: open, Longest: 30, Brain: admission.Settings{Routers: 1, Tick: 0.005,
+	set := settings.Settings{Profiles: []string{"lookup"}, MaxOpenRequests: open, LongestTimeout: 30, Admission: admission.Settings{Routers: 1, Tick: 0.005,
 		KindCores: []float64{8}, MaxPause: 0.5, Profiles: []admission.Profile{{Target: 20, Benefit: 1, Threads: 1}}}}
 	s := &testRouter{Router: New(set, 100, zap.NewNop(), func(uint32) string { return "" })}
-	pool := backends.New(s.Router, backends.Limits{Streams: 100, Conns: 10, Idle: 30}, func(_ netip.AddrPort, k transport.Sink) backends.Line {
+	pool := backends.New(s.Router, backends.Limits{StreamsPerConn: 100, MaxConns: 10, IdleTimeout: 30}, func(_ netip.AddrPort, k transport.Sink) backends.Connection {
 		s.sink = k
 		return &s.server
 	})
 	s.Start(0, pool)
-	s.list = []admission.Entry{{Engine: 1, State: admission.Ready}}
-	s.Members(0, admission.Cached, s.list, func() { pool.Members(s.list, func(uint32) netip.AddrPort { return netip.AddrPort{} }) })
+	s.list = []admission.Entry{{Server: 1, State: admission.Ready}}
+	s.Members(0, admission.Cached, s.list, func() { pool.UpdateServers(s.list, func(uint32) netip.AddrPort { return netip.AddrPort{} }) })
 	s.client = frontend.NewSession(s, &s.scratch)
-	s.client.Line = &s.answers
+	s.client.Conn = &s.answers
 	return s
 }
 
 // call makes the client send a request and returns the reply. It bypasses the decoding of frames, which package frontend tests.
 func (s *testRouter) call(seq int32, allow float64, statement string) string {
 	s.lastRef++
-	s.request = frontend.Ask{Profile: []byte("lookup"), Allow: allow, Statement: []byte(statement)}
+	s.request = frontend.Request{Profile: []byte("lookup"), Timeout: allow, Statement: []byte(statement)}
 	copy(s.request.Ref[:], fmt.Sprintf("%016x", s.lastRef))
 	s.answers.last = s.answers.last[:0]
-	s.Take(s.client, seq, &s.request)
-	s.pool.Settle()
+	s.HandleRequest(s.client, seq, &s.request)
+	s.pool.ReportEnds()
 	return s.reply()
 }
 
@@ -91,14 +91,14 @@
 	s := newTestRouter(2)
 	rejected := func(seq int) string { return fmt.Sprintf("2/%d call{ 1={ 1=[ cooldown=500 ] } }", seq) }
 	got := []string{s.call(1, 9, "SELECT 1"), s.call(2, 1e9, "SELECT 1"), s.call(3, 9, "SELECT 1")}
-	s.Left(1)
+	s.ClientLeft(1)
 	got = append(got, s.call(4, 9, string(make([]byte, 101))), s.call(5, 9, "SELECT 1"))
 	if diff := cmp.Diff([]string{"nothing", "nothing", rejected(3), rejected(4), "nothing"}, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	s.Tick(31)
-	if s.Owed() != 0 || len(s.requests) != 0 || s.statementBytes != 0 {
-		t.Errorf("%d unanswered, %d in progress with %d bytes after the longest wait", s.Owed(), len(s.requests), s.statementBytes)
+	if s.Unanswered() != 0 || len(s.requests) != 0 || s.statementBytes != 0 {
+		t.Errorf("%d unanswered, %d in progress with %d bytes after the longest wait", s.Unanswered(), len(s.requests), s.statementBytes)
 	}
 }
 
@@ -110,7 +110,7 @@
 		return s.call(seq, 9, fmt.Sprint("SELECT ", seq))
 	}
 	got := []string{callWithSameID(1), callWithSameID(2)}
-	s.Left(1)
+	s.ClientLeft(1)
 	got = append(got, callWithSameID(3))
 	if diff := cmp.Diff([]string{"nothing", "2/2 call{ 2={ 1=[ ] } }", "nothing"}, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
@@ -121,8 +121,8 @@
 func TestResultForDepartedClient(t *testing.T) {
 	s := newTestRouter(9)
 	s.call(1, 9, "SELECT 1")
-	s.sink.Up()
-	s.Left(1)
+	s.sink.Connected()
+	s.ClientLeft(1)
 	s.sink.Feed([]byte("0000000000000001 served count=1,ticks=5 5\r\na\tb\t\n\r\n"))
 	if got := s.reply(); got != "nothing" || len(s.requests) != 0 {
 		t.Errorf("the client that left got %s; %d in progress", got, len(s.requests))
@@ -133,16 +133,16 @@
 // recycled for another.
 func TestCancelledAttemptEndsFirst(t *testing.T) {
 	s := newTestRouter(9)
-	s.set.Brain.Cancels = true
+	s.set.Admission.Cancels = true
 	s.Start(0, s.pool)
 	s.Members(0, admission.Full, s.list, func() {})
 	s.call(1, 9, "SELECT 1")
-	s.sink.Up()
-	s.Left(1)
+	s.sink.Connected()
+	s.ClientLeft(1)
 	if len(s.requests) != 1 || string(s.server.last) != "abort 0000000000000001\r\n" {
 		t.Errorf("%d in progress, the server was sent %q", len(s.requests), s.server.last)
 	}
-	if s.pool.Settle(); len(s.requests) != 0 {
+	if s.pool.ReportEnds(); len(s.requests) != 0 {
 		t.Error("still in progress")
 	}
 }
@@ -151,14 +151,14 @@
 func TestNoGarbage(t *testing.T) {
 	s := newTestRouter(9)
 	s.call(1, 9, "SELECT 1")
-	s.sink.Up()
+	s.sink.Connected()
 	seq := int32(1)
 	answer := []byte("0000000000000001 served count=1,ticks=5 5\r\na\tb\t\n\r\n")
 	cycle := func() {
 		s.sink.Feed(answer)
 		seq++
-		s.Take(s.client, seq, &s.request)
-		s.pool.Settle()
+		s.HandleRequest(s.client, seq, &s.request)
+		s.pool.ReportEnds()
 	}
 	for range 1000 {
 		cycle()
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -40,11 +40,11 @@
 // goroutine, or before that starts.
 type Fleet interface {
 	admission.Fleet
-	Plan() admission.Plan                           // nil: there is no plan
-	Run(ctx context.Context, group *errgroup.Group) // starts goroutines that end with the context
-	News() <-chan func()                            // functions that the owner's goroutine must call
-	Tick(now float64, controller *admission.Brain)  // called about ten times a second
-	End(now float64)                                // releases the tasks immediately
+	Plan() admission.Plan                               // nil: there is no plan
+	Run(ctx context.Context, group *errgroup.Group)     // starts goroutines that end with the context
+	News() <-chan func()                                // functions that the owner's goroutine must call
+	Tick(now float64, controller *admission.Controller) // called about ten times a second
+	End(now float64)                                    // releases the tasks immediately
 }
 
 // service is a Router with its sockets.
@@ -54,7 +54,7 @@
 	clock               clock
 	log                 *zap.Logger
 	list                *discovery.Follower
-	net                 *transport.Net
+	net                 *transport.Network
 	inbox               transport.Inbox
 	arrivals            chan net.Conn
 	acceptDone          chan struct{} // closed when no more connections will arrive
@@ -86,7 +86,7 @@
 	s := &service{fleet: fleet, state: state, cfg: cfg, clock: newClock(), log: log, list: discovery.New(cfg.Settings.Zones, cfg.Settings.Kinds),
 		inbox: make(transport.Inbox, 256), arrivals: make(chan net.Conn), acceptDone: make(chan struct{}), answers: make(chan datagram),
 		sessions: map[*frontend.Session]struct{}{}}
-	if _, err := s.list.Start(cfg.Known); err != nil {
+	if _, err := s.list.ApplyConfig(cfg.Known); err != nil {
 		return err
 	}
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(cfg.Listen))
@@ -104,23 +104,23 @@
 	}
 	// A quarter of the memory is for outgoing answers and a quarter for statements of requests in progress. Incomplete messages get
 	// half as much as statements.
-	s.net = transport.NewNet(ctx, group, s.inbox, memory/4, int64(s.descriptorLimits().lingering))
+	s.net = transport.NewNetwork(ctx, group, s.inbox, memory/4, int64(s.descriptorLimits().lingering))
 	s.Router = New(cfg.Settings, int(memory/4), log, s.list.Name)
 	if len(cfg.Budgets.Nodes) > 0 {
 		teams, err := fairshare.New(cfg.Budgets, s.clock.now())
 		if err != nil {
 			return err
 		}
-		s.Teams(teams, cfg.Budgets.Ageing)
+		s.SetTeams(teams, cfg.Budgets.Ageing)
 	}
 	if s.subset, err = newSubsetView(&cfg, s.list.Name, log); err != nil {
 		return err
 	}
 	if w := cfg.Operator.Waits; w != nil {
-		s.Waits(waittime.New(len(cfg.Settings.Profiles), cfg.Settings.Brain.MaxPause), w.Fields)
+		s.SetWaits(waittime.New(len(cfg.Settings.Profiles), cfg.Settings.Admission.MaxPause), w.SendWaits)
 	}
 	if fleet != nil {
-		s.Router.Fleet(fleet, fleet.Plan())
+		s.Router.SetFleet(fleet, fleet.Plan())
 		fleet.Run(ctx, group)
 	}
 	if state != nil {
@@ -181,7 +181,7 @@
 // operator's file. It logs which other parts have changed; those keep their old values until a restart.
 func (s *service) reload(c config.Config) {
 	settings := c.Settings
-	settings.Brain.Seed = s.cfg.Settings.Brain.Seed // the seed is drawn anew on each load, which is no change
+	settings.Admission.Seed = s.cfg.Settings.Admission.Seed // the seed is drawn anew on each load, which is no change
 	var kept []string
 	for _, setting := range [...]struct {
 		name string
@@ -193,7 +193,7 @@
 		}
 	}
 	kept = append(kept, s.reloadOperatorFile(c)...)
-	if updated, err := s.list.Start(c.Known); err != nil {
+	if updated, err := s.list.ApplyConfig(c.Known); err != nil {
 		s.log.Error("list of servers in the new configuration is invalid", zap.Error(err))
 	} else if updated {
 		s.publishList(admission.Full)
@@ -238,20 +238,20 @@
 	if (current.Waits == nil) != (previous.Waits == nil) {
 		kept = append(kept, "waits")
 	} else if current.Waits != nil {
-		s.reportWaits = current.Waits.Fields
+		s.reportWaits = current.Waits.SendWaits
 	}
 	return kept
 }
 
 // runOwner is the owner's goroutine.
 func (s *service) runOwner(stop <-chan struct{}, reloaded <-chan config.Config, listener *net.TCPListener) error {
-	pool := backends.New(s.Router, backends.Limits{Streams: max(s.cfg.Settings.Streams, 1), Conns: s.descriptorLimits().servers,
-		Idle: s.cfg.Settings.ConnIdle,
+	pool := backends.New(s.Router, backends.Limits{StreamsPerConn: max(s.cfg.Settings.MaxStreams, 1), MaxConns: s.descriptorLimits().servers,
+		IdleTimeout: s.cfg.Settings.ConnIdle,
 		// A server sends an answer in one go: if it pauses for longer than a connect takes, the answer will not be completed.
-		Stall: s.cfg.Settings.ConnectTimeout}, s.dial)
+		StallTimeout: s.cfg.Settings.ConnectTimeout}, s.dial)
 	s.lastAnswerAt = s.clock.now()
 	s.Router.Start(s.lastAnswerAt, pool)
-	s.WatchBacklog()
+	s.DetectOwnerDelay()
 	s.publishList(admission.Cached)
 	if s.state != nil {
 		defer s.state.End(s.Router)
@@ -262,7 +262,7 @@
 
 	// Routers count as informed of an event 1.5 s after it happened, even if they had no answer. A query every third tick learns of it
 	// well before; while a query is unanswered each tick sends another, so that a dozen may be lost.
-	const tickInterval, queryEvery = backends.UnstickEvery * 1000 * time.Millisecond, 3
+	const tickInterval, queryEvery = backends.DropStalledInterval * 1000 * time.Millisecond, 3
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	secondTicker := time.NewTicker(time.Second)
@@ -295,8 +295,8 @@
 				s.state.Tick(s.clock.now(), s.Router)
 			}
 			s.reviewSubset()
-			s.pool.Unstick()
-			s.pool.Settle()
+			s.pool.DropStalled()
+			s.pool.ReportEnds()
 			for c := range s.sessions {
 				c.Tick()
 			}
@@ -320,7 +320,7 @@
 			if s.fleet != nil {
 				s.fleet.End(s.clock.now())
 			}
-			s.log.Info("asked to end", zap.Int("owed", s.Owed()))
+			s.log.Info("asked to end", zap.Int("owed", s.Unanswered()))
 			// Clients still connect for 0.6 s after the signal. Requests that arrive up to 0.7 s after it are served.
 			graceOver = time.After(700 * time.Millisecond)
 		case <-graceOver:
@@ -347,7 +347,7 @@
 	const acceptTimeout = 20 * time.Millisecond
 	listener.SetDeadline(time.Now().Add(acceptTimeout))
 	for c := range s.sessions {
-		c.Last(frontend.RouterEnds)
+		c.CloseWhenIdle(frontend.RouterStopping)
 	}
 }
 
@@ -370,7 +370,7 @@
 // everySecond closes idle connections to servers, writes the periodic log lines and detects a name server that does not answer.
 func (s *service) everySecond() {
 	s.at(s.clock.now())
-	s.pool.Tidy()
+	s.pool.CloseIdle()
 	s.logCounts()
 	s.detectStall(s.readyServers())
 	if s.seconds++; s.seconds%auditEvery == 0 {
@@ -379,16 +379,16 @@
 	const maxSilence = 3 // seconds: thirty queries without an answer are no chance
 	if now := s.clock.now(); !s.nameServerSilent && now-s.lastAnswerAt > maxSilence {
 		s.nameServerSilent = true
-		s.log.Warn("the name server does not answer", zap.Uint32("rev", s.list.Rev()))
+		s.log.Warn("the name server does not answer", zap.Uint32("rev", s.list.Revision()))
 	}
 }
 
 // dial starts a connection to a server.
-func (s *service) dial(addr netip.AddrPort, sink transport.Sink) backends.Line {
+func (s *service) dial(addr netip.AddrPort, sink transport.Sink) backends.Connection {
 	// A hundred statements. A server that reads none of them is as good as silent.
 	const maxOutput = 4 << 20
 	conn := s.net.New(sink, maxOutput)
-	conn.Whole() // a server that closes its sending side does not read any more either
+	conn.EndWithPeer() // a server that closes its sending side does not read any more either
 	conn.Dial(addr.String(), time.Duration(s.cfg.Settings.ConnectTimeout*1e9))
 	return conn
 }
--- a/internal/router/stalled.go
+++ b/internal/router/stalled.go
@@ -38,7 +38,7 @@
 // waitingRequests counts the requests that a client waits for and that have no attempt out.
 func (r *Router) waitingRequests() (n int) {
 	for _, req := range r.requests {
-		if !req.done() && !req.attempt.Out() {
+		if !req.done() && !req.attempt.Outstanding() {
 			n++
 		}
 	}
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -23,12 +23,12 @@
 }
 
 // FastState returns the learned state that changes fast. SlowState returns the rest.
-func (r *Router) Quick() (record warmstart.Record) {
-	record.Known = r.controller.Knows()
+func (r *Router) FastState() (record warmstart.JournalRecord) {
+	record.Known = r.controller.Learned()
 	record.Known.Profiles = nil
 	if r.teams != nil {
-		for name, level := range r.teams.Levels() {
-			record.Teams = append(record.Teams, warmstart.Team{Name: name, Ahead: level})
+		for name, level := range r.teams.VirtualTimeLeads() {
+			record.Teams = append(record.Teams, warmstart.TeamLead{Name: name, Ahead: level})
 		}
 	}
 	record.Serial = r.listSerial
@@ -36,14 +36,14 @@
 }
 
 // SlowState returns the learned state that changes slowly and is saved rarely: the profiles and the distributions of their waits.
-func (r *Router) Slow() (profiles []warmstart.Profile, all []warmstart.Wait) {
-	profiles = r.controller.Knows().Profiles
-	estimator := r.set.Brain.Waits
+func (r *Router) SlowState() (profiles []warmstart.Profile, all []warmstart.WaitCorrection) {
+	profiles = r.controller.Learned().Profiles
+	estimator := r.set.Admission.Waits
 	if estimator == nil {
 		return profiles, nil
 	}
 	for _, l := range estimator.Learned() {
-		w := warmstart.Wait{Profile: l.Profile}
+		w := warmstart.WaitCorrection{Profile: l.Profile}
 		if l.Team >= 0 {
 			if r.teams == nil {
 				continue // without its team's name it would apply to all teams
@@ -59,17 +59,17 @@
 }
 
 // ConfigFingerprints returns the fingerprints of the current profile settings and the tenants' rates.
-func (r *Router) Prints() (settings []uint64, rates []float64) {
-	return admission.Fingerprints(r.set.Brain.Profiles), r.set.Brain.Rates()
+func (r *Router) ConfigFingerprints() (settings []uint64, rates []float64) {
+	return admission.Fingerprints(r.set.Admission.Profiles), r.set.Admission.TenantRates()
 }
 
 // RestoreState sets the state that the router starts with.
-func (r *Router) Recall(restored warmstart.Restored) {
-	r.set.Brain.Memory = &restored.Beliefs
+func (r *Router) RestoreState(restored warmstart.Restored) {
+	r.set.Admission.Memory = &restored.DiscountedKnowledge
 	if r.teams != nil {
-		r.teams.RestoreLevels(restored.Teams)
+		r.teams.RestoreVirtualTimeLeads(restored.Teams)
 	}
-	estimator := r.set.Brain.Waits
+	estimator := r.set.Admission.Waits
 	if estimator == nil {
 		return
 	}
@@ -79,7 +79,7 @@
 		if w.Team != "" {
 			team, ok := 0, false
 			if r.teams != nil {
-				team, ok = r.teams.Find(w.Team)
+				team, ok = r.teams.TeamByName(w.Team)
 			}
 			if !ok {
 				continue
--- a/internal/router/subset.go
+++ b/internal/router/subset.go
@@ -16,7 +16,7 @@
 // subsetView limits the list of databases that the controller and the connections see to this router's subset. Only the owner's goroutine
 // uses it. It exists only if the operator's file has a subset section.
 type subsetView struct {
-	setup      *subsets.Setup
+	setup      *subsets.CommonConfig
 	chooser    subsets.Chooser
 	set        *settings.Settings
 	serverName func(id uint32) string
@@ -27,10 +27,10 @@
 	unusable      int               // entries of the list with an unusable weight or a repeated name
 	servable      []bool            // by profile: whether some database of the list may run it
 	plannedWeight float64           // effective weight, see subset.Plan
-	width         subset.Width
+	width         subset.WidthController
 	spread        float64 // from 0 to 1, varies the calm time before narrowing between routers
 	nextReview    float64
-	leaving       subset.Leaving
+	leaving       subset.DepartureQueue
 
 	held        []admission.Entry // the controller's list
 	connected   []admission.Entry // the list of the connections: held, and the databases that are leaving
@@ -44,12 +44,12 @@
 		return nil, nil
 	}
 	v := &subsetView{setup: subsets.New(cfg), set: &cfg.Settings, serverName: serverName, log: log, heldServers: map[uint32]bool{}}
-	v.chooser = v.setup.Self(cfg)
+	v.chooser = v.setup.OwnRouter(cfg)
 	if err := v.chooser.Options.Check(); err != nil {
 		return nil, fmt.Errorf("subset: %v", err)
 	}
-	v.spread = subset.Spread(cfg.Name)
-	if v.chooser.Router.Place < 0 {
+	v.spread = subset.Jitter(cfg.Name)
+	if v.chooser.Router.Number < 0 {
 		log.Warn("the subset is chosen by the router's name: databases are held unevenly until the router has a place")
 	}
 	return v, nil
@@ -75,9 +75,9 @@
 func (v *subsetView) rank(list []admission.Entry) (*subset.Ranking, error) {
 	databases := v.setup.Databases(list, v.serverName)
 	pool := subset.NewPool(databases)
-	unusable := len(pool.Repeated())
+	unusable := len(pool.Duplicates())
 	for _, d := range databases {
-		if !subset.UsableWeight(d.Weight) {
+		if !subset.ValidWeight(d.Weight) {
 			unusable++
 		}
 	}
@@ -85,22 +85,22 @@
 		v.log.Warn("databases with an unusable weight count as 1, those listed twice count once", zap.Int("databases", unusable))
 	}
 	v.unusable = unusable
-	v.chooser.Router.Planned = v.plannedWeight
+	v.chooser.Router.PlannedWeight = v.plannedWeight
 	ranking, err := pool.Rank(&v.chooser.Options, v.chooser.Router)
 	if err != nil {
 		return nil, err
 	}
-	plannedWeight := subset.Plan(v.plannedWeight, ranking.Effective())
+	plannedWeight := subset.NextPlannedWeight(v.plannedWeight, ranking.EffectiveWeight())
 	if plannedWeight == v.plannedWeight {
 		return ranking, nil
 	}
-	v.plannedWeight, v.chooser.Router.Planned = plannedWeight, plannedWeight
+	v.plannedWeight, v.chooser.Router.PlannedWeight = plannedWeight, plannedWeight
 	return pool.Rank(&v.chooser.Options, v.chooser.Router)
 }
 
 // markServable records which profiles some database of the list may run.
 func (v *subsetView) markServable() {
-	profiles := v.set.Brain.Profiles
+	profiles := v.set.Admission.Profiles
 	v.servable = make([]bool, len(profiles))
 	for k := range profiles {
 		v.servable[k] = slices.ContainsFunc(v.list, func(e admission.Entry) bool { return allows(&profiles[k], &e) })
@@ -109,12 +109,12 @@
 
 // choose takes the subset for the current width and logs the change.
 func (v *subsetView) choose(now float64) {
-	choice := v.ranking.Take(v.width.Factor())
-	if choice.Whole {
+	choice := v.ranking.Select(v.width.Factor())
+	if choice.WholePool {
 		v.partial, v.held, v.connected = false, v.list, v.list
 		v.heldServers = make(map[uint32]bool, len(v.list))
 		for _, e := range v.list {
-			v.heldServers[e.Engine] = true
+			v.heldServers[e.Server] = true
 		}
 		v.leaving.Remove(func(string) bool { return true })
 		return
@@ -122,25 +122,25 @@
 	v.partial = true
 	heldServers := make(map[uint32]bool, len(choice.Members))
 	for _, m := range choice.Members {
-		heldServers[v.list[m.Index].Engine] = true
+		heldServers[v.list[m.Index].Server] = true
 	}
 	var removed []string
 	for _, e := range v.list {
-		if !v.heldServers[e.Engine] || heldServers[e.Engine] {
+		if !v.heldServers[e.Server] || heldServers[e.Server] {
 			continue
 		}
 		// A cold database stays until it is warm: if it left and came back, its allowance would begin anew.
-		if e.ReadyAt > 0 && now < e.ReadyAt+v.set.Brain.WarmUp {
-			heldServers[e.Engine] = true
+		if e.ReadyAt > 0 && now < e.ReadyAt+v.set.Admission.WarmUp {
+			heldServers[e.Server] = true
 			continue
 		}
-		removed = append(removed, v.serverName(e.Engine))
+		removed = append(removed, v.serverName(e.Server))
 	}
 	v.heldServers = heldServers
 	v.leaving.Add(now, v.chooser.Router.Name, removed)
 	v.build()
 	v.log.Info("subset of the databases", zap.Int("held", len(v.held)), zap.Int("of", len(v.list)), zap.Int("width", v.width.Factor()),
-		zap.Int("grown", choice.Grown), zap.Int("leaving", v.leaving.Len()))
+		zap.Int("grown", choice.Excess), zap.Int("leaving", v.leaving.Len()))
 }
 
 // build assembles the lists for the controller and for the connections.
@@ -148,11 +148,11 @@
 	stillListed := make(map[string]bool, v.leaving.Len())
 	v.held, v.connected = make([]admission.Entry, 0, len(v.heldServers)), make([]admission.Entry, 0, len(v.heldServers)+v.leaving.Len())
 	for _, e := range v.list {
-		name := v.serverName(e.Engine)
+		name := v.serverName(e.Server)
 		switch {
-		case v.heldServers[e.Engine]:
+		case v.heldServers[e.Server]:
 			v.held, v.connected = append(v.held, e), append(v.connected, e)
-		case v.leaving.Len() > 0 && v.leaving.Has(name):
+		case v.leaving.Len() > 0 && v.leaving.Contains(name):
 			stillListed[name] = true
 			v.connected = append(v.connected, e)
 		}
@@ -161,17 +161,17 @@
 }
 
 // heldShare is the share of the pool's cores that is held, in total and by zone.
-func (v *subsetView) heldShare() admission.Held {
+func (v *subsetView) heldShare() admission.Coverage {
 	if !v.partial {
-		return admission.Held{}
+		return admission.Coverage{}
 	}
 	zones := len(v.set.Zones)
 	held, all := make([]float64, zones+1), make([]float64, zones+1)
 	add := func(sums []float64, list []admission.Entry) {
 		for _, e := range list {
 			cores := 1.0
-			if e.Kind >= 0 && e.Kind < len(v.set.Brain.KindCores) && v.set.Brain.KindCores[e.Kind] > 0 {
-				cores = v.set.Brain.KindCores[e.Kind]
+			if e.Kind >= 0 && e.Kind < len(v.set.Admission.KindCores) && v.set.Admission.KindCores[e.Kind] > 0 {
+				cores = v.set.Admission.KindCores[e.Kind]
 			}
 			sums[zones] += cores
 			if e.Zone >= 0 && e.Zone < zones {
@@ -186,14 +186,14 @@
 			held[k] /= all[k]
 		}
 	}
-	return admission.Held{Part: held[zones], Zones: held[:zones]}
+	return admission.Coverage{Part: held[zones], Zones: held[:zones]}
 }
 
 // reviewInterval is the time between two checks of whether the subset is wide enough, in seconds.
 const reviewInterval = 0.5
 
 // review widens or narrows the subset as needed, and drops connections to databases that have left. It reports whether a list changed.
-func (v *subsetView) review(now float64, controller *admission.Brain) (changed bool) {
+func (v *subsetView) review(now float64, controller *admission.Controller) (changed bool) {
 	if !v.partial && v.width.Factor() == 1 || now < v.nextReview {
 		return false
 	}
@@ -204,12 +204,12 @@
 		if v.width.Factor() > 1 {
 			narrower = v.summary(now, controller, v.width.Factor()/2)
 		}
-		if v.width.Step(now, &current, &narrower, v.chooser.Options.Widest, v.spread) {
+		if v.width.Update(now, &current, &narrower, v.chooser.Options.MaxWidth, v.spread) {
 			v.choose(now)
 			changed = true
 		}
 	}
-	if due := v.leaving.Due(now); len(due) > 0 {
+	if due := v.leaving.TakeDue(now); len(due) > 0 {
 		v.build()
 		changed = true
 	}
@@ -217,12 +217,12 @@
 }
 
 // summary summarises the condition of the databases in the subset of a width.
-func (v *subsetView) summary(now float64, controller *admission.Brain, width int) (s subset.Summary) {
-	profiles := v.set.Brain.Profiles
-	rooms := make([]subset.Room, len(profiles))
-	for _, m := range v.ranking.Take(width).Members {
+func (v *subsetView) summary(now float64, controller *admission.Controller, width int) (s subset.Summary) {
+	profiles := v.set.Admission.Profiles
+	rooms := make([]subset.ClassCapacity, len(profiles))
+	for _, m := range v.ranking.Select(width).Members {
 		e := &v.list[m.Index]
-		usable := controller.Condition(now, e.Engine) == admission.Usable
+		usable := controller.Condition(now, e.Server) == admission.Usable
 		s.Held++
 		if usable {
 			s.Usable++
@@ -251,9 +251,9 @@
 
 // publishList passes the list, or this router's subset of it, to the controller and the connections.
 func (s *service) publishList(scope admission.Scope) {
-	s.listSerial = s.list.Rev()
+	s.listSerial = s.list.Revision()
 	if s.subset == nil {
-		s.Members(s.clock.now(), scope, s.list.List(), func() { s.pool.Members(s.list.List(), s.list.Addr) })
+		s.Members(s.clock.now(), scope, s.list.List(), func() { s.pool.UpdateServers(s.list.List(), s.list.Addr) })
 		return
 	}
 	s.subset.setList(s.clock.now(), s.list.List())
@@ -262,8 +262,8 @@
 
 // publishSubset passes the current subset to the controller and the connections.
 func (s *service) publishSubset(scope admission.Scope) {
-	s.controller.Hold(s.subset.heldShare())
-	s.Members(s.clock.now(), scope, s.subset.held, func() { s.pool.Members(s.subset.connected, s.list.Addr) })
+	s.controller.SetCoverage(s.subset.heldShare())
+	s.Members(s.clock.now(), scope, s.subset.held, func() { s.pool.UpdateServers(s.subset.connected, s.list.Addr) })
 }
 
 // reviewSubset is called about ten times a second.
--- a/internal/router/subset_test.go
+++ b/internal/router/subset_test.go
@@ -21,23 +21,23 @@
 // noopHost is a host that does nothing.
 type noopHost struct{}
 
-func (noopHost) Send(id, engine uint32, limit, by float64)            {}
-func (noopHost) Shed(id uint32, pause float64)                        {}
-func (noopHost) Fail(id uint32)                                       {}
-func (noopHost) Cancel(id uint32, send int)                           {}
-func (noopHost) Withdraw(id uint32, send int)                         {}
-func (noopHost) Probe(engine uint32)                                  {}
-func (noopHost) Priority(id uint32, level int, grant float64)         {}
-func (noopHost) Wake(after float64, token uint64)                     {}
-func (noopHost) Tell(peer int, data []byte)                           {}
-func (noopHost) Watch(on bool)                                        {}
-func (noopHost) Log(text string)                                      {}
-func (noopHost) Told(id uint32, k waittime.Kind, e waittime.Estimate) {}
+func (noopHost) Send(id, engine uint32, limit, by float64)                          {}
+func (noopHost) Reject(id uint32, pause float64)                                    {}
+func (noopHost) Fail(id uint32)                                                     {}
+func (noopHost) Cancel(id uint32, send int)                                         {}
+func (noopHost) Withdraw(id uint32, send int)                                       {}
+func (noopHost) Probe(engine uint32)                                                {}
+func (noopHost) Priority(id uint32, level int, grant float64)                       {}
+func (noopHost) Wake(after float64, token uint64)                                   {}
+func (noopHost) SendToPeer(peer int, data []byte)                                   {}
+func (noopHost) Watch(on bool)                                                      {}
+func (noopHost) Log(text string)                                                    {}
+func (noopHost) ReportEstimate(id uint32, k waittime.TimeKind, e waittime.Estimate) {}
 
 // testView is a subset view with its controller and its log.
 type testView struct {
 	*subsetView
-	controller *admission.Brain
+	controller *admission.Controller
 	logs       *observer.ObservedLogs
 	t          *testing.T
 }
@@ -45,20 +45,20 @@
 // newTestView creates a view with a section subset of the operator's file.
 func newTestView(t *testing.T, section operator.Subset) *testView {
 	cfg := config.Config{Name: "r1", Operator: operator.File{Subset: &section}, Settings: settings.Settings{Zones: []string{"a", "b"},
-		Kinds: []string{"std"}, Profiles: []string{"any"}, Brain: admission.Settings{Me: 3, Routers: 8, Tick: 0.005, WarmUp: 15, FallWindow: 1,
+		Kinds: []string{"std"}, Profiles: []string{"any"}, Admission: admission.Settings{Me: 3, Routers: 8, Tick: 0.005, WarmUp: 15, FallWindow: 1,
 			FallMultiple: 2, ColdFrom: 0.35, Profiles: []admission.Profile{{Target: 1, Benefit: 1, Threads: 1}}}}}
 	core, said := observer.New(zapcore.InfoLevel)
 	v, err := newSubsetView(&cfg, func(e uint32) string { return fmt.Sprint("s-", e) }, zap.New(core))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &testView{v, admission.New(cfg.Settings.Brain, 0, noopHost{}), said, t}
+	return &testView{v, admission.New(cfg.Settings.Admission, 0, noopHost{}), said, t}
 }
 
 // setBoth passes a list to the view and the controller.
 func (v *testView) setBoth(now float64, list []admission.Entry) {
 	v.setList(now, list)
-	v.controller.Members(now, admission.Full, v.held)
+	v.controller.UpdateServers(now, admission.Full, v.held)
 }
 
 // countLogLines counts the log messages that contain a text.
@@ -73,14 +73,14 @@
 
 func entries(n int) (all []admission.Entry) {
 	for k := range n {
-		all = append(all, admission.Entry{Engine: uint32(k + 1), Zone: k % 2, Weight: 1, State: admission.Ready})
+		all = append(all, admission.Entry{Server: uint32(k + 1), Zone: k % 2, Weight: 1, State: admission.Ready})
 	}
 	return all
 }
 
 func serverIDs(list []admission.Entry) (all []uint32) {
 	for _, e := range list {
-		all = append(all, e.Engine)
+		all = append(all, e.Server)
 	}
 	return all
 }
@@ -123,7 +123,7 @@
 	first := serverIDs(v.held)
 	const restarted = 100.0
 	for k := range list {
-		if slices.Contains(first, list[k].Engine) {
+		if slices.Contains(first, list[k].Server) {
 			list[k].ReadyAt = restarted
 		}
 	}
@@ -134,11 +134,11 @@
 	if !v.review(restarted, v.controller) || len(v.held) != 16 {
 		t.Fatalf("%d held when databases are needed", len(v.held))
 	}
-	v.controller.Members(restarted, admission.Full, v.held)
+	v.controller.UpdateServers(restarted, admission.Full, v.held)
 	now, most := restarted, len(v.held)
-	for ; now < restarted+15+2*subset.CalmFor && len(v.held) > 8; now += 0.1 {
+	for ; now < restarted+15+2*subset.NarrowDelay && len(v.held) > 8; now += 0.1 {
 		if v.review(now, v.controller) {
-			v.controller.Members(now, admission.Full, v.held)
+			v.controller.UpdateServers(now, admission.Full, v.held)
 		}
 		most = max(most, len(v.held))
 	}
@@ -213,7 +213,7 @@
 	}
 	held := serverIDs(v.held)
 	for k := range list {
-		if slices.Contains(held, list[k].Engine) {
+		if slices.Contains(held, list[k].Server) {
 			list[k].State = admission.Draining
 		}
 	}
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -19,8 +19,8 @@
 		zap.Int("withdrawn", withdrawn), zap.Int("running", running))
 }
 
-// Closing logs why the router closes a connection to a server.
-func (r *Router) Closing(server uint32, reason backends.CloseReason, attempts int) {
+// ConnectionClosing logs why the router closes a connection to a server.
+func (r *Router) ConnectionClosing(server uint32, reason backends.CloseReason, attempts int) {
 	if entry := r.log.Check(zap.InfoLevel, "connection closing"); entry != nil {
 		entry.Write(zap.String("server", r.serverName(server)), zap.Stringer("why", reason), zap.Int("attempts", attempts))
 	}
@@ -40,10 +40,10 @@
 	}
 }
 
-// Writing logs that an attempt is being written to its connection.
-func (r *Router) Writing(j *backends.Job) {
+// AttemptWriting logs that an attempt is being written to its connection.
+func (r *Router) AttemptWriting(j *backends.Attempt) {
 	if entry := r.log.Check(zap.DebugLevel, "attempt written"); entry != nil {
-		r.writeAttempt(entry, j, zap.Float64("waited", r.now-j.At))
+		r.writeAttempt(entry, j, zap.Float64("waited", r.now-j.SentAt))
 	}
 }
 
@@ -53,7 +53,7 @@
 	if entry := r.log.Check(zap.DebugLevel, "attempt begun"); entry != nil {
 		r.writeAttempt(entry, j)
 	}
-	if j.Number == 0 {
+	if j.AttemptNumber == 0 {
 		return
 	}
 	if entry := r.log.Check(zap.InfoLevel, "request retried"); entry != nil {
@@ -64,19 +64,19 @@
 // attemptEnded logs how an attempt ended, at level info if it brought no result.
 func (r *Router) attemptEnded(req *request, end admission.End) {
 	level := zap.InfoLevel
-	if end == admission.Answered {
+	if end == admission.Completed {
 		level = zap.DebugLevel
 	}
 	if entry := r.log.Check(level, "attempt ended"); entry != nil {
 		j := &req.attempt
-		r.writeAttempt(entry, j, zap.Stringer("how", end), zap.Bool("unsent", j.Unsent), zap.Float64("after", r.now-j.At))
+		r.writeAttempt(entry, j, zap.Stringer("how", end), zap.Bool("unsent", j.NeverSent), zap.Float64("after", r.now-j.SentAt))
 	}
 }
 
 // writeAttempt writes a log line on an attempt.
-func (r *Router) writeAttempt(entry *zapcore.CheckedEntry, j *backends.Job, extra ...zap.Field) {
-	fields := append([]zap.Field{zap.ByteString("request", j.Ref[:]), zap.Int("attempt", j.Number),
-		zap.String("server", r.serverName(j.Engine))}, extra...)
+func (r *Router) writeAttempt(entry *zapcore.CheckedEntry, j *backends.Attempt, extra ...zap.Field) {
+	fields := append([]zap.Field{zap.ByteString("request", j.Ref[:]), zap.Int("attempt", j.AttemptNumber),
+		zap.String("server", r.serverName(j.Server))}, extra...)
 	entry.Write(fields...)
 }
 
@@ -87,15 +87,15 @@
 		return
 	}
 	entry.Write(zap.ByteString("request", req.attempt.Ref[:]), zap.String("profile", req.attempt.Profile), zap.String("why", r.notServedReason(req)),
-		zap.Int("attempts", req.attempt.Number+1), zap.Float64("age", r.now-req.arrivedAt), zap.Float64("left", req.deadline-r.now))
+		zap.Int("attempts", req.attempt.AttemptNumber+1), zap.Float64("age", r.now-req.arrivedAt), zap.Float64("left", req.deadline-r.now))
 }
 
 // notServedReason describes the stage at which the controller gave a request up.
 func (r *Router) notServedReason(req *request) string {
 	switch {
-	case req.attempt.Out():
+	case req.attempt.Outstanding():
 		return "attempt did not end in time"
-	case req.attempt.Number >= 0:
+	case req.attempt.AttemptNumber >= 0:
 		return "last attempt: " + req.lastEnd.String()
 	case r.now > req.arrivedAt:
 		return "no server available in time"
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -30,12 +30,12 @@
 			s.log = zap.New(core)
 			s.call(1, 29, "SELECT 1")
 			for range 2 {
-				s.pool.GiveUp(&s.requests[1].attempt, admission.TurnedAway)
-				s.pool.Settle()
+				s.pool.Abandon(&s.requests[1].attempt, admission.Rejected)
+				s.pool.ReportEnds()
 				s.Tick(s.now + 0.2)
 			}
-			s.pool.GiveUp(&s.requests[1].attempt, admission.TurnedAway)
-			s.pool.Settle()
+			s.pool.Abandon(&s.requests[1].attempt, admission.Rejected)
+			s.pool.ReportEnds()
 			s.Tick(s.now + 30)
 			s.ServerChanged(1, admission.Ready, admission.Draining, 1, 2)
 			got := messages(t, lines, "0000000000000001")
--- a/internal/scale/control_state.go
+++ b/internal/scale/control_state.go
@@ -27,12 +27,12 @@
 	}
 	sessions := lineThrough(routers, bySession)
 	rows := append(sessions.Rows("state: snapshot, bytes", "sessions", 1),
-		measure.AtMost("state: snapshot of 3,200 sessions, bytes", bySession[len(bySession)-1], registry.MostSnapshot))
+		measure.AtMost("state: snapshot of 3,200 sessions, bytes", bySession[len(bySession)-1], registry.MaxSnapshot))
 	rows = append(rows, measure.Figure("state: snapshot of 3,200 sessions: milliseconds to encode", encode[len(encode)-1]))
 	owned := lineThrough(tasks, byTask)
 	rows = append(rows, owned.Rows("state: snapshot of 1,600 sessions, bytes", "tasks", 1)...)
-	rows = append(rows, measure.AtMost("state: snapshot of 1,600 sessions and 7,800 tasks, bytes", byTask[len(byTask)-1], registry.MostSnapshot))
-	return append(rows, measure.Figure("state: bound on a snapshot with names and notes at theirs, MB", registry.MostSnapshot/1e6)), nil
+	rows = append(rows, measure.AtMost("state: snapshot of 1,600 sessions and 7,800 tasks, bytes", byTask[len(byTask)-1], registry.MaxSnapshot))
+	return append(rows, measure.Figure("state: bound on a snapshot with names and notes at theirs, MB", registry.MaxSnapshot/1e6)), nil
 }
 
 // snapshotOf a registry: its bytes, and the milliseconds that encoding it takes.
@@ -53,12 +53,12 @@
 	}
 	for n := range tasks {
 		name := fmt.Sprintf("warmth/%d@%.3f", n, 1.7e9)
-		fence, err := apply(registry.Entry{Kind: registry.Assign, Work: name, Session: uint64(n%sessions + 1), Zone: "z1"})
+		fence, err := apply(registry.Entry{Kind: registry.Assign, Task: name, Session: uint64(n%sessions + 1), Zone: "z1"})
 		if err != nil {
 			return 0, 0, err
 		}
 		note := fmt.Sprintf(`{"engine":%d,"start":1700000000.5,"well":true}`, n)
-		if _, err := apply(registry.Entry{Kind: registry.Note, Work: name, Session: uint64(n%sessions + 1), Fence: fence, Body: []byte(note)}); err != nil {
+		if _, err := apply(registry.Entry{Kind: registry.Annotation, Task: name, Session: uint64(n%sessions + 1), Fence: fence, Body: []byte(note)}); err != nil {
 			return 0, 0, err
 		}
 	}
--- a/internal/scale/control_virtual.go
+++ b/internal/scale/control_virtual.go
@@ -29,7 +29,7 @@
 type virtualFleet struct {
 	now         float64
 	steps       int
-	coordinator *coordinator.Keeper
+	coordinator *coordinator.Coordinator
 	agents      []*agent.Member
 	demands     []agent.Demand   // by agent
 	requests    []virtualRequest // on their way
@@ -50,24 +50,24 @@
 	at    float64
 	agent int
 	seq   uint64
-	coordinator.Answer
+	coordinator.Response
 }
 
 // newVirtualFleet of so many routers, each cold database of which is shared by so many members.
 func newVirtualFleet(routers, members int) (*virtualFleet, error) {
-	stored, err := coordinator.Begin([]registry.Keeper{{ID: 1, Name: "c1", Addr: "127.0.0.1:1"}}, controlLease, 0.05)
+	stored, err := coordinator.InitialState([]registry.Coordinator{{ID: 1, Name: "c1", Addr: "127.0.0.1:1"}}, controlLease, 0.05)
 	if err != nil {
 		return nil, err
 	}
 	silent := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
-	c, err := coordinator.New(coordinator.Config{ID: 1, Name: "c1", Hold: virtualHold, Logger: silent}, stored, 0)
+	c, err := coordinator.New(coordinator.Config{ID: 1, Name: "c1", HoldTime: virtualHold, Logger: silent}, stored, 0)
 	if err != nil {
 		return nil, err
 	}
 	f := &virtualFleet{coordinator: c, demands: make([]agent.Demand, routers), open: map[uint64]virtualRequest{}}
 	for n := range routers {
 		f.agents = append(f.agents, agent.New(agent.Config{Name: fmt.Sprint("r", n+1), Zone: fmt.Sprint("z", n%TargetZones+1), Incarnation: uint64(n + 1),
-			Seed: uint64(n + 1), Stands: []string{agent.Warmth}, Members: members, Window: 1}, agent.Kept{}))
+			Seed: uint64(n + 1), CandidateKinds: []string{agent.WarmUpKind}, RouterCount: members, Window: 1}, agent.PersistentState{}))
 	}
 	return f, nil
 }
@@ -97,12 +97,12 @@
 		f.number++
 		f.open[f.number] = r
 		switch {
-		case r.Beat != nil:
-			f.coordinator.Beat(f.now, f.number, r.Beat)
-		case r.Mail != nil:
-			f.coordinator.Post(f.now, f.number, r.Mail)
-		case r.Act != nil:
-			f.coordinator.Do(f.now, f.number, r.Act)
+		case r.Heartbeat != nil:
+			f.coordinator.Heartbeat(f.now, f.number, r.Heartbeat)
+		case r.Messages != nil:
+			f.coordinator.PostMessages(f.now, f.number, r.Messages)
+		case r.Action != nil:
+			f.coordinator.Perform(f.now, f.number, r.Action)
 		}
 	}
 	f.requests = f.requests[arrived:]
@@ -111,11 +111,11 @@
 		if !ok {
 			return nil
 		}
-		for _, a := range out.Answers {
+		for _, a := range out.Responses {
 			r := f.open[a.Request]
 			delete(f.open, a.Request)
-			if view, ok := a.Value.(coordinator.View); ok {
-				f.mostLetters = max(f.mostLetters, len(view.Mail))
+			if view, ok := a.Value.(coordinator.Snapshot); ok {
+				f.mostLetters = max(f.mostLetters, len(view.Messages))
 			}
 			f.answers = append(f.answers, virtualAnswer{f.now + virtualWay, r.agent, r.Seq, a})
 		}
@@ -135,7 +135,7 @@
 	}
 	f.answers = f.answers[arrived:]
 	for n := f.steps % agentEvery; n < len(f.agents); n += agentEvery {
-		f.agents[n].Tell(f.now, f.demands[n])
+		f.agents[n].SetDemand(f.now, f.demands[n])
 		f.send(n)
 	}
 }
@@ -149,7 +149,7 @@
 // chill has a database be cold from now on for the routers that hold it, each of which would use two equal parts.
 func (f *virtualFleet) chill(database int, holders []int) {
 	for _, n := range holders {
-		f.demands[n].Cold = append(f.demands[n].Cold, agent.Cold{Engine: agent.Engine{ID: uint32(database + 1), Start: 1}, Need: 2 / float64(len(holders))})
+		f.demands[n].ColdServers = append(f.demands[n].ColdServers, agent.ColdServer{Server: agent.Server{ID: uint32(database + 1), Start: 1}, Need: 2 / float64(len(holders))})
 	}
 }
 
@@ -157,9 +157,9 @@
 func (f *virtualFleet) parts() float64 {
 	granted, all := 0, 0
 	for n, m := range f.agents {
-		for _, c := range f.demands[n].Cold {
+		for _, c := range f.demands[n].ColdServers {
 			all++
-			if part, ok := m.Part(f.now, c.ID, c.Start); ok && part > 0 {
+			if part, ok := m.WarmUpShare(f.now, c.ID, c.Start); ok && part > 0 {
 				granted++
 			}
 		}
@@ -169,8 +169,8 @@
 
 // mostOwned is the most tasks that one router owns.
 func (f *virtualFleet) mostOwned() (most int) {
-	for _, s := range f.coordinator.Record().Sessions() {
-		most = max(most, len(f.coordinator.Record().Owned(s.ID)))
+	for _, s := range f.coordinator.Registry().Sessions() {
+		most = max(most, len(f.coordinator.Registry().TasksOf(s.ID)))
 	}
 	return most
 }
--- a/internal/scale/datapath_decision.go
+++ b/internal/scale/datapath_decision.go
@@ -11,27 +11,27 @@
 // deafHost carries out nothing and remembers where the last attempt went.
 type deafHost struct{ database uint32 }
 
-func (h *deafHost) Send(_, database uint32, _, _ float64)       { h.database = database }
-func (*deafHost) Withdraw(uint32, int)                          {}
-func (*deafHost) Shed(uint32, float64)                          {}
-func (*deafHost) Fail(uint32)                                   {}
-func (*deafHost) Cancel(uint32, int)                            {}
-func (*deafHost) Probe(uint32)                                  {}
-func (*deafHost) Priority(uint32, int, float64)                 {}
-func (*deafHost) Wake(float64, uint64)                          {}
-func (*deafHost) Tell(int, []byte)                              {}
-func (*deafHost) Watch(bool)                                    {}
-func (*deafHost) Log(string)                                    {}
-func (*deafHost) Told(uint32, waittime.Kind, waittime.Estimate) {}
+func (h *deafHost) Send(_, database uint32, _, _ float64)                     { h.database = database }
+func (*deafHost) Withdraw(uint32, int)                                        {}
+func (*deafHost) Reject(uint32, float64)                                      {}
+func (*deafHost) Fail(uint32)                                                 {}
+func (*deafHost) Cancel(uint32, int)                                          {}
+func (*deafHost) Probe(uint32)                                                {}
+func (*deafHost) Priority(uint32, int, float64)                               {}
+func (*deafHost) Wake(float64, uint64)                                        {}
+func (*deafHost) SendToPeer(int, []byte)                                      {}
+func (*deafHost) Watch(bool)                                                  {}
+func (*deafHost) Log(string)                                                  {}
+func (*deafHost) ReportEstimate(uint32, waittime.TimeKind, waittime.Estimate) {}
 
 // decider is the module of one router with a pool of databases that all stand ready, and requests that come one after another.
 type decider struct {
-	module *admission.Brain
+	module *admission.Controller
 	host   deafHost
 	now    float64
 	last   uint32
 	// request is the one that comes again and again, with another ID each time.
-	request admission.Command
+	request admission.Request
 }
 
 // routerSettings are a module's settings at the size that the fleet is designed for, with one profile and no tenants.
@@ -45,15 +45,15 @@
 func readyList(databases int) []admission.Entry {
 	list := make([]admission.Entry, databases)
 	for k := range list {
-		list[k] = admission.Entry{Engine: uint32(k + 1), State: admission.Ready}
+		list[k] = admission.Entry{Server: uint32(k + 1), State: admission.Ready}
 	}
 	return list
 }
 
 func newDecider(settings admission.Settings, databases int) *decider {
-	d := &decider{request: admission.Command{TimeLeft: 4, Cost: 0.001}}
+	d := &decider{request: admission.Request{TimeLeft: 4, Cost: 0.001}}
 	d.module = admission.New(settings, 0, &d.host)
-	d.module.Members(0, admission.Full, readyList(databases))
+	d.module.UpdateServers(0, admission.Full, readyList(databases))
 	d.upkeep(2 * upkeepRate) // histograms are read from the second second on
 	d.decide(200)
 	d.upkeep(2 * upkeepRate)
@@ -66,9 +66,9 @@
 		d.now += 0.001
 		d.last++
 		d.request.ID = d.last
-		d.module.Command(d.now, d.request)
-		d.module.Outcome(d.now+0.0005, admission.Outcome{ID: d.last, Engine: d.host.database, End: admission.Answered,
-			Lag: 0.0005, Work: d.request.Cost, Over: true})
+		d.module.Request(d.now, d.request)
+		d.module.Outcome(d.now+0.0005, admission.Outcome{ID: d.last, Server: d.host.database, End: admission.Completed,
+			Latency: 0.0005, Work: d.request.Cost, Final: true})
 	}
 }
 
--- a/internal/scale/datapath_list.go
+++ b/internal/scale/datapath_list.go
@@ -27,16 +27,16 @@
 // answerFits tells whether the answer that lists so many databases keeps to the bound and is read back whole.
 func answerFits(databases, nameLength int) bool {
 	const anyID, anySerial = 1, 7
-	answer := fake.Reply(anyID, anySerial, discovery.Record, listLines(databases, nameLength)...)
+	answer := fake.Reply(anyID, anySerial, discovery.ServiceName, listLines(databases, nameLength)...)
 	if len(answer) > mostAnswer {
 		return false
 	}
-	list, err := dns.Parse(answer, discovery.Record)
+	list, err := dns.Parse(answer, discovery.ServiceName)
 	if err != nil || len(list.Services) != databases {
 		return false
 	}
 	for _, service := range list.Services {
-		if !service.Addr.IsValid() || len(service.Text) == 0 {
+		if !service.Addr.IsValid() || len(service.Texts) == 0 {
 			return false
 		}
 	}
--- a/internal/scale/datapath_module.go
+++ b/internal/scale/datapath_module.go
@@ -96,10 +96,10 @@
 // nobody owns a pool of connections that carries nothing.
 type nobody struct{}
 
-func (nobody) Ended(*backends.Job, admission.End)               {}
-func (nobody) Noted(*backends.Job, admission.NoteKind, float64) {}
-func (nobody) Lost(uint32, transport.Ending)                    {}
-func noLine(netip.AddrPort, transport.Sink) backends.Line       { return nil }
+func (nobody) AttemptEnded(*backends.Attempt, admission.End)                        {}
+func (nobody) AttemptProgressed(*backends.Attempt, admission.ProgressKind, float64) {}
+func (nobody) ConnLost(uint32, transport.Ending)                                    {}
+func noLine(netip.AddrPort, transport.Sink) backends.Connection                     { return nil }
 
 // listTaker is what the router's owner goroutine runs when a list comes: the follower, the connections' pool, the module.
 type listTaker struct {
@@ -112,7 +112,7 @@
 
 func newListTaker(databases int) (*listTaker, error) {
 	taker := &listTaker{follower: discovery.New([]string{"east"}, []string{"std"}),
-		pool:    backends.New(nobody{}, backends.Limits{Streams: 100, Conns: 5000, Idle: 30, Stall: 0.25}, noLine),
+		pool:    backends.New(nobody{}, backends.Limits{StreamsPerConn: 100, MaxConns: 5000, IdleTimeout: 30, StallTimeout: 0.25}, noLine),
 		decider: &decider{}}
 	settings := routerSettings()
 	taker.decider.module = admission.New(settings, 0, &taker.decider.host)
@@ -128,20 +128,20 @@
 		}
 		return fmt.Sprintf("db-%d", k)
 	})
-	if _, err := l.follower.Start(known); err != nil {
+	if _, err := l.follower.ApplyConfig(known); err != nil {
 		return err
 	}
 	if l.alone {
 		return nil
 	}
-	l.pool.Members(l.follower.List(), l.follower.Addr)
-	l.decider.module.Members(l.decider.now, admission.Full, l.follower.List())
+	l.pool.UpdateServers(l.follower.List(), l.follower.Addr)
+	l.decider.module.UpdateServers(l.decider.now, admission.Full, l.follower.List())
 	return nil
 }
 
 // wholeList is an event of the list, as a configuration has it, with all databases at addresses of their own.
-func wholeList(revision uint32, databases int, name func(k int) string) discovery.Known {
-	notice := discovery.Notice{Rev: revision}
+func wholeList(revision uint32, databases int, name func(k int) string) discovery.ConfiguredList {
+	notice := discovery.Event{Rev: revision}
 	notice.Pool = &struct {
 		All     bool               `json:"all"`
 		Targets []discovery.Target `json:"targets"`
@@ -150,7 +150,7 @@
 		notice.Pool.Targets = append(notice.Pool.Targets, discovery.Target{UID: name(k),
 			Endpoint: fmt.Sprintf("127.1.%d.%d:4100", k/250, 1+k%250), Zone: "east", Kind: "std", State: "ready", Weight: 8})
 	}
-	return discovery.Known{Rev: revision, Notices: []discovery.Notice{notice}}
+	return discovery.ConfiguredList{Rev: revision, Notices: []discovery.Event{notice}}
 }
 
 // listChanges is how long the owner's goroutine is busy with a whole list of which one, a tenth or half of the databases are new.
--- a/internal/scale/datapath_process.go
+++ b/internal/scale/datapath_process.go
@@ -78,7 +78,7 @@
 	r := &routerProcess{desk: &fake.Desk{}, folder: folder, config: filepath.Join(folder, "config.json"), options: options,
 		heard: make(chan fake.Said, 4096), ended: make(chan error, 1), log: make(chan string, 4096),
 		addr: fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))}
-	r.names = fake.NewNameServer(r.desk, discovery.Record)
+	r.names = fake.NewNameServer(r.desk, discovery.ServiceName)
 	r.names.Set(1) // the list that the configuration has
 	r.desk.Cleanup(func() { os.RemoveAll(folder) })
 	var endpoints []string
--- a/internal/scale/datapath_test.go
+++ b/internal/scale/datapath_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := taker.follower.List()[0].Engine
+	gone := taker.follower.List()[0].Server
 	if err := taker.take(databases, databases/2); err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	}
 	listed := 0
 	for _, entry := range taker.follower.List() {
-		if _, _, _, ok := taker.decider.module.Health(entry.Engine); ok && entry.State == admission.Ready {
+		if _, _, _, ok := taker.decider.module.Health(entry.Server); ok && entry.State == admission.Ready {
 			listed++
 		}
 	}
--- a/internal/scale/primary_play.go
+++ b/internal/scale/primary_play.go
@@ -59,7 +59,7 @@
 	p := &primaryPlay{desk: &fake.Desk{}, stop: make(chan struct{})}
 	defer p.desk.End()
 	p.desk.Cleanup(func() { os.RemoveAll(folder) })
-	p.names = fake.NewNameServer(p.desk, discovery.Record)
+	p.names = fake.NewNameServer(p.desk, discovery.ServiceName)
 	oldHeard, newHeard := make(chan fake.Said, 1024), make(chan fake.Said, 1024)
 	old := fake.NewEngine(p.desk, oldHeard)
 	p.list(1, 0, old.Addr)
--- a/internal/scale/subset.go
+++ b/internal/scale/subset.go
@@ -72,16 +72,16 @@
 	}
 	for k := range routers {
 		zone := k * TargetZones / routers
-		f.routers = append(f.routers, subset.Router{Name: fmt.Sprintf("router-%d", k), Place: k, Zone: zone, Region: regionOf(zone)})
+		f.routers = append(f.routers, subset.Router{Name: fmt.Sprintf("router-%d", k), Number: k, Zone: zone, Region: regionOf(zone)})
 	}
 	return f
 }
 
 func (f *fleetOf) options(r *subset.Router) *subset.Options {
-	o := &subset.Options{Size: f.size, Room: subsetRoom, Widest: subsetWidest, Near: 0.5, Region: 0.2, ZonePart: 1.0 / TargetZones,
-		RegionPart: float64(regionZones) / TargetZones}
+	o := &subset.Options{Size: f.size, SizeSlack: subsetRoom, MaxWidth: subsetWidest, OwnZoneShare: 0.5, OwnRegionShare: 0.2, ZoneWeightShare: 1.0 / TargetZones,
+		RegionWeightShare: float64(regionZones) / TargetZones}
 	if r.Region == 1 {
-		o.RegionPart = 1 - o.RegionPart
+		o.RegionWeightShare = 1 - o.RegionWeightShare
 	}
 	var region []int
 	for z := range TargetZones {
@@ -89,8 +89,8 @@
 			region = append(region, z)
 		}
 	}
-	shape := subset.Shape{Zones: TargetZones, Kinds: 2}
-	o.Needs = shape.Needs(r.Zone, region, 2)
+	shape := subset.PoolLayout{Zones: TargetZones, Kinds: 2}
+	o.Requirements = shape.Requirements(r.Zone, region, 2)
 	return o
 }
 
@@ -105,9 +105,9 @@
 			if err != nil {
 				return nil, err
 			}
-			r.Planned = ranking.Effective()
+			r.PlannedWeight = ranking.EffectiveWeight()
 		} else {
-			r.Planned = planned[k]
+			r.PlannedWeight = planned[k]
 		}
 		ranking, err := pool.Rank(o, r)
 		if err != nil {
@@ -121,7 +121,7 @@
 // plannedOf is what sizes are evened out by.
 func plannedOf(rankings []*subset.Ranking) (all []float64) {
 	for _, r := range rankings {
-		all = append(all, r.Effective())
+		all = append(all, r.EffectiveWeight())
 	}
 	return all
 }
@@ -130,7 +130,7 @@
 func namesOf(databases []subset.Database, rankings []*subset.Ranking, width int) [][]string {
 	all := make([][]string, len(rankings))
 	for r, ranking := range rankings {
-		for _, m := range ranking.Take(width).Members {
+		for _, m := range ranking.Select(width).Members {
 			all[r] = append(all[r], databases[m.Index].Name)
 		}
 	}
@@ -151,7 +151,7 @@
 			label := fmt.Sprintf("size %d, width %d: ", size, width)
 			ratio := measure.Figure(label+"most to mean routers a database", float64(most)/mean)
 			if size >= subsetSize {
-				ratio = measure.AtMost(ratio.Name, ratio.Value, subset.Unevenness)
+				ratio = measure.AtMost(ratio.Name, ratio.Value, subset.MaxUnevenness)
 			}
 			budget := subset.ConnectionBudget(TargetRouters, int(float64(size*width)*(1+subsetRoom)), 1.0/TargetDatabases)
 			rows = append(rows, ratio,
@@ -200,7 +200,7 @@
 	least, leastRegion, near, places := math.MaxInt, math.MaxInt, 0, 0
 	for k, ranking := range rankings {
 		r, outside, abroad := &f.routers[k], 0, 0
-		for _, m := range ranking.Take(1).Members {
+		for _, m := range ranking.Select(1).Members {
 			d := &f.databases[m.Index]
 			places++
 			if d.Zone != r.Zone {
@@ -247,9 +247,9 @@
 	most, last := 0, 0.0
 	for k, ranking := range rankings {
 		name := f.routers[k].Name
-		var leaving subset.Leaving
-		began := subset.CalmFor * subset.Spread(name) / 2 // past the common time of calm
-		wide, narrow := ranking.Take(subsetWidest), ranking.Take(subsetWidest/2)
+		var leaving subset.DepartureQueue
+		began := subset.NarrowDelay * subset.Jitter(name) / 2 // past the common time of calm
+		wide, narrow := ranking.Select(subsetWidest), ranking.Select(subsetWidest/2)
 		stays := map[int]bool{}
 		for _, m := range narrow.Members {
 			stays[m.Index] = true
@@ -262,7 +262,7 @@
 		}
 		leaving.Add(began, name, left)
 		for now := began; leaving.Len() > 0; now += 0.5 {
-			for _, database := range leaving.Due(now) {
+			for _, database := range leaving.TakeDue(now) {
 				if closed[database] == nil {
 					closed[database] = map[int]int{}
 				}
@@ -301,7 +301,7 @@
 			if err != nil {
 				return nil, err
 			}
-			ranking.Take(1)
+			ranking.Select(1)
 		}
 		took := threadTime() - began
 		runtime.ReadMemStats(&after)
@@ -337,7 +337,7 @@
 // subsetDecider is a module with the time that it has been told.
 type subsetDecider struct {
 	host *deafHost
-	m    *admission.Brain
+	m    *admission.Controller
 	now  float64
 }
 
@@ -347,10 +347,10 @@
 		Profiles: []admission.Profile{{Target: 1, Benefit: 1, Threads: 1}}, ColdFrom: 0.35, WarmUp: 10, FallMultiple: 2, FallWindow: 1}, 0, d.host)
 	var list []admission.Entry
 	for k := range held {
-		list = append(list, admission.Entry{Engine: uint32(k + 1), State: admission.Ready})
+		list = append(list, admission.Entry{Server: uint32(k + 1), State: admission.Ready})
 	}
-	d.m.Members(0, admission.Full, list)
-	d.m.Hold(admission.Held{Part: part})
+	d.m.UpdateServers(0, admission.Full, list)
+	d.m.SetCoverage(admission.Coverage{Part: part})
 	return d
 }
 
@@ -359,8 +359,8 @@
 	for k := range requests {
 		d.now += 0.001
 		id := uint32(d.now*1000) + 1
-		d.m.Command(d.now, admission.Command{ID: id, Cost: 0.1, TimeLeft: 4})
-		d.m.Outcome(d.now+0.0005, admission.Outcome{ID: id, Engine: d.host.database, End: admission.Answered, Lag: 0.0005, Work: 0.1, Over: true})
+		d.m.Request(d.now, admission.Request{ID: id, Cost: 0.1, TimeLeft: 4})
+		d.m.Outcome(d.now+0.0005, admission.Outcome{ID: id, Server: d.host.database, End: admission.Completed, Latency: 0.0005, Work: 0.1, Final: true})
 		if k%5 == 0 {
 			d.m.Woken(d.now, 0)
 		}
--- a/internal/scale/subset_options.go
+++ b/internal/scale/subset_options.go
@@ -148,7 +148,7 @@
 // boundedLoads is rendezvous hashing where a database that has its bound of routers is passed over: each router has to know what all
 // before it chose.
 func boundedLoads(routers int, databases []string, size int) [][]string {
-	bound := int(subset.Unevenness * float64(routers*size) / float64(len(databases)))
+	bound := int(subset.MaxUnevenness * float64(routers*size) / float64(len(databases)))
 	loads := make(map[string]int, len(databases))
 	all := make([][]string, routers)
 	for r := range all {
@@ -173,14 +173,14 @@
 			databases[k] = subset.Database{Name: name, Weight: 1}
 		}
 		pool := subset.NewPool(databases)
-		o := subset.Options{Size: size, Room: room}
+		o := subset.Options{Size: size, SizeSlack: room}
 		all := make([][]string, routers)
 		for r := range all {
-			ranking, err := pool.Rank(&o, subset.Router{Place: r, Zone: -1, Region: -1, Planned: TargetDatabases})
+			ranking, err := pool.Rank(&o, subset.Router{Number: r, Zone: -1, Region: -1, PlannedWeight: TargetDatabases})
 			if err != nil {
 				panic(err) // the options are right here
 			}
-			for _, m := range ranking.Take(1).Members {
+			for _, m := range ranking.Select(1).Members {
 				all[r] = append(all[r], names[m.Index])
 			}
 		}
--- a/internal/script/build.go
+++ b/internal/script/build.go
@@ -9,7 +9,7 @@
 
 // BuildAndRun builds programs of this repository, passes the folder that they are in to setDir, runs a package's tests, and ends the
 // process with their status. It is called by TestMain.
-func Programs(m *testing.M, setDir func(dir string), packages ...string) {
+func BuildAndRun(m *testing.M, setDir func(dir string), packages ...string) {
 	dir, err := os.MkdirTemp("", "dunereach")
 	if err == nil {
 		var out []byte
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -16,11 +16,11 @@
 var update = flag.Bool("update", false, "rewrite the expected output; review the difference before committing it")
 
 // Printf adds a line to the output of the current step.
-type Say func(format string, a ...any)
+type Printf func(format string, a ...any)
 
 // Run runs all scripts of testdata with each of the variants and compares the output with the expected one. A variant returns the
 // function that executes one step, given as its words.
-func Play(t *testing.T, variants ...func(t *testing.T, printf Say) (step func(words []string))) {
+func Run(t *testing.T, variants ...func(t *testing.T, printf Printf) (step func(words []string))) {
 	var traces []func(*testing.T, string) string
 	for _, start := range variants {
 		traces = append(traces, func(t *testing.T, text string) string { return play(t, text, start) })
@@ -56,7 +56,7 @@
 	}
 }
 
-func play(t *testing.T, text string, start func(*testing.T, Say) func([]string)) string {
+func play(t *testing.T, text string, start func(*testing.T, Printf) func([]string)) string {
 	var out strings.Builder
 	step := start(t, func(format string, a ...any) { fmt.Fprintf(&out, "    "+format+"\n", a...) })
 	for line := range strings.Lines(text) {
@@ -72,7 +72,7 @@
 }
 
 // Annotate returns a script in which each line is followed by its result as an indented line. Old results are dropped.
-func Lines(text string, result func(line string) string) string {
+func Annotate(text string, result func(line string) string) string {
 	var out strings.Builder
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, " ") {
--- a/internal/seconds/seconds.go
+++ b/internal/seconds/seconds.go
@@ -44,13 +44,13 @@
 func (f *Flag) Type() string { return "duration" }
 
 // Duration is a duration in JSON, in seconds: a number of seconds, or a string that Parse accepts.
-type Length float64
+type Duration float64
 
 // UnmarshalJSON accepts both forms.
-func (l *Length) UnmarshalJSON(text []byte) error {
+func (l *Duration) UnmarshalJSON(text []byte) error {
 	var plain float64
 	if err := json.Unmarshal(text, &plain); err == nil {
-		*l = Length(plain)
+		*l = Duration(plain)
 		return nil
 	}
 	var duration string
@@ -59,7 +59,7 @@
 	}
 	value, err := Parse(duration)
 	if err == nil {
-		*l = Length(value)
+		*l = Duration(value)
 	}
 	return err
 }
--- a/internal/seconds/seconds_test.go
+++ b/internal/seconds/seconds_test.go
@@ -31,14 +31,14 @@
 
 // TestDuration: both forms in JSON are accepted, invalid ones are not.
 func TestLength(t *testing.T) {
-	for text, want := range map[string]Length{`2`: 2, `"2s"`: 2, `"0.5"`: 0.5, `"1m"`: 60} {
-		var l Length
+	for text, want := range map[string]Duration{`2`: 2, `"2s"`: 2, `"0.5"`: 0.5, `"1m"`: 60} {
+		var l Duration
 		if err := json.Unmarshal([]byte(text), &l); err != nil || l != want {
 			t.Errorf("%s: %v %v", text, l, err)
 		}
 	}
 	for _, text := range []string{`"soon"`, `true`, `[2]`, `"-1s"`} {
-		var l Length
+		var l Duration
 		if err := json.Unmarshal([]byte(text), &l); err == nil {
 			t.Errorf("%s is accepted as %v", text, l)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,17 +13,17 @@
 
 // Settings are the settings of package admission and those that only the code around it uses. Times are in seconds.
 type Settings struct {
-	Brain          admission.Settings
-	LoadFields     []string // names of the load report values, in order
-	Profiles       []string // names by profile number
-	Tenants        []string
-	Zones, Kinds   []string
-	ConnIdle       float64   // servers close connections that are idle for this long
-	ConnectTimeout float64   // a connection that is not established by then never will be
-	Streams        int       // attempts in progress allowed on one connection
-	Open           int       // limit of open requests; further ones are not accepted
-	Longest        float64   // the longest client timeout of all profiles
-	Deadlines      []float64 // client timeouts by profile
+	Admission       admission.Settings
+	LoadFields      []string // names of the load report values, in order
+	Profiles        []string // names by profile number
+	Tenants         []string
+	Zones, Kinds    []string
+	ConnIdle        float64   // servers close connections that are idle for this long
+	ConnectTimeout  float64   // a connection that is not established by then never will be
+	MaxStreams      int       // attempts in progress allowed on one connection
+	MaxOpenRequests int       // limit of open requests; further ones are not accepted
+	LongestTimeout  float64   // the longest client timeout of all profiles
+	ClientTimeouts  []float64 // client timeouts by profile
 }
 
 // bootInfo is the JSON form of the settings; times are in milliseconds. Its field names are the keys of the JSON. Unknown keys are
@@ -67,7 +67,7 @@
 }
 
 var effects = map[string]admission.Effect{
-	"safe": admission.Replayable, "keyed": admission.Uniqued, "unsafe": admission.NonReplayable,
+	"safe": admission.Idempotent, "keyed": admission.IdempotentByKey, "unsafe": admission.NonIdempotent,
 }
 
 var groups = map[string]admission.Group{
@@ -120,9 +120,9 @@
 	all = Settings{
 		LoadFields: b.LoadInfo.Fields, Zones: b.Dcs, Kinds: b.Kinds,
 		ConnIdle: b.Limits.ConnIdle * ms, ConnectTimeout: b.Limits.ConnectTimeout * ms,
-		Streams: b.Limits.MaxStreams, Open: b.Limits.OpenCap,
+		MaxStreams: b.Limits.MaxStreams, MaxOpenRequests: b.Limits.OpenCap,
 	}
-	all.Brain = admission.Settings{
+	all.Admission = admission.Settings{
 		Seed: seed, Me: b.Me, Routers: max(b.Balancers, 1), Zone: b.MyZone, Tick: b.Tick * ms,
 		OverShareBenefit: b.OverShareWorth, KindCores: b.FamilyInfo.CPUOfKind, Ask: b.Discovery == "ask",
 		Cancels: b.Limits.Cancel, Peers: b.Limits.Peers,
@@ -132,7 +132,7 @@
 		FallMultiple: b.Obligations.FallMultiple, FallWindow: b.Obligations.Fall * ms,
 		KeyRest: b.Obligations.KeyRest * ms,
 	}
-	s := &all.Brain
+	s := &all.Admission
 	if b.Limits.RetryAfter {
 		s.MaxPause = b.Limits.MaxRetryAfter * ms
 	}
@@ -157,8 +157,8 @@
 		}
 		s.Profiles = append(s.Profiles, p)
 		all.Profiles = append(all.Profiles, c.Name)
-		all.Longest = max(all.Longest, c.Deadline*ms)
-		all.Deadlines = append(all.Deadlines, c.Deadline*ms)
+		all.LongestTimeout = max(all.LongestTimeout, c.Deadline*ms)
+		all.ClientTimeouts = append(all.ClientTimeouts, c.Deadline*ms)
 	}
 	if len(s.Profiles) == 0 {
 		return all, fmt.Errorf("settings: no classes")
--- a/internal/state/body.go
+++ b/internal/state/body.go
@@ -27,15 +27,15 @@
 
 func pack(k warmstart.Snapshot) ([]byte, error) { return cbor.Marshal(k) }
 
-func packQuick(q warmstart.Record) ([]byte, error) { return cbor.Marshal(q) }
+func packQuick(q warmstart.JournalRecord) ([]byte, error) { return cbor.Marshal(q) }
 
 // unpack a snapshot's body and the journal's records. What can't be read ends the reading of the journal there.
-func unpack(body []byte, records [][]byte) (k warmstart.Snapshot, quick []warmstart.Record, err error) {
+func unpack(body []byte, records [][]byte) (k warmstart.Snapshot, quick []warmstart.JournalRecord, err error) {
 	if err = reader.Unmarshal(body, &k); err != nil {
 		return warmstart.Snapshot{}, nil, fmt.Errorf("its body: %v", err)
 	}
 	for n, r := range records {
-		var q warmstart.Record
+		var q warmstart.JournalRecord
 		if err := reader.Unmarshal(r, &q); err != nil {
 			return k, quick, fmt.Errorf("record %d: %v", n, err)
 		}
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -20,18 +20,18 @@
 
 // report is what a folder has of one router.
 type report struct {
-	Name       string              `json:"name"`
-	Generation uint64              `json:"generation"`
-	Records    int                 `json:"records"`
-	Cut        bool                `json:"cut_short"`
-	Passed     []string            `json:"passed_over,omitempty"`
-	Bytes      int64               `json:"bytes"`
-	Files      int                 `json:"files"`
-	Age        float64             `json:"age_s"`
-	Old        float64             `json:"snapshot_age_s"`
-	Sure       bool                `json:"age_known"`
-	Kept       *warmstart.Snapshot `json:"kept,omitempty"`
-	Quick      []warmstart.Record  `json:"records_since,omitempty"`
+	Name       string                    `json:"name"`
+	Generation uint64                    `json:"generation"`
+	Records    int                       `json:"records"`
+	Cut        bool                      `json:"cut_short"`
+	Passed     []string                  `json:"passed_over,omitempty"`
+	Bytes      int64                     `json:"bytes"`
+	Files      int                       `json:"files"`
+	Age        float64                   `json:"age_s"`
+	Old        float64                   `json:"snapshot_age_s"`
+	Sure       bool                      `json:"age_known"`
+	Kept       *warmstart.Snapshot       `json:"kept,omitempty"`
+	Quick      []warmstart.JournalRecord `json:"records_since,omitempty"`
 	body       []byte
 	records    [][]byte
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -42,7 +42,7 @@
 	store  *store.Store // the jobs' alone, which run one at a time
 
 	latest atomic.Pointer[warmstart.Snapshot] // written by the owner, never changed after
-	quick  atomic.Pointer[warmstart.Record]
+	quick  atomic.Pointer[warmstart.JournalRecord]
 
 	began           time.Time
 	quickAt, slowAt float64 // the owner's
@@ -52,12 +52,12 @@
 // New keeper of a router's folder; nothing is read or written yet.
 func New(set operator.State, name string, log *zap.Logger) *Keeper {
 	k := &Keeper{set: set, name: name, log: log, began: time.Now()}
-	k.set.Snapshot, k.set.Record = cmp.Or(set.Snapshot, everySnapshot), cmp.Or(set.Record, everyRecord)
-	k.set.MB, k.set.CPU, k.set.Bytes = cmp.Or(set.MB, standardMB), cmp.Or(set.CPU, standardCPU), cmp.Or(set.Bytes, standardBytes)
-	k.runner = jobrunner.New(bg.Limits{CPU: k.set.CPU, Bytes: k.set.Bytes, MaxLateness: lateness}, k.failed)
+	k.set.SnapshotInterval, k.set.FastStateInterval = cmp.Or(set.SnapshotInterval, everySnapshot), cmp.Or(set.FastStateInterval, everyRecord)
+	k.set.MaxMB, k.set.MaxCPU, k.set.MaxBytesPerSecond = cmp.Or(set.MaxMB, standardMB), cmp.Or(set.MaxCPU, standardCPU), cmp.Or(set.MaxBytesPerSecond, standardBytes)
+	k.runner = jobrunner.New(bg.Limits{CPU: k.set.MaxCPU, Bytes: k.set.MaxBytesPerSecond, MaxLateness: lateness}, k.failed)
 	const folder = "folder"
-	k.runner.Add(bg.Job{Name: "snapshot", Priority: 1, Resource: folder, Interval: float64(k.set.Snapshot), Deadline: float64(k.set.Snapshot), RunAtShutdown: true}, k.snapshot)
-	k.runner.Add(bg.Job{Name: "journal", Priority: 2, Resource: folder, Interval: float64(k.set.Record), Deadline: 2 * float64(k.set.Record)}, k.record)
+	k.runner.Add(bg.Job{Name: "snapshot", Priority: 1, Resource: folder, Interval: float64(k.set.SnapshotInterval), Deadline: float64(k.set.SnapshotInterval), RunAtShutdown: true}, k.snapshot)
+	k.runner.Add(bg.Job{Name: "journal", Priority: 2, Resource: folder, Interval: float64(k.set.FastStateInterval), Deadline: 2 * float64(k.set.FastStateInterval)}, k.record)
 	return k
 }
 
@@ -93,14 +93,14 @@
 			return
 		}
 	}
-	settings, rates := m.Prints()
+	settings, rates := m.ConfigFingerprints()
 	r := warmstart.Restore(kept, records, moment(), settings, rates)
-	for _, why := range r.Why {
+	for _, why := range r.DropReasons {
 		k.log.Info("not believed", zap.String("why", why))
 	}
-	m.Recall(r)
-	k.log.Info("remembered", zap.Uint64("generation", f.read.Generation), zap.Int("records", len(records)), zap.Bool("age known", r.Sure),
-		zap.Float64("age", r.Age), zap.Float64("of the snapshot", r.Old), zap.Uint32("rev", r.Serial), zap.Int("engines", len(r.Engines)), zap.Bool("cut short", f.read.Cut))
+	m.RestoreState(r)
+	k.log.Info("remembered", zap.Uint64("generation", f.read.Generation), zap.Int("records", len(records)), zap.Bool("age known", r.AgesKnown),
+		zap.Float64("age", r.Age), zap.Float64("of the snapshot", r.SnapshotAge), zap.Uint32("rev", r.Serial), zap.Int("engines", len(r.Engines)), zap.Bool("cut short", f.read.Cut))
 }
 
 // Run its goroutines. They end after the context does, once the last snapshot is written or patience is over.
@@ -121,11 +121,11 @@
 	}
 	k.lastAt = now
 	if now >= k.slowAt {
-		k.slowAt = now + float64(k.set.Snapshot)/2 // what is written is half as old again at the most
+		k.slowAt = now + float64(k.set.SnapshotInterval)/2 // what is written is half as old again at the most
 		k.know(m)
 	}
 	if now >= k.quickAt {
-		k.quickAt = now + float64(k.set.Record)
+		k.quickAt = now + float64(k.set.FastStateInterval)
 		k.sketch(m)
 	}
 }
@@ -138,12 +138,12 @@
 
 func (k *Keeper) know(m *router.Router) {
 	kept := warmstart.Snapshot{At: moment()}
-	kept.Profiles, kept.Waits = m.Slow()
+	kept.Profiles, kept.Waits = m.SlowState()
 	k.latest.Store(&kept)
 }
 
 func (k *Keeper) sketch(m *router.Router) {
-	q := m.Quick()
+	q := m.FastState()
 	q.At, q.Up = moment(), time.Since(k.began).Seconds()
 	k.quick.Store(&q)
 }
@@ -165,9 +165,9 @@
 			k.store = nil
 			return err
 		}
-		k.store.Bound(int(k.set.MB * (1 << 20)))
+		k.store.Bound(int(k.set.MaxMB * (1 << 20)))
 	}
-	meter.Wrote(len(body))
+	meter.AddBytes(len(body))
 	return k.kept(k.store.Snapshot(body))
 }
 
@@ -187,7 +187,7 @@
 	if err = k.store.Append(text); errors.Is(err, store.ErrFull) {
 		return k.snapshot(ctx, meter)
 	} else if err == nil {
-		meter.Wrote(len(text))
+		meter.AddBytes(len(text))
 		err = k.store.Sync()
 	}
 	return k.kept(err)
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -33,12 +33,12 @@
 var update = flag.Bool("update", false, "write the golden files of this version")
 
 // known is knowledge of every kind.
-func known() (warmstart.Snapshot, warmstart.Record) {
+func known() (warmstart.Snapshot, warmstart.JournalRecord) {
 	k := warmstart.Snapshot{At: warmstart.Timestamp{Wall: 1000, Up: 10, Boot: "b"},
 		Profiles: []warmstart.Profile{{Settings: 7, Work: 0.2, Seen: 9, Hinted: 1, Worked: 2, Slow: 1.5, Times: warmstart.Times{Counts: []float64{1, 2, 3}, Sum: 4}}},
-		Quick:    warmstart.Record{At: warmstart.Timestamp{Wall: 999, Up: 9, Boot: "b"}, Serial: 3},
-		Waits:    []warmstart.Wait{{Team: "x", Profile: 0, Of: []warmstart.Correction{{N: 5, Q50: 0.1, Q90: 0.2, Dev: 0.3}}}}}
-	q := warmstart.Record{At: warmstart.Timestamp{Wall: 1001, Up: 11, Boot: "b"}, Serial: 4, Up: 20, Teams: []warmstart.Team{{Name: "x", Ahead: 1.5}},
+		Quick:    warmstart.JournalRecord{At: warmstart.Timestamp{Wall: 999, Up: 9, Boot: "b"}, Serial: 3},
+		Waits:    []warmstart.WaitCorrection{{Team: "x", Profile: 0, Of: []warmstart.Correction{{N: 5, Q50: 0.1, Q90: 0.2, Dev: 0.3}}}}}
+	q := warmstart.JournalRecord{At: warmstart.Timestamp{Wall: 1001, Up: 11, Boot: "b"}, Serial: 4, Up: 20, Teams: []warmstart.TeamLead{{Name: "x", Ahead: 1.5}},
 		Known: warmstart.Knowledge{Engines: []warmstart.Server{{ID: 4, Start: 900, Slow: 2, Fails: 0.5, Ill: true, Pause: 1}}, Tenants: []warmstart.Tenant{{Left: -2, Rate: 4}}, Cut: 3, Pace: 1.2, Asked: 5, Span: 6}}
 	return k, q
 }
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatalf("version %d: %v", v, err)
 		}
-		if diff := cmp.Diff(k, kept) + cmp.Diff([]warmstart.Record{q}, quick); diff != "" {
+		if diff := cmp.Diff(k, kept) + cmp.Diff([]warmstart.JournalRecord{q}, quick); diff != "" {
 			t.Errorf("version %d is read otherwise (-written +read):\n%s", v, diff)
 		}
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, _ := packQuick(warmstart.Record{Serial: 1})
+	old, _ := packQuick(warmstart.JournalRecord{Serial: 1})
 	newest, _ := packQuick(q)
 	merged, err := merge(later, [][]byte{old, newest})
 	if err != nil {
@@ -153,14 +153,14 @@
 // running is a router whose owner is this test.
 func running(t *testing.T) (*router.Router, settings.Settings) {
 	t.Helper()
-	set := settings.Settings{Profiles: []string{"p"}, Tenants: []string{"a"}, Brain: admission.Settings{Routers: 1, Tick: 0.005,
+	set := settings.Settings{Profiles: []string{"p"}, Tenants: []string{"a"}, Admission: admission.Settings{Routers: 1, Tick: 0.005,
 		Profiles: []admission.Profile{{Target: 1, Benefit: 1, Threads: 1}}, Tenants: []admission.Tenant{{QuotaPerS: 4}}}}
 	r := router.New(set, 1<<20, zap.NewNop(), func(uint32) string { return "" })
 	return r, set
 }
 
 func begin(r *router.Router) {
-	r.Start(0, backends.New(r, backends.Limits{Streams: 1, Conns: 1}, func(netip.AddrPort, transport.Sink) backends.Line { return nil }))
+	r.Start(0, backends.New(r, backends.Limits{StreamsPerConn: 1, MaxConns: 1}, func(netip.AddrPort, transport.Sink) backends.Connection { return nil }))
 }
 
 // TestKept: what a router knows is written, the last of it when the process ends, and the next one believes it.
@@ -201,7 +201,7 @@
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
-	k := New(operator.State{Folder: dir, Snapshot: 0.05, Record: 0.02}, "n1", zap.New(core))
+	k := New(operator.State{Folder: dir, SnapshotInterval: 0.05, FastStateInterval: 0.02}, "n1", zap.New(core))
 	r, _ := running(t)
 	k.Recall(r)
 	begin(r)
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -6,7 +6,7 @@
 
 // TableGroup returns the number after the last underscore in the schema of the first table that a statement reads or
 // writes. A schema without a number, such as "staging", is skipped. Without any group it returns 0 and false.
-func Group(sql []byte) (uint32, bool) {
+func TableGroup(sql []byte) (uint32, bool) {
 	s := scanner{sql: sql}
 	var (
 		expectTable bool   // a table's name may come next
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -35,7 +35,7 @@
 		"":                                                                                     -1,
 	} {
 		got := -1
-		if n, ok := Group([]byte(sql)); ok {
+		if n, ok := TableGroup([]byte(sql)); ok {
 			got = int(n)
 		}
 		if got != want {
@@ -47,5 +47,5 @@
 // FuzzGroup: no input may cause a panic.
 func FuzzGroup(f *testing.F) {
 	f.Add([]byte(`SELECT E'\' FROM "a_1"."b" -- /* $x$ (`))
-	f.Fuzz(func(t *testing.T, b []byte) { Group(b) })
+	f.Fuzz(func(t *testing.T, b []byte) { TableGroup(b) })
 }
--- a/internal/thrift/frames.go
+++ b/internal/thrift/frames.go
@@ -13,11 +13,11 @@
 var be = binary.BigEndian
 
 // FrameSplitter splits a stream of bytes into frames. It buffers only the bytes of an incomplete frame.
-type Frames struct{ buffered []byte }
+type FrameSplitter struct{ buffered []byte }
 
 // Feed adds bytes and calls each with every frame that is complete. It returns an error if a frame is too long. A frame is valid only
 // during the call.
-func (f *Frames) Feed(b []byte, each func(frame []byte) error) error {
+func (f *FrameSplitter) Feed(b []byte, each func(frame []byte) error) error {
 	if len(f.buffered) > 0 {
 		f.buffered = append(f.buffered, b...)
 		b = f.buffered
@@ -42,7 +42,7 @@
 }
 
 // Buffered returns the number of buffered bytes.
-func (f *Frames) Kept() int { return len(f.buffered) }
+func (f *FrameSplitter) Buffered() int { return len(f.buffered) }
 
 // Type is the type of a value on the wire.
 type Type byte
@@ -79,14 +79,14 @@
 
 // Reader reads values from a frame. After the first value that can't be read, Failed is set and all values are zero.
 type Reader struct {
-	b   []byte
-	Bad bool
+	b      []byte
+	Failed bool
 }
 
 // NewReader returns a reader of one frame; the frame comes without its length field.
 func NewReader(frame []byte) Reader { return Reader{b: frame} }
 
-func (r *Reader) fail() { r.Bad, r.b = true, nil }
+func (r *Reader) fail() { r.Failed, r.b = true, nil }
 
 func (r *Reader) next(n int) []byte {
 	if n < 0 || n > len(r.b) {
@@ -126,7 +126,7 @@
 func (r *Reader) Bytes() []byte { return r.next(int(r.I32())) }
 
 // MessageHeader reads the header of a message.
-func (r *Reader) Message() (kind Kind, name []byte, seq int32) {
+func (r *Reader) MessageHeader() (kind Kind, name []byte, seq int32) {
 	v := uint32(r.I32())
 	if v&0xffff0000 != versionStrict {
 		r.fail()
@@ -136,7 +136,7 @@
 }
 
 // FieldHeader reads the header of a field. It returns Stop at the end of a struct and after a failure.
-func (r *Reader) Field() (Type, uint16) {
+func (r *Reader) FieldHeader() (Type, uint16) {
 	t := Type(r.U8())
 	if t == Stop {
 		return Stop, 0
@@ -145,7 +145,7 @@
 }
 
 // MapHeader reads the header of a map.
-func (r *Reader) Pairs() (key, value Type, n int32) {
+func (r *Reader) MapHeader() (key, value Type, n int32) {
 	key, value, n = Type(r.U8()), Type(r.U8()), r.I32()
 	if n < 0 || int(n) > len(r.b) { // a false count: each pair takes more than one byte
 		r.fail()
@@ -178,20 +178,20 @@
 		r.Bytes()
 	case Struct:
 		for {
-			t, _ := r.Field()
+			t, _ := r.FieldHeader()
 			if t == Stop {
 				return
 			}
 			r.skip(t, depth+1)
 		}
 	case Map:
-		for k, v, n := r.Pairs(); n > 0 && !r.Bad; n-- {
+		for k, v, n := r.MapHeader(); n > 0 && !r.Failed; n-- {
 			r.skip(k, depth+1)
 			r.skip(v, depth+1)
 		}
 	case Set, List:
 		t := Type(r.U8())
-		for n := r.I32(); n > 0 && !r.Bad; n-- {
+		for n := r.I32(); n > 0 && !r.Failed; n-- {
 			r.skip(t, depth+1)
 		}
 	default:
@@ -201,7 +201,7 @@
 
 // BeginMessage starts the frame of a message and replaces the content of b. The other functions append to the frame, and EndMessage ends
 // it.
-func Begin(b []byte, kind Kind, name string, seq int32) []byte {
+func BeginMessage(b []byte, kind Kind, name string, seq int32) []byte {
 	b = append(b[:0], 0, 0, 0, 0)
 	b = be.AppendUint32(b, versionStrict|uint32(kind))
 	b = AppendBytes(b, name)
@@ -209,7 +209,7 @@
 }
 
 // EndMessage ends the struct of a message and sets the length of its frame.
-func End(b []byte) []byte {
+func EndMessage(b []byte) []byte {
 	b = append(b, byte(Stop))
 	be.PutUint32(b, uint32(len(b)-4))
 	return b
@@ -224,7 +224,7 @@
 }
 
 // AppendStringLength appends the length of a string; the caller appends its bytes.
-func AppendSize(b []byte, n int) []byte { return be.AppendUint32(b, uint32(n)) }
+func AppendStringLength(b []byte, n int) []byte { return be.AppendUint32(b, uint32(n)) }
 
 // AppendBool appends a boolean value.
 func AppendBool(b []byte, v bool) []byte {
@@ -235,7 +235,7 @@
 }
 
 // AppendStringMap appends a map of strings, given as alternating keys and values.
-func AppendPairs(b []byte, pairs ...string) []byte {
+func AppendStringMap(b []byte, pairs ...string) []byte {
 	b = append(b, byte(String), byte(String))
 	b = be.AppendUint32(b, uint32(len(pairs)/2))
 	for _, s := range pairs {
@@ -251,9 +251,9 @@
 )
 
 // ExceptionFrame returns the complete frame of an ApplicationException, the reply to a call that the service does not answer itself.
-func Except(b []byte, name string, seq int32, kind int32, text string) []byte {
-	b = Begin(b, Exception, name, seq)
+func ExceptionFrame(b []byte, name string, seq int32, kind int32, text string) []byte {
+	b = BeginMessage(b, Exception, name, seq)
 	b = AppendBytes(AppendField(b, String, 1), text)
 	b = be.AppendUint32(AppendField(b, I32, 2), uint32(kind))
-	return End(b)
+	return EndMessage(b)
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -21,13 +21,13 @@
 
 // The ways in which a connection ends.
 const (
-	Refused  Ending = iota // nothing listens at the address
-	NeverUp                // not established in time, or no connection could be opened
-	Finished               // the other side has closed its side; this side may still write
-	Reset                  // reset by the other side or the network
-	Stuffed                // the other side does not read what it is sent
-	Closed                 // closed by this side
-	Garbled                // closed by this side because of invalid input
+	Refused        Ending = iota // nothing listens at the address
+	NotConnected                 // not established in time, or no connection could be opened
+	PeerFinished                 // the other side has closed its side; this side may still write
+	Reset                        // reset by the other side or the network
+	PeerNotReading               // the other side does not read what it is sent
+	Closed                       // closed by this side
+	Unreadable                   // closed by this side because of invalid input
 )
 
 func (e Ending) String() string {
@@ -36,7 +36,7 @@
 
 // Sink receives the events of a connection. The owner's goroutine calls all its methods.
 type Sink interface {
-	Up()              // a dialed connection is established
+	Connected()       // a dialed connection is established
 	Feed(b []byte)    // b is valid during this call only
 	Ended(how Ending) // the last call, except for PeerFinished: another follows once this side has ended too
 }
@@ -68,7 +68,7 @@
 func (e Entry) Deliver() {
 	switch e.kind {
 	case isUp:
-		e.sink.Up()
+		e.sink.Connected()
 	case isData:
 		e.conn.inputDelivered += uint64(len(e.data))
 		e.sink.Feed(e.data)
@@ -79,7 +79,7 @@
 }
 
 // Network is what connections share: their owner, the memory for queued output, and the limit of lingering closes.
-type Net struct {
+type Network struct {
 	ctx          context.Context // once it is done entries are no longer consumed
 	group        *errgroup.Group
 	inbox        Inbox
@@ -91,14 +91,14 @@
 
 // NewNetwork runs connections in a group until the context ends. maxBuffered is the number of output bytes that may be
 // queued in all of them together; lingeringLimit is the limit of connections in a lingering close.
-func NewNet(ctx context.Context, group *errgroup.Group, inbox Inbox, maxBuffered, lingeringLimit int64) *Net {
-	return &Net{ctx: ctx, group: group, inbox: inbox, maxBuffered: maxBuffered, maxLingering: lingeringLimit}
+func NewNetwork(ctx context.Context, group *errgroup.Group, inbox Inbox, maxBuffered, lingeringLimit int64) *Network {
+	return &Network{ctx: ctx, group: group, inbox: inbox, maxBuffered: maxBuffered, maxLingering: lingeringLimit}
 }
 
 // Lingering returns the number of connections in a lingering close.
-func (n *Net) Lingering() int { return int(n.lingering.Load()) }
+func (n *Network) Lingering() int { return int(n.lingering.Load()) }
 
-func (n *Net) post(e Entry) {
+func (n *Network) post(e Entry) {
 	e.readyAt = time.Now()
 	select {
 	case n.inbox <- e:
@@ -108,7 +108,7 @@
 
 // Conn is one connection.
 type Conn struct {
-	net          *Net
+	net          *Network
 	sink         Sink
 	maxQueued    int
 	wakeWriter   chan struct{}
@@ -143,23 +143,23 @@
 var errClosed, errUnreadable, errNotReading = errors.New("closed"), errors.New("garbled"), errors.New("stuffed")
 
 // New returns a connection that Start or Dial establishes. It ends when more than maxQueued bytes of output are queued.
-func (n *Net) New(sink Sink, maxQueued int) *Conn {
-	c := &Conn{net: n, sink: sink, maxQueued: maxQueued, wakeWriter: make(chan struct{}, 1), writeTimeout: UsualPatience}
+func (n *Network) New(sink Sink, maxQueued int) *Conn {
+	c := &Conn{net: n, sink: sink, maxQueued: maxQueued, wakeWriter: make(chan struct{}, 1), writeTimeout: DefaultWriteTimeout}
 	c.ctx, c.cancel = context.WithCancelCause(n.ctx)
 	return c
 }
 
 // DefaultWriteTimeout limits a write. A peer that accepts nothing for that long is treated as gone. A server that is
 // stuck occupies a descriptor for that time.
-const UsualPatience = 20 * time.Second
+const DefaultWriteTimeout = 20 * time.Second
 
 // SetWriteTimeout sets the limit of a write. It must be called before the connection is established. A client may
 // read as late as its deadline allows.
-func (c *Conn) Patience(d time.Duration) { c.writeTimeout = d }
+func (c *Conn) SetWriteTimeout(d time.Duration) { c.writeTimeout = d }
 
 // EndWithPeer makes the other side's close end the whole connection: no write begins after it. It must be called
 // before the connection is established.
-func (c *Conn) Whole() { c.endsWithPeer = true }
+func (c *Conn) EndWithPeer() { c.endsWithPeer = true }
 
 // Start runs an established connection until it or the context ends. Finish ends it in a lingering close.
 func (c *Conn) Start(nc net.Conn) {
@@ -175,7 +175,7 @@
 		nc, err := d.DialContext(c.ctx, "tcp", addr)
 		if err != nil {
 			c.cancel(err)
-			how := NeverUp
+			how := NotConnected
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				how = Refused
 			}
@@ -195,11 +195,11 @@
 	written := make(chan struct{})
 	go func() { c.write(nc); close(written) }() // ends below
 	how := c.read(nc, size)
-	if how == Finished && !c.outputClosed.Load() {
+	if how == PeerFinished && !c.outputClosed.Load() {
 		c.mu.Lock()
 		c.peerClosed = c.endsWithPeer
 		c.mu.Unlock()
-		c.net.post(Entry{sink: c.sink, kind: isEnd, how: Finished})
+		c.net.post(Entry{sink: c.sink, kind: isEnd, how: PeerFinished})
 		<-written // ended by Finish, a failed write or the context
 		how = Closed
 	}
@@ -211,9 +211,9 @@
 	}
 	switch context.Cause(c.ctx) {
 	case errNotReading:
-		how = Stuffed
+		how = PeerNotReading
 	case errUnreadable:
-		how = Garbled
+		how = Unreadable
 	}
 	c.mu.Lock()
 	c.net.buffered.Add(-int64(len(c.out)))
@@ -242,7 +242,7 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, io.EOF):
-			return Finished
+			return PeerFinished
 		case c.ctx.Err() != nil || c.outputClosed.Load():
 			return Closed
 		default:
@@ -331,7 +331,7 @@
 	tcp.CloseWrite()
 }
 
-// Append queues bytes and returns their position in the output, for Begun. The connection ends when its own
+// Append queues bytes and returns their position in the output, for WriteBegun. The connection ends when its own
 // limit of queued bytes or that of all connections together is exceeded.
 func (c *Conn) Append(b []byte) (from int64) { return c.append(b, false) }
 
@@ -360,8 +360,8 @@
 	}
 }
 
-// Begun reports whether any byte from a position on may have left.
-func (c *Conn) Begun(from int64) bool {
+// WriteBegun reports whether any byte from a position on may have left.
+func (c *Conn) WriteBegun(from int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return from < c.begunBytes
@@ -404,5 +404,5 @@
 // Drop closes the connection at once.
 func (c *Conn) Drop() { c.cancel(errClosed) }
 
-// Bad closes the connection at once because of invalid input.
-func (c *Conn) Bad() { c.cancel(errUnreadable) }
+// DropUnreadable closes the connection at once because of invalid input.
+func (c *Conn) DropUnreadable() { c.cancel(errUnreadable) }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -19,17 +19,17 @@
 // sink sends the events of its connection to a channel.
 type sink chan string
 
-func (s sink) Up()           { s <- "up" }
+func (s sink) Connected()    { s <- "up" }
 func (s sink) Feed(b []byte) { s <- "fed " + string(b) }
 func (s sink) Ended(how Ending) {
 	s <- how.String()
 }
 
 // newTestNet runs a network whose entries are delivered by one goroutine until the test ends.
-func newTestNet(t *testing.T, room int64) *Net {
+func newTestNet(t *testing.T, room int64) *Network {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
-	n := NewNet(ctx, &group, make(Inbox, 4), room, 4)
+	n := NewNetwork(ctx, &group, make(Inbox, 4), room, 4)
 	group.Go(func() error {
 		for {
 			select {
@@ -45,7 +45,7 @@
 }
 
 // dial returns both ends of a connection.
-func dial(t *testing.T, n *Net, limit int) (*Conn, sink, net.Conn) {
+func dial(t *testing.T, n *Network, limit int) (*Conn, sink, net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 		t.Errorf("%d of %d bytes arrived, %v", len(got), len(text), err)
 	}
 	s.want(t, "closed")
-	if !c.Begun(from) || c.Begun(int64(len(text))) {
+	if !c.WriteBegun(from) || c.WriteBegun(int64(len(text))) {
 		t.Error("bytes that left and bytes that did not are not told apart")
 	}
 
@@ -128,7 +128,7 @@
 	s.want(t, "reset")
 
 	c, s, _ = dial(t, n, 1<<30)
-	c.Bad()
+	c.DropUnreadable()
 	s.want(t, "can't be read")
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -148,15 +148,15 @@
 
 // acceptedConn returns both ends of an accepted connection. Its entries are held back; each call of deliver delivers
 // the next.
-func acceptedConn(t *testing.T, lingering int64) (n *Net, c *Conn, s sink, there *net.TCPConn, deliver func()) {
+func acceptedConn(t *testing.T, lingering int64) (n *Network, c *Conn, s sink, there *net.TCPConn, deliver func()) {
 	return acceptedThrough(t, lingering, func(conn *net.TCPConn) net.Conn { return conn })
 }
 
 // acceptedThrough is acceptedConn with a wrapper around the connection.
-func acceptedThrough(t *testing.T, lingering int64, over func(*net.TCPConn) net.Conn) (n *Net, c *Conn, s sink, there *net.TCPConn, deliver func()) {
+func acceptedThrough(t *testing.T, lingering int64, over func(*net.TCPConn) net.Conn) (n *Network, c *Conn, s sink, there *net.TCPConn, deliver func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
-	n = NewNet(ctx, &group, make(Inbox), 1<<30, lingering)
+	n = NewNetwork(ctx, &group, make(Inbox), 1<<30, lingering)
 	t.Cleanup(func() { cancel(); group.Wait() })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/delivery_test.go
+++ b/internal/transport/delivery_test.go
@@ -41,7 +41,7 @@
 	}
 	waitUntil(t, "the request is not delivered", c.Delivered)
 	c.AppendRequest(make([]byte, undeliverable))
-	waitUntil(t, "no write begins", func() bool { return c.Begun(before + size) })
+	waitUntil(t, "no write begins", func() bool { return c.WriteBegun(before + size) })
 	if c.Delivered() {
 		t.Error("delivered during the write")
 	}
@@ -50,7 +50,7 @@
 	}
 	waitUntil(t, "the request is not delivered", c.Delivered)
 	c.Append(make([]byte, undeliverable))
-	waitUntil(t, "no write begins", func() bool { return c.Begun(before + size + undeliverable) })
+	waitUntil(t, "no write begins", func() bool { return c.WriteBegun(before + size + undeliverable) })
 	if !c.Delivered() {
 		t.Error("bytes after a request count as undelivered")
 	}
@@ -65,7 +65,7 @@
 	}{{10, false}, {undeliverable, true}} {
 		conn, s, there := dial(t, newTestNet(t, 1<<30), 1<<30)
 		conn.AppendRequest(make([]byte, c.size))
-		waitUntil(t, "no write begins", func() bool { return conn.Begun(0) })
+		waitUntil(t, "no write begins", func() bool { return conn.WriteBegun(0) })
 		if !c.reset {
 			waitUntil(t, "the request is not delivered", conn.Delivered)
 		}
--- a/internal/transport/pending.go
+++ b/internal/transport/pending.go
@@ -50,8 +50,8 @@
 
 // Arrival describes the input of a connection that has not been read yet.
 type Arrival struct {
-	Silent time.Duration // time since the newest bytes came, or since the handshake if none have
-	Bytes  int           // number of bytes that have come
+	SilentFor time.Duration // time since the newest bytes came, or since the handshake if none have
+	Bytes     int           // number of bytes that have come
 }
 
 // ArrivalOf inspects a connection that has not been read yet. The time in the system's accept queue is included. The
--- a/internal/transport/pending_test.go
+++ b/internal/transport/pending_test.go
@@ -52,15 +52,15 @@
 	}
 	defer here.Close()
 	const step = 20 * time.Millisecond // resolution of the system's clock for it
-	if silent := ArrivalOf(here).Silent; silent < wait-step || silent > time.Since(from)+step {
+	if silent := ArrivalOf(here).SilentFor; silent < wait-step || silent > time.Since(from)+step {
 		t.Errorf("silent for %v after %v", silent, time.Since(from))
 	}
 	there.Write([]byte("x"))
-	waitUntil(t, "input does not end the silence", func() bool { return ArrivalOf(here).Silent < wait-step })
+	waitUntil(t, "input does not end the silence", func() bool { return ArrivalOf(here).SilentFor < wait-step })
 	if got := ArrivalOf(here).Bytes; got != 1 {
 		t.Errorf("%d bytes have arrived, want 1", got)
 	}
-	if here, _ := net.Pipe(); ArrivalOf(here).Silent != 0 {
+	if here, _ := net.Pipe(); ArrivalOf(here).SilentFor != 0 {
 		t.Error("a connection that is no socket has a silent time")
 	}
 }
--- a/internal/transport/reset_test.go
+++ b/internal/transport/reset_test.go
@@ -46,8 +46,8 @@
 		}
 	}
 	behind := c.Append([]byte("behind"))
-	if !c.Begun(first) || c.Begun(late) || c.Begun(behind) {
-		t.Errorf("begun: %v before the reset, %v and %v after it", c.Begun(first), c.Begun(late), c.Begun(behind))
+	if !c.WriteBegun(first) || c.WriteBegun(late) || c.WriteBegun(behind) {
+		t.Errorf("begun: %v before the reset, %v and %v after it", c.WriteBegun(first), c.WriteBegun(late), c.WriteBegun(behind))
 	}
 	if c.Withdraw(first, 4) || !c.Withdraw(late, 4) || !c.Withdraw(behind, 6) {
 		t.Error("bytes that left were withdrawn, or bytes that did not leave were not")
@@ -68,7 +68,7 @@
 	for _, patience := range []time.Duration{100 * time.Millisecond, time.Hour} {
 		n := newTestNet(t, 1<<30)
 		c, s, there := dial(t, n, 1<<30)
-		c.Patience(patience)
+		c.SetWriteTimeout(patience)
 		c.Append(make([]byte, size))
 		if patience < time.Hour {
 			s.want(t, "does not read")
--- a/jobs/scheduler.go
+++ b/jobs/scheduler.go
@@ -27,7 +27,7 @@
 	CPU         float64 // seconds of processor time per second; 0: unlimited
 	Bytes       float64 // bytes written per second; 0: unlimited
 	Burst       float64 // seconds of each budget that can be saved up; 0: two
-	Parallel    int     // jobs that may run in parallel; 0: one
+	MaxParallel int     // jobs that may run in parallel; 0: one
 	MaxLateness float64 // seconds that the process's timers may be late before jobs have to wait; 0: unlimited
 }
 
@@ -75,7 +75,7 @@
 	if limits.Burst <= 0 {
 		limits.Burst = 2
 	}
-	limits.Parallel = max(limits.Parallel, 1)
+	limits.MaxParallel = max(limits.MaxParallel, 1)
 	return &Scheduler{
 		limits:     limits,
 		random:     rand.New(rand.NewPCG(seed, 1)),
@@ -148,7 +148,7 @@
 		case now < j.due:
 			wait = min(wait, j.due-now)
 			continue
-		case running >= s.limits.Parallel || busyResources[j.Resource]:
+		case running >= s.limits.MaxParallel || busyResources[j.Resource]:
 			continue // Done makes the caller call Next again
 		}
 		if !s.pastDeadline(j, now) && !s.shuttingDown {
--- a/jobs/scheduler_test.go
+++ b/jobs/scheduler_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestPrioritiesAndResources(t *testing.T) {
-	s := New(Limits{Parallel: 2}, 0, 1)
+	s := New(Limits{MaxParallel: 2}, 0, 1)
 	low, high, other := s.Add(0, Job{Name: "low", Resource: "disk"}), s.Add(0, Job{Name: "high", Priority: 2, Resource: "disk"}), s.Add(0, Job{Name: "other", Priority: 1})
 	for _, k := range []int{low, high, other} {
 		s.Request(0, k)
@@ -86,7 +86,7 @@
 }
 
 func TestShutdown(t *testing.T) {
-	s := New(Limits{CPU: 0.1, Parallel: 3}, 0, 1)
+	s := New(Limits{CPU: 0.1, MaxParallel: 3}, 0, 1)
 	last := s.Add(0, Job{Name: "last", RunAtShutdown: true, Resource: "disk", Interval: 1000})
 	a, b := s.Add(0, Job{Name: "a", Priority: 3, Resource: "disk"}), s.Add(0, Job{Name: "b", Priority: 1})
 	s.Request(0, a)
@@ -123,7 +123,7 @@
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{CPU: rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "cpu"), Bytes: rapid.SampledFrom([]float64{0, 1000}).Draw(t, "bytes"),
-			Parallel: rapid.IntRange(1, 3).Draw(t, "side"), MaxLateness: rapid.SampledFrom([]float64{0, 0.01}).Draw(t, "late")}
+			MaxParallel: rapid.IntRange(1, 3).Draw(t, "side"), MaxLateness: rapid.SampledFrom([]float64{0, 0.01}).Draw(t, "late")}
 		s := New(limits, 0, rapid.Uint64().Draw(t, "seed"))
 		n := rapid.IntRange(1, 5).Draw(t, "jobs")
 		for range n {
@@ -175,12 +175,12 @@
 					t.Fatalf("job %d was requested at %v but is not scheduled", k, requestedAt[k])
 				}
 			}
-			if runningByResource["a"] > 1 || runningByResource["b"] > 1 || running > limits.Parallel {
+			if runningByResource["a"] > 1 || runningByResource["b"] > 1 || running > limits.MaxParallel {
 				t.Fatalf("running at the same time by resource: %v", runningByResource)
 			}
 			for k := range s.jobs {
 				j := &s.jobs[k]
-				if !j.running && j.Deadline > 0 && now >= j.due+j.Deadline && running < limits.Parallel && runningByResource[j.Resource] == 0 {
+				if !j.running && j.Deadline > 0 && now >= j.due+j.Deadline && running < limits.MaxParallel && runningByResource[j.Resource] == 0 {
 					t.Fatalf("job %d waits past its deadline", k)
 				}
 			}
@@ -190,7 +190,7 @@
 			for k := range s.jobs {
 				deadlines += s.jobs[k].Deadline
 			}
-			if deadlines == 0 && usedCPU > limits.CPU*(now+2)+largestRun*float64(limits.Parallel)+1e-9 {
+			if deadlines == 0 && usedCPU > limits.CPU*(now+2)+largestRun*float64(limits.MaxParallel)+1e-9 {
 				t.Fatalf("%v s of processor time in %v s", usedCPU, now)
 			}
 		}
--- a/probing/hints.go
+++ b/probing/hints.go
@@ -21,18 +21,18 @@
 )
 
 // ProbeReason is the reason why a router's own probe of a suspected server was due.
-type Basis uint8
+type ProbeReason uint8
 
 // The reasons for a probe.
 const (
-	NoFinding       Basis = iota // there is no finding on the server, so the router's own time applied
-	StaleFinding                 // the last finding has expired
-	DistrustedOwner              // a probe by this router has contradicted the owner
-	FoundHealthy                 // the owner reports that the server answers
-	PostponedLong                // findings have postponed the probe for the maximum time
+	NoFinding        ProbeReason = iota // there is no finding on the server, so the router's own time applied
+	StaleFinding                        // the last finding has expired
+	DistrustedOwner                     // a probe by this router has contradicted the owner
+	FoundHealthy                        // the owner reports that the server answers
+	PostponedToLimit                    // findings have postponed the probe for the maximum time
 )
 
-func (b Basis) String() string {
+func (b ProbeReason) String() string {
 	return [...]string{"no finding", "a stale finding", "a distrusted owner", "found healthy", "postponed long enough"}[b]
 }
 
@@ -44,13 +44,13 @@
 
 // finding is the state of the findings on one start of a server.
 type finding struct {
-	fence           uint64  // of the last finding
-	healthy         bool    // result of the last finding
-	foundAt         float64 // latest possible time of the last finding, on this process's clock
-	distrustedFence uint64  // highest fence whose finding an own probe has contradicted
-	postponedSince  float64 // time from which own probes are postponed; 0: they are not
-	earlyProbeUsed  bool    // the early probe that a healthy finding allows has been made
-	reason          Basis   // reason for the next probe
+	fence           uint64      // of the last finding
+	healthy         bool        // result of the last finding
+	foundAt         float64     // latest possible time of the last finding, on this process's clock
+	distrustedFence uint64      // highest fence whose finding an own probe has contradicted
+	postponedSince  float64     // time from which own probes are postponed; 0: they are not
+	earlyProbeUsed  bool        // the early probe that a healthy finding allows has been made
+	reason          ProbeReason // reason for the next probe
 }
 
 // Hints stores the findings that a router has received. It is not safe for concurrent use.
@@ -117,7 +117,7 @@
 	case now < ownTime:
 		return ownTime // the probe is not yet due even without the finding
 	}
-	known.reason = PostponedLong
+	known.reason = PostponedToLimit
 	if known.postponedSince == 0 {
 		known.postponedSince = ownTime
 	}
@@ -127,7 +127,7 @@
 // ProbeEnded processes the result of a probe by this router, and returns why the probe was due. If the server answered
 // although the owner reported that it does not, this owner's findings on this start of the server are no longer
 // trusted.
-func (h *Hints) Probed(now float64, server uint32, start float64, answered bool) Basis {
+func (h *Hints) ProbeEnded(now float64, server uint32, start float64, answered bool) ProbeReason {
 	known := h.findings[serverStart{server, start}]
 	if known == nil {
 		return NoFinding
--- a/probing/hints_test.go
+++ b/probing/hints_test.go
@@ -30,7 +30,7 @@
 				continue
 			}
 			postponed = 0
-			b.Probed(now, 7, 3, rapid.Bool().Draw(t, "answered"))
+			b.ProbeEnded(now, 7, 3, rapid.Bool().Draw(t, "answered"))
 			ownTime = now + 3
 		}
 	})
@@ -50,7 +50,7 @@
 	if at := b.NextProbe(10, 7, 4, 12); at != 12 {
 		t.Errorf("another start of the server: next probe at %v", at)
 	}
-	b.Probed(10, 7, 3, false)
+	b.ProbeEnded(10, 7, 3, false)
 	if at := b.NextProbe(10.1, 7, 3, 13); at != 13 {
 		t.Errorf("the early probe was used: next probe at %v", at)
 	}
@@ -58,7 +58,7 @@
 	if at := b.NextProbe(14, 7, 3, 13); at <= 14 {
 		t.Errorf("found unhealthy: next probe at %v", at)
 	}
-	b.Probed(14, 7, 3, true) // by a request that could not go elsewhere
+	b.ProbeEnded(14, 7, 3, true) // by a request that could not go elsewhere
 	b.Receive(15, 2, Finding{7, 3, false}, 0)
 	if at := b.NextProbe(15, 7, 3, 14.5); at != 14.5 {
 		t.Errorf("the finding of a distrusted owner counts: next probe at %v", at)
@@ -103,7 +103,7 @@
 // beginsProbe ends the current probe if it is due, and reports whether a probe begins now.
 func (s *silentServer) beginsProbe(now float64) bool {
 	if s.probeEndsAt > 0 && now >= s.probeEndsAt {
-		s.Probed(now, 7, 3, false)
+		s.ProbeEnded(now, 7, 3, false)
 		s.nextProbeAt, s.probeEndsAt = now+s.uniform(0.5, 3), 0
 		return false
 	}
--- a/waittime/estimator.go
+++ b/waittime/estimator.go
@@ -21,18 +21,18 @@
 type Estimate struct{ P50, P90 float64 }
 
 // TimeKind is the kind of a predicted time.
-type Kind uint8
+type TimeKind uint8
 
 // The kinds of times.
 const (
-	Start  Kind = iota // until the first attempt begins
-	Answer             // until the request completes
-	Return             // until a retry of the rejected request would be admitted
+	Start          TimeKind = iota // until the first attempt begins
+	Completion                     // until the request completes
+	RetryAdmission                 // until a retry of the rejected request would be admitted
 	kinds
 )
 
 // String returns the kind's name as it is logged.
-func (k Kind) String() string { return [...]string{"start", "answer", "return"}[k] }
+func (k TimeKind) String() string { return [...]string{"start", "answer", "return"}[k] }
 
 // tracker estimates two quantiles of the logarithm of actual over predicted time, and the mean deviation from the median.
 type tracker struct{ n, q50, q90, dev float64 }
@@ -97,9 +97,9 @@
 
 // Accuracy compares predictions with actual times, since the last call of EachAccuracy.
 type Accuracy struct {
-	Count   int     // predictions whose outcome is known
-	Ratio   float64 // running median of actual time over the predicted median
-	Covered float64 // fraction at or under the predicted 90th percentile
+	Count    int     // predictions whose outcome is known
+	Ratio    float64 // running median of actual time over the predicted median
+	Coverage float64 // fraction at or under the predicted 90th percentile
 }
 
 // accuracyCounts accumulates the accuracy of one team and kind.
@@ -176,7 +176,7 @@
 }
 
 // Predict corrects base, the controller's own estimate, and returns the estimate that is reported to the client.
-func (e *Estimator) Predict(k Kind, team, profile int, base float64) Estimate {
+func (e *Estimator) Predict(k TimeKind, team, profile int, base float64) Estimate {
 	c, a := &e.cell(team, profile).trackers[k], &e.all[profile].trackers[k]
 	weight := c.n / (c.n + poolingCount)
 	corrected := func(teamLog, all float64) float64 {
@@ -187,7 +187,7 @@
 
 // Observe learns from the actual time of a request for which base was estimated. If censored is set, the request took
 // longer than actual by an unknown amount.
-func (e *Estimator) Observe(k Kind, team, profile int, base, actual float64, censored bool) {
+func (e *Estimator) Observe(k TimeKind, team, profile int, base, actual float64, censored bool) {
 	z := math.Log((max(actual, 0) + resolution) / (max(base, 0) + resolution))
 	e.cell(team, profile).trackers[k].learn(z, censored)
 	e.all[profile].trackers[k].learn(z, censored)
@@ -196,7 +196,7 @@
 // TrackRequest predicts the start and the completion of the request in a slot, and stores both predictions until their
 // outcomes are known. base is the estimated wait for the first attempt, negative if that begins now; processing is the
 // estimated time from the first attempt to completion.
-func (e *Estimator) Promise(now float64, slot int32, team, profile int, base float64, processing Estimate) (start, completion Estimate) {
+func (e *Estimator) TrackRequest(now float64, slot int32, team, profile int, base float64, processing Estimate) (start, completion Estimate) {
 	for int(slot) >= len(e.predictions) {
 		e.predictions = append(e.predictions, prediction{})
 	}
@@ -204,24 +204,24 @@
 		start = e.Predict(Start, team, profile, base)
 	}
 	total := start.P50 + processing.P50
-	completion = e.Predict(Answer, team, profile, total)
+	completion = e.Predict(Completion, team, profile, total)
 	completion.P50, completion.P90 = max(completion.P50, start.P50), max(completion.P90, start.P90) // a request can't complete before it starts
 	e.predictions[slot] = prediction{team, profile, now, [2]float64{base, total}, [2]Estimate{start, completion}, [2]bool{base >= 0, true}}
 	return start, completion
 }
 
 // Occurred records that a predicted event has happened: the first attempt has begun, or the request has completed.
-func (e *Estimator) Fulfilled(now float64, slot int32, k Kind) { e.resolve(now, slot, k, false) }
+func (e *Estimator) Occurred(now float64, slot int32, k TimeKind) { e.resolve(now, slot, k, false) }
 
 // RequestAbandoned resolves the pending predictions of a request that was given up. Their actual times are censored:
 // the request would have waited longer.
-func (e *Estimator) Over(now float64, slot int32) {
+func (e *Estimator) RequestAbandoned(now float64, slot int32) {
 	e.resolve(now, slot, Start, true)
-	e.resolve(now, slot, Answer, true)
+	e.resolve(now, slot, Completion, true)
 }
 
 // resolve ends one pending prediction and learns from its outcome. at is the request's slot.
-func (e *Estimator) resolve(now float64, at int32, k Kind, censored bool) {
+func (e *Estimator) resolve(now float64, at int32, k TimeKind, censored bool) {
 	if int(at) >= len(e.predictions) || !e.predictions[at].pending[k] {
 		return
 	}
@@ -233,13 +233,13 @@
 
 // ObserveRetryAdmission learns from the time after which a rejected request would have been admitted. predicted is the
 // estimate that was made for it from base.
-func (e *Estimator) ObserveReturn(team, profile int, base float64, predicted Estimate, actual float64, censored bool) {
-	e.Observe(Return, team, profile, base, actual, censored)
-	e.countOutcome(Return, team, predicted, actual, censored)
+func (e *Estimator) ObserveRetryAdmission(team, profile int, base float64, predicted Estimate, actual float64, censored bool) {
+	e.Observe(RetryAdmission, team, profile, base, actual, censored)
+	e.countOutcome(RetryAdmission, team, predicted, actual, censored)
 }
 
 // countOutcome counts one outcome for EachAccuracy.
-func (e *Estimator) countOutcome(k Kind, team int, predicted Estimate, actual float64, censored bool) {
+func (e *Estimator) countOutcome(k TimeKind, team int, predicted Estimate, actual float64, censored bool) {
 	byKind := e.outcomes[team]
 	if byKind == nil {
 		if len(e.outcomes) >= maxAccuracyTeams {
@@ -260,7 +260,7 @@
 
 // EachAccuracy calls each with the accuracy of one kind of prediction since the last call, by team in ascending order.
 // It allocates.
-func (e *Estimator) EachAudit(k Kind, each func(team int, accuracy Accuracy)) {
+func (e *Estimator) EachAccuracy(k TimeKind, each func(team int, accuracy Accuracy)) {
 	teams := make([]int, 0, len(e.outcomes))
 	for team := range e.outcomes {
 		teams = append(teams, team)
@@ -300,8 +300,8 @@
 // retries of one request; if it is 0, the request is unknown and nothing is reserved. A retry before its due time gets
 // the rest of the same pause. The estimate is that of the client's own wait; the pause is at most the longest that
 // clients honor.
-func (e *Estimator) Refuse(now float64, requestKey uint64, team, profile int, base, load, share float64) (pause float64, estimate Estimate) {
-	estimate = e.Predict(Return, team, profile, base)
+func (e *Estimator) Reject(now float64, requestKey uint64, team, profile int, base, load, share float64) (pause float64, estimate Estimate) {
+	estimate = e.Predict(RetryAdmission, team, profile, base)
 	e.expire(now)
 	if k := e.findReservation(requestKey); k >= 0 && e.reservations[k].due > now {
 		return e.reservations[k].due - now, estimate
@@ -328,7 +328,7 @@
 
 // RedeemReservation reports whether a request has a reservation and does not arrive too early for it, and if so removes
 // the reservation.
-func (e *Estimator) Booked(now float64, requestKey uint64) bool {
+func (e *Estimator) RedeemReservation(now float64, requestKey uint64) bool {
 	e.expire(now)
 	k := e.findReservation(requestKey)
 	if k < 0 || e.reservations[k].due > now+earlyTolerance {
--- a/waittime/estimator_test.go
+++ b/waittime/estimator_test.go
@@ -78,24 +78,24 @@
 func TestReservations(t *testing.T) {
 	b := New(1, 10)
 	for range 200 { // waits of two to three seconds, so that both quantiles are known
-		b.Observe(Return, 0, 0, 1, 2, false)
-		b.Observe(Return, 0, 0, 1, 3, false)
+		b.Observe(RetryAdmission, 0, 0, 1, 2, false)
+		b.Observe(RetryAdmission, 0, 0, 1, 3, false)
 	}
-	first, e := b.Refuse(0, 11, 0, 0, 1, 0.1, 0.5)
-	second, _ := b.Refuse(0, 12, 0, 0, 1, 0.1, 0.5)
+	first, e := b.Reject(0, 11, 0, 0, 1, 0.1, 0.5)
+	second, _ := b.Reject(0, 12, 0, 0, 1, 0.1, 0.5)
 	if first != e.P50 || math.Abs(second-first-0.2) > 1e-9 || second > e.P90 {
 		t.Fatalf("pauses %.2f and %.2f, estimate %v", first, second, e)
 	}
-	if again, _ := b.Refuse(0.5, 11, 0, 0, 1, 0.1, 0.5); math.Abs(again-(first-0.5)) > 1e-9 || len(b.reservations) != 2 {
+	if again, _ := b.Reject(0.5, 11, 0, 0, 1, 0.1, 0.5); math.Abs(again-(first-0.5)) > 1e-9 || len(b.reservations) != 2 {
 		t.Errorf("early retry: pause %.2f, %d reservations", again, len(b.reservations))
 	}
-	if b.Booked(1, 11) || b.Booked(first, 99) || b.Booked(first, 0) {
+	if b.RedeemReservation(1, 11) || b.RedeemReservation(first, 99) || b.RedeemReservation(first, 0) {
 		t.Error("an early or unknown request redeemed a reservation")
 	}
 	if reserved := b.ReservedLoad(first); reserved <= 0 || reserved > 0.2 {
 		t.Errorf("%.2f thread seconds reserved", reserved)
 	}
-	if !b.Booked(first, 11) || b.Booked(first, 11) {
+	if !b.RedeemReservation(first, 11) || b.RedeemReservation(first, 11) {
 		t.Error("a reservation is not redeemed exactly once")
 	}
 	before := b.redeemedFraction
@@ -104,14 +104,14 @@
 	}
 	// The reservations of 2000 other rejected requests of the team do not delay a new client past its 90th percentile.
 	for k := range uint64(2000) {
-		b.Refuse(100, 1000+k, 0, 0, 1, 0.1, 0.5)
+		b.Reject(100, 1000+k, 0, 0, 1, 0.1, 0.5)
 	}
-	if pause, e := b.Refuse(100, 1, 0, 0, 1, 0.1, 0.5); pause > e.P90 || len(b.reservations) > maxReservations {
+	if pause, e := b.Reject(100, 1, 0, 0, 1, 0.1, 0.5); pause > e.P90 || len(b.reservations) > maxReservations {
 		t.Errorf("pause %.2f, 90th percentile %.2f, %d reservations", pause, e.P90, len(b.reservations))
 	}
 	// A pause longer than clients honor is cut to their maximum, and nothing is reserved.
 	b = New(1, 0.5)
-	if pause, e := b.Refuse(0, 5, 0, 0, 3, 0.1, 1); pause != 0.5 || e.P50 < 2.5 || len(b.reservations) != 0 {
+	if pause, e := b.Reject(0, 5, 0, 0, 3, 0.1, 1); pause != 0.5 || e.P50 < 2.5 || len(b.reservations) != 0 {
 		t.Errorf("pause %.2f, median %.2f, %d reservations", pause, e.P50, len(b.reservations))
 	}
 }
@@ -121,7 +121,7 @@
 	b := New(1, 10)
 	for team := range 100000 {
 		b.Observe(Start, team, 0, 1, 1, false)
-		b.ObserveReturn(team, 0, 1, Estimate{1, 2}, 1, false)
+		b.ObserveRetryAdmission(team, 0, 1, Estimate{1, 2}, 1, false)
 	}
 	if len(b.cells) != maxCells || len(b.outcomes) > maxAccuracyTeams {
 		t.Errorf("%d cells, %d teams with accuracy counts", len(b.cells), len(b.outcomes))
@@ -132,12 +132,12 @@
 func TestEachAccuracy(t *testing.T) {
 	b := New(1, 1)
 	for k := range 100 {
-		b.ObserveReturn(3, 0, 1, Estimate{1, 2}, float64(1+k%10)/4, false) // 0.25 to 2.5: eight in ten are at most 2
+		b.ObserveRetryAdmission(3, 0, 1, Estimate{1, 2}, float64(1+k%10)/4, false) // 0.25 to 2.5: eight in ten are at most 2
 	}
 	var got []Accuracy
-	b.EachAudit(Return, func(team int, f Accuracy) { got = append(got, f) })
-	if len(got) != 1 || got[0].Count != 100 || got[0].Covered != 0.8 || math.Abs(got[0].Ratio-1.37) > 0.3 {
+	b.EachAccuracy(RetryAdmission, func(team int, f Accuracy) { got = append(got, f) })
+	if len(got) != 1 || got[0].Count != 100 || got[0].Coverage != 0.8 || math.Abs(got[0].Ratio-1.37) > 0.3 {
 		t.Errorf("%+v", got)
 	}
-	b.EachAudit(Return, func(int, Accuracy) { t.Error("reported twice") })
+	b.EachAccuracy(RetryAdmission, func(int, Accuracy) { t.Error("reported twice") })
 }
--- a/warmstart/warmstart.go
+++ b/warmstart/warmstart.go
@@ -119,9 +119,9 @@
 )
 
 // DiscountedKnowledge is the knowledge with which a new process starts, discounted by its age.
-type Beliefs struct {
+type DiscountedKnowledge struct {
 	Knowledge
-	Why []string // what was dropped and why, one line each, at most 16
+	DropReasons []string // what was dropped and why, one line each, at most 16
 }
 
 // weight returns the weight, 0 to 1, of knowledge with a given age and half-life.
@@ -140,12 +140,12 @@
 
 // Discount returns the knowledge that a new process uses, discounted by its age in seconds. fingerprints are those of
 // the current profiles' settings, refillRates the tenants' current quotas per second.
-func Believe(known Knowledge, age float64, ageKnown bool, fingerprints []uint64, refillRates []float64) (b Beliefs) {
+func Discount(known Knowledge, age float64, ageKnown bool, fingerprints []uint64, refillRates []float64) (b DiscountedKnowledge) {
 	ageKnown = ageKnown && age >= 0 && age <= maxAge
 	addReason := func(format string, args ...any) {
 		const maxReasons = 16 // lines
-		if len(b.Why) < maxReasons {
-			b.Why = append(b.Why, fmt.Sprintf(format, args...))
+		if len(b.DropReasons) < maxReasons {
+			b.DropReasons = append(b.DropReasons, fmt.Sprintf(format, args...))
 		}
 	}
 	if len(known.Profiles) > MaxProfiles || len(known.Engines) > MaxServers || len(known.Tenants) > MaxTenants {
--- a/warmstart/warmstart_test.go
+++ b/warmstart/warmstart_test.go
@@ -38,7 +38,7 @@
 // quarter of the weight, and knowledge from other settings is dropped.
 func TestDiscount(t *testing.T) {
 	discountedAt := func(age float64, ageKnown bool) Profile {
-		return Believe(Knowledge{Profiles: []Profile{testProfile()}}, age, ageKnown, []uint64{7}, nil).Profiles[0]
+		return Discount(Knowledge{Profiles: []Profile{testProfile()}}, age, ageKnown, []uint64{7}, nil).Profiles[0]
 	}
 	for _, c := range []struct {
 		age                 float64
@@ -52,8 +52,8 @@
 	if p := discountedAt(0, false); p.Times.N() != 10 || p.Slow != 1 || p.Seen != 2.5 {
 		t.Errorf("unknown age: %+v", p)
 	}
-	b := Believe(Knowledge{Profiles: []Profile{testProfile()}}, 1, true, []uint64{8}, nil)
-	if b.Profiles[0].Seen != 0 || len(b.Why) != 1 {
+	b := Discount(Knowledge{Profiles: []Profile{testProfile()}}, 1, true, []uint64{8}, nil)
+	if b.Profiles[0].Seen != 0 || len(b.DropReasons) != 1 {
 		t.Errorf("changed settings: %+v", b)
 	}
 }
@@ -62,15 +62,15 @@
 // one start of the server; the caller compares the starts.
 func TestServerHealthDecays(t *testing.T) {
 	k := Knowledge{Engines: []Server{{ID: 1, Start: 50, Slow: 4, Fails: 0.8, Ill: true, Pause: 2}, {ID: 2, Slow: 1}}}
-	if b := Believe(k, 5, true, nil, nil); len(b.Engines) != 1 || !b.Engines[0].Ill || b.Engines[0].Start != 50 {
+	if b := Discount(k, 5, true, nil, nil); len(b.Engines) != 1 || !b.Engines[0].Ill || b.Engines[0].Start != 50 {
 		t.Errorf("after 5 s: %+v", b.Engines)
 	}
 	for _, age := range []float64{120, 86400} {
-		if b := Believe(k, age, true, nil, nil); len(b.Engines) != 0 {
+		if b := Discount(k, age, true, nil, nil); len(b.Engines) != 0 {
 			t.Errorf("after %v s: %+v", age, b.Engines)
 		}
 	}
-	if b := Believe(k, 5, false, nil, nil); len(b.Engines) != 0 {
+	if b := Discount(k, 5, false, nil, nil); len(b.Engines) != 0 {
 		t.Errorf("unknown age: %+v", b.Engines)
 	}
 }
@@ -79,10 +79,10 @@
 // changed or the age of the debt is unknown.
 func TestTenantDebt(t *testing.T) {
 	k := Knowledge{Tenants: []Tenant{{Left: -20, Rate: 4}}}
-	if b := Believe(k, 3, true, nil, []float64{4}); b.Tenants[0].Left != -8 {
+	if b := Discount(k, 3, true, nil, []float64{4}); b.Tenants[0].Left != -8 {
 		t.Errorf("%+v", b.Tenants)
 	}
-	for _, b := range []Beliefs{Believe(k, 3, true, nil, []float64{5}), Believe(k, 3, false, nil, []float64{4})} {
+	for _, b := range []DiscountedKnowledge{Discount(k, 3, true, nil, []float64{5}), Discount(k, 3, false, nil, []float64{4})} {
 		if !math.IsInf(b.Tenants[0].Left, 1) {
 			t.Errorf("%+v", b.Tenants)
 		}
@@ -111,7 +111,7 @@
 			k.Tenants = append(k.Tenants, Tenant{anyFloat("left"), anyFloat("rate")})
 		}
 		age, ageKnown := anyFloat("age"), rapid.Bool().Draw(t, "known")
-		b := Believe(k, age, ageKnown, []uint64{7, 7}, []float64{3})
+		b := Discount(k, age, ageKnown, []uint64{7, 7}, []float64{3})
 		check := func(label string, x, low, high float64) {
 			if !(x >= low && x <= high) {
 				t.Fatalf("%s is restored as %v", label, x)
@@ -134,7 +134,7 @@
 		check("price", b.Cut, 0, math.Inf(1))
 		check("asked", b.Asked, 0, 1e12)
 		if ageKnown && age >= 0 && age < 1e6 {
-			older := Believe(k, age+60, true, []uint64{7, 7}, []float64{3})
+			older := Discount(k, age+60, true, []uint64{7, 7}, []float64{3})
 			for n, p := range older.Profiles {
 				if p.Times.N() > b.Profiles[n].Times.N()+1e-9 || p.Seen > b.Profiles[n].Seen+1e-9 {
 					t.Fatalf("older knowledge weighs more: %+v, %+v", p, b.Profiles[n])
