--- /dev/null
+++ b/internal/agentdriver/fencefile.go
@@ -0,0 +1,79 @@
+package agentdriver
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"dunereach/fleet/agent"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/renameio/v2"
+	"golang.org/x/sys/unix"
+)
+
+// fenceFile is a router's folder: one small file that is never half written, and a lock that goes with the process.
+type fenceFile struct {
+	path       string
+	lock       *os.File
+	unreadable string // what an earlier process left can't be read, "": it can
+}
+
+const magic = "dunereach fences 1\n"
+
+// openFenceFile reads what an earlier process of the name left. Nothing there is not the word of a clean end: a folder may be lost,
+// and then a part may still be laid down.
+func openFenceFile(folder, name string) (*fenceFile, agent.Kept, error) {
+	unknown := agent.Kept{Pledged: true}
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return nil, unknown, fmt.Errorf("/fleet/folder: %v", err)
+	}
+	base := filepath.Join(folder, filepath.Base(name))
+	lock, err := os.OpenFile(base+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, unknown, fmt.Errorf("/fleet/folder: %v", err)
+	}
+	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+		lock.Close()
+		return nil, unknown, fmt.Errorf("/fleet/folder: another router of the name %q has %s", name, folder)
+	}
+	fences := &fenceFile{path: base + ".fences", lock: lock}
+	data, err := os.ReadFile(fences.path)
+	if errors.Is(err, os.ErrNotExist) {
+		return fences, unknown, nil
+	}
+	var persisted agent.Kept
+	if err == nil {
+		persisted, err = decodeState(data)
+	}
+	if err != nil {
+		fences.unreadable = err.Error()
+		return fences, unknown, nil
+	}
+	return fences, persisted, nil
+}
+
+func decodeState(data []byte) (state agent.Kept, err error) {
+	if len(data) < len(magic)+8 || string(data[:len(magic)]) != magic {
+		return state, errors.New("it is no file of fences")
+	}
+	body := data[len(magic)+8:]
+	if binary.BigEndian.Uint64(data[len(magic):]) != xxhash.Sum64(body) {
+		return state, errors.New("its checksum is wrong")
+	}
+	return state, cbor.Unmarshal(body, &state)
+}
+
+func (f *fenceFile) persist(state agent.Kept) error {
+	body, err := cbor.Marshal(state)
+	if err != nil {
+		return err
+	}
+	data := binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(body))
+	return renameio.WriteFile(f.path, append(data, body...), 0o600)
+}
+
+func (f *fenceFile) close() error { return f.lock.Close() }
--- a/internal/agentdriver/link.go
+++ b/internal/agentdriver/link.go
@@ -22,24 +22,24 @@
 )
 
 const (
-	workers  = 6               // two beats, and letters and acts beside them
-	waiting  = 64              // requests: some seconds of a busy owner
-	patience = 2 * time.Second // a beat is held for one
+	carryWorkers   = 6               // two beats, and letters and acts beside them
+	queueLength    = 64              // requests: some seconds of a busy owner
+	requestTimeout = 2 * time.Second // a beat is held for one
 )
 
 // Driver carries a member's requests to the keepers and their answers back. The member is one goroutine's, which calls what
 // comes by News.
 type Driver struct {
-	M      *agent.Member
-	client *coordserver.Client
-	vault  *vault
-	news   chan func()
-	work   chan agent.Request
+	M         *agent.Member
+	client    *coordserver.Client
+	fenceFile *fenceFile
+	updates   chan func()
+	requests  chan agent.Request
 }
 
 // NewDriver over a client; the vault may be nil.
-func newDriver(m *agent.Member, c *coordserver.Client, v *vault) *Driver {
-	return &Driver{M: m, client: c, vault: v, news: make(chan func(), waiting), work: make(chan agent.Request, waiting)}
+func newDriver(m *agent.Member, c *coordserver.Client, f *fenceFile) *Driver {
+	return &Driver{M: m, client: c, fenceFile: f, updates: make(chan func(), queueLength), requests: make(chan agent.Request, queueLength)}
 }
 
 // NewDriver of a member that keeps nothing.
@@ -48,74 +48,74 @@
 // Link is the part. All its methods but Run's goroutines are the owner's goroutine's.
 type Link struct {
 	*Driver
-	log    *zap.Logger
-	zones  []string
-	ahead  float64 // of the router's clock: the one that leases are counted on
-	last   agent.Stats
-	lastAt float64
+	log         *zap.Logger
+	zones       []string
+	clockOffset float64 // of the router's clock: the one that leases are counted on
+	loggedStats agent.Stats
+	loggedAt    float64
 }
 
 // New part of a router.
 func New(cfg config.Config, log *zap.Logger) (*Link, error) {
-	f := cfg.Operator.Fleet
+	fleet := cfg.Operator.Fleet
 	l := &Link{log: log, zones: cfg.Settings.Zones}
-	zone := f.Zone
+	zone := fleet.Zone
 	if z := cfg.Settings.Brain.Zone; zone == "" && z >= 0 && z < len(l.zones) {
 		zone = l.zones[z]
 	}
-	works := f.Works
-	if len(works) == 0 {
-		works = []string{agent.Warmth, agent.Trials, agent.Quotas, agent.Plans}
+	candidates := fleet.Works
+	if len(candidates) == 0 {
+		candidates = []string{agent.Warmth, agent.Trials, agent.Quotas, agent.Plans}
 	}
-	var kept agent.Kept
-	var v *vault
-	if f.Folder != "" {
+	var persisted agent.Kept
+	var fences *fenceFile
+	if fleet.Folder != "" {
 		var err error
-		if v, kept, err = openVault(f.Folder, cfg.Name); err != nil {
+		if fences, persisted, err = openFenceFile(fleet.Folder, cfg.Name); err != nil {
 			return nil, err
 		}
-		if v.why != "" {
-			log.Warn("fences of an earlier process are not known", zap.String("why", v.why))
+		if fences.unreadable != "" {
+			log.Warn("fences of an earlier process are not known", zap.String("why", fences.unreadable))
 		}
 	}
-	const digits = 1<<52 - 1 // so that any reader of JSON gets it whole
+	const idMask = 1<<52 - 1 // so that any reader of JSON gets it whole
 	var trace func(agent.Trace)
-	if f.Trace {
-		trace = func(t agent.Trace) {
-			log.Info("trace "+t.What+" "+t.Work, zap.String("what", t.What), zap.String("work", t.Work), zap.Uint64("fence", t.Fence),
-				zap.Float64("part", t.Part), zap.Float64("at", t.At), zap.Float64("until", t.Until))
+	if fleet.Trace {
+		trace = func(event agent.Trace) {
+			log.Info("trace "+event.What+" "+event.Work, zap.String("what", event.What), zap.String("work", event.Work), zap.Uint64("fence", event.Fence),
+				zap.Float64("part", event.Part), zap.Float64("at", event.At), zap.Float64("until", event.Until))
 		}
 	}
-	m := agent.New(agent.Config{Zones: len(l.zones), ZoneNames: l.zones, ZoneNumber: cfg.Settings.Brain.Zone, Way: ways(l.zones, f.Regions), Name: cfg.Name, Tenants: cfg.Settings.Tenants, Zone: zone, Region: f.Region, Incarnation: rand.Uint64()&digits | 1, Seed: rand.Uint64(),
-		Stands: works, Members: max(cfg.Settings.Brain.Routers, 1), Window: cfg.Settings.Brain.FallWindow, Began: boottime.Now(),
-		Keeps: v != nil, Now: boottime.Now, Trace: trace, Log: func(text string) { log.Info(text) }}, kept)
-	l.Driver = newDriver(m, coordserver.NewClient(f.Keepers, f.From), v)
+	member := agent.New(agent.Config{Zones: len(l.zones), ZoneNames: l.zones, ZoneNumber: cfg.Settings.Brain.Zone, Way: roundTrips(l.zones, fleet.Regions), Name: cfg.Name, Tenants: cfg.Settings.Tenants, Zone: zone, Region: fleet.Region, Incarnation: rand.Uint64()&idMask | 1, Seed: rand.Uint64(),
+		Stands: candidates, Members: max(cfg.Settings.Brain.Routers, 1), Window: cfg.Settings.Brain.FallWindow, Began: boottime.Now(),
+		Keeps: fences != nil, Now: boottime.Now, Trace: trace, Log: func(text string) { log.Info(text) }}, persisted)
+	l.Driver = newDriver(member, coordserver.NewClient(fleet.Keepers, fleet.From), fences)
 	return l, nil
 }
 
-// ways between zones, seconds there and back: what order they have is what counts for near before far.
-func ways(zones []string, regions map[string][]string) [][]float64 {
+// roundTrips between zones, seconds there and back: what order they have is what counts for near before far.
+func roundTrips(zones []string, regions map[string][]string) [][]float64 {
 	const near, far = 0.005, 0.1
 	region := map[string]string{}
-	for r, all := range regions {
-		for _, z := range all {
+	for r, regionZones := range regions {
+		for _, z := range regionZones {
 			region[z] = r
 		}
 	}
-	table := make([][]float64, len(zones))
+	seconds := make([][]float64, len(zones))
 	for o := range zones {
-		table[o] = make([]float64, len(zones))
+		seconds[o] = make([]float64, len(zones))
 		for z := range zones {
 			switch {
 			case o == z:
 			case region[zones[o]] == region[zones[z]]:
-				table[o][z] = near
+				seconds[o][z] = near
 			default:
-				table[o][z] = far
+				seconds[o][z] = far
 			}
 		}
 	}
-	return table
+	return seconds
 }
 
 // Plan that the module follows, nil: none.
@@ -123,30 +123,30 @@
 	if l.M.Guide() == nil {
 		return nil
 	}
-	return guide{l}
+	return planFollower{l}
 }
 
-// guide is the member's by the router's clock.
-type guide struct{ l *Link }
+// planFollower is the member's by the router's clock.
+type planFollower struct{ l *Link }
 
-func (g guide) Price(now float64, zone int, work float64) (float64, bool) {
-	return g.l.M.Guide().Price(now+g.l.ahead, zone, work)
+func (g planFollower) Price(now float64, zone int, work float64) (float64, bool) {
+	return g.l.M.Guide().Price(now+g.l.clockOffset, zone, work)
 }
-func (g guide) Sent(now float64, zone int, work float64) {
-	g.l.M.Guide().Sent(now+g.l.ahead, zone, work)
+func (g planFollower) Sent(now float64, zone int, work float64) {
+	g.l.M.Guide().Sent(now+g.l.clockOffset, zone, work)
 }
-func (g guide) Keeps(now, price, work float64) bool {
-	return g.l.M.Guide().Keeps(now+g.l.ahead, price, work)
+func (g planFollower) Keeps(now, price, work float64) bool {
+	return g.l.M.Guide().Keeps(now+g.l.clockOffset, price, work)
 }
 
 // Run its goroutines.
 func (l *Driver) Run(ctx context.Context, group *errgroup.Group) {
-	for range workers {
+	for range carryWorkers {
 		group.Go(func() error {
 			for {
 				select {
-				case r := <-l.work:
-					l.carry(ctx, r)
+				case r := <-l.requests:
+					l.execute(ctx, r)
 				case <-ctx.Done():
 					return nil
 				}
@@ -156,49 +156,49 @@
 	group.Go(func() error {
 		<-ctx.Done()
 		l.client.Close()
-		if l.vault != nil {
-			return l.vault.close()
+		if l.fenceFile != nil {
+			return l.fenceFile.close()
 		}
 		return nil
 	})
 }
 
-// carry one request to the keepers, or to the disk, and its answer back.
-func (l *Driver) carry(ctx context.Context, r agent.Request) {
+// execute one request to the keepers, or to the disk, and its answer back.
+func (l *Driver) execute(ctx context.Context, r agent.Request) {
 	if r.Keep != nil {
-		err := l.vault.keep(*r.Keep)
-		l.tell(ctx, func() { l.M.Kept(r.Seq, *r.Keep, err) })
+		err := l.fenceFile.persist(*r.Keep)
+		l.sendUpdate(ctx, func() { l.M.Kept(r.Seq, *r.Keep, err) })
 		return
 	}
-	ask, cancel := context.WithTimeout(ctx, patience)
+	callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var value any
 	var err error
 	switch {
 	case r.Beat != nil:
-		var v coordinator.View
-		err = l.client.Call(ask, "/v1/beat", r.Beat, &v)
-		value = v
+		var snapshot coordinator.View
+		err = l.client.Call(callCtx, "/v1/beat", r.Beat, &snapshot)
+		value = snapshot
 	case r.Mail != nil:
-		var p coordinator.Posted
-		err = l.client.Call(ask, "/v1/mail", r.Mail, &p)
-		value = p
+		var result coordinator.Posted
+		err = l.client.Call(callCtx, "/v1/mail", r.Mail, &result)
+		value = result
 	case r.Act != nil:
-		var p coordinator.Posted
-		err = l.client.Call(ask, "/v1/act", r.Act, &p)
-		var old *lease.StaleFenceError
-		if errors.As(err, &old) {
-			old.Fence = r.Act.Fence
+		var result coordinator.Posted
+		err = l.client.Call(callCtx, "/v1/act", r.Act, &result)
+		var stale *lease.StaleFenceError
+		if errors.As(err, &stale) {
+			stale.Fence = r.Act.Fence
 		}
-		value = p
+		value = result
 	}
-	l.tell(ctx, func() { l.M.Answer(boottime.Now(), r.Seq, value, err) })
+	l.sendUpdate(ctx, func() { l.M.Answer(boottime.Now(), r.Seq, value, err) })
 }
 
-func (l *Driver) tell(ctx context.Context, take func()) {
+func (l *Driver) sendUpdate(ctx context.Context, apply func()) {
 	select {
-	case l.news <- func() {
-		take()
+	case l.updates <- func() {
+		apply()
 		l.Put(l.M.Tick(boottime.Now()))
 	}:
 	case <-ctx.Done():
@@ -206,10 +206,10 @@
 }
 
 // Put requests on their way; one that finds no room got no answer.
-func (l *Driver) Put(all []agent.Request) {
-	for _, r := range all {
+func (l *Driver) Put(batch []agent.Request) {
+	for _, r := range batch {
 		select {
-		case l.work <- r:
+		case l.requests <- r:
 		default:
 			if r.Keep != nil {
 				l.M.Kept(r.Seq, *r.Keep, agent.ErrNoAnswer)
@@ -221,52 +221,52 @@
 }
 
 // News are to be called by the owner's goroutine.
-func (l *Driver) News() <-chan func() { return l.news }
+func (l *Driver) News() <-chan func() { return l.updates }
 
 // Tick tells the fleet what the module has use for, and lets time pass.
-func (l *Link) Tick(now float64, mind *admission.Brain) {
-	mine := boottime.Now()
-	l.ahead = mine - now
-	var d agent.Demand
-	engine := func(id uint32, zone int, start float64) agent.Engine {
-		e := agent.Engine{ID: id, Start: start}
+func (l *Link) Tick(now float64, controller *admission.Brain) {
+	bootNow := boottime.Now()
+	l.clockOffset = bootNow - now
+	var demand agent.Demand
+	server := func(id uint32, zone int, start float64) agent.Engine {
+		s := agent.Engine{ID: id, Start: start}
 		if zone >= 0 && zone < len(l.zones) {
-			e.Zone = l.zones[zone]
+			s.Zone = l.zones[zone]
 		}
-		return e
+		return s
 	}
-	mind.Needs(now, admission.Use{
+	controller.Needs(now, admission.Use{
 		Cold: func(id uint32, zone int, start, need, least float64) {
-			d.Cold = append(d.Cold, agent.Cold{Engine: engine(id, zone, start), Need: need, Least: least})
+			demand.Cold = append(demand.Cold, agent.Cold{Engine: server(id, zone, start), Need: need, Least: least})
 		},
 		Doubted: func(id uint32, zone int, start float64) {
-			d.Doubted = append(d.Doubted, agent.Health{Engine: engine(id, zone, start)})
+			demand.Doubted = append(demand.Doubted, agent.Health{Engine: server(id, zone, start)})
 		},
 		Tenant: func(tenant int, need float64) {
-			d.Tenants = append(d.Tenants, agent.Tenant{Number: tenant, Need: need})
+			demand.Tenants = append(demand.Tenants, agent.Tenant{Number: tenant, Need: need})
 		},
 	})
-	d.Health = func(id uint32) (agent.Health, bool) {
-		start, ill, heard, ok := mind.Health(id)
-		return agent.Health{Engine: agent.Engine{ID: id, Start: start}, Ill: ill, Heard: heard}, ok
+	demand.Health = func(id uint32) (agent.Health, bool) {
+		start, unhealthy, sinceAnswer, ok := controller.Health(id)
+		return agent.Health{Engine: agent.Engine{ID: id, Start: start}, Ill: unhealthy, Heard: sinceAnswer}, ok
 	}
-	d.Report = func() failover.Report { return mind.Report(now, len(l.zones)) }
-	l.M.Tell(mine, d)
-	l.Put(l.M.Tick(mine))
-	l.account(mine)
+	demand.Report = func() failover.Report { return controller.Report(now, len(l.zones)) }
+	l.M.Tell(bootNow, demand)
+	l.Put(l.M.Tick(bootNow))
+	l.logActivity(bootNow)
 }
 
-// account says now and then what became of the fleet's work, where there is news.
-func (l *Link) account(now float64) {
-	const every = 30.0 // seconds
-	if now < l.lastAt+every {
+// logActivity says now and then what became of the fleet's work, where there is news.
+func (l *Link) logActivity(now float64) {
+	const interval = 30.0 // seconds
+	if now < l.loggedAt+interval {
 		return
 	}
-	s, was := l.M.Stats, l.last
-	l.last, l.lastAt = s, now
-	if s.Dealt+s.Pledges+s.Refused+s.Late+s.ToldOld != was.Dealt+was.Pledges+was.Refused+was.Late+was.ToldOld {
-		l.log.Info("work for the fleet", zap.Int("sessions", l.M.Fleet()), zap.Int("works", len(l.M.Held())), zap.Int("dealt", s.Dealt-was.Dealt),
-			zap.Int("pledged", s.Pledges-was.Pledges), zap.Int("late", s.Late-was.Late), zap.Int("refused", s.Refused-was.Refused+s.ToldOld-was.ToldOld))
+	s, last := l.M.Stats, l.loggedStats
+	l.loggedStats, l.loggedAt = s, now
+	if s.Dealt+s.Pledges+s.Refused+s.Late+s.ToldOld != last.Dealt+last.Pledges+last.Refused+last.Late+last.ToldOld {
+		l.log.Info("work for the fleet", zap.Int("sessions", l.M.Fleet()), zap.Int("works", len(l.M.Held())), zap.Int("dealt", s.Dealt-last.Dealt),
+			zap.Int("pledged", s.Pledges-last.Pledges), zap.Int("late", s.Late-last.Late), zap.Int("refused", s.Refused-last.Refused+s.ToldOld-last.ToldOld))
 	}
 }
 
@@ -276,21 +276,21 @@
 // What the module asks, by the router's clock.
 
 // Part is this router's share of a server's budget, where the fleet has granted one.
-func (l *Link) Part(now float64, engine uint32, start float64) (float64, bool) {
-	return l.M.Part(now+l.ahead, engine, start)
+func (l *Link) Part(now float64, server uint32, start float64) (float64, bool) {
+	return l.M.Part(now+l.clockOffset, server, start)
 }
 
 // Quota is this router's share of a tenant's quota, where the fleet has granted one.
 func (l *Link) Quota(now float64, tenant int) (float64, bool) {
-	return l.M.Quota(now+l.ahead, tenant)
+	return l.M.Quota(now+l.clockOffset, tenant)
 }
 
 // TrialAt is when this router may probe a suspected server, given the time that it would choose alone.
-func (l *Link) TrialAt(now float64, engine uint32, start, own float64) float64 {
-	return l.M.TrialAt(now+l.ahead, engine, start, own+l.ahead) - l.ahead
+func (l *Link) TrialAt(now float64, server uint32, start, ownTime float64) float64 {
+	return l.M.TrialAt(now+l.clockOffset, server, start, ownTime+l.clockOffset) - l.clockOffset
 }
 
 // Tried takes the result of a probe of a suspected server.
-func (l *Link) Tried(now float64, engine uint32, start float64, well bool) {
-	l.M.Tried(now+l.ahead, engine, start, well)
+func (l *Link) Tried(now float64, server uint32, start float64, healthy bool) {
+	l.M.Tried(now+l.clockOffset, server, start, healthy)
 }
--- a/internal/agentdriver/plan.go
+++ b/internal/agentdriver/plan.go
@@ -18,25 +18,25 @@
 	"github.com/spf13/cobra"
 )
 
-// planWords is what operators see of the fleet's plan, and say of it.
-func planWords(root *cobra.Command, asJSON *bool, client func(*cobra.Command) (*coordserver.Client, context.Context, context.CancelFunc, error)) {
-	// agreed is the plan and the operators' words on it, as the record has them.
-	agreed := func(k *coordserver.Client, ctx context.Context) (p failover.Published, o failover.Orders, err error) {
-		var picture coordserver.Picture
-		if err = k.Ask(ctx, "/v1/record", nil, &picture); err != nil {
+// addPlanCommands is what operators see of the fleet's plan, and say of it.
+func addPlanCommands(root *cobra.Command, asJSON *bool, client func(*cobra.Command) (*coordserver.Client, context.Context, context.CancelFunc, error)) {
+	// loadPlan is the plan and the operators' words on it, as the record has them.
+	loadPlan := func(conn *coordserver.Client, ctx context.Context) (p failover.Published, o failover.Orders, err error) {
+		var snapshot coordserver.Picture
+		if err = conn.Ask(ctx, "/v1/record", nil, &snapshot); err != nil {
 			return p, o, err
 		}
 		found := false
-		for _, w := range picture.Works {
+		for _, task := range snapshot.Works {
 			switch {
-			case len(w.Note) == 0:
-			case w.Name == agent.PlanWork:
-				found, err = true, json.Unmarshal(w.Note, &p)
-			case w.Name == agent.WordsWork:
-				err = json.Unmarshal(w.Note, &o)
+			case len(task.Note) == 0:
+			case task.Name == agent.PlanWork:
+				found, err = true, json.Unmarshal(task.Note, &p)
+			case task.Name == agent.WordsWork:
+				err = json.Unmarshal(task.Note, &o)
 			}
 			if err != nil {
-				return p, o, fmt.Errorf("%s: %v", w.Name, err)
+				return p, o, fmt.Errorf("%s: %v", task.Name, err)
 			}
 		}
 		if !found {
@@ -45,12 +45,12 @@
 		return p, o, err
 	}
 	root.AddCommand(&cobra.Command{Use: "plan", Short: "Print where each zone's work goes", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		k, ctx, cancel, err := client(c)
+		conn, ctx, cancel, err := client(c)
 		if err != nil {
 			return err
 		}
 		defer cancel()
-		p, o, err := agreed(k, ctx)
+		p, o, err := loadPlan(conn, ctx)
 		if err != nil {
 			return err
 		}
@@ -61,27 +61,27 @@
 		if o.Freeze {
 			fmt.Fprintln(c.OutOrStdout(), "frozen by an operator")
 		}
-		return table(c.OutOrStdout(), p, p.Plan)
+		return printPlan(c.OutOrStdout(), p, p.Plan)
 	}})
-	say := func(use, short, long string, zone bool, change func(o *failover.Orders, z int)) {
-		var dry, force bool
+	addOrder := func(use, short, long string, takesZone bool, change func(o *failover.Orders, z int)) {
+		var dryRun, force bool
 		cmd := &cobra.Command{Use: use, Short: short, Long: long}
 		cmd.Args = cobra.NoArgs
-		if zone {
+		if takesZone {
 			cmd.Args = cobra.ExactArgs(1)
 		}
 		cmd.RunE = func(c *cobra.Command, args []string) error {
-			k, ctx, cancel, err := client(c)
+			conn, ctx, cancel, err := client(c)
 			if err != nil {
 				return err
 			}
 			defer cancel()
-			p, o, err := agreed(k, ctx)
-			if err != nil && zone {
+			p, o, err := loadPlan(conn, ctx)
+			if err != nil && takesZone {
 				return err
 			}
 			z := -1
-			if zone {
+			if takesZone {
 				if z = slices.Index(p.Zones, args[0]); z < 0 {
 					return fmt.Errorf("no zone is called %q: there are %v", args[0], p.Zones)
 				}
@@ -90,16 +90,16 @@
 				}
 			}
 			change(&o, z)
-			if zone && o.Away[z] {
-				wrong, err := rehearse(c.OutOrStdout(), p, o)
+			if takesZone && o.Away[z] {
+				problem, err := previewEvacuation(c.OutOrStdout(), p, o)
 				if err != nil {
 					return err
 				}
-				if wrong != "" && !force {
-					return fmt.Errorf("%s; nothing was done (--force does it all the same)", wrong)
+				if problem != "" && !force {
+					return fmt.Errorf("%s; nothing was done (--force does it all the same)", problem)
 				}
 			}
-			if dry {
+			if dryRun {
 				_, err = fmt.Fprintln(c.OutOrStdout(), "nothing was done")
 				return err
 			}
@@ -107,64 +107,64 @@
 			if err != nil {
 				return err
 			}
-			if err := k.Call(ctx, "/v1/order", coordinator.Order{Kind: "say", Work: agent.WordsWork, Body: body}, &coordinator.Posted{}); err != nil {
+			if err := conn.Call(ctx, "/v1/order", coordinator.Order{Kind: "say", Work: agent.WordsWork, Body: body}, &coordinator.Posted{}); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(c.OutOrStdout(), "agreed")
 			return err
 		}
-		cmd.Flags().BoolVar(&dry, "dry-run", false, "print what it would do")
-		if zone {
+		cmd.Flags().BoolVar(&dryRun, "dry-run", false, "print what it would do")
+		if takesZone {
 			cmd.Flags().BoolVar(&force, "force", false, "also where others can't carry it")
 		}
 		root.AddCommand(cmd)
 	}
-	say("evacuate ZONE", "Have a zone's work go elsewhere", "Evacuate prints the load that each zone would get and what would be shed, and refuses where the others can't carry it.",
+	addOrder("evacuate ZONE", "Have a zone's work go elsewhere", "Evacuate prints the load that each zone would get and what would be shed, and refuses where the others can't carry it.",
 		true, func(o *failover.Orders, z int) { o.Away[z] = true })
-	say("restore ZONE", "Let work return to a zone, in steps", "", true, func(o *failover.Orders, z int) { o.Away[z] = false })
-	say("freeze", "Keep the plan as it is", "", false, func(o *failover.Orders, _ int) { o.Freeze = true })
-	say("thaw", "Let the plan change by itself again", "", false, func(o *failover.Orders, _ int) { o.Freeze = false })
-	say("unbound", "Lift the bound on what is moved in a minute", "", false, func(o *failover.Orders, _ int) { o.Free = true })
-	say("bound", "Set the bound on what is moved in a minute again", "", false, func(o *failover.Orders, _ int) { o.Free = false })
+	addOrder("restore ZONE", "Let work return to a zone, in steps", "", true, func(o *failover.Orders, z int) { o.Away[z] = false })
+	addOrder("freeze", "Keep the plan as it is", "", false, func(o *failover.Orders, _ int) { o.Freeze = true })
+	addOrder("thaw", "Let the plan change by itself again", "", false, func(o *failover.Orders, _ int) { o.Freeze = false })
+	addOrder("unbound", "Lift the bound on what is moved in a minute", "", false, func(o *failover.Orders, _ int) { o.Free = true })
+	addOrder("bound", "Set the bound on what is moved in a minute again", "", false, func(o *failover.Orders, _ int) { o.Free = false })
 }
 
-// rehearse prints what a plan would be with the zones away that orders name, and tells what is wrong with it, "": nothing.
-func rehearse(out io.Writer, p failover.Published, o failover.Orders) (wrong string, err error) {
+// previewEvacuation prints what a plan would be with the zones away that orders name, and tells what is wrong with it, "": nothing.
+func previewEvacuation(out io.Writer, p failover.Published, o failover.Orders) (problem string, err error) {
 	n := len(p.Demand)
 	if n == 0 || len(p.Room) != n || p.Plan.Check(n) != nil {
 		return "", errors.New("the plan tells no loads yet")
 	}
-	room, way := slices.Clone(p.Room), make([][]float64, n)
-	for z := range way {
-		way[z] = make([]float64, n)
-		for y := range way[z] {
+	capacity, distance := slices.Clone(p.Room), make([][]float64, n)
+	for z := range distance {
+		distance[z] = make([]float64, n)
+		for y := range distance[z] {
 			if y != z {
-				way[z][y] = 1
+				distance[z][y] = 1
 			}
 		}
 		if z < len(o.Away) && o.Away[z] {
-			room[z] = 0
+			capacity[z] = 0
 		}
 	}
-	q := p
-	q.Room = room
-	to := failover.Solve(failover.Problem{Demand: p.Demand, Pinned: make([]float64, n), Capacity: room, Way: way})
-	if err := table(out, q, to); err != nil {
+	preview := p
+	preview.Room = capacity
+	planned := failover.Solve(failover.Problem{Demand: p.Demand, Pinned: make([]float64, n), Capacity: capacity, Way: distance})
+	if err := printPlan(out, preview, planned); err != nil {
 		return "", err
 	}
-	asked, served := 0.0, 0.0
-	for z, load := range to.Load(p.Demand) {
-		asked, served = asked+p.Demand[z], served+load
+	demand, served := 0.0, 0.0
+	for z, load := range planned.Load(p.Demand) {
+		demand, served = demand+p.Demand[z], served+load
 	}
-	if shed := asked - served; shed > 0.01*asked {
-		return fmt.Sprintf("%.1f of %.1f core seconds a second would be shed", shed, asked), nil
+	if rejected := demand - served; rejected > 0.01*demand {
+		return fmt.Sprintf("%.1f of %.1f core seconds a second would be shed", rejected, demand), nil
 	}
 	return "", nil
 }
 
-func table(out io.Writer, p failover.Published, plan failover.Plan) error {
+func printPlan(out io.Writer, p failover.Published, plan failover.Plan) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	name := func(z int) string {
+	zoneName := func(z int) string {
 		if z < len(p.Zones) {
 			return p.Zones[z]
 		}
@@ -172,11 +172,11 @@
 	}
 	fmt.Fprint(w, "from\\to\t")
 	for z := range plan.Share {
-		fmt.Fprintf(w, "%s\t", name(z))
+		fmt.Fprintf(w, "%s\t", zoneName(z))
 	}
 	fmt.Fprintln(w, "shed\t")
 	for o, row := range plan.Share {
-		fmt.Fprintf(w, "%s\t", name(o))
+		fmt.Fprintf(w, "%s\t", zoneName(o))
 		sum := 0.0
 		for _, x := range row {
 			fmt.Fprintf(w, "%.0f %%\t", 100*x)
--- a/internal/agentdriver/subset.go
+++ b/internal/agentdriver/subset.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 )
 
-// subsetWord is `dunereach fleet subset`: who holds whom, worked out from the files alone as the routers do.
-func subsetWord(asJSON *bool) *cobra.Command {
+// subsetCommand is `dunereach fleet subset`: who holds whom, worked out from the files alone as the routers do.
+func subsetCommand(asJSON *bool) *cobra.Command {
 	width := 1
 	command := &cobra.Command{Use: "subset [ROUTER|DATABASE]", Short: "Print which routers talk to which databases, and why", Args: cobra.MaximumNArgs(1),
 		Long: `Subset reads the configuration that BALANCER_CONFIG names, with the databases known at the start, and the operators' file, and
@@ -30,44 +30,44 @@
 		if err != nil {
 			return err
 		}
-		chart, err := newSubsetChart(&cfg, width)
+		result, err := newFleetSubsets(&cfg, width)
 		if err != nil {
 			return err
 		}
-		var view subsetPrinter = chart.overview()
+		var output tablePrinter = result.overview()
 		if len(args) == 1 {
-			if view, err = chart.find(args[0]); err != nil {
+			if output, err = result.lookUp(args[0]); err != nil {
 				return err
 			}
 		}
 		if *asJSON {
-			return printJSON(c.OutOrStdout(), view)
+			return printJSON(c.OutOrStdout(), output)
 		}
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-		view.print(w)
+		output.print(w)
 		return w.Flush()
 	}
 	return command
 }
 
-// subsetPrinter is a view that is printed as a table or as JSON.
-type subsetPrinter interface{ print(w io.Writer) }
+// tablePrinter is a view that is printed as a table or as JSON.
+type tablePrinter interface{ print(w io.Writer) }
 
-// subsetChart is what all routers known choose.
-type subsetChart struct {
+// fleetSubsets is what all routers known choose.
+type fleetSubsets struct {
 	cfg       *config.Config
 	databases []subset.Database
-	routers   []chosen
+	routers   []routerSubset
 }
 
-// chosen is one router with its subset.
-type chosen struct {
+// routerSubset is one router with its subset.
+type routerSubset struct {
 	subsets.Chooser
 	choice subset.Choice
 }
 
-// newSubsetChart has each router choose from the databases known at the start.
-func newSubsetChart(cfg *config.Config, width int) (*subsetChart, error) {
+// newFleetSubsets has each router choose from the databases known at the start.
+func newFleetSubsets(cfg *config.Config, width int) (*fleetSubsets, error) {
 	if cfg.Operator.Subset == nil {
 		return nil, errors.New("no subsets: name an operators' file with a section subset by --operator")
 	}
@@ -76,8 +76,8 @@
 		return nil, err
 	}
 	setup := subsets.New(cfg)
-	chart := &subsetChart{cfg: cfg, databases: setup.Databases(list.List(), list.Name)}
-	pool := subset.NewPool(chart.databases)
+	result := &fleetSubsets{cfg: cfg, databases: setup.Databases(list.List(), list.Name)}
+	pool := subset.NewPool(result.databases)
 	choosers := []subsets.Chooser{}
 	for k := range cfg.Operator.Subset.Routers {
 		choosers = append(choosers, setup.Listed(k))
@@ -90,13 +90,13 @@
 		if err != nil {
 			return nil, fmt.Errorf("subset: %v", err)
 		}
-		chart.routers = append(chart.routers, chosen{chooser, choice})
+		result.routers = append(result.routers, routerSubset{chooser, choice})
 	}
-	return chart, nil
+	return result, nil
 }
 
 // zoneOf is the name of a zone, or its number where it has none.
-func (s *subsetChart) zoneOf(zone int) string {
+func (s *fleetSubsets) zoneOf(zone int) string {
 	if zone >= 0 && zone < len(s.cfg.Settings.Zones) {
 		return s.cfg.Settings.Zones[zone]
 	}
@@ -121,14 +121,14 @@
 	Whole  bool   `json:"whole"`
 }
 
-func (s *subsetChart) overview() *subsetOverview {
+func (s *fleetSubsets) overview() *subsetOverview {
 	o := &subsetOverview{Databases: len(s.databases)}
-	places, total := make([]float64, len(s.databases)), 0
+	holders, total := make([]float64, len(s.databases)), 0
 	for _, r := range s.routers {
 		row := routerRow{Name: r.Router.Name, Zone: s.zoneOf(r.Router.Zone), Place: r.Router.Place, Held: len(r.choice.Members),
 			Grown: r.choice.Grown, Whole: r.choice.Whole}
 		for _, m := range r.choice.Members {
-			places[m.Index] += 1 / subset.CheckedWeight(s.databases[m.Index].Weight)
+			holders[m.Index] += 1 / subset.CheckedWeight(s.databases[m.Index].Weight)
 			if m.Near {
 				row.Near++
 			}
@@ -139,13 +139,13 @@
 		total += row.Held
 		o.Routers = append(o.Routers, row)
 	}
-	weight, most := 0.0, 0.0
+	weight, highest := 0.0, 0.0
 	for k := range s.databases {
 		weight += subset.CheckedWeight(s.databases[k].Weight)
-		most = max(most, places[k])
+		highest = max(highest, holders[k])
 	}
 	if total > 0 {
-		o.MostToMean = most / (float64(total) / weight)
+		o.MostToMean = highest / (float64(total) / weight)
 	}
 	return o
 }
@@ -162,23 +162,23 @@
 	fmt.Fprintf(w, "\n%d databases, %d routers; the database held by most has %.2f of the mean by weight\n", o.Databases, len(o.Routers), o.MostToMean)
 }
 
-// holdings is what one router holds, or who holds one database.
-type holdings struct {
-	Router   string    `json:"router,omitempty"`
-	Database string    `json:"database,omitempty"`
-	Holds    []holding `json:"holds"`
+// subsetMembers is what one router holds, or who holds one database.
+type subsetMembers struct {
+	Router   string         `json:"router,omitempty"`
+	Database string         `json:"database,omitempty"`
+	Rows     []subsetMember `json:"holds"`
 }
 
-type holding struct {
+type subsetMember struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`
 	Reason string `json:"reason"`
 	Near   bool   `json:"near"`
 }
 
-// find gives the view of one router, or of one database.
-func (s *subsetChart) find(name string) (*holdings, error) {
-	h := &holdings{Holds: []holding{}}
+// lookUp gives the view of one router, or of one database.
+func (s *fleetSubsets) lookUp(name string) (*subsetMembers, error) {
+	h := &subsetMembers{Rows: []subsetMember{}}
 	known := false
 	for _, r := range s.routers {
 		if r.Router.Name != name {
@@ -187,14 +187,14 @@
 		h.Router, known = name, true
 		for _, m := range r.choice.Members {
 			d := &s.databases[m.Index]
-			h.Holds = append(h.Holds, holding{d.Name, s.zoneOf(d.Zone), reasonOf(&r, m), m.Near})
+			h.Rows = append(h.Rows, subsetMember{d.Name, s.zoneOf(d.Zone), reasonText(&r, m), m.Near})
 		}
 		return h, nil
 	}
 	for _, r := range s.routers {
 		for _, m := range r.choice.Members {
 			if s.databases[m.Index].Name == name {
-				h.Holds = append(h.Holds, holding{r.Router.Name, s.zoneOf(r.Router.Zone), reasonOf(&r, m), m.Near})
+				h.Rows = append(h.Rows, subsetMember{r.Router.Name, s.zoneOf(r.Router.Zone), reasonText(&r, m), m.Near})
 			}
 		}
 	}
@@ -207,20 +207,20 @@
 	return h, nil
 }
 
-func reasonOf(r *chosen, m subset.Member) string {
+func reasonText(r *routerSubset, m subset.Member) string {
 	if m.Reason == subset.Needed {
 		return "needed for " + r.Options.Needs[m.Need].Name
 	}
 	return m.Reason.String()
 }
 
-func (h *holdings) print(w io.Writer) {
-	who := "database"
+func (h *subsetMembers) print(w io.Writer) {
+	heading := "database"
 	if h.Database != "" {
-		who = "router"
+		heading = "router"
 	}
-	fmt.Fprintf(w, "%s\tzone\twhy\t\t\n", who)
-	for _, x := range h.Holds {
+	fmt.Fprintf(w, "%s\tzone\twhy\t\t\n", heading)
+	for _, x := range h.Rows {
 		near := ""
 		if x.Near {
 			near = "near"
--- a/internal/agentdriver/subset_test.go
+++ b/internal/agentdriver/subset_test.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 )
 
-// TestSubsetWord: who holds whom and why is worked out from the files alone.
-func TestSubsetWord(t *testing.T) {
+// TestSubsetCommand: who holds whom and why is worked out from the files alone.
+func TestSubsetCommand(t *testing.T) {
 	t.Setenv("BALANCER_CONFIG", filepath.Join("..", "..", "deploy", "example.json"))
 	file := filepath.Join(t.TempDir(), "operator.json")
 	text := `{"subset":{"size":2,"room":0,"least":1,"routers":[{"name":"a","zone":"hall"},{"name":"b","zone":"yard"}]}}`
--- a/internal/coordserver/admin.go
+++ b/internal/coordserver/admin.go
@@ -16,13 +16,13 @@
 )
 
 // ParseKeepers reads "k1=127.0.0.1:7001@east,k2=...": name, address and, after the @, zone.
-func ParseKeepers(text string) (all []registry.Keeper, err error) {
+func ParseKeepers(text string) (coordinators []registry.Keeper, err error) {
 	names := map[string]bool{}
-	for n, part := range strings.Split(text, ",") {
-		name, rest, ok := strings.Cut(strings.TrimSpace(part), "=")
+	for n, item := range strings.Split(text, ",") {
+		name, rest, ok := strings.Cut(strings.TrimSpace(item), "=")
 		addr, zone, _ := strings.Cut(rest, "@")
 		if !ok || name == "" {
-			return nil, fmt.Errorf("keeper %d, %q: NAME=ADDRESS:PORT or NAME=ADDRESS:PORT@ZONE is wanted", n+1, part)
+			return nil, fmt.Errorf("keeper %d, %q: NAME=ADDRESS:PORT or NAME=ADDRESS:PORT@ZONE is wanted", n+1, item)
 		}
 		if err := netaddr.Check(addr); err != nil {
 			return nil, fmt.Errorf("keeper %q: %v", name, err)
@@ -31,66 +31,66 @@
 			return nil, fmt.Errorf("keeper %q is named twice", name)
 		}
 		names[name] = true
-		all = append(all, registry.Keeper{ID: uint64(n + 1), Name: name, Addr: addr, Zone: zone})
+		coordinators = append(coordinators, registry.Keeper{ID: uint64(n + 1), Name: name, Addr: addr, Zone: zone})
 	}
-	if len(all) != 1 && len(all) != 3 && len(all) != 5 {
-		return nil, fmt.Errorf("%d keepers: one (for trying out), three or five can begin a record", len(all))
+	if len(coordinators) != 1 && len(coordinators) != 3 && len(coordinators) != 5 {
+		return nil, fmt.Errorf("%d keepers: one (for trying out), three or five can begin a record", len(coordinators))
 	}
-	return all, nil
+	return coordinators, nil
 }
 
 // Init makes the folder of one of a new record's keepers. No token: this is the first, and a token is drawn.
 func Init(folder, name, keepers, token string, lease, drift float64) (Identity, error) {
-	all, err := ParseKeepers(keepers)
+	coordinators, err := ParseKeepers(keepers)
 	if err != nil {
 		return Identity{}, err
 	}
-	id := Identity{Name: name, Peers: all, Fresh: true, Token: token}
-	for _, k := range all {
-		if k.Name == name {
-			id.ID, id.Listen, id.Zone = k.ID, k.Addr, k.Zone
+	id := Identity{Name: name, Peers: coordinators, Fresh: true, Token: token}
+	for _, coord := range coordinators {
+		if coord.Name == name {
+			id.ID, id.Listen, id.Zone = coord.ID, coord.Addr, coord.Zone
 		}
 	}
 	switch {
 	case id.ID == 0:
 		return id, fmt.Errorf("%q is none of the keepers", name)
 	case token == "" && id.ID != 1:
-		return id, fmt.Errorf("%q is not the first keeper: give --record with what `dunekeep init` printed for %q", name, all[0].Name)
+		return id, fmt.Errorf("%q is not the first keeper: give --record with what `dunekeep init` printed for %q", name, coordinators[0].Name)
 	case token == "":
-		var b [8]byte
-		rand.Read(b[:])
-		id.Token = hex.EncodeToString(b[:])
+		var random [8]byte
+		rand.Read(random[:])
+		id.Token = hex.EncodeToString(random[:])
 	}
 	if len(id.Token) > 64 || strings.Trim(id.Token, "0123456789abcdef") != "" {
 		return id, fmt.Errorf("%q is no token of a record", id.Token)
 	}
-	stored, err := coordinator.Begin(all, lease, drift)
+	initial, err := coordinator.Begin(coordinators, lease, drift)
 	if err != nil {
 		return id, err
 	}
-	return id, Create(folder, id, stored)
+	return id, Create(folder, id, initial)
 }
 
 // Join makes the folder of a keeper that takes the place of one that was lost, or comes to the others.
-func Join(ctx context.Context, folder, name, listen, zone, ask string) (Identity, error) {
-	for _, a := range [...]string{listen, ask} {
-		if err := netaddr.Check(a); err != nil {
+func Join(ctx context.Context, folder, name, listen, zone, contact string) (Identity, error) {
+	for _, addr := range [...]string{listen, contact} {
+		if err := netaddr.Check(addr); err != nil {
 			return Identity{}, err
 		}
 	}
-	c := NewClient([]string{ask}, "")
-	var n uint64
+	client := NewClient([]string{contact}, "")
+	var number uint64
 	for {
-		err := c.Call(ctx, "/v1/order", coordinator.Order{Kind: "join", Name: name, Addr: listen, Zone: zone}, &n)
+		err := client.Call(ctx, "/v1/order", coordinator.Order{Kind: "join", Name: name, Addr: listen, Zone: zone}, &number)
 		if err == nil {
 			break
 		}
-		// While the others choose a leader it is asked again; one that was taken in and has not started is told its number again.
-		again := false
-		for _, e := range []error{coordinator.ErrElsewhere, coordinator.ErrBusy, coordinator.ErrUnsure, agent.ErrNoAnswer} {
-			again = again || errors.Is(err, e)
+		// While the others choose a leader it is asked retryable; one that was taken in and has not started is told its number retryable.
+		retryable := false
+		for _, transientErr := range []error{coordinator.ErrElsewhere, coordinator.ErrBusy, coordinator.ErrUnsure, agent.ErrNoAnswer} {
+			retryable = retryable || errors.Is(err, transientErr)
 		}
-		if !again || ctx.Err() != nil {
+		if !retryable || ctx.Err() != nil {
 			return Identity{}, err
 		}
 		select {
@@ -98,14 +98,14 @@
 		case <-ctx.Done():
 		}
 	}
-	var now Picture
-	if err := c.Call(ctx, "/v1/record", nil, &now); err != nil {
+	var snapshot Picture
+	if err := client.Call(ctx, "/v1/record", nil, &snapshot); err != nil {
 		return Identity{}, err
 	}
-	st, err := askStatus(ctx, c.http, ask)
+	status, err := fetchStatus(ctx, client.http, contact)
 	if err != nil {
 		return Identity{}, err
 	}
-	id := Identity{ID: n, Name: name, Listen: listen, Zone: zone, Token: st.Record, Peers: now.Keepers}
+	id := Identity{ID: number, Name: name, Listen: listen, Zone: zone, Token: status.Record, Peers: snapshot.Keepers}
 	return id, Create(folder, id, coordinator.Stored{})
 }
--- a/internal/coordserver/client.go
+++ b/internal/coordserver/client.go
@@ -19,14 +19,14 @@
 
 // Client asks keepers: whoever leads, as far as that is known.
 type Client struct {
-	http *http.Client
-	mu   sync.Mutex
-	find *agent.Finder
+	http   *http.Client
+	mu     sync.Mutex
+	finder *agent.Finder
 
 	addrs []string
 
-	calls, bytes atomic.Int64
-	kinds        sync.Map // path to *pathTraffic; the paths are those of the server's routes
+	requestCount, bytes atomic.Int64
+	byPath              sync.Map // path to *pathTraffic; the paths are those of the server's routes
 }
 
 // Dial opens one connection of a client.
@@ -42,12 +42,12 @@
 }
 
 // Traffic so far: calls, and bytes both ways.
-func (c *Client) Traffic() (calls, bytes int64) { return c.calls.Load(), c.bytes.Load() }
+func (c *Client) Traffic() (requestCount, bytes int64) { return c.requestCount.Load(), c.bytes.Load() }
 
 // TrafficByPath is the traffic so far of each path that was asked for.
 func (c *Client) TrafficByPath() map[string]PathTraffic {
 	all := map[string]PathTraffic{}
-	c.kinds.Range(func(path, value any) bool {
+	c.byPath.Range(func(path, value any) bool {
 		t := value.(*pathTraffic)
 		all[path.(string)] = PathTraffic{Requests: t.requests.Load(), Bytes: t.bytes.Load()}
 		return true
@@ -55,40 +55,40 @@
 	return all
 }
 
-// kind is the counter of a path.
-func (c *Client) kind(path string) *pathTraffic {
-	if t, ok := c.kinds.Load(path); ok {
+// pathCounter is the counter of a path.
+func (c *Client) pathCounter(path string) *pathTraffic {
+	if t, ok := c.byPath.Load(path); ok {
 		return t.(*pathTraffic)
 	}
-	t, _ := c.kinds.LoadOrStore(path, &pathTraffic{})
+	t, _ := c.byPath.LoadOrStore(path, &pathTraffic{})
 	return t.(*pathTraffic)
 }
 
-// countedReader counts what is read of a body.
-type countedReader struct {
+// countingReader counts what is read of a body.
+type countingReader struct {
 	io.Reader
 	bytes *atomic.Int64
 }
 
-func (r countedReader) Read(b []byte) (int, error) {
+func (r countingReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
 	r.bytes.Add(int64(n))
 	return n, err
 }
 
-// counted is a connection whose bytes are counted.
-type counted struct {
+// countingConn is a connection whose bytes are countingConn.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -111,22 +111,22 @@
 
 // NewClientOver is NewClient with connections of the caller's making.
 func NewClientOver(addrs []string, dial Dial) *Client {
-	c := &Client{addrs: addrs, find: agent.NewFinder(addrs, int(time.Now().UnixNano()&0xffff))}
+	c := &Client{addrs: addrs, finder: agent.NewFinder(addrs, int(time.Now().UnixNano()&0xffff))}
 	c.http = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := dial(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return counted{conn, &c.bytes}, nil
+			return countingConn{conn, &c.bytes}, nil
 		}}}
 	return c
 }
 
-func (c *Client) target() string {
+func (c *Client) leaderAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.find.Target()
+	return c.finder.Target()
 }
 
 // Close its connections.
@@ -141,17 +141,17 @@
 		}
 	}
 	for range len(c.addrs) + 2 {
-		at := c.target()
+		addr := c.leaderAddr()
 		var leader string
-		if leader, err = c.once(ctx, at, path, body, out); err == nil {
+		if leader, err = c.callOnce(ctx, addr, path, body, out); err == nil {
 			return nil
 		}
 		c.mu.Lock()
 		switch {
 		case errors.Is(err, coordinator.ErrElsewhere):
-			c.find.Elsewhere(at, leader)
+			c.finder.Elsewhere(addr, leader)
 		case errors.Is(err, agent.ErrNoAnswer):
-			c.find.Failed(at)
+			c.finder.Failed(addr)
 		default:
 			c.mu.Unlock()
 			return err
@@ -164,59 +164,59 @@
 	return err
 }
 
-func (c *Client) once(ctx context.Context, at, path string, body []byte, out any) (leader string, err error) {
+func (c *Client) callOnce(ctx context.Context, addr, path string, body []byte, out any) (leader string, err error) {
 	method := http.MethodGet
 	if body != nil {
 		method = http.MethodPost
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+at+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return "", err
 	}
-	c.calls.Add(1)
-	kind := c.kind(path)
-	kind.requests.Add(1)
-	kind.bytes.Add(int64(len(body)))
+	c.requestCount.Add(1)
+	pathCounter := c.pathCounter(path)
+	pathCounter.requests.Add(1)
+	pathCounter.bytes.Add(int64(len(body)))
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return "", fmt.Errorf("%w: %v", agent.ErrNoAnswer, err)
 	}
 	defer resp.Body.Close()
-	text := countedReader{io.LimitReader(resp.Body, mostBody), &kind.bytes}
+	respBody := countingReader{io.LimitReader(resp.Body, maxBody), &pathCounter.bytes}
 	if resp.StatusCode == http.StatusOK {
-		if err := json.NewDecoder(text).Decode(out); err != nil {
+		if err := json.NewDecoder(respBody).Decode(out); err != nil {
 			return "", fmt.Errorf("%w: %v", agent.ErrNoAnswer, err)
 		}
-		io.Copy(io.Discard, text)
+		io.Copy(io.Discard, respBody)
 		return "", nil
 	}
-	var f Fault
-	if err := json.NewDecoder(text).Decode(&f); err != nil {
+	var fault Fault
+	if err := json.NewDecoder(respBody).Decode(&fault); err != nil {
 		return "", fmt.Errorf("%w: %s", agent.ErrNoAnswer, resp.Status)
 	}
-	io.Copy(io.Discard, text)
+	io.Copy(io.Discard, respBody)
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		return "", fmt.Errorf("%w: %s", agent.ErrNoAnswer, f.Text)
+		return "", fmt.Errorf("%w: %s", agent.ErrNoAnswer, fault.Text)
 	}
-	return f.Leader, f.Err()
+	return fault.Leader, fault.Err()
 }
 
-// statusWait is how long a coordinator has for its status, which takes no agreement.
-const statusWait = time.Second
+// statusTimeout is how long a coordinator has for its status, which takes no agreement.
+const statusTimeout = time.Second
 
 // Each keeper's own word on itself, nil where it does not answer within a second.
 func (c *Client) Each(ctx context.Context, addrs []string) []*coordinator.Status {
-	ctx, cancel := context.WithTimeout(ctx, statusWait)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	all := make([]*coordinator.Status, len(addrs))
-	var wait sync.WaitGroup
-	for n, a := range addrs {
-		wait.Go(func() {
-			if st, err := askStatus(ctx, c.http, a); err == nil {
-				all[n] = &st
+	statuses := make([]*coordinator.Status, len(addrs))
+	var group sync.WaitGroup
+	for n, addr := range addrs {
+		group.Go(func() {
+			if st, err := fetchStatus(ctx, c.http, addr); err == nil {
+				statuses[n] = &st
 			}
 		})
 	}
-	wait.Wait()
-	return all
+	group.Wait()
+	return statuses
 }
--- a/internal/coordserver/serve.go
+++ b/internal/coordserver/serve.go
@@ -23,7 +23,7 @@
 )
 
 // Wire errors, by the word that stands for them in an answer.
-var wireErrors = map[string]error{
+var errorsByCode = map[string]error{
 	"elsewhere": coordinator.ErrElsewhere, "unsure": coordinator.ErrUnsure, "session": coordinator.ErrSession, "bad": coordinator.ErrBad,
 	"busy": coordinator.ErrBusy, "superseded": registry.ErrSuperseded, "full": registry.ErrFull, "owned": registry.ErrOwned,
 	"fence": registry.ErrFence, "work": registry.ErrNoWork, "keeper": registry.ErrKeeper, "no session": registry.ErrNoSession,
@@ -43,23 +43,23 @@
 	if f.Old != nil {
 		return &lease.StaleFenceError{Work: f.Old.Work, Highest: f.Old.Fence}
 	}
-	if e := wireErrors[f.Error]; e != nil {
+	if known := errorsByCode[f.Error]; known != nil {
 		if f.Text != "" {
-			return fmt.Errorf("%w (%s)", e, f.Text)
+			return fmt.Errorf("%w (%s)", known, f.Text)
 		}
-		return e
+		return known
 	}
 	return errors.New(f.Text)
 }
 
-func faultOf(err error, leader string) *Fault {
-	var old *lease.StaleFenceError
-	if errors.As(err, &old) {
-		return &Fault{Error: "fence", Text: err.Error(), Old: &lease.FenceMark{Work: old.Work, Fence: old.Highest}}
+func newFault(err error, leader string) *Fault {
+	var stale *lease.StaleFenceError
+	if errors.As(err, &stale) {
+		return &Fault{Error: "fence", Text: err.Error(), Old: &lease.FenceMark{Work: stale.Work, Fence: stale.Highest}}
 	}
-	for word, e := range wireErrors {
-		if errors.Is(err, e) {
-			return &Fault{Error: word, Text: err.Error(), Leader: leader}
+	for code, known := range errorsByCode {
+		if errors.Is(err, known) {
+			return &Fault{Error: code, Text: err.Error(), Leader: leader}
 		}
 	}
 	return &Fault{Error: "other", Text: err.Error()}
@@ -67,9 +67,9 @@
 
 // request for the owner's goroutine.
 type request struct {
-	number uint64 // the owner's goroutine's
-	do     func(k *coordinator.Keeper, now float64, number uint64)
-	answer chan reply // room for one: nobody waits for who went away
+	requestID uint64 // the owner's goroutine's
+	start     func(k *coordinator.Keeper, now float64, requestID uint64)
+	response  chan reply // room for one: nobody waits for who went away
 }
 
 type reply struct {
@@ -79,22 +79,22 @@
 
 // server of one keeper.
 type server struct {
-	store  *Store
-	k      *coordinator.Keeper
-	log    *zap.Logger
-	inbox  chan func(now float64)
-	asks   chan *request
-	open   map[uint64]*request
-	number uint64
-	wire   *transport
-	from   string // address that calls to other keepers come from
+	store         *Store
+	coord         *coordinator.Keeper
+	log           *zap.Logger
+	funcs         chan func(now float64)
+	requests      chan *request
+	pending       map[uint64]*request
+	requestID     uint64
+	raftTransport *transport
+	localAddr     string // address that calls to other keepers come from
 }
 
 const (
-	mostBody = 8 << 20 // bytes of one request of a router or an operator
-	// mostRaft is the bound on one request of another keeper: a snapshot, and entries that wait with it.
-	mostRaft = registry.MostSnapshot + 8<<20
-	tick     = 20 * time.Millisecond
+	maxBody = 8 << 20 // bytes of one request of a router or an operator
+	// maxRaftBody is the bound on one request of another keeper: a snapshot, and entries that wait with it.
+	maxRaftBody  = registry.MostSnapshot + 8<<20
+	tickInterval = 20 * time.Millisecond
 )
 
 // Options of a keeper on this machine.
@@ -123,26 +123,26 @@
 		return err
 	}
 	defer listener.Close()
-	stored, err := store.Load()
+	persisted, err := store.Load()
 	if err != nil {
 		return fmt.Errorf("%s: %v", folder, err)
 	}
-	s := &server{from: o.From, store: store, log: log, inbox: make(chan func(float64), 1024), asks: make(chan *request, 1024), open: map[uint64]*request{}}
+	s := &server{localAddr: o.From, store: store, log: log, funcs: make(chan func(float64), 1024), requests: make(chan *request, 1024), pending: map[uint64]*request{}}
 	group, ctx := errgroup.WithContext(ctx)
-	s.wire = newTransport(ctx, group, id, s)
-	h := &http.Server{Handler: s.routes(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
+	s.raftTransport = newTransport(ctx, group, id, s)
+	httpServer := &http.Server{Handler: s.routes(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
 		IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10, BaseContext: func(net.Listener) context.Context { return ctx }}
 	group.Go(func() error {
-		if err := h.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
 	})
 	group.Go(func() error {
 		<-ctx.Done()
-		return h.Close()
+		return httpServer.Close()
 	})
-	group.Go(func() error { return s.own(ctx, stored) })
+	group.Go(func() error { return s.run(ctx, persisted) })
 	err = group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -150,23 +150,23 @@
 	return err
 }
 
-// own is the goroutine that has the keeper.
-func (s *server) own(ctx context.Context, stored coordinator.Stored) error {
+// run is the goroutine that has the keeper.
+func (s *server) run(ctx context.Context, persisted coordinator.Stored) error {
 	id := s.store.Identity
 	if id.Fresh {
-		if err := s.begin(ctx); err != nil {
+		if err := s.awaitCoordinators(ctx); err != nil {
 			return err
 		}
 	}
-	const holds = 1.0 // seconds: a quarter of a lease of four, the usual one
+	const holdTime = 1.0 // seconds: a quarter of a lease of four, the usual one
 	var err error
-	s.k, err = coordinator.New(coordinator.Config{ID: id.ID, Name: id.Name, Token: id.Token, Hold: holds, Logger: quiet{s.log.Sugar()},
-		Log: func(text string) { s.log.Info(text) }}, stored, boottime.Now())
+	s.coord, err = coordinator.New(coordinator.Config{ID: id.ID, Name: id.Name, Token: id.Token, Hold: holdTime, Logger: raftLogger{s.log.Sugar()},
+		Log: func(text string) { s.log.Info(text) }}, persisted, boottime.Now())
 	if err != nil {
 		return err
 	}
 	s.log.Info("keeping", zap.String("name", id.Name), zap.Uint64("id", id.ID), zap.String("record", id.Token), zap.String("listen", id.Listen))
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -174,69 +174,69 @@
 			return nil
 		case <-ticker.C:
 			now := boottime.Now()
-			s.k.Tick(now)
-			if s.k.Leads() {
-				s.k.Version(id.ID, registry.Version)
+			s.coord.Tick(now)
+			if s.coord.Leads() {
+				s.coord.Version(id.ID, registry.Version)
 			}
-		case do := <-s.inbox:
-			do(boottime.Now())
-		case r := <-s.asks:
-			s.ask(r)
+		case fn := <-s.funcs:
+			fn(boottime.Now())
+		case r := <-s.requests:
+			s.startRequest(r)
 		}
 		for more := true; more; { // all that has come goes into one write to the disk
 			select {
-			case do := <-s.inbox:
-				do(boottime.Now())
-			case r := <-s.asks:
-				s.ask(r)
+			case fn := <-s.funcs:
+				fn(boottime.Now())
+			case r := <-s.requests:
+				s.startRequest(r)
 			default:
 				more = false
 			}
 		}
-		if err := s.carry(); err != nil {
+		if err := s.processOutput(); err != nil {
 			// What is not on the disk must not be said: another keeper leads on.
 			return fmt.Errorf("the record can't be kept: %w", err)
 		}
 	}
 }
 
-func (s *server) ask(r *request) {
-	s.number++
-	r.number = s.number
-	s.open[s.number] = r
-	r.do(s.k, boottime.Now(), s.number)
+func (s *server) startRequest(r *request) {
+	s.requestID++
+	r.requestID = s.requestID
+	s.pending[s.requestID] = r
+	r.start(s.coord, boottime.Now(), s.requestID)
 }
 
-// carry out what the keeper put out: the disk first.
-func (s *server) carry() error {
+// processOutput out what the keeper put out: the disk first.
+func (s *server) processOutput() error {
 	for {
-		out, ok := s.k.Output()
+		output, ok := s.coord.Output()
 		if !ok {
 			return nil
 		}
-		if err := s.store.Keep(&out); err != nil {
+		if err := s.store.Keep(&output); err != nil {
 			return err
 		}
-		s.wire.send(out.Messages, s.k)
-		for _, a := range out.Answers {
-			r := s.open[a.Request]
-			delete(s.open, a.Request)
+		s.raftTransport.send(output.Messages, s.coord)
+		for _, resp := range output.Answers {
+			r := s.pending[resp.Request]
+			delete(s.pending, resp.Request)
 			if r == nil {
 				continue
 			}
 			leader := ""
-			if x := s.k.Record().Keeper(a.Leader); x != nil {
-				leader = x.Addr
+			if member := s.coord.Record().Keeper(resp.Leader); member != nil {
+				leader = member.Addr
 			}
-			if rec, ok := a.Value.(*registry.Record); ok { // as it is now: it goes on changing
-				a.Value = picture(rec)
+			if live, ok := resp.Value.(*registry.Record); ok { // as it is now: it goes on changing
+				resp.Value = newSnapshot(live)
 			}
-			r.answer <- reply{a, leader}
+			r.response <- reply{resp, leader}
 		}
-		if err := s.k.Done(); err != nil {
+		if err := s.coord.Done(); err != nil {
 			return err
 		}
-		s.wire.peers(s.k.Record())
+		s.raftTransport.updatePeers(s.coord.Record())
 	}
 }
 
@@ -252,166 +252,166 @@
 	Owners   map[string]string  `json:"owners"` // name of each owned work's owner
 }
 
-func picture(r *registry.Record) Picture {
-	p := Picture{Index: r.Index(), Fence: r.Fence(), Owners: map[string]string{}, Sessions: []registry.Session{}, Works: []registry.Work{}}
-	p.Lease, p.Drift = r.Terms()
+func newSnapshot(r *registry.Record) Picture {
+	snap := Picture{Index: r.Index(), Fence: r.Fence(), Owners: map[string]string{}, Sessions: []registry.Session{}, Works: []registry.Work{}}
+	snap.Lease, snap.Drift = r.Terms()
 	for _, k := range r.Keepers() {
-		p.Keepers = append(p.Keepers, *k)
+		snap.Keepers = append(snap.Keepers, *k)
 	}
 	for _, x := range r.Sessions() {
-		p.Sessions = append(p.Sessions, *x)
+		snap.Sessions = append(snap.Sessions, *x)
 	}
 	for _, x := range r.Works() {
-		p.Works = append(p.Works, *x)
+		snap.Works = append(snap.Works, *x)
 		if o := r.Session(x.Owner); o != nil {
-			p.Owners[x.Name] = o.Name
+			snap.Owners[x.Name] = o.Name
 		}
 	}
-	return p
+	return snap
 }
 
 func (s *server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/beat", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(b *coordinator.Beat) func(*coordinator.Keeper, float64, uint64) {
+		handleJSON(s, w, r, func(b *coordinator.Beat) func(*coordinator.Keeper, float64, uint64) {
 			return func(k *coordinator.Keeper, now float64, n uint64) { k.Beat(now, n, b) }
 		})
 	})
 	mux.HandleFunc("POST /v1/mail", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(m *coordinator.Mail) func(*coordinator.Keeper, float64, uint64) {
+		handleJSON(s, w, r, func(m *coordinator.Mail) func(*coordinator.Keeper, float64, uint64) {
 			return func(k *coordinator.Keeper, now float64, n uint64) { k.Post(now, n, m) }
 		})
 	})
 	mux.HandleFunc("POST /v1/act", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(a *coordinator.Act) func(*coordinator.Keeper, float64, uint64) {
+		handleJSON(s, w, r, func(a *coordinator.Act) func(*coordinator.Keeper, float64, uint64) {
 			return func(k *coordinator.Keeper, now float64, n uint64) { k.Do(now, n, a) }
 		})
 	})
 	mux.HandleFunc("POST /v1/order", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(o *coordinator.Order) func(*coordinator.Keeper, float64, uint64) {
+		handleJSON(s, w, r, func(o *coordinator.Order) func(*coordinator.Keeper, float64, uint64) {
 			return func(k *coordinator.Keeper, now float64, n uint64) { k.Order(now, n, o) }
 		})
 	})
 	mux.HandleFunc("GET /v1/record", func(w http.ResponseWriter, r *http.Request) {
-		s.wait(w, r, func(k *coordinator.Keeper, now float64, n uint64) { k.Read(now, n) })
+		s.awaitResponse(w, r, func(k *coordinator.Keeper, now float64, n uint64) { k.Read(now, n) })
 	})
-	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) { s.status(w, r) })
-	mux.HandleFunc("POST /raft/{record}", s.wire.receive)
+	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) { s.serveStatus(w, r) })
+	mux.HandleFunc("POST /raft/{record}", s.raftTransport.receive)
 	return mux
 }
 
-func handle[T any](s *server, w http.ResponseWriter, r *http.Request, of func(*T) func(*coordinator.Keeper, float64, uint64)) {
-	var v T
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBody)).Decode(&v); err != nil {
-		write(w, http.StatusBadRequest, &Fault{Error: "bad", Text: err.Error()})
+func handleJSON[T any](s *server, w http.ResponseWriter, r *http.Request, startFunc func(*T) func(*coordinator.Keeper, float64, uint64)) {
+	var message T
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&message); err != nil {
+		writeJSON(w, http.StatusBadRequest, &Fault{Error: "bad", Text: err.Error()})
 		return
 	}
-	s.wait(w, r, of(&v))
+	s.awaitResponse(w, r, startFunc(&message))
 }
 
-// wait for the owner's answer. Beats are held for a second, and a change of leaders takes two: four are long.
-func (s *server) wait(w http.ResponseWriter, r *http.Request, do func(*coordinator.Keeper, float64, uint64)) {
-	const patience = 4 * time.Second
-	q := &request{do: do, answer: make(chan reply, 1)}
-	timeout := time.NewTimer(patience)
+// awaitResponse for the owner's answer. Beats are held for a second, and a change of leaders takes two: four are long.
+func (s *server) awaitResponse(w http.ResponseWriter, r *http.Request, start func(*coordinator.Keeper, float64, uint64)) {
+	const requestTimeout = 4 * time.Second
+	req := &request{start: start, response: make(chan reply, 1)}
+	timeout := time.NewTimer(requestTimeout)
 	defer timeout.Stop()
 	select {
-	case s.asks <- q:
+	case s.requests <- req:
 	case <-timeout.C:
-		write(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the keeper is busy"})
+		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the keeper is busy"})
 		return
 	case <-r.Context().Done():
 		return
 	}
 	select {
-	case a := <-q.answer:
-		if a.Err != nil {
+	case resp := <-req.response:
+		if resp.Err != nil {
 			status := http.StatusConflict
-			if errors.Is(a.Err, coordinator.ErrElsewhere) {
+			if errors.Is(resp.Err, coordinator.ErrElsewhere) {
 				status = http.StatusMisdirectedRequest
 			}
-			write(w, status, faultOf(a.Err, a.leader))
+			writeJSON(w, status, newFault(resp.Err, resp.leader))
 			return
 		}
-		write(w, http.StatusOK, a.Value)
+		writeJSON(w, http.StatusOK, resp.Value)
 	case <-timeout.C:
-		write(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "it was not agreed in time: no majority of keepers answers"})
+		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "it was not agreed in time: no majority of keepers answers"})
 	case <-r.Context().Done():
 		select {
-		case s.inbox <- func(float64) {
-			delete(s.open, q.number)
-			if s.k != nil {
-				s.k.Gone(q.number)
+		case s.funcs <- func(float64) {
+			delete(s.pending, req.requestID)
+			if s.coord != nil {
+				s.coord.Gone(req.requestID)
 			}
 		}:
-		case <-s.wire.ctx.Done():
+		case <-s.raftTransport.ctx.Done():
 		}
 	}
 }
 
-func write(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-func (s *server) status(w http.ResponseWriter, r *http.Request) {
-	got := make(chan coordinator.Status, 1)
+func (s *server) serveStatus(w http.ResponseWriter, r *http.Request) {
+	statuses := make(chan coordinator.Status, 1)
 	select {
-	case s.inbox <- func(float64) {
-		if s.k == nil {
+	case s.funcs <- func(float64) {
+		if s.coord == nil {
 			id := s.store.Identity
-			got <- coordinator.Status{ID: id.ID, Name: id.Name, Record: id.Token, State: "waiting for the others to begin", Started: []int{}}
+			statuses <- coordinator.Status{ID: id.ID, Name: id.Name, Record: id.Token, State: "waiting for the others to begin", Started: []int{}}
 			return
 		}
-		got <- s.k.Status()
+		statuses <- s.coord.Status()
 	}:
 	case <-r.Context().Done():
 		return
 	}
 	select {
-	case st := <-got:
-		write(w, http.StatusOK, st)
+	case st := <-statuses:
+		writeJSON(w, http.StatusOK, st)
 	case <-r.Context().Done():
 	}
 }
 
-// begin waits until every keeper of a new record is there and none has taken part yet, or the record has not seen this one: who
+// awaitCoordinators waits until every keeper of a new record is there and none has taken part yet, or the record has not seen this one: who
 // comes with an empty folder to a record that knows it has lost its votes, and must not vote again under its number.
-func (s *server) begin(ctx context.Context) error {
+func (s *server) awaitCoordinators(ctx context.Context) error {
 	id := s.store.Identity
-	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dialer(s.from).DialContext}}
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dialer(s.localAddr).DialContext}}
 	defer client.CloseIdleConnections()
-	seen := map[uint64]bool{id.ID: true}
+	present := map[uint64]bool{id.ID: true}
 	s.log.Info("waiting for all keepers of the new record", zap.Int("keepers", len(id.Peers)))
 	results := make(chan coordinator.Status, len(id.Peers))
-	ask := time.NewTicker(200 * time.Millisecond)
-	defer ask.Stop()
-	for len(seen) < len(id.Peers) {
+	ticker := time.NewTicker(200 * time.Millisecond)
+	defer ticker.Stop()
+	for len(present) < len(id.Peers) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case do := <-s.inbox: // others ask for our status
-			do(boottime.Now())
-		case r := <-s.asks:
-			r.answer <- reply{Answer: coordinator.Answer{Err: coordinator.ErrElsewhere}}
-		case st := <-results:
-			if st.Record != id.Token {
-				return fmt.Errorf("the keeper %q at its address keeps another record (%s, this one is %s)", st.Name, st.Record, id.Token)
+		case fn := <-s.funcs: // others ask for our status
+			fn(boottime.Now())
+		case r := <-s.requests:
+			r.response <- reply{Answer: coordinator.Answer{Err: coordinator.ErrElsewhere}}
+		case status := <-results:
+			if status.Record != id.Token {
+				return fmt.Errorf("the keeper %q at its address keeps another record (%s, this one is %s)", status.Name, status.Record, id.Token)
 			}
-			for _, n := range st.Started {
-				if uint64(n) == id.ID {
+			for _, startedID := range status.Started {
+				if uint64(startedID) == id.ID {
 					return fmt.Errorf("the record knows keeper %d already, but this folder has never taken part: what it voted is lost; use `dunekeep join`", id.ID)
 				}
 			}
-			seen[st.ID] = true
-		case <-ask.C:
-			for _, p := range id.Peers {
-				if !seen[p.ID] {
+			present[status.ID] = true
+		case <-ticker.C:
+			for _, peer := range id.Peers {
+				if !present[peer.ID] {
 					go func() { // ends with its client's time
-						if st, err := askStatus(ctx, client, p.Addr); err == nil {
+						if status, err := fetchStatus(ctx, client, peer.Addr); err == nil {
 							select {
-							case results <- st:
+							case results <- status:
 							default:
 							}
 						}
@@ -424,32 +424,32 @@
 	return s.store.SetIdentity(id)
 }
 
-func askStatus(ctx context.Context, c *http.Client, addr string) (st coordinator.Status, err error) {
+func fetchStatus(ctx context.Context, c *http.Client, addr string) (status coordinator.Status, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/status", nil)
 	if err != nil {
-		return st, err
+		return status, err
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return st, err
+		return status, err
 	}
 	defer resp.Body.Close()
-	return st, json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&st)
+	return status, json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&status)
 }
 
-// quiet passes on what raft's library says that people should see.
-type quiet struct{ log *zap.SugaredLogger }
+// raftLogger passes on what raft's library says that people should see.
+type raftLogger struct{ log *zap.SugaredLogger }
 
-func (q quiet) Debug(...any)              {}
-func (q quiet) Debugf(string, ...any)     {}
-func (q quiet) Info(...any)               {}
-func (q quiet) Infof(string, ...any)      {}
-func (q quiet) Warning(...any)            {}
-func (q quiet) Warningf(string, ...any)   {}
-func (q quiet) Error(v ...any)            { q.log.Warn(v...) }
-func (q quiet) Errorf(f string, v ...any) { q.log.Warnf(f, v...) }
-func (q quiet) Fatal(v ...any)            { q.log.Fatal(v...) }
-func (q quiet) Fatalf(f string, v ...any) { q.log.Fatalf(f, v...) }
-func (q quiet) Panic(v ...any)            { q.log.Panic(v...) }
-func (q quiet) Panicf(f string, v ...any) { q.log.Panicf(f, v...) }
-func number(text string) uint64           { n, _ := strconv.ParseUint(strings.TrimSpace(text), 10, 64); return n }
+func (l raftLogger) Debug(...any)              {}
+func (l raftLogger) Debugf(string, ...any)     {}
+func (l raftLogger) Info(...any)               {}
+func (l raftLogger) Infof(string, ...any)      {}
+func (l raftLogger) Warning(...any)            {}
+func (l raftLogger) Warningf(string, ...any)   {}
+func (l raftLogger) Error(v ...any)            { l.log.Warn(v...) }
+func (l raftLogger) Errorf(f string, v ...any) { l.log.Warnf(f, v...) }
+func (l raftLogger) Fatal(v ...any)            { l.log.Fatal(v...) }
+func (l raftLogger) Fatalf(f string, v ...any) { l.log.Fatalf(f, v...) }
+func (l raftLogger) Panic(v ...any)            { l.log.Panic(v...) }
+func (l raftLogger) Panicf(f string, v ...any) { l.log.Panicf(f, v...) }
+func toUint(text string) uint64                { n, _ := strconv.ParseUint(strings.TrimSpace(text), 10, 64); return n }
--- a/internal/coordserver/store.go
+++ b/internal/coordserver/store.go
@@ -40,21 +40,21 @@
 const fileName = "record.db"
 
 var (
-	metaBucket  = []byte("meta")
-	logBucket   = []byte("log")
-	identityKey = []byte("identity")
-	stateKey    = []byte("hardstate")
-	snapKey     = []byte("snapshot")
-	formatKey   = []byte("format")
+	metaBucket   = []byte("meta")
+	logBucket    = []byte("log")
+	identityKey  = []byte("identity")
+	hardStateKey = []byte("hardstate")
+	snapshotKey  = []byte("snapshot")
+	formatKey    = []byte("format")
 )
 
-const format = "dunekeep 1"
+const formatVersion = "dunekeep 1"
 
 // ErrEmpty is the error of a folder that holds no registry.
 var ErrEmpty = errors.New("the folder holds no record: `dunekeep init` begins one, `dunekeep join` takes the place of a keeper that was lost")
 
 // Create a folder for a new keeper.
-func Create(folder string, id Identity, stored coordinator.Stored) error {
+func Create(folder string, id Identity, initial coordinator.Stored) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 		if _, err = tx.CreateBucketIfNotExists(logBucket); err != nil {
 			return err
 		}
-		return meta.Put(formatKey, []byte(format))
+		return meta.Put(formatKey, []byte(formatVersion))
 	})
 	if err == nil {
 		err = s.SetIdentity(id)
@@ -84,9 +84,9 @@
 	if err != nil {
 		return err
 	}
-	var out coordinator.Output
-	out.Keep.Snapshot, out.Keep.HardState = stored.Snapshot, stored.HardState
-	return s.Keep(&out)
+	var output coordinator.Output
+	output.Keep.Snapshot, output.Keep.HardState = initial.Snapshot, initial.HardState
+	return s.Keep(&output)
 }
 
 // Open a folder. Only one process at a time has it: the lock goes with the process.
@@ -108,7 +108,7 @@
 	s := &Store{db: db}
 	err = db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		if meta == nil || string(meta.Get(formatKey)) != format || tx.Bucket(logBucket) == nil {
+		if meta == nil || string(meta.Get(formatKey)) != formatVersion || tx.Bucket(logBucket) == nil {
 			return fmt.Errorf("%s is no record that this program reads", path)
 		}
 		return json.Unmarshal(meta.Get(identityKey), &s.Identity)
@@ -125,72 +125,72 @@
 
 // SetIdentity keeps what the keeper knows of itself.
 func (s *Store) SetIdentity(id Identity) error {
-	text, err := json.Marshal(id)
+	data, err := json.Marshal(id)
 	if err != nil {
 		return err
 	}
 	s.Identity = id
-	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(identityKey, text) })
+	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(identityKey, data) })
 }
 
 // Load what was kept.
-func (s *Store) Load() (st coordinator.Stored, err error) {
+func (s *Store) Load() (persisted coordinator.Stored, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		if text := meta.Get(snapKey); text != nil {
-			st.Snapshot = &pb.Snapshot{}
-			if err := proto.Unmarshal(text, st.Snapshot); err != nil {
+		if data := meta.Get(snapshotKey); data != nil {
+			persisted.Snapshot = &pb.Snapshot{}
+			if err := proto.Unmarshal(data, persisted.Snapshot); err != nil {
 				return fmt.Errorf("snapshot: %v", err)
 			}
 		}
-		if text := meta.Get(stateKey); text != nil {
-			st.HardState = &pb.HardState{}
-			if err := proto.Unmarshal(text, st.HardState); err != nil {
+		if data := meta.Get(hardStateKey); data != nil {
+			persisted.HardState = &pb.HardState{}
+			if err := proto.Unmarshal(data, persisted.HardState); err != nil {
 				return fmt.Errorf("hard state: %v", err)
 			}
 		}
-		from := st.Snapshot.GetMetadata().GetIndex()
+		snapshotIndex := persisted.Snapshot.GetMetadata().GetIndex()
 		return tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
 			e := &pb.Entry{}
 			if err := proto.Unmarshal(v, e); err != nil {
 				return fmt.Errorf("entry %d: %v", binary.BigEndian.Uint64(k), err)
 			}
-			if e.GetIndex() > from {
-				st.Entries = append(st.Entries, e)
+			if e.GetIndex() > snapshotIndex {
+				persisted.Entries = append(persisted.Entries, e)
 			}
 			return nil
 		})
 	})
-	return st, err
+	return persisted, err
 }
 
 // Keep what has to be on the disk before anything is sent: all of it or nothing.
-func (s *Store) Keep(out *coordinator.Output) error {
-	k := &out.Keep
-	if k.Snapshot == nil && k.HardState == nil && len(k.Entries) == 0 {
+func (s *Store) Keep(output *coordinator.Output) error {
+	persist := &output.Keep
+	if persist.Snapshot == nil && persist.HardState == nil && len(persist.Entries) == 0 {
 		return nil
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
-		if k.Snapshot != nil {
-			if err := put(meta, snapKey, k.Snapshot); err != nil {
+		if persist.Snapshot != nil {
+			if err := putMessage(meta, snapshotKey, persist.Snapshot); err != nil {
 				return err
 			}
 			// One that came from another keeper replaces all that is here: what lies behind it is of a log that was given up, and
 			// must not be taken for this keeper's after a restart.
 			upTo := uint64(math.MaxUint64)
-			if k.Compact > 0 {
-				upTo = k.Compact
+			if persist.Compact > 0 {
+				upTo = persist.Compact
 			}
 			if err := deleteUpTo(log, upTo); err != nil {
 				return err
 			}
 		}
-		if err := replaceFrom(log, k.Entries); err != nil {
+		if err := replaceFrom(log, persist.Entries); err != nil {
 			return err
 		}
-		if h := k.HardState; h != nil && (h.GetTerm() != 0 || h.GetCommit() != 0 || h.GetVote() != 0) {
-			return put(meta, stateKey, h)
+		if h := persist.HardState; h != nil && (h.GetTerm() != 0 || h.GetCommit() != 0 || h.GetVote() != 0) {
+			return putMessage(meta, hardStateKey, h)
 		}
 		return nil
 	})
@@ -214,25 +214,25 @@
 	}
 	first := entries[0].GetIndex()
 	c := log.Cursor()
-	for key, _ := c.Seek(index(first)); key != nil; key, _ = c.Seek(index(first)) {
+	for key, _ := c.Seek(indexKey(first)); key != nil; key, _ = c.Seek(indexKey(first)) {
 		if err := c.Delete(); err != nil {
 			return err
 		}
 	}
 	for _, e := range entries {
-		if err := put(log, index(e.GetIndex()), e); err != nil {
+		if err := putMessage(log, indexKey(e.GetIndex()), e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func index(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func indexKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	text, err := proto.Marshal(m)
+func putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, text)
+	return b.Put(key, data)
 }
--- a/internal/coordserver/store_test.go
+++ b/internal/coordserver/store_test.go
@@ -18,16 +18,16 @@
 	return &pb.Snapshot{Data: []byte("x"), Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(term)}}
 }
 
-func indexes(t *testing.T, s *Store) (all []uint64, from uint64) {
+func loadIndexes(t *testing.T, s *Store) (indexes []uint64, snapshotIndex uint64) {
 	t.Helper()
 	st, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range st.Entries {
-		all = append(all, e.GetIndex())
+		indexes = append(indexes, e.GetIndex())
 	}
-	return all, st.Snapshot.GetMetadata().GetIndex()
+	return indexes, st.Snapshot.GetMetadata().GetIndex()
 }
 
 // TestStore: what is kept comes back; entries that were given up don't, neither those that newer ones replace nor those behind a
@@ -37,14 +37,14 @@
 	if _, err := Open(folder); !errors.Is(err, ErrEmpty) {
 		t.Errorf("an empty folder: %v", err)
 	}
-	begin, err := coordinator.Begin([]registry.Keeper{{ID: 1, Name: "k1", Addr: "127.0.0.1:1"}}, 4, 0.05)
+	initial, err := coordinator.Begin([]registry.Keeper{{ID: 1, Name: "k1", Addr: "127.0.0.1:1"}}, 4, 0.05)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Create(folder, Identity{ID: 1, Name: "k1", Token: "ab", Fresh: true}, begin); err != nil {
+	if err := Create(folder, Identity{ID: 1, Name: "k1", Token: "ab", Fresh: true}, initial); err != nil {
 		t.Fatal(err)
 	}
-	if err := Create(folder, Identity{ID: 2}, begin); err == nil || !strings.Contains(err.Error(), "there already") {
+	if err := Create(folder, Identity{ID: 2}, initial); err == nil || !strings.Contains(err.Error(), "there already") {
 		t.Errorf("a record is written over: %v", err)
 	}
 	s, err := Open(folder)
@@ -54,7 +54,7 @@
 	if _, err := Open(folder); err == nil || !strings.Contains(err.Error(), "another keeper") {
 		t.Errorf("two processes have the folder: %v", err)
 	}
-	keep := func(f func(o *coordinator.Output)) {
+	persist := func(f func(o *coordinator.Output)) {
 		t.Helper()
 		var o coordinator.Output
 		f(&o)
@@ -62,26 +62,26 @@
 			t.Fatal(err)
 		}
 	}
-	keep(func(o *coordinator.Output) {
+	persist(func(o *coordinator.Output) {
 		o.Keep.Entries = []*pb.Entry{entry(2, 2), entry(3, 2), entry(4, 2), entry(5, 2)}
 		o.Keep.HardState = &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(1)), Commit: new(uint64(3))}
 	})
-	keep(func(o *coordinator.Output) { o.Keep.Entries = []*pb.Entry{entry(4, 3)} })
-	if all, from := indexes(t, s); len(all) != 3 || from != 1 {
+	persist(func(o *coordinator.Output) { o.Keep.Entries = []*pb.Entry{entry(4, 3)} })
+	if all, from := loadIndexes(t, s); len(all) != 3 || from != 1 {
 		t.Errorf("entries %v behind %d", all, from)
 	}
-	keep(func(o *coordinator.Output) { o.Keep.Snapshot, o.Keep.Compact = snapshot(3, 2), 2 })
-	if all, from := indexes(t, s); len(all) != 1 || all[0] != 4 || from != 3 {
+	persist(func(o *coordinator.Output) { o.Keep.Snapshot, o.Keep.Compact = snapshot(3, 2), 2 })
+	if all, from := loadIndexes(t, s); len(all) != 1 || all[0] != 4 || from != 3 {
 		t.Errorf("entries %v behind our own snapshot %d", all, from)
 	}
-	keep(func(o *coordinator.Output) { o.Keep.Entries = []*pb.Entry{entry(5, 3), entry(6, 3), entry(7, 3)} })
-	keep(func(o *coordinator.Output) { o.Keep.Snapshot = snapshot(5, 4) })
+	persist(func(o *coordinator.Output) { o.Keep.Entries = []*pb.Entry{entry(5, 3), entry(6, 3), entry(7, 3)} })
+	persist(func(o *coordinator.Output) { o.Keep.Snapshot = snapshot(5, 4) })
 	s.Close()
 	if s, err = Open(folder); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if all, from := indexes(t, s); len(all) != 0 || from != 5 {
+	if all, from := loadIndexes(t, s); len(all) != 0 || from != 5 {
 		t.Errorf("entries %v behind another's snapshot %d", all, from)
 	}
 	if s.Identity.ID != 1 || !s.Identity.Fresh {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestParseKeepers(t *testing.T) {
+func TestParseCoordinators(t *testing.T) {
 	for text, want := range map[string]string{
 		"k1=127.0.0.1:1@a,k2=10.0.0.1:1,k3=192.168.0.1:1": "",
 		"k1=127.0.0.1:1,k2=127.0.0.1:2":                   "2 keepers",
--- a/internal/coordserver/transport.go
+++ b/internal/coordserver/transport.go
@@ -20,63 +20,63 @@
 
 // transport carries raft's messages between keepers: POST /raft/RECORD, each message with its length before it.
 type transport struct {
-	ctx   context.Context
-	group *errgroup.Group
-	id    Identity
-	s     *server
-	to    map[uint64]*peer
-	index uint64
+	ctx           context.Context
+	group         *errgroup.Group
+	id            Identity
+	srv           *server
+	peers         map[uint64]*peer
+	registryIndex uint64
 }
 
 // peer is a keeper that messages go to. Its goroutine ends with the keeper, or when the peer has left.
 type peer struct {
-	addr string
-	box  chan []*pb.Message // a few batches: raft sends again what is lost
-	stop context.CancelFunc
+	addr  string
+	queue chan []*pb.Message // a few batches: raft sends again what is lost
+	stop  context.CancelFunc
 }
 
-const boxes = 16
+const peerQueueLength = 16
 
-func newTransport(ctx context.Context, group *errgroup.Group, id Identity, s *server) *transport {
-	return &transport{ctx: ctx, group: group, id: id, s: s, to: map[uint64]*peer{}}
+func newTransport(ctx context.Context, group *errgroup.Group, id Identity, srv *server) *transport {
+	return &transport{ctx: ctx, group: group, id: id, srv: srv, peers: map[uint64]*peer{}}
 }
 
-// peers follows the record's list.
-func (t *transport) peers(r *registry.Record) {
-	if r.Index() == t.index && len(t.to) > 0 {
+// updatePeers follows the record's list.
+func (t *transport) updatePeers(r *registry.Record) {
+	if r.Index() == t.registryIndex && len(t.peers) > 0 {
 		return
 	}
-	t.index = r.Index()
-	for id, p := range t.to {
+	t.registryIndex = r.Index()
+	for id, p := range t.peers {
 		if k := r.Keeper(id); k == nil && len(r.Keepers()) > 0 || k != nil && k.Addr != p.addr {
 			p.stop()
-			delete(t.to, id)
+			delete(t.peers, id)
 		}
 	}
 	for _, k := range r.Keepers() {
-		t.add(k.ID, k.Addr)
+		t.addPeer(k.ID, k.Addr)
 	}
 }
 
-func (t *transport) add(id uint64, addr string) *peer {
-	if id == t.id.ID || t.to[id] != nil {
-		return t.to[id]
+func (t *transport) addPeer(id uint64, addr string) *peer {
+	if id == t.id.ID || t.peers[id] != nil {
+		return t.peers[id]
 	}
 	ctx, stop := context.WithCancel(t.ctx)
-	p := &peer{addr: addr, box: make(chan []*pb.Message, boxes), stop: stop}
-	t.to[id] = p
+	p := &peer{addr: addr, queue: make(chan []*pb.Message, peerQueueLength), stop: stop}
+	t.peers[id] = p
 	t.group.Go(func() error {
-		t.post(ctx, id, p)
+		t.sendLoop(ctx, id, p)
 		return nil
 	})
 	return p
 }
 
-// withMore appends to a batch all that waits for the peer by now.
-func (p *peer) withMore(batch []*pb.Message) []*pb.Message {
+// appendQueued appends to a batch all that waits for the peer by now.
+func (p *peer) appendQueued(batch []*pb.Message) []*pb.Message {
 	for {
 		select {
-		case b := <-p.box:
+		case b := <-p.queue:
 			batch = append(batch, b...)
 		default:
 			return batch
@@ -84,80 +84,80 @@
 	}
 }
 
-// encode writes messages behind their lengths, and tells whether a snapshot is among them.
-func encode(batch []*pb.Message) (body []byte, snap bool) {
+// encodeMessages writes messages behind their lengths, and tells whether a snapshot is among them.
+func encodeMessages(batch []*pb.Message) (body []byte, hasSnapshot bool) {
 	for _, m := range batch {
-		text, err := proto.Marshal(m)
+		data, err := proto.Marshal(m)
 		if err != nil {
 			continue
 		}
-		body = binary.BigEndian.AppendUint32(body, uint32(len(text)))
-		body = append(body, text...)
-		snap = snap || m.GetType() == pb.MsgSnap
+		body = binary.BigEndian.AppendUint32(body, uint32(len(data)))
+		body = append(body, data...)
+		hasSnapshot = hasSnapshot || m.GetType() == pb.MsgSnap
 	}
-	return body, snap
+	return body, hasSnapshot
 }
 
 // send messages; what finds no room is lost, as on any network.
-func (t *transport) send(all []*pb.Message, k *coordinator.Keeper) {
-	by := map[uint64][]*pb.Message{}
-	for _, m := range all {
-		by[m.GetTo()] = append(by[m.GetTo()], m)
+func (t *transport) send(messages []*pb.Message, coord *coordinator.Keeper) {
+	byPeer := map[uint64][]*pb.Message{}
+	for _, m := range messages {
+		byPeer[m.GetTo()] = append(byPeer[m.GetTo()], m)
 	}
-	for id, batch := range by {
-		p := t.peerOf(id)
+	for id, batch := range byPeer {
+		p := t.peerByID(id)
 		if p == nil {
 			continue
 		}
 		select {
-		case p.box <- batch:
+		case p.queue <- batch:
 		default:
-			k.Unreachable(id)
+			coord.Unreachable(id)
 			for _, m := range batch {
 				if m.GetType() == pb.MsgSnap {
-					k.Sent(id, false)
+					coord.Sent(id, false)
 				}
 			}
 		}
 	}
 }
 
-// peerOf is the peer of an id, nil: there is none.
-func (t *transport) peerOf(id uint64) *peer {
-	p := t.to[id]
+// peerByID is the peer of an id, nil: there is none.
+func (t *transport) peerByID(id uint64) *peer {
+	p := t.peers[id]
 	if p == nil { // a coordinator that joins knows the others by its folder only
 		for _, x := range t.id.Peers {
 			if x.ID == id {
-				p = t.add(id, x.Addr)
+				p = t.addPeer(id, x.Addr)
 			}
 		}
 	}
 	return p
 }
 
-func (t *transport) post(ctx context.Context, id uint64, p *peer) {
-	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DialContext: dialer(t.s.from).DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}
+func (t *transport) sendLoop(ctx context.Context, id uint64, p *peer) {
+	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DialContext: dialer(t.srv.localAddr).DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}
 	defer client.CloseIdleConnections()
 	for {
 		var batch []*pb.Message
 		select {
-		case batch = <-p.box:
+		case batch = <-p.queue:
 		case <-ctx.Done():
 			return
 		}
-		body, snap := encode(p.withMore(batch))
-		err := t.deliver(ctx, client, p.addr, body)
+		body, hasSnapshot := encodeMessages(p.appendQueued(batch))
+		err := t.postMessages(ctx, client, p.addr, body)
 		if ctx.Err() != nil {
 			return
 		}
-		if err != nil || snap {
+		if err != nil || hasSnapshot {
 			select {
-			case t.s.inbox <- func(float64) {
+			case t.srv.funcs <- func(float64) {
 				if err != nil {
-					t.s.k.Unreachable(id)
+					t.srv.coord.Unreachable(id)
 				}
-				if snap {
-					t.s.k.Sent(id, err == nil)
+				if hasSnapshot {
+					t.srv.coord.Sent(id, err == nil)
 				}
 			}:
 			case <-ctx.Done():
@@ -167,7 +167,7 @@
 	}
 }
 
-func (t *transport) deliver(ctx context.Context, c *http.Client, addr string, body []byte) error {
+func (t *transport) postMessages(ctx context.Context, c *http.Client, addr string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/raft/"+t.id.Token, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -193,38 +193,38 @@
 		http.Error(w, "another record", http.StatusForbidden)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostRaft))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRaftBody))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var all []*pb.Message
+	var messages []*pb.Message
 	for len(body) > 0 {
 		if len(body) < 4 || uint64(binary.BigEndian.Uint32(body)) > uint64(len(body)-4) {
 			http.Error(w, "cut short", http.StatusBadRequest)
 			return
 		}
-		n := binary.BigEndian.Uint32(body)
+		length := binary.BigEndian.Uint32(body)
 		m := &pb.Message{}
-		if err := proto.Unmarshal(body[4:4+n], m); err != nil {
+		if err := proto.Unmarshal(body[4:4+length], m); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		if m.GetTo() == t.id.ID { // one for a keeper that had this address before is not for us
-			all = append(all, m)
+			messages = append(messages, m)
 		}
-		body = body[4+n:]
+		body = body[4+length:]
 	}
-	from, reads := number(r.Header.Get("Keeper")), number(r.Header.Get("Reads"))
+	sender, readableVersion := toUint(r.Header.Get("Keeper")), toUint(r.Header.Get("Reads"))
 	select {
-	case t.s.inbox <- func(now float64) {
-		if t.s.k == nil {
+	case t.srv.funcs <- func(now float64) {
+		if t.srv.coord == nil {
 			return
 		}
-		for _, m := range all {
-			t.s.k.Step(now, m)
+		for _, m := range messages {
+			t.srv.coord.Step(now, m)
 		}
-		t.s.k.Version(from, uint16(reads))
+		t.srv.coord.Version(sender, uint16(readableVersion))
 	}:
 		w.WriteHeader(http.StatusNoContent)
 	case <-t.ctx.Done():
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -20,29 +20,29 @@
 
 // report is what a folder has of one router.
 type report struct {
-	Name       string              `json:"name"`
-	Generation uint64              `json:"generation"`
-	Records    int                 `json:"records"`
-	Cut        bool                `json:"cut_short"`
-	Passed     []string            `json:"passed_over,omitempty"`
-	Bytes      int64               `json:"bytes"`
-	Files      int                 `json:"files"`
-	Age        float64             `json:"age_s"`
-	Old        float64             `json:"snapshot_age_s"`
-	Sure       bool                `json:"age_known"`
-	Kept       *warmstart.Snapshot `json:"kept,omitempty"`
-	Quick      []warmstart.Record  `json:"records_since,omitempty"`
-	body       []byte
-	records    [][]byte
+	Name         string              `json:"name"`
+	Generation   uint64              `json:"generation"`
+	Records      int                 `json:"records"`
+	Cut          bool                `json:"cut_short"`
+	Passed       []string            `json:"passed_over,omitempty"`
+	Bytes        int64               `json:"bytes"`
+	Files        int                 `json:"files"`
+	Age          float64             `json:"age_s"`
+	SnapshotAge  float64             `json:"snapshot_age_s"`
+	AgeKnown     bool                `json:"age_known"`
+	LastSnapshot *warmstart.Snapshot `json:"kept,omitempty"`
+	Quick        []warmstart.Record  `json:"records_since,omitempty"`
+	body         []byte
+	records      [][]byte
 }
 
 // inspect reads what a folder has of one router, without changing it.
-func inspect(dir, name string) (l report, err error) {
+func inspect(dir, name string) (rep report, err error) {
 	r, _, err := store.Load(dir, name)
 	if err != nil {
-		return l, err
+		return rep, err
 	}
-	l = report{
+	rep = report{
 		Name:       name,
 		Generation: r.Generation,
 		Records:    len(r.Records),
@@ -51,26 +51,26 @@
 		body:       r.Body,
 		records:    r.Records,
 	}
-	l.Files, l.Bytes = store.Size(dir, name)
+	rep.Files, rep.Bytes = store.Size(dir, name)
 	if r.Generation == 0 {
-		return l, nil
+		return rep, nil
 	}
-	kept, quick, err := unpack(r.Body, r.Records)
+	snapshot, recordsSince, err := decodeState(r.Body, r.Records)
 	if err != nil {
-		l.Passed = append(l.Passed, err.Error())
+		rep.Passed = append(rep.Passed, err.Error())
 	}
-	l.Kept, l.Quick = &kept, quick
-	now, newest := moment(), kept.Quick.At
-	if len(quick) > 0 {
-		newest = quick[len(quick)-1].At
+	rep.LastSnapshot, rep.Quick = &snapshot, recordsSince
+	now, newest := timestampNow(), snapshot.Quick.At
+	if len(recordsSince) > 0 {
+		newest = recordsSince[len(recordsSince)-1].At
 	}
-	l.Old, _ = now.Age(kept.At)
-	l.Age, l.Sure = now.Age(newest)
-	return l, nil
+	rep.SnapshotAge, _ = now.Age(snapshot.At)
+	rep.Age, rep.AgeKnown = now.Age(newest)
+	return rep, nil
 }
 
-// tool is the command `state` with its flags.
-type tool struct {
+// stateTool is the command `state` with its flags.
+type stateTool struct {
 	out    io.Writer
 	name   string
 	asJSON bool
@@ -78,7 +78,7 @@
 
 // Command returns the command `state`, as dunecheck has it. It prints to out.
 func Command(out io.Writer) *cobra.Command {
-	t := &tool{out: out}
+	t := &stateTool{out: out}
 	root := &cobra.Command{Use: "state", Short: "Look at what routers keep in a folder",
 		Long: `State works on the folder of a running router as on that of a dead one: looking takes nothing from it, and what changes a
 folder refuses one that a router has.`}
@@ -95,27 +95,27 @@
 }
 
 // command returns a subcommand that does something with the reports of a folder.
-func (t *tool) command(use, short string, do func(dir string, all []report) error) *cobra.Command {
-	run := func(_ *cobra.Command, args []string) error {
+func (t *stateTool) command(use, short string, do func(dir string, reports []report) error) *cobra.Command {
+	runE := func(_ *cobra.Command, args []string) error {
 		names, err := t.names(args[0])
 		if err != nil {
 			return err
 		}
-		var all []report
+		var reports []report
 		for _, name := range names {
-			l, err := inspect(args[0], name)
+			rep, err := inspect(args[0], name)
 			if err != nil {
 				return err
 			}
-			all = append(all, l)
+			reports = append(reports, rep)
 		}
-		return do(args[0], all)
+		return do(args[0], reports)
 	}
-	return &cobra.Command{Use: use + " DIR", Short: short, Args: cobra.ExactArgs(1), RunE: run}
+	return &cobra.Command{Use: use + " DIR", Short: short, Args: cobra.ExactArgs(1), RunE: runE}
 }
 
 // names returns the routers that a folder has something of, or the one that the flag names.
-func (t *tool) names(dir string) ([]string, error) {
+func (t *stateTool) names(dir string) ([]string, error) {
 	if info, err := os.Stat(dir); err != nil {
 		return nil, err
 	} else if !info.IsDir() {
@@ -132,63 +132,63 @@
 }
 
 // print writes a value as JSON.
-func (t *tool) print(v any) error {
+func (t *stateTool) print(v any) error {
 	e := json.NewEncoder(t.out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
 // show prints one line for each router.
-func (t *tool) show(_ string, all []report) error {
+func (t *stateTool) show(_ string, reports []report) error {
 	if t.asJSON {
-		for k := range all {
-			all[k].Kept, all[k].Quick = nil, nil
+		for k := range reports {
+			reports[k].LastSnapshot, reports[k].Quick = nil, nil
 		}
-		return t.print(all)
+		return t.print(reports)
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "name\tgeneration\trecords since\tage\tof the snapshot\tfiles\tbytes\tprofiles\tengines in trouble\tteams\twaits\t")
-	for _, l := range all {
-		l.showLine(w)
+	for _, rep := range reports {
+		rep.printRow(w)
 	}
 	return w.Flush()
 }
 
-// showLine prints the cells of one router.
-func (l *report) showLine(w io.Writer) {
-	if l.Kept == nil {
-		fmt.Fprintf(w, "%s\tnothing whole\t\t\t\t%d\t%d\t\n", l.Name, l.Files, l.Bytes)
+// printRow prints the cells of one router.
+func (rep *report) printRow(w io.Writer) {
+	if rep.LastSnapshot == nil {
+		fmt.Fprintf(w, "%s\tnothing whole\t\t\t\t%d\t%d\t\n", rep.Name, rep.Files, rep.Bytes)
 		return
 	}
-	age, old := "not known", "not known"
-	if l.Sure {
-		age, old = span(l.Age), span(l.Old)
+	age, snapshotAge := "not known", "not known"
+	if rep.AgeKnown {
+		age, snapshotAge = formatDuration(rep.Age), formatDuration(rep.SnapshotAge)
 	}
-	quick := l.Kept.Quick
-	if len(l.Quick) > 0 {
-		quick = l.Quick[len(l.Quick)-1]
+	record := rep.LastSnapshot.Quick
+	if len(rep.Quick) > 0 {
+		record = rep.Quick[len(rep.Quick)-1]
 	}
-	fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%d\t%d\t", l.Name, l.Generation, l.Records, age, old, l.Files, l.Bytes)
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t\n", len(l.Kept.Profiles), len(quick.Known.Engines), len(quick.Teams), len(l.Kept.Waits))
+	fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%d\t%d\t", rep.Name, rep.Generation, rep.Records, age, snapshotAge, rep.Files, rep.Bytes)
+	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t\n", len(rep.LastSnapshot.Profiles), len(record.Known.Engines), len(record.Teams), len(rep.LastSnapshot.Waits))
 }
 
 // verify prints what was found, and returns ErrDamaged where some of it is damaged.
-func (t *tool) verify(_ string, all []report) error {
-	bad := false
-	for _, l := range all {
-		for _, why := range l.Passed {
-			fmt.Fprintf(t.out, "%s: %s\n", l.Name, why)
+func (t *stateTool) verify(_ string, reports []report) error {
+	damaged := false
+	for _, rep := range reports {
+		for _, why := range rep.Passed {
+			fmt.Fprintf(t.out, "%s: %s\n", rep.Name, why)
 		}
-		switch bad = bad || len(l.Passed) > 0 || l.Generation == 0; {
-		case l.Generation == 0:
-			fmt.Fprintf(t.out, "%s: nothing whole\n", l.Name)
-		case l.Cut:
-			fmt.Fprintf(t.out, "%s: generation %d and %d records, the last one cut short as by a kill\n", l.Name, l.Generation, l.Records)
+		switch damaged = damaged || len(rep.Passed) > 0 || rep.Generation == 0; {
+		case rep.Generation == 0:
+			fmt.Fprintf(t.out, "%s: nothing whole\n", rep.Name)
+		case rep.Cut:
+			fmt.Fprintf(t.out, "%s: generation %d and %d records, the last one cut short as by a kill\n", rep.Name, rep.Generation, rep.Records)
 		default:
-			fmt.Fprintf(t.out, "%s: generation %d and %d records\n", l.Name, l.Generation, l.Records)
+			fmt.Fprintf(t.out, "%s: generation %d and %d records\n", rep.Name, rep.Generation, rep.Records)
 		}
 	}
-	if bad {
+	if damaged {
 		return ErrDamaged
 	}
 	return nil
@@ -196,46 +196,46 @@
 
 // changeEach returns a function that changes what a folder has of each router, unless one that runs has it open. change returns
 // what is printed.
-func (t *tool) changeEach(change func(s *store.Store, l report) (string, error)) func(dir string, all []report) error {
-	return func(dir string, all []report) error {
-		for _, l := range all {
-			s, _, err := store.Open(dir, l.Name)
+func (t *stateTool) changeEach(change func(s *store.Store, rep report) (string, error)) func(dir string, reports []report) error {
+	return func(dir string, reports []report) error {
+		for _, rep := range reports {
+			s, _, err := store.Open(dir, rep.Name)
 			if errors.Is(err, store.ErrLocked) {
-				return fmt.Errorf("%s in %s: a router that runs has it; nothing was done to it", l.Name, dir)
+				return fmt.Errorf("%s in %s: a router that runs has it; nothing was done to it", rep.Name, dir)
 			}
 			if err != nil {
 				return err
 			}
-			said, err := change(s, l)
+			message, err := change(s, rep)
 			s.Close()
 			if err != nil {
-				return fmt.Errorf("%s: %v", l.Name, err)
+				return fmt.Errorf("%s: %v", rep.Name, err)
 			}
-			fmt.Fprintf(t.out, "%s: %s\n", l.Name, said)
+			fmt.Fprintf(t.out, "%s: %s\n", rep.Name, message)
 		}
 		return nil
 	}
 }
 
 // compact merges the journal into a new snapshot.
-func compact(s *store.Store, l report) (string, error) {
-	if l.Generation == 0 {
+func compact(s *store.Store, rep report) (string, error) {
+	if rep.Generation == 0 {
 		return "", errors.New("nothing whole to put together")
 	}
-	body, err := merge(l.body, l.records)
+	body, err := mergeRecord(rep.body, rep.records)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("generation %d, %d bytes", l.Generation+1, len(body)), s.Snapshot(body)
+	return fmt.Sprintf("generation %d, %d bytes", rep.Generation+1, len(body)), s.Snapshot(body)
 }
 
 // drop removes all that is kept.
-func drop(s *store.Store, l report) (string, error) {
-	return fmt.Sprintf("%d files thrown away", l.Files), s.Drop()
+func drop(s *store.Store, rep report) (string, error) {
+	return fmt.Sprintf("%d files thrown away", rep.Files), s.Drop()
 }
 
-// span returns a duration as text, in the unit that a person would use.
-func span(seconds float64) string {
+// formatDuration returns a duration as text, in the unit that a person would use.
+func formatDuration(seconds float64) string {
 	switch {
 	case seconds < 120:
 		return fmt.Sprintf("%.1f s", seconds)
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -32,8 +32,8 @@
 
 var update = flag.Bool("update", false, "write the golden files of this version")
 
-// known is knowledge of every kind.
-func known() (warmstart.Snapshot, warmstart.Record) {
+// sampleState is knowledge of every kind.
+func sampleState() (warmstart.Snapshot, warmstart.Record) {
 	k := warmstart.Snapshot{At: warmstart.Timestamp{Wall: 1000, Up: 10, Boot: "b"},
 		Profiles: []warmstart.Profile{{Settings: 7, Work: 0.2, Seen: 9, Hinted: 1, Worked: 2, Slow: 1.5, Times: warmstart.Times{Counts: []float64{1, 2, 3}, Sum: 4}}},
 		Quick:    warmstart.Record{At: warmstart.Timestamp{Wall: 999, Up: 9, Boot: "b"}, Serial: 3},
@@ -43,19 +43,19 @@
 	return k, q
 }
 
-func fill(t *testing.T, dir, name string) {
+func writeState(t *testing.T, dir, name string) {
 	t.Helper()
 	s, _, err := store.Open(dir, name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	k, q := known()
-	body, err := pack(k)
+	k, q := sampleState()
+	body, err := encodeSnapshot(k)
 	if err == nil {
 		err = s.Snapshot(body)
 	}
-	record, _ := packQuick(q)
+	record, _ := encodeRecord(q)
 	if err == nil {
 		err = s.Append(record)
 	}
@@ -71,16 +71,16 @@
 func TestGolden(t *testing.T) {
 	dir := filepath.Join("testdata", fmt.Sprint("v", store.Version))
 	if *update {
-		fill(t, dir, "n1")
+		writeState(t, dir, "n1")
 		os.Remove(filepath.Join(dir, "n1.lock"))
 	}
-	k, q := known()
+	k, q := sampleState()
 	for v := 1; v <= store.Version; v++ {
 		r, _, err := store.Load(filepath.Join("testdata", fmt.Sprint("v", v)), "n1")
 		if err != nil || len(r.Passed) > 0 {
 			t.Fatalf("version %d: %v %v", v, err, r.Passed)
 		}
-		kept, quick, err := unpack(r.Body, r.Records)
+		kept, quick, err := decodeState(r.Body, r.Records)
 		if err != nil {
 			t.Fatalf("version %d: %v", v, err)
 		}
@@ -92,8 +92,8 @@
 
 // TestMerge: a compacted snapshot has the newest record, each piece its own age, and what this version does not know.
 func TestMerge(t *testing.T) {
-	k, q := known()
-	body, _ := pack(k)
+	k, q := sampleState()
+	body, _ := encodeSnapshot(k)
 	var all map[int]any
 	if err := cbor.Unmarshal(body, &all); err != nil {
 		t.Fatal(err)
@@ -104,13 +104,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, _ := packQuick(warmstart.Record{Serial: 1})
-	newest, _ := packQuick(q)
-	merged, err := merge(later, [][]byte{old, newest})
+	oldest, _ := encodeRecord(warmstart.Record{Serial: 1})
+	newest, _ := encodeRecord(q)
+	merged, err := mergeRecord(later, [][]byte{oldest, newest})
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, _, err := unpack(merged, nil)
+	got, _, err := decodeState(merged, nil)
 	k.Quick = q
 	if diff := cmp.Diff(k, got); diff != "" || err != nil {
 		t.Errorf("%v (-want +got):\n%s", err, diff)
@@ -123,15 +123,15 @@
 
 // FuzzBody: whatever bytes a body and a record are, they are read in a bounded way and believed without a crash.
 func FuzzBody(f *testing.F) {
-	k, q := known()
-	body, _ := pack(k)
-	record, _ := packQuick(q)
+	k, q := sampleState()
+	body, _ := encodeSnapshot(k)
+	record, _ := encodeRecord(q)
 	f.Add(body, record)
 	f.Add([]byte{0xa1, 0x02, 0x9a, 0xff, 0xff, 0xff, 0xff}, []byte{0xbf})                   // an array of four thousand million
 	f.Add([]byte{0xa1, 0x02, 0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, record) // of 2^63 - 1
 	f.Add(bytes.Repeat([]byte{0x81}, 5000), record)                                         // nested without end
 	f.Fuzz(func(t *testing.T, body, record []byte) {
-		kept, quick, _ := unpack(body, [][]byte{record})
+		kept, quick, _ := decodeState(body, [][]byte{record})
 		r := warmstart.Restore(kept, quick, warmstart.Timestamp{Wall: 1010, Up: 20, Boot: "b"}, []uint64{7, 8}, []float64{4})
 		if len(r.Profiles) != 2 || len(r.Tenants) != 1 {
 			t.Fatalf("%+v", r)
@@ -146,12 +146,12 @@
 				t.Fatal("a team's debt is no number")
 			}
 		}
-		merge(body, [][]byte{record})
+		mergeRecord(body, [][]byte{record})
 	})
 }
 
-// running is a router whose owner is this test.
-func running(t *testing.T) (*router.Router, settings.Settings) {
+// newRouter is a router whose owner is this test.
+func newRouter(t *testing.T) (*router.Router, settings.Settings) {
 	t.Helper()
 	set := settings.Settings{Profiles: []string{"p"}, Tenants: []string{"a"}, Brain: admission.Settings{Routers: 1, Tick: 0.005,
 		Profiles: []admission.Profile{{Target: 1, Benefit: 1, Threads: 1}}, Tenants: []admission.Tenant{{QuotaPerS: 4}}}}
@@ -159,19 +159,19 @@
 	return r, set
 }
 
-func begin(r *router.Router) {
+func startRouter(r *router.Router) {
 	r.Start(0, backends.New(r, backends.Limits{Streams: 1, Conns: 1}, func(netip.AddrPort, transport.Sink) backends.Line { return nil }))
 }
 
-// TestKept: what a router knows is written, the last of it when the process ends, and the next one believes it.
-func TestKept(t *testing.T) {
+// TestStateSurvivesRestart: what a router knows is written, the last of it when the process ends, and the next one believes it.
+func TestStateSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
-	play := func() []string {
+	runOnce := func() []string {
 		core, logs := observer.New(zap.InfoLevel)
 		k := New(operator.State{Folder: dir}, "n1", zap.New(core))
-		r, _ := running(t)
+		r, _ := newRouter(t)
 		k.Recall(r)
-		begin(r)
+		startRouter(r)
 		ctx, cancel := context.WithCancel(context.Background())
 		group, ctx := errgroup.WithContext(ctx)
 		k.Run(ctx, group)
@@ -179,38 +179,38 @@
 		k.End(r)
 		cancel()
 		group.Wait()
-		var said []string
+		var messages []string
 		for _, e := range logs.All() {
-			said = append(said, e.Message)
+			messages = append(messages, e.Message)
 		}
-		return said
+		return messages
 	}
-	if said := play(); len(said) != 1 || said[0] != "nothing is remembered" {
-		t.Fatalf("the first: %v", said)
+	if messages := runOnce(); len(messages) != 1 || messages[0] != "nothing is remembered" {
+		t.Fatalf("the first: %v", messages)
 	}
-	if said := play(); len(said) != 1 || said[0] != "remembered" {
-		t.Fatalf("the second: %v", said)
+	if messages := runOnce(); len(messages) != 1 || messages[0] != "remembered" {
+		t.Fatalf("the second: %v", messages)
 	}
 }
 
-// TestNoFolder: a folder that can't be one, or that another process has, is said once; the router is served without, and kept again
+// TestUnusableFolder: a folder that can't be one, or that another process has, is said once; the router is served without, and kept again
 // once it can be.
-func TestNoFolder(t *testing.T) {
+func TestUnusableFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if err := os.WriteFile(dir, []byte("no folder"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	core, logs := observer.New(zap.InfoLevel)
 	k := New(operator.State{Folder: dir, Snapshot: 0.05, Record: 0.02}, "n1", zap.New(core))
-	r, _ := running(t)
+	r, _ := newRouter(t)
 	k.Recall(r)
-	begin(r)
+	startRouter(r)
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	k.Run(ctx, group)
 	k.Tick(1, r)
 	count := func(message string) int { return logs.FilterMessage(message).Len() }
-	until := func(what string, seen func() bool) {
+	waitFor := func(what string, seen func() bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !seen(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
@@ -218,10 +218,10 @@
 			}
 		}
 	}
-	const not, again = "state is not kept: served without, and tried again", "state is kept again"
-	until("word of each job", func() bool { return count(not) == 2 })
+	const failedMessage, recoveredMessage = "state is not kept: served without, and tried again", "state is kept again"
+	waitFor("word of each job", func() bool { return count(failedMessage) == 2 })
 	time.Sleep(1500 * time.Millisecond) // tried again meanwhile, and nothing more is said
-	if n := count(not); n != 2 {
+	if n := count(failedMessage); n != 2 {
 		t.Errorf("said %d times of two jobs", n)
 	}
 	if err := os.Remove(dir); err != nil {
@@ -236,11 +236,11 @@
 		t.Errorf("it wrote %v into what another has", names)
 	}
 	other.Close()
-	until("word that it is kept", func() bool { return count(again) >= 1 })
+	waitFor("word that it is kept", func() bool { return count(recoveredMessage) >= 1 })
 	if err := os.RemoveAll(dir); err != nil { // taken away under it
 		t.Fatal(err)
 	}
-	until("a folder made anew", func() bool { got, _, err := store.Load(dir, "n1"); return err == nil && got.Generation > 0 })
+	waitFor("a folder made anew", func() bool { got, _, err := store.Load(dir, "n1"); return err == nil && got.Generation > 0 })
 	cancel()
 	group.Wait()
 	if got, _, err := store.Load(dir, "n1"); err != nil || got.Generation == 0 {
@@ -251,9 +251,9 @@
 // TestCommand: people and scripts look at a folder, of a dead and of a running router.
 func TestCommand(t *testing.T) {
 	dir := t.TempDir()
-	fill(t, dir, "n1")
-	fill(t, dir, "n2")
-	say := func(args ...string) (string, error) {
+	writeState(t, dir, "n1")
+	writeState(t, dir, "n2")
+	run := func(args ...string) (string, error) {
 		var out bytes.Buffer
 		c := Command(&out)
 		c.SetArgs(args)
@@ -261,45 +261,45 @@
 		err := c.Execute()
 		return out.String(), err
 	}
-	if out, err := say("show", dir); err != nil || strings.Count(out, "\n") != 3 || !strings.Contains(out, "not known") {
+	if out, err := run("show", dir); err != nil || strings.Count(out, "\n") != 3 || !strings.Contains(out, "not known") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	if out, err := say("verify", dir); err != nil || out != "n1: generation 1 and 1 records\nn2: generation 1 and 1 records\n" {
+	if out, err := run("verify", dir); err != nil || out != "n1: generation 1 and 1 records\nn2: generation 1 and 1 records\n" {
 		t.Errorf("%v\n%s", err, out)
 	}
 	var all []report
-	if out, err := say("export", dir, "--name", "n2"); err != nil || json.Unmarshal([]byte(out), &all) != nil || len(all) != 1 || all[0].Kept.Profiles[0].Settings != 7 {
+	if out, err := run("export", dir, "--name", "n2"); err != nil || json.Unmarshal([]byte(out), &all) != nil || len(all) != 1 || all[0].LastSnapshot.Profiles[0].Settings != 7 {
 		t.Errorf("%v\n%s", err, out)
 	}
-	held, _, err := store.Open(dir, "n1")
+	locked, _, err := store.Open(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, word := range []string{"compact", "drop"} {
-		if _, err := say(word, dir, "--name", "n1"); err == nil || !strings.Contains(err.Error(), "a router that runs has it") {
-			t.Errorf("%s what a router has: %v", word, err)
+	for _, subcommand := range []string{"compact", "drop"} {
+		if _, err := run(subcommand, dir, "--name", "n1"); err == nil || !strings.Contains(err.Error(), "a router that runs has it") {
+			t.Errorf("%s what a router has: %v", subcommand, err)
 		}
 	}
-	held.Close()
-	if out, err := say("compact", dir, "--name", "n1"); err != nil || !strings.HasPrefix(out, "n1: generation 2, ") {
+	locked.Close()
+	if out, err := run("compact", dir, "--name", "n1"); err != nil || !strings.HasPrefix(out, "n1: generation 2, ") {
 		t.Errorf("%v %s", err, out)
 	}
-	if l, err := inspect(dir, "n1"); err != nil || l.Records != 0 || l.Kept.Quick.Serial != 4 {
+	if l, err := inspect(dir, "n1"); err != nil || l.Records != 0 || l.LastSnapshot.Quick.Serial != 4 {
 		t.Errorf("compacted: %+v %v", l, err)
 	}
-	snap := filepath.Join(dir, "n1.2.snap")
-	text, _ := os.ReadFile(snap)
-	text[len(text)-1] ^= 1
-	os.WriteFile(snap, text, 0o600)
-	if out, err := say("verify", dir, "--name", "n1"); err != ErrDamaged || !strings.Contains(out, "n1.2.snap: its checksum is wrong") {
+	path := filepath.Join(dir, "n1.2.snap")
+	data, _ := os.ReadFile(path)
+	data[len(data)-1] ^= 1
+	os.WriteFile(path, data, 0o600)
+	if out, err := run("verify", dir, "--name", "n1"); err != ErrDamaged || !strings.Contains(out, "n1.2.snap: its checksum is wrong") {
 		t.Errorf("damaged: %v %s", err, out)
 	}
-	if out, err := say("drop", dir); err != nil || strings.Count(out, "thrown away") != 2 || len(store.Names(dir)) != 0 {
+	if out, err := run("drop", dir); err != nil || strings.Count(out, "thrown away") != 2 || len(store.Names(dir)) != 0 {
 		t.Errorf("%v %s", err, out)
 	}
-	for _, wrong := range []string{dir, filepath.Join(dir, "none")} {
-		if _, err := say("show", wrong); err == nil {
-			t.Errorf("%s: no error", wrong)
+	for _, missing := range []string{dir, filepath.Join(dir, "none")} {
+		if _, err := run("show", missing); err == nil {
+			t.Errorf("%s: no error", missing)
 		}
 	}
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func bolt(b *testing.B, size int) {
+func benchmarkBolt(b *testing.B, size int) {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "n1.db"), 0o600, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -75,6 +75,6 @@
 	b.ReportMetric(float64(stats.TxStats.GetPageAlloc())/float64(b.N), "pagebytes/op")
 }
 
-func BenchmarkSnapshotBolt(b *testing.B) { bolt(b, 50<<10) }
+func BenchmarkSnapshotBolt(b *testing.B) { benchmarkBolt(b, 50<<10) }
 
-func BenchmarkRecordBolt(b *testing.B) { bolt(b, 500) }
+func BenchmarkRecordBolt(b *testing.B) { benchmarkBolt(b, 500) }
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -12,24 +12,24 @@
 	"time"
 )
 
-const writerFolder = "DUNEREACH_TEST_WRITER"
+const writerFolderEnv = "DUNEREACH_TEST_WRITER"
 
 // TestMain lets the test binary be the process that is killed.
 func TestMain(m *testing.M) {
-	if dir := os.Getenv(writerFolder); dir != "" {
-		fmt.Fprintln(os.Stderr, write(dir))
+	if dir := os.Getenv(writerFolderEnv); dir != "" {
+		fmt.Fprintln(os.Stderr, writeUntilKilled(dir))
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
 }
 
-// write numbers that grow until it is killed, and print each that must last.
-func write(dir string) error {
+// writeUntilKilled numbers that grow until it is killed, and print each that must last.
+func writeUntilKilled(dir string) error {
 	s, r, err := Open(dir, "n1")
 	if err != nil {
 		return err
 	}
-	n := last(r)
+	n := lastNumber(r)
 	body := make([]byte, 16<<10)
 	for {
 		n++
@@ -51,7 +51,7 @@
 	}
 }
 
-func last(r Read) (n uint64) {
+func lastNumber(r Read) (n uint64) {
 	if r.Generation > 0 {
 		n = binary.LittleEndian.Uint64(r.Body)
 	}
@@ -65,32 +65,32 @@
 func TestKills(t *testing.T) {
 	dir := t.TempDir()
 	rnd := rand.New(rand.NewPCG(1, 2))
-	generation, seen := uint64(0), uint64(0)
-	for k := range 25 {
-		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), writerFolder+"="+dir)
-		out, err := c.StdoutPipe()
+	generation, previous := uint64(0), uint64(0)
+	for kill := range 25 {
+		writer := exec.Command(os.Args[0])
+		writer.Env = append(os.Environ(), writerFolderEnv+"="+dir)
+		out, err := writer.StdoutPipe()
 		must(t, err)
-		must(t, c.Start())
+		must(t, writer.Start())
 		lines := bufio.NewScanner(out)
-		var acked uint64
-		timer := time.AfterFunc(time.Duration(5e6+rnd.Float64()*20e6), func() { c.Process.Kill() }) // a moment by chance
+		var synced uint64
+		timer := time.AfterFunc(time.Duration(5e6+rnd.Float64()*20e6), func() { writer.Process.Kill() }) // a moment by chance
 		for lines.Scan() {
-			acked, _ = strconv.ParseUint(lines.Text(), 10, 64)
+			synced, _ = strconv.ParseUint(lines.Text(), 10, 64)
 		}
 		timer.Stop()
-		c.Wait()
-		r := read(t, dir)
+		writer.Wait()
+		r := load(t, dir)
 		if len(r.Passed) > 0 {
-			t.Fatalf("kill %d: %v", k, r.Passed)
+			t.Fatalf("kill %d: %v", kill, r.Passed)
 		}
-		if n := last(r); n < acked || n < seen || r.Generation < generation {
-			t.Fatalf("kill %d: read %d of generation %d, %d was synced, before %d of generation %d", k, n, r.Generation, acked, seen, generation)
+		if n := lastNumber(r); n < synced || n < previous || r.Generation < generation {
+			t.Fatalf("kill %d: read %d of generation %d, %d was synced, before %d of generation %d", kill, n, r.Generation, synced, previous, generation)
 		} else {
-			seen, generation = n, r.Generation
+			previous, generation = n, r.Generation
 		}
 	}
-	if seen < 50 {
-		t.Errorf("only %d were written in all: nothing was tried", seen)
+	if previous < 50 {
+		t.Errorf("only %d were written in all: nothing was tried", previous)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,12 +22,12 @@
 // Version of the format. Older ones are read; a newer one is refused, and its files are left as they are.
 const Version = 1
 
-// A snapshot is the header and its body: magic, version, generation, the body's length, a checksum of all before it and of the body.
+// A snapshot is the headerSize and its body: magic, version, generation, the body's length, a checksum of all before it and of the body.
 const (
-	magic  = "DRSTORE\n"
-	header = 8 + 4 + 8 + 8 + 8
-	frame  = 4 + 8 // of a journal's record: length and checksum
-	keeps  = 3     // generations: one that is whole, one that it replaces, and one more for a disk that lies
+	magic         = "DRSTORE\n"
+	headerSize    = 8 + 4 + 8 + 8 + 8
+	frameSize     = 4 + 8 // of a journal's record: length and checksum
+	keptSnapshots = 3     // generations: one that is whole, one that it replaces, and one more for a disk that lies
 )
 
 // Bounds on what is written and read. What is longer by its own word is not read: a length may be damage.
@@ -46,12 +46,12 @@
 
 // Store is one process's open folder. It is not safe for concurrent use.
 type Store struct {
-	dir, name  string
-	lock       *os.File
-	generation uint64
-	journal    *os.File
-	size       int
-	most       [2]int // bytes of a snapshot's body and of a journal
+	dir, name   string
+	lock        *os.File
+	generation  uint64
+	journal     *os.File
+	journalSize int
+	maxSizes    [2]int // bytes of a snapshot's body and of a journal
 }
 
 // Read is what a folder held.
@@ -63,12 +63,12 @@
 	Passed     []string // what was passed over, and why
 }
 
-var clean = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 // Open locks a name in a folder and reads what is there. The lock ends with the process, however it ends. It returns ErrLocked
 // where another process has it.
 func Open(dir, name string) (*Store, Read, error) {
-	if !clean.MatchString(name) {
+	if !validName.MatchString(name) {
 		return nil, Read{}, fmt.Errorf("store: %q is no name for files", name)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -82,7 +82,7 @@
 		lock.Close()
 		return nil, Read{}, fmt.Errorf("store: %s in %s: %w", name, dir, ErrLocked)
 	}
-	s := &Store{dir: dir, name: name, lock: lock, most: [2]int{MostBody, MostJournal}}
+	s := &Store{dir: dir, name: name, lock: lock, maxSizes: [2]int{MostBody, MostJournal}}
 	r, newest, err := Load(dir, name)
 	if err != nil {
 		s.Close()
@@ -95,8 +95,8 @@
 // Bound bounds the bytes of all files together: the generations that stay and one that is being written, each a snapshot and its
 // journal.
 func (s *Store) Bound(total int) {
-	each := total / (2 * (keeps + 1))
-	s.most = [2]int{min(each, MostBody), min(each, MostJournal)}
+	share := total / (2 * (keptSnapshots + 1))
+	s.maxSizes = [2]int{min(share, MostBody), min(share, MostJournal)}
 }
 
 // Begun reports whether there is a journal to append to.
@@ -117,32 +117,32 @@
 
 // Snapshot writes the next generation to a temporary file, syncs it, renames it and syncs the folder. The journal begins anew.
 func (s *Store) Snapshot(body []byte) error {
-	if len(body) > s.most[0] {
-		return fmt.Errorf("store: a snapshot of %d bytes, %d at most", len(body), s.most[0])
+	if len(body) > s.maxSizes[0] {
+		return fmt.Errorf("store: a snapshot of %d bytes, %d at most", len(body), s.maxSizes[0])
 	}
 	next := s.generation + 1
-	text := make([]byte, 0, header+len(body))
-	text = append(text, magic...)
-	text = binary.LittleEndian.AppendUint32(text, Version)
-	text = binary.LittleEndian.AppendUint64(text, next)
-	text = binary.LittleEndian.AppendUint64(text, uint64(len(body)))
-	text = binary.LittleEndian.AppendUint64(text, sum(text, body))
+	data := make([]byte, 0, headerSize+len(body))
+	data = append(data, magic...)
+	data = binary.LittleEndian.AppendUint32(data, Version)
+	data = binary.LittleEndian.AppendUint64(data, next)
+	data = binary.LittleEndian.AppendUint64(data, uint64(len(body)))
+	data = binary.LittleEndian.AppendUint64(data, checksum(data, body))
 	s.generation = next // also where it fails: half of it may lie there
-	// The journal first: an empty one without its snapshot is nothing, and one synced folder stands for both names.
-	j, err := os.OpenFile(s.path(next, "log"), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND|unix.O_NOFOLLOW|unix.O_CLOEXEC, 0o600)
+	// The newJournal first: an empty one without its snapshot is nothing, and one synced folder stands for both names.
+	newJournal, err := os.OpenFile(s.path(next, "log"), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND|unix.O_NOFOLLOW|unix.O_CLOEXEC, 0o600)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	if err := renameio.WriteFile(s.path(next, "snap"), append(text, body...), 0o600); err != nil {
-		j.Close()
-		os.Remove(j.Name())
+	if err := renameio.WriteFile(s.path(next, "snap"), append(data, body...), 0o600); err != nil {
+		newJournal.Close()
+		os.Remove(newJournal.Name())
 		return fmt.Errorf("store: %w", err)
 	}
 	// From here on this snapshot is the newest, whatever comes: records belong to its journal.
 	if s.journal != nil {
 		s.journal.Close()
 	}
-	s.journal, s.size = j, 0
+	s.journal, s.journalSize = newJournal, 0
 	if err := syncDir(s.dir); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -158,13 +158,13 @@
 		return errors.New("store: no snapshot has been written yet")
 	case len(record) == 0 || len(record) > MostRecord:
 		return fmt.Errorf("store: a record of %d bytes, 1 to %d are kept", len(record), MostRecord)
-	case s.size+frame+len(record) > s.most[1]:
+	case s.journalSize+frameSize+len(record) > s.maxSizes[1]:
 		return fmt.Errorf("store: %w", ErrFull)
 	}
-	text := binary.LittleEndian.AppendUint32(make([]byte, 0, frame+len(record)), uint32(len(record)))
-	text = binary.LittleEndian.AppendUint64(text, sum(text, record))
-	n, err := s.journal.Write(append(text, record...))
-	s.size += n
+	data := binary.LittleEndian.AppendUint32(make([]byte, 0, frameSize+len(record)), uint32(len(record)))
+	data = binary.LittleEndian.AppendUint64(data, checksum(data, record))
+	n, err := s.journal.Write(append(data, record...))
+	s.journalSize += n
 	if err != nil {
 		s.journal.Close() // half a record lies there: what came after it would not be read
 		s.journal = nil
@@ -186,10 +186,10 @@
 
 // prune removes what is older than the snapshots that stay. Snapshots are counted, as failed writes leave gaps in the numbers.
 func (s *Store) prune() {
-	all, snaps, oldest := files(s.dir, s.name), 0, uint64(0)
+	all, kept, oldest := listFiles(s.dir, s.name), 0, uint64(0)
 	for _, f := range all { // newest first
-		if f.snap && snaps < keeps {
-			snaps, oldest = snaps+1, f.generation
+		if f.isSnapshot && kept < keptSnapshots {
+			kept, oldest = kept+1, f.generation
 		}
 	}
 	for _, f := range all {
@@ -205,25 +205,25 @@
 		s.journal.Close()
 		s.journal = nil
 	}
-	var all error
-	for _, f := range files(s.dir, s.name) {
-		all = errors.Join(all, os.Remove(filepath.Join(s.dir, f.name)))
+	var errs error
+	for _, f := range listFiles(s.dir, s.name) {
+		errs = errors.Join(errs, os.Remove(filepath.Join(s.dir, f.name)))
 	}
-	return errors.Join(all, syncDir(s.dir))
+	return errors.Join(errs, syncDir(s.dir))
 }
 
 type file struct {
 	name       string
 	generation uint64
-	snap       bool
+	isSnapshot bool
 }
 
-// files of a name in a folder, newest first.
-func files(dir, name string) (all []file) {
+// listFiles of a name in a folder, newest first.
+func listFiles(dir, name string) (all []file) {
 	entries, _ := os.ReadDir(dir)
-	form := regexp.MustCompile(`^` + regexp.QuoteMeta(name) + `\.([0-9]{1,19})\.(snap|log)$`)
+	pattern := regexp.MustCompile(`^` + regexp.QuoteMeta(name) + `\.([0-9]{1,19})\.(snap|log)$`)
 	for _, e := range entries {
-		if m := form.FindStringSubmatch(e.Name()); m != nil {
+		if m := pattern.FindStringSubmatch(e.Name()); m != nil {
 			if g, err := strconv.ParseUint(m[1], 10, 63); err == nil {
 				all = append(all, file{e.Name(), g, m[2] == "snap"})
 			}
@@ -242,21 +242,21 @@
 }
 
 // Names returns the names that a folder has files of.
-func Names(dir string) (all []string) {
+func Names(dir string) (names []string) {
 	entries, _ := os.ReadDir(dir)
-	form := regexp.MustCompile(`^([A-Za-z0-9][A-Za-z0-9._-]{0,63})\.[0-9]{1,19}\.(snap|log)$`)
+	pattern := regexp.MustCompile(`^([A-Za-z0-9][A-Za-z0-9._-]{0,63})\.[0-9]{1,19}\.(snap|log)$`)
 	for _, e := range entries {
-		if m := form.FindStringSubmatch(e.Name()); m != nil && !slices.Contains(all, m[1]) {
-			all = append(all, m[1])
+		if m := pattern.FindStringSubmatch(e.Name()); m != nil && !slices.Contains(names, m[1]) {
+			names = append(names, m[1])
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
 // Size returns the number of files of a name and their bytes, without its lock.
 func Size(dir, name string) (count int, bytes int64) {
-	for _, f := range files(dir, name) {
+	for _, f := range listFiles(dir, name) {
 		if info, err := os.Lstat(filepath.Join(dir, f.name)); err == nil {
 			count, bytes = count+1, bytes+info.Size()
 		}
@@ -266,12 +266,12 @@
 
 // Load reads a folder that another process may be writing to. newest is the highest generation of any file there.
 func Load(dir, name string) (r Read, newest uint64, err error) {
-	all := files(dir, name)
+	all := listFiles(dir, name)
 	for _, f := range all {
 		newest = max(newest, f.generation)
 	}
 	for _, f := range all {
-		if !f.snap {
+		if !f.isSnapshot {
 			continue
 		}
 		body, err := readSnapshot(filepath.Join(dir, f.name), f.generation)
@@ -283,16 +283,16 @@
 			continue
 		}
 		r.Generation, r.Body = f.generation, body
-		var why string
-		if r.Records, r.Cut, why = readJournal(filepath.Join(dir, fmt.Sprintf("%s.%d.log", name, f.generation))); why != "" {
-			r.Passed = append(r.Passed, fmt.Sprintf("%s.%d.log: %s", name, f.generation, why))
+		var damage string
+		if r.Records, r.Cut, damage = readJournal(filepath.Join(dir, fmt.Sprintf("%s.%d.log", name, f.generation))); damage != "" {
+			r.Passed = append(r.Passed, fmt.Sprintf("%s.%d.log: %s", name, f.generation, damage))
 		}
 		break
 	}
 	return r, newest, nil
 }
 
-func open(path string) (*os.File, int64, error) {
+func openRegular(path string) (*os.File, int64, error) {
 	f, err := os.OpenFile(path, os.O_RDONLY|unix.O_NOFOLLOW|unix.O_CLOEXEC|unix.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, 0, err
@@ -309,12 +309,12 @@
 }
 
 func readSnapshot(path string, generation uint64) ([]byte, error) {
-	f, size, err := open(path)
+	f, size, err := openRegular(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	var h [header]byte
+	var h [headerSize]byte
 	if _, err := io.ReadFull(f, h[:]); err != nil {
 		return nil, errors.New("it ends within its header")
 	}
@@ -330,22 +330,22 @@
 	switch {
 	case binary.LittleEndian.Uint64(h[12:]) != generation:
 		return nil, errors.New("it bears another generation than its name")
-	case length > MostBody || int64(length) != size-header:
+	case length > MostBody || int64(length) != size-headerSize:
 		return nil, fmt.Errorf("its length is not the file's")
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(f, body); err != nil {
 		return nil, errors.New("it ends within its body")
 	}
-	if sum(h[:28], body) != binary.LittleEndian.Uint64(h[28:]) {
+	if checksum(h[:28], body) != binary.LittleEndian.Uint64(h[28:]) {
 		return nil, errors.New("its checksum is wrong")
 	}
 	return body, nil
 }
 
 // readJournal as far as it is whole. A record cut short at the end is normal; anything else that is wrong ends the reading and is said.
-func readJournal(path string) (records [][]byte, cut bool, why string) {
-	f, size, err := open(path)
+func readJournal(path string) (records [][]byte, cut bool, damage string) {
+	f, size, err := openRegular(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, false, ""
 	}
@@ -353,35 +353,35 @@
 		return nil, false, err.Error()
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, min(size, MostJournal)))
+	data, err := io.ReadAll(io.LimitReader(f, min(size, MostJournal)))
 	if err != nil {
-		why = err.Error()
+		damage = err.Error()
 	}
-	for at := 0; len(text) > 0; {
-		if len(text) < frame {
-			return records, true, why
+	for at := 0; len(data) > 0; {
+		if len(data) < frameSize {
+			return records, true, damage
 		}
-		n := int(binary.LittleEndian.Uint32(text))
+		n := int(binary.LittleEndian.Uint32(data))
 		if n == 0 || n > MostRecord {
 			return records, false, fmt.Sprintf("damaged at byte %d, %d records before it are whole", at, len(records))
 		}
-		if len(text) < frame+n {
-			return records, true, why
+		if len(data) < frameSize+n {
+			return records, true, damage
 		}
-		body := text[frame : frame+n]
-		if sum(text[:4], body) != binary.LittleEndian.Uint64(text[4:]) {
-			if len(text) == frame+n {
-				return records, true, why // the last one: its pages were not all written
+		body := data[frameSize : frameSize+n]
+		if checksum(data[:4], body) != binary.LittleEndian.Uint64(data[4:]) {
+			if len(data) == frameSize+n {
+				return records, true, damage // the last one: its pages were not all written
 			}
 			return records, false, fmt.Sprintf("damaged at byte %d, %d records before it are whole", at, len(records))
 		}
 		records = append(records, slices.Clone(body))
-		text, at = text[frame+n:], at+frame+n
+		data, at = data[frameSize+n:], at+frameSize+n
 	}
-	return records, false, why
+	return records, false, damage
 }
 
-func sum(head, body []byte) uint64 {
+func checksum(head, body []byte) uint64 {
 	d := xxhash.New()
 	d.Write(head)
 	d.Write(body)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func filled(t *testing.T) string {
+func newFolder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	s, r, err := Open(dir, "n1")
@@ -38,7 +38,7 @@
 	return dir
 }
 
-func read(t *testing.T, dir string) Read {
+func load(t *testing.T, dir string) Read {
 	t.Helper()
 	r, _, err := Load(dir, "n1")
 	must(t, err)
@@ -46,8 +46,8 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	dir := filled(t)
-	r := read(t, dir)
+	dir := newFolder(t)
+	r := load(t, dir)
 	if string(r.Body) != "second" || r.Generation != 2 || len(r.Records) != 3 || string(r.Records[2]) != "record 2" || r.Cut || len(r.Passed) > 0 {
 		t.Errorf("%+v", r)
 	}
@@ -57,10 +57,10 @@
 	for n := range 5 {
 		must(t, s.Snapshot(fmt.Appendf(nil, "later %d", n)))
 	}
-	if r := read(t, dir); string(r.Body) != "later 4" || r.Generation != 7 {
+	if r := load(t, dir); string(r.Body) != "later 4" || r.Generation != 7 {
 		t.Errorf("%+v", r)
 	}
-	if n := len(files(dir, "n1")); n > 2*keeps {
+	if n := len(listFiles(dir, "n1")); n > 2*keptSnapshots {
 		t.Errorf("%d files stay", n)
 	}
 	if _, _, err := Open(dir, "n1"); !errors.Is(err, ErrLocked) {
@@ -70,7 +70,7 @@
 	must(t, err)
 	other.Close()
 	must(t, s.Drop())
-	if r := read(t, dir); r.Generation != 0 {
+	if r := load(t, dir); r.Generation != 0 {
 		t.Errorf("dropped, and it has %+v", r)
 	}
 }
@@ -78,12 +78,12 @@
 // TestDamage: each bit flipped, and the file cut at every byte: never a wrong body, never a record that was not written, and the
 // generation before takes over.
 func TestDamage(t *testing.T) {
-	dir := filled(t)
+	dir := newFolder(t)
 	for _, name := range []string{"n1.2.snap", "n1.2.log"} {
 		path := filepath.Join(dir, name)
-		whole, err := os.ReadFile(path)
+		intact, err := os.ReadFile(path)
 		must(t, err)
-		try := func(what string, text []byte) {
+		check := func(what string, text []byte) {
 			must(t, os.WriteFile(path, text, 0o600))
 			r, _, err := Load(dir, "n1")
 			if err != nil && !errors.Is(err, ErrNewer) {
@@ -101,32 +101,32 @@
 				}
 			}
 		}
-		for n := range whole {
-			try(fmt.Sprint("cut at ", n), whole[:n])
+		for n := range intact {
+			check(fmt.Sprint("cut at ", n), intact[:n])
 			for bit := range 8 {
-				text := bytes.Clone(whole)
+				text := bytes.Clone(intact)
 				text[n] ^= 1 << bit
-				try(fmt.Sprint("bit ", bit, " of byte ", n), text)
+				check(fmt.Sprint("bit ", bit, " of byte ", n), text)
 			}
 		}
-		must(t, os.WriteFile(path, whole, 0o600))
+		must(t, os.WriteFile(path, intact, 0o600))
 	}
 	path := filepath.Join(dir, "n1.2.log")
-	whole, _ := os.ReadFile(path)
-	must(t, os.WriteFile(path, whole[:len(whole)-3], 0o600))
-	if r := read(t, dir); !r.Cut || len(r.Records) != 2 || len(r.Passed) > 0 {
+	intact, _ := os.ReadFile(path)
+	must(t, os.WriteFile(path, intact[:len(intact)-3], 0o600))
+	if r := load(t, dir); !r.Cut || len(r.Records) != 2 || len(r.Passed) > 0 {
 		t.Errorf("a journal that a kill cut short: %+v", r)
 	}
-	whole[frame] ^= 1
-	must(t, os.WriteFile(path, whole, 0o600))
-	if r := read(t, dir); r.Cut || len(r.Records) != 0 || len(r.Passed) != 1 || !strings.Contains(r.Passed[0], "damaged at byte 0") {
+	intact[frameSize] ^= 1
+	must(t, os.WriteFile(path, intact, 0o600))
+	if r := load(t, dir); r.Cut || len(r.Records) != 0 || len(r.Passed) != 1 || !strings.Contains(r.Passed[0], "damaged at byte 0") {
 		t.Errorf("a journal damaged in the middle: %+v", r)
 	}
 }
 
-// TestStrange: what is no file of ours, or of a newer version, is passed over or refused, and left as it is.
-func TestStrange(t *testing.T) {
-	dir := filled(t)
+// TestForeignFiles: what is no file of ours, or of a newer version, is passed over or refused, and left as it is.
+func TestForeignFiles(t *testing.T) {
+	dir := newFolder(t)
 	secret := filepath.Join(t.TempDir(), "secret")
 	must(t, os.WriteFile(secret, []byte("a secret"), 0o600))
 	must(t, os.Symlink(secret, filepath.Join(dir, "n1.9.snap")))
@@ -134,7 +134,7 @@
 	must(t, os.WriteFile(filepath.Join(dir, "n1.7.snap"), []byte("somebody else's notes, which are longer than a header is"), 0o600))
 	must(t, os.WriteFile(filepath.Join(dir, "n1.99999999999999999999.snap"), nil, 0o600))
 	must(t, os.WriteFile(filepath.Join(dir, "n1.x.snap"), nil, 0o600))
-	r := read(t, dir)
+	r := load(t, dir)
 	if string(r.Body) != "second" || len(r.Passed) != 3 {
 		t.Errorf("%+v", r)
 	}
@@ -142,7 +142,7 @@
 	must(t, err)
 	must(t, s.Snapshot([]byte("third")))
 	s.Close()
-	if r := read(t, dir); string(r.Body) != "third" || r.Generation != 10 {
+	if r := load(t, dir); string(r.Body) != "third" || r.Generation != 10 {
 		t.Errorf("%+v", r)
 	}
 	path := filepath.Join(dir, "n1.10.snap")
@@ -192,15 +192,15 @@
 			break
 		}
 	}
-	if n*(MostRecord+frame) > MostJournal || n < 50 {
+	if n*(MostRecord+frameSize) > MostJournal || n < 50 {
 		t.Errorf("%d records fit", n)
 	}
 	must(t, s.Snapshot([]byte("anew")))
 	must(t, s.Append([]byte("x")))
 }
 
-// TestAnyFolder: whatever bytes lie there, reading ends without a crash and gives only what has its checksum.
-func TestAnyFolder(t *testing.T) {
+// TestArbitraryFiles: whatever bytes lie there, reading ends without a crash and gives only what has its checksum.
+func TestArbitraryFiles(t *testing.T) {
 	dir := t.TempDir()
 	rapid.Check(t, func(t *rapid.T) {
 		for _, name := range []string{"n1.1.snap", "n1.1.log", "n1.2.snap"} {
@@ -221,7 +221,7 @@
 // TestFailedWrites: snapshots that can't be written take nothing away: records go on after the newest that is whole, and generations
 // that were whole stay.
 func TestFailedWrites(t *testing.T) {
-	dir := filled(t)
+	dir := newFolder(t)
 	s, _, err := Open(dir, "n1")
 	must(t, err)
 	defer s.Close()
@@ -235,7 +235,7 @@
 	}
 	must(t, s.Append([]byte("after")))
 	must(t, s.Sync())
-	if r := read(t, dir); string(r.Body) != "third" || len(r.Records) != 2 || string(r.Records[1]) != "after" {
+	if r := load(t, dir); string(r.Body) != "third" || len(r.Records) != 2 || string(r.Records[1]) != "after" {
 		t.Errorf("%+v", r)
 	}
 	for g := 4; g < 10; g++ {
@@ -246,7 +246,7 @@
 	text, err := os.ReadFile(path)
 	must(t, err)
 	must(t, os.WriteFile(path, text[:len(text)-1], 0o600)) // the disk lied
-	if r := read(t, dir); string(r.Body) != "third" || len(r.Passed) != 1 {
+	if r := load(t, dir); string(r.Body) != "third" || len(r.Passed) != 1 {
 		t.Errorf("the generation before is gone: %+v", r)
 	}
 }
