--- a/internal/agentdriver/commands.go
+++ b/internal/agentdriver/commands.go
@@ -20,18 +20,19 @@
 	"github.com/spf13/cobra"
 )
 
-// registryTimeout is how long status waits for what a majority has agreed on: twice as long as coordinators take to choose a leader.
+// registryTimeout bounds how long status waits for the registry, which needs a quorum: twice the time in which
+// coordinators elect a leader.
 const registryTimeout = 4 * time.Second
 
-// Words is `dunereach fleet` and what follows it.
+// Command returns the command `dunereach fleet` with its subcommands.
 func Words() *cobra.Command {
 	var addrs []string
 	var asJSON bool
-	root := &cobra.Command{Use: "fleet", Short: "See and steer work done on behalf of all routers", Args: cobra.NoArgs,
-		Long: `Fleet asks the keepers, which the operators' file names in its section fleet, or --keepers. What it prints is what a majority
-of them agreed on; status alone is each keeper's own word.`,
+	root := &cobra.Command{Use: "fleet", Short: "Show and control the tasks done on behalf of all routers", Args: cobra.NoArgs,
+		Long: `Fleet asks the coordinators named in the section fleet of the operators' file, or by --keepers. It prints what a majority of
+them has agreed on; only status prints each coordinator's own state.`,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	root.PersistentFlags().StringSliceVar(&addrs, "keepers", nil, "addresses and ports of the keepers")
+	root.PersistentFlags().StringSliceVar(&addrs, "keepers", nil, "addresses and ports of the coordinators")
 	root.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
 	client := func(c *cobra.Command) (*coordserver.Client, context.Context, context.CancelFunc, error) {
 		if len(addrs) == 0 {
@@ -41,7 +42,7 @@
 				return nil, nil, nil, err
 			}
 			if file.Fleet == nil {
-				return nil, nil, nil, errors.New("no keepers: name them by --keepers, or an operators' file with a section fleet by --operator")
+				return nil, nil, nil, errors.New("no coordinators: pass their addresses with --keepers, or an operators' file with a section fleet with --operator")
 			}
 			addrs = file.Fleet.Keepers
 		}
@@ -72,7 +73,7 @@
 			return w.Flush()
 		}})
 	}
-	addTable("owners", "Print the works, their owners and fences", func(w io.Writer, snapshot coordserver.Picture) {
+	addTable("owners", "Print the tasks, their owners and fences", func(w io.Writer, snapshot coordserver.Picture) {
 		fmt.Fprintln(w, "work\towner\tfence\tzone\t")
 		for _, row := range snapshot.Works {
 			owner := snapshot.Owners[row.Name]
@@ -80,7 +81,7 @@
 				owner = "-"
 			}
 			if row.Asked {
-				owner += " (asked to let go)"
+				owner += " (release requested)"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t\n", row.Name, owner, row.Fence, row.Zone)
 		}
@@ -90,14 +91,14 @@
 		for _, row := range snapshot.Sessions {
 			note := ""
 			if row.Superseded {
-				note = "a newer process has its name"
+				note = "superseded by a newer process"
 			}
 			fmt.Fprintf(w, "%s\t%d\t%x\t%s\t%s\t%s\t\n", row.Name, row.ID, row.Incarnation, row.Zone, row.Region, note)
 		}
 	})
 	addPlanCommands(root, &asJSON, client)
 	root.AddCommand(subsetCommand(&asJSON))
-	root.AddCommand(&cobra.Command{Use: "status", Short: "Print each keeper's own word, and how many take part", Args: cobra.NoArgs,
+	root.AddCommand(&cobra.Command{Use: "status", Short: "Print each coordinator's own state, and how many routers take part", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			conn, ctx, cancel, err := client(c)
 			if err != nil {
@@ -140,12 +141,12 @@
 			if registryErr != nil {
 				return fmt.Errorf("nothing can be agreed: %v; routers serve on without it", registryErr)
 			}
-			_, err = fmt.Fprintf(out, "\n%d routers take part, %d works, highest fence %d, leases of %g s\n", len(snapshot.Sessions), len(snapshot.Works), snapshot.Fence, snapshot.Lease)
+			_, err = fmt.Fprintf(out, "\n%d routers take part, %d tasks, highest fence %d, leases of %g s\n", len(snapshot.Sessions), len(snapshot.Works), snapshot.Fence, snapshot.Lease)
 			return err
 		}})
-	root.AddCommand(&cobra.Command{Use: "release WORK", Short: "Ask a work's owner to let go of it", Args: cobra.ExactArgs(1),
-		Long: `Release asks; the owner lets go when it hears of it, and another router gets the work under a new fence. It takes nothing from
-an owner that does not hear: that one's lease runs out.`,
+	root.AddCommand(&cobra.Command{Use: "release WORK", Short: "Ask a task's owner to release it", Args: cobra.ExactArgs(1),
+		Long: `Release asks the owner, which releases the task when it receives the request; another router then gets the task under a new
+fence. An owner that cannot be reached keeps the task until its lease runs out.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			conn, ctx, cancel, err := client(c)
 			if err != nil {
@@ -161,8 +162,8 @@
 	return root
 }
 
-// release asks the present owner of a work to let go of it. The order names the owner's fence, so that it may be repeated until a
-// coordinator that leads has taken it: a repetition asks no later owner.
+// release asks the present owner of a task to release it. The order names the owner's fence, so it can be repeated
+// until a leader has accepted it: a repeated order never asks a later owner.
 func release(ctx context.Context, client *coordserver.Client, task string) error {
 	var snapshot coordserver.Picture
 	if err := client.Ask(ctx, "/v1/record", nil, &snapshot); err != nil {
@@ -176,7 +177,8 @@
 	return client.Ask(ctx, "/v1/order", order, &coordinator.Posted{})
 }
 
-// namedSnapshot is a picture of the record for scripts, in which each work has its owner's name beside the session's number.
+// namedSnapshot is a snapshot of the registry for scripts, in which each task has its owner's name beside the number of
+// the session.
 type namedSnapshot struct {
 	coordserver.Picture
 	Works []namedTask `json:"works"`
@@ -184,7 +186,7 @@
 
 type namedTask struct {
 	registry.Work
-	Owner string `json:"owner,omitempty"` // the router's name, none: free
+	Owner string `json:"owner,omitempty"` // the router's name, empty for a free task
 }
 
 func withOwnerNames(snapshot coordserver.Picture) namedSnapshot {
--- a/internal/agentdriver/fencefile.go
+++ b/internal/agentdriver/fencefile.go
@@ -15,17 +15,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// fenceFile is a router's folder: one small file that is never half written, and a lock that goes with the process.
+// fenceFile stores a router's fences in one small file of its folder, which is replaced atomically. Its lock ends with
+// the process.
 type fenceFile struct {
 	path       string
 	lock       *os.File
-	unreadable string // what an earlier process left can't be read, "": it can
+	unreadable string // why the file of an earlier process could not be read, "": it could
 }
 
 const magic = "dunereach fences 1\n"
 
-// openFenceFile reads what an earlier process of the name left. Nothing there is not the word of a clean end: a folder may be lost,
-// and then a part may still be laid down.
+// openFenceFile reads the file that an earlier process of this name left. A missing file does not prove a clean
+// shutdown: the folder may have been lost while a share was still relinquished. It is treated like an unreadable file.
 func openFenceFile(folder, name string) (*fenceFile, agent.Kept, error) {
 	unknown := agent.Kept{Pledged: true}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -38,7 +39,7 @@
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, unknown, fmt.Errorf("/fleet/folder: another router of the name %q has %s", name, folder)
+		return nil, unknown, fmt.Errorf("/fleet/folder: another router named %q is using %s", name, folder)
 	}
 	fences := &fenceFile{path: base + ".fences", lock: lock}
 	data, err := os.ReadFile(fences.path)
@@ -58,11 +59,11 @@
 
 func decodeState(data []byte) (state agent.Kept, err error) {
 	if len(data) < len(magic)+8 || string(data[:len(magic)]) != magic {
-		return state, errors.New("it is no file of fences")
+		return state, errors.New("not a file of fences")
 	}
 	body := data[len(magic)+8:]
 	if binary.BigEndian.Uint64(data[len(magic):]) != xxhash.Sum64(body) {
-		return state, errors.New("its checksum is wrong")
+		return state, errors.New("checksum mismatch")
 	}
 	return state, cbor.Unmarshal(body, &state)
 }
--- a/internal/agentdriver/link.go
+++ b/internal/agentdriver/link.go
@@ -1,5 +1,6 @@
-// Package agentdriver drives a router's part in the fleet (package member): it carries its requests to the keepers and their answers
-// back, and keeps what must outlive the process. The owner's goroutine never waits for any of it.
+// Package agentdriver connects a router to the fleet. It carries the requests of its member (package agent) to the
+// coordinators and their answers back, and stores what must outlive the process. The goroutine that owns the router's
+// state never waits for any of this.
 package agentdriver
 
 import (
@@ -22,13 +23,13 @@
 )
 
 const (
-	carryWorkers   = 6               // two beats, and letters and acts beside them
-	queueLength    = 64              // requests: some seconds of a busy owner
-	requestTimeout = 2 * time.Second // a beat is held for one
+	carryWorkers   = 6               // two heartbeats, and messages and actions beside them
+	queueLength    = 64              // requests: some seconds of a busy router
+	requestTimeout = 2 * time.Second // a heartbeat is held for 1 s
 )
 
-// Driver carries a member's requests to the keepers and their answers back. The member is one goroutine's, which calls what
-// comes by News.
+// Driver carries a member's requests to the coordinators and their answers back. Only one goroutine may use the member;
+// it calls the functions that it receives from News.
 type Driver struct {
 	M         *agent.Member
 	client    *coordserver.Client
@@ -37,25 +38,25 @@
 	requests  chan agent.Request
 }
 
-// NewDriver over a client; the vault may be nil.
+// newDriver returns a driver over a client. f may be nil.
 func newDriver(m *agent.Member, c *coordserver.Client, f *fenceFile) *Driver {
 	return &Driver{M: m, client: c, fenceFile: f, updates: make(chan func(), queueLength), requests: make(chan agent.Request, queueLength)}
 }
 
-// NewDriver of a member that keeps nothing.
+// NewDriver returns the driver of a member that stores nothing.
 func NewDriver(m *agent.Member, c *coordserver.Client) *Driver { return newDriver(m, c, nil) }
 
-// Link is the part. All its methods but Run's goroutines are the owner's goroutine's.
+// Link is a router's connection to the fleet. All its methods are called by the goroutine that owns the router's state.
 type Link struct {
 	*Driver
 	log         *zap.Logger
 	zones       []string
-	clockOffset float64 // of the router's clock: the one that leases are counted on
+	clockOffset float64 // clock of the leases minus the router's clock
 	loggedStats agent.Stats
 	loggedAt    float64
 }
 
-// New part of a router.
+// New returns the connection of a router to the fleet.
 func New(cfg config.Config, log *zap.Logger) (*Link, error) {
 	fleet := cfg.Operator.Fleet
 	l := &Link{log: log, zones: cfg.Settings.Zones}
@@ -78,7 +79,7 @@
 			log.Warn("fences of an earlier process are not known", zap.String("why", fences.unreadable))
 		}
 	}
-	const idMask = 1<<52 - 1 // so that any reader of JSON gets it whole
+	const idMask = 1<<52 - 1 // 52 bits, so that any JSON parser reads the number exactly
 	var trace func(agent.Trace)
 	if fleet.Trace {
 		trace = func(event agent.Trace) {
@@ -93,7 +94,8 @@
 	return l, nil
 }
 
-// roundTrips between zones, seconds there and back: what order they have is what counts for near before far.
+// roundTrips returns the assumed round-trip times between zones, in seconds. Only their order matters: it makes near
+// zones preferred to far ones.
 func roundTrips(zones []string, regions map[string][]string) [][]float64 {
 	const near, far = 0.005, 0.1
 	region := map[string]string{}
@@ -118,7 +120,7 @@
 	return seconds
 }
 
-// Plan that the module follows, nil: none.
+// Plan returns the plan that admission follows, or nil if there is none.
 func (l *Link) Plan() admission.Plan {
 	if l.M.Guide() == nil {
 		return nil
@@ -126,7 +128,7 @@
 	return planFollower{l}
 }
 
-// planFollower is the member's by the router's clock.
+// planFollower is the member's plan follower, with times by the router's clock.
 type planFollower struct{ l *Link }
 
 func (g planFollower) Price(now float64, zone int, work float64) (float64, bool) {
@@ -139,7 +141,7 @@
 	return g.l.M.Guide().Keeps(now+g.l.clockOffset, price, work)
 }
 
-// Run its goroutines.
+// Run starts the driver's goroutines.
 func (l *Driver) Run(ctx context.Context, group *errgroup.Group) {
 	for range carryWorkers {
 		group.Go(func() error {
@@ -163,7 +165,7 @@
 	})
 }
 
-// execute one request to the keepers, or to the disk, and its answer back.
+// execute sends one request to the coordinators, or stores it on disk, and returns the result to the member.
 func (l *Driver) execute(ctx context.Context, r agent.Request) {
 	if r.Keep != nil {
 		err := l.fenceFile.persist(*r.Keep)
@@ -205,7 +207,7 @@
 	}
 }
 
-// Put requests on their way; one that finds no room got no answer.
+// Submit queues requests. A request that does not fit into the queue gets ErrNoAnswer.
 func (l *Driver) Put(batch []agent.Request) {
 	for _, r := range batch {
 		select {
@@ -220,10 +222,10 @@
 	}
 }
 
-// News are to be called by the owner's goroutine.
+// News returns functions that the goroutine that owns the router's state has to call.
 func (l *Driver) News() <-chan func() { return l.updates }
 
-// Tick tells the fleet what the module has use for, and lets time pass.
+// Tick reports the router's needs to the fleet and advances time.
 func (l *Link) Tick(now float64, controller *admission.Brain) {
 	bootNow := boottime.Now()
 	l.clockOffset = bootNow - now
@@ -256,7 +258,7 @@
 	l.logActivity(bootNow)
 }
 
-// logActivity says now and then what became of the fleet's work, where there is news.
+// logActivity logs the fleet's activity at most every 30 s, and only if there was any.
 func (l *Link) logActivity(now float64) {
 	const interval = 30.0 // seconds
 	if now < l.loggedAt+interval {
@@ -270,27 +272,28 @@
 	}
 }
 
-// End gives the works back.
+// End releases the tasks.
 func (l *Link) End(float64) { l.Put(l.M.Close(boottime.Now())) }
 
-// What the module asks, by the router's clock.
+// Methods that admission calls, with times by the router's clock.
 
-// Part is this router's share of a server's budget, where the fleet has granted one.
+// WarmUpShare returns this router's share of a cold server's allowance, if the fleet has granted one.
 func (l *Link) Part(now float64, server uint32, start float64) (float64, bool) {
 	return l.M.Part(now+l.clockOffset, server, start)
 }
 
-// Quota is this router's share of a tenant's quota, where the fleet has granted one.
+// QuotaShare returns this router's share of a tenant's quota, if the fleet has granted one.
 func (l *Link) Quota(now float64, tenant int) (float64, bool) {
 	return l.M.Quota(now+l.clockOffset, tenant)
 }
 
-// TrialAt is when this router may probe a suspected server, given the time that it would choose alone.
+// NextProbe returns the time at which this router may probe a suspected server, given the time that it would choose by
+// itself.
 func (l *Link) TrialAt(now float64, server uint32, start, ownTime float64) float64 {
 	return l.M.TrialAt(now+l.clockOffset, server, start, ownTime+l.clockOffset) - l.clockOffset
 }
 
-// Tried takes the result of a probe of a suspected server.
+// Probed records the result of a probe of a suspected server.
 func (l *Link) Tried(now float64, server uint32, start float64, healthy bool) {
 	l.M.Tried(now+l.clockOffset, server, start, healthy)
 }
--- a/internal/agentdriver/plan.go
+++ b/internal/agentdriver/plan.go
@@ -18,9 +18,9 @@
 	"github.com/spf13/cobra"
 )
 
-// addPlanCommands is what operators see of the fleet's plan, and say of it.
+// addPlanCommands adds the commands that show the fleet's plan and give operators' orders about it.
 func addPlanCommands(root *cobra.Command, asJSON *bool, client func(*cobra.Command) (*coordserver.Client, context.Context, context.CancelFunc, error)) {
-	// loadPlan is the plan and the operators' words on it, as the record has them.
+	// loadPlan reads the plan and the operators' orders from the registry.
 	loadPlan := func(conn *coordserver.Client, ctx context.Context) (p failover.Published, o failover.Orders, err error) {
 		var snapshot coordserver.Picture
 		if err = conn.Ask(ctx, "/v1/record", nil, &snapshot); err != nil {
@@ -40,7 +40,7 @@
 			}
 		}
 		if !found {
-			err = errors.New("there is no plan yet: all is well, or routers have only just begun")
+			err = errors.New("there is no plan yet: all zones are healthy, or the routers have just started")
 		}
 		return p, o, err
 	}
@@ -96,7 +96,7 @@
 					return err
 				}
 				if problem != "" && !force {
-					return fmt.Errorf("%s; nothing was done (--force does it all the same)", problem)
+					return fmt.Errorf("%s; nothing was done (--force does it anyway)", problem)
 				}
 			}
 			if dryRun {
@@ -115,24 +115,25 @@
 		}
 		cmd.Flags().BoolVar(&dryRun, "dry-run", false, "print what it would do")
 		if takesZone {
-			cmd.Flags().BoolVar(&force, "force", false, "also where others can't carry it")
+			cmd.Flags().BoolVar(&force, "force", false, "do it even if the other zones can't carry the load")
 		}
 		root.AddCommand(cmd)
 	}
-	addOrder("evacuate ZONE", "Have a zone's work go elsewhere", "Evacuate prints the load that each zone would get and what would be shed, and refuses where the others can't carry it.",
+	addOrder("evacuate ZONE", "Move a zone's work to other zones", "Evacuate prints the load that each zone would get and what would be rejected. It refuses if the other zones can't carry the load.",
 		true, func(o *failover.Orders, z int) { o.Away[z] = true })
-	addOrder("restore ZONE", "Let work return to a zone, in steps", "", true, func(o *failover.Orders, z int) { o.Away[z] = false })
+	addOrder("restore ZONE", "Return work to a zone in steps", "", true, func(o *failover.Orders, z int) { o.Away[z] = false })
 	addOrder("freeze", "Keep the plan as it is", "", false, func(o *failover.Orders, _ int) { o.Freeze = true })
-	addOrder("thaw", "Let the plan change by itself again", "", false, func(o *failover.Orders, _ int) { o.Freeze = false })
-	addOrder("unbound", "Lift the bound on what is moved in a minute", "", false, func(o *failover.Orders, _ int) { o.Free = true })
-	addOrder("bound", "Set the bound on what is moved in a minute again", "", false, func(o *failover.Orders, _ int) { o.Free = false })
+	addOrder("thaw", "Let the plan change automatically again", "", false, func(o *failover.Orders, _ int) { o.Freeze = false })
+	addOrder("unbound", "Remove the limit on the work moved per minute", "", false, func(o *failover.Orders, _ int) { o.Free = true })
+	addOrder("bound", "Restore the limit on the work moved per minute", "", false, func(o *failover.Orders, _ int) { o.Free = false })
 }
 
-// previewEvacuation prints what a plan would be with the zones away that orders name, and tells what is wrong with it, "": nothing.
+// previewEvacuation prints the plan that would result from the orders' evacuated zones. problem is empty if the other
+// zones can carry the load.
 func previewEvacuation(out io.Writer, p failover.Published, o failover.Orders) (problem string, err error) {
 	n := len(p.Demand)
 	if n == 0 || len(p.Room) != n || p.Plan.Check(n) != nil {
-		return "", errors.New("the plan tells no loads yet")
+		return "", errors.New("the plan has no load figures yet")
 	}
 	capacity, distance := slices.Clone(p.Room), make([][]float64, n)
 	for z := range distance {
--- a/internal/agentdriver/subset.go
+++ b/internal/agentdriver/subset.go
@@ -15,15 +15,17 @@
 	"github.com/spf13/cobra"
 )
 
-// subsetCommand is `dunereach fleet subset`: who holds whom, worked out from the files alone as the routers do.
+// subsetCommand returns the command `dunereach fleet subset`, which computes from the files alone, as routers do, which
+// routers hold which databases.
 func subsetCommand(asJSON *bool) *cobra.Command {
 	width := 1
 	command := &cobra.Command{Use: "subset [ROUTER|DATABASE]", Short: "Print which routers talk to which databases, and why", Args: cobra.MaximumNArgs(1),
 		Long: `Subset reads the configuration that BALANCER_CONFIG names, with the databases known at the start, and the operators' file, and
-works out what routers choose. With the name of a router it prints the databases that it holds, with that of a database the
-routers that hold it. Routers are those of the list in the section subset, or else the one that the configuration is for. Sizes are
-evened out by this list of databases: a router whose list has grown or shrunk since by less than a twentieth may hold a few others.`}
-	command.Flags().IntVar(&width, "width", 1, "the width of the subsets, a power of two: what they are in need")
+computes the subsets that routers choose. With the name of a router it prints the databases that the router holds, with that of a
+database the routers that hold it. The routers are those listed in the section subset, and the one that the configuration is for.
+Sizes are balanced over this list of databases: a router whose list has grown or shrunk since by less than a twentieth may hold a
+few others.`}
+	command.Flags().IntVar(&width, "width", 1, "the width of the subsets, a power of two; subsets grow to greater widths when more servers are needed")
 	command.RunE = func(c *cobra.Command, args []string) error {
 		path, _ := c.Flags().GetString("operator")
 		cfg, err := config.Load(os.Getenv, path, func([]byte) error { return nil })
@@ -50,10 +52,10 @@
 	return command
 }
 
-// tablePrinter is a view that is printed as a table or as JSON.
+// tablePrinter is a result that is printed as a table or as JSON.
 type tablePrinter interface{ print(w io.Writer) }
 
-// fleetSubsets is what all routers known choose.
+// fleetSubsets has the subsets that all known routers choose.
 type fleetSubsets struct {
 	cfg       *config.Config
 	databases []subset.Database
@@ -66,7 +68,7 @@
 	choice subset.Choice
 }
 
-// newFleetSubsets has each router choose from the databases known at the start.
+// newFleetSubsets lets each router choose from the databases known at the start.
 func newFleetSubsets(cfg *config.Config, width int) (*fleetSubsets, error) {
 	if cfg.Operator.Subset == nil {
 		return nil, errors.New("no subsets: name an operators' file with a section subset by --operator")
@@ -95,7 +97,7 @@
 	return result, nil
 }
 
-// zoneOf is the name of a zone, or its number where it has none.
+// zoneOf returns the name of a zone, or "-" where it has none.
 func (s *fleetSubsets) zoneOf(zone int) string {
 	if zone >= 0 && zone < len(s.cfg.Settings.Zones) {
 		return s.cfg.Settings.Zones[zone]
@@ -103,17 +105,17 @@
 	return "-"
 }
 
-// subsetOverview is one row a router, and how evenly databases are held.
+// subsetOverview has one row for each router, and how evenly databases are held.
 type subsetOverview struct {
 	Databases  int         `json:"databases"`
 	Routers    []routerRow `json:"routers"`
-	MostToMean float64     `json:"most_to_mean,omitempty"` // by weight; of the routers that are known
+	MostToMean float64     `json:"most_to_mean,omitempty"` // by weight, over the known routers
 }
 
 type routerRow struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`
-	Place  int    `json:"place"` // negative: not known
+	Place  int    `json:"place"` // negative: unknown
 	Held   int    `json:"held"`
 	Near   int    `json:"near"`
 	Needed int    `json:"needed"`
@@ -159,10 +161,10 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%d\t%d\t\n", r.Name, r.Zone, r.Place, held, r.Near, r.Needed, r.Grown)
 	}
-	fmt.Fprintf(w, "\n%d databases, %d routers; the database held by most has %.2f of the mean by weight\n", o.Databases, len(o.Routers), o.MostToMean)
+	fmt.Fprintf(w, "\n%d databases, %d routers; the most widely held database has %.2f times the mean by weight\n", o.Databases, len(o.Routers), o.MostToMean)
 }
 
-// subsetMembers is what one router holds, or who holds one database.
+// subsetMembers lists the databases that one router holds, or the routers that hold one database.
 type subsetMembers struct {
 	Router   string         `json:"router,omitempty"`
 	Database string         `json:"database,omitempty"`
@@ -176,7 +178,7 @@
 	Near   bool   `json:"near"`
 }
 
-// lookUp gives the view of one router, or of one database.
+// lookUp returns the list for one router or for one database.
 func (s *fleetSubsets) lookUp(name string) (*subsetMembers, error) {
 	h := &subsetMembers{Rows: []subsetMember{}}
 	known := false
--- a/internal/agentdriver/subset_test.go
+++ b/internal/agentdriver/subset_test.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// TestSubsetCommand: who holds whom and why is worked out from the files alone.
+// TestSubsetCommand: which routers hold which databases, and why, is computed from the files alone.
 func TestSubsetCommand(t *testing.T) {
 	t.Setenv("BALANCER_CONFIG", filepath.Join("..", "..", "deploy", "example.json"))
 	file := filepath.Join(t.TempDir(), "operator.json")
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ args, want string }{
-		{"subset", "4 databases, 3 routers"}, // the configuration's own is not of the list
+		{"subset", "4 databases, 3 routers"}, // the router of the configuration is not on the list, and is added to it
 		{"subset a", "needed for profile archive"},
 		{"subset e-3", "needed for kind 1"},
 		{"subset e-3 --json", `"database": "e-3"`},
@@ -36,7 +36,7 @@
 			out.WriteString(err.Error())
 		}
 		if !strings.Contains(out.String(), c.want) {
-			t.Errorf("%s: %s, which lacks %q", c.args, out.String(), c.want)
+			t.Errorf("%s: %s does not contain %q", c.args, out.String(), c.want)
 		}
 	}
 }
--- a/internal/coordserver/admin.go
+++ b/internal/coordserver/admin.go
@@ -15,31 +15,33 @@
 	"dunereach/internal/netaddr"
 )
 
-// ParseKeepers reads "k1=127.0.0.1:7001@east,k2=...": name, address and, after the @, zone.
+// ParseCoordinators parses a list such as "k1=127.0.0.1:7001@east,k2=...". Each item has a name, an address and, after
+// the @, a zone.
 func ParseKeepers(text string) (coordinators []registry.Keeper, err error) {
 	names := map[string]bool{}
 	for n, item := range strings.Split(text, ",") {
 		name, rest, ok := strings.Cut(strings.TrimSpace(item), "=")
 		addr, zone, _ := strings.Cut(rest, "@")
 		if !ok || name == "" {
-			return nil, fmt.Errorf("keeper %d, %q: NAME=ADDRESS:PORT or NAME=ADDRESS:PORT@ZONE is wanted", n+1, item)
+			return nil, fmt.Errorf("coordinator %d, %q: must be NAME=ADDRESS:PORT or NAME=ADDRESS:PORT@ZONE", n+1, item)
 		}
 		if err := netaddr.Check(addr); err != nil {
-			return nil, fmt.Errorf("keeper %q: %v", name, err)
+			return nil, fmt.Errorf("coordinator %q: %v", name, err)
 		}
 		if names[name] {
-			return nil, fmt.Errorf("keeper %q is named twice", name)
+			return nil, fmt.Errorf("coordinator %q is named twice", name)
 		}
 		names[name] = true
 		coordinators = append(coordinators, registry.Keeper{ID: uint64(n + 1), Name: name, Addr: addr, Zone: zone})
 	}
 	if len(coordinators) != 1 && len(coordinators) != 3 && len(coordinators) != 5 {
-		return nil, fmt.Errorf("%d keepers: one (for trying out), three or five can begin a record", len(coordinators))
+		return nil, fmt.Errorf("%d coordinators: a registry starts with one (for trials), three or five", len(coordinators))
 	}
 	return coordinators, nil
 }
 
-// Init makes the folder of one of a new record's keepers. No token: this is the first, and a token is drawn.
+// Init creates the folder of one coordinator of a new registry. Without a token the coordinator must be the first of
+// the list, and a token is generated.
 func Init(folder, name, keepers, token string, lease, drift float64) (Identity, error) {
 	coordinators, err := ParseKeepers(keepers)
 	if err != nil {
@@ -53,16 +55,16 @@
 	}
 	switch {
 	case id.ID == 0:
-		return id, fmt.Errorf("%q is none of the keepers", name)
+		return id, fmt.Errorf("%q is not one of the coordinators", name)
 	case token == "" && id.ID != 1:
-		return id, fmt.Errorf("%q is not the first keeper: give --record with what `dunekeep init` printed for %q", name, coordinators[0].Name)
+		return id, fmt.Errorf("%q is not the first coordinator: pass --record with the token that `dunekeep init` printed for %q", name, coordinators[0].Name)
 	case token == "":
 		var random [8]byte
 		rand.Read(random[:])
 		id.Token = hex.EncodeToString(random[:])
 	}
 	if len(id.Token) > 64 || strings.Trim(id.Token, "0123456789abcdef") != "" {
-		return id, fmt.Errorf("%q is no token of a record", id.Token)
+		return id, fmt.Errorf("%q is not a registry token", id.Token)
 	}
 	initial, err := coordinator.Begin(coordinators, lease, drift)
 	if err != nil {
@@ -71,7 +73,8 @@
 	return id, Create(folder, id, initial)
 }
 
-// Join makes the folder of a keeper that takes the place of one that was lost, or comes to the others.
+// Join registers a new coordinator with the running ones and creates its folder. It may replace a coordinator that was
+// lost.
 func Join(ctx context.Context, folder, name, listen, zone, contact string) (Identity, error) {
 	for _, addr := range [...]string{listen, contact} {
 		if err := netaddr.Check(addr); err != nil {
@@ -85,7 +88,8 @@
 		if err == nil {
 			break
 		}
-		// While the others choose a leader it is asked retryable; one that was taken in and has not started is told its number retryable.
+		// While no leader is elected the order is repeated. A coordinator that was added but has not started yet gets
+		// the same ID again.
 		retryable := false
 		for _, transientErr := range []error{coordinator.ErrElsewhere, coordinator.ErrBusy, coordinator.ErrUnsure, agent.ErrNoAnswer} {
 			retryable = retryable || errors.Is(err, transientErr)
--- a/internal/coordserver/client.go
+++ b/internal/coordserver/client.go
@@ -17,7 +17,7 @@
 	"dunereach/fleet/coordinator"
 )
 
-// Client asks keepers: whoever leads, as far as that is known.
+// Client sends requests to coordinators, and to the leader as far as it is known.
 type Client struct {
 	http   *http.Client
 	mu     sync.Mutex
@@ -32,19 +32,20 @@
 // Dial opens one connection of a client.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// pathTraffic counts the requests of one path, and the bytes of their bodies both ways.
+// pathTraffic counts the requests of one path, and the bytes of their bodies in both directions.
 type pathTraffic struct{ requests, bytes atomic.Int64 }
 
-// PathTraffic is what one kind of request came to: whole requests, and bytes of bodies both ways without headers.
+// PathTraffic is the traffic of one path: the number of requests, and the bytes of their bodies in both directions
+// without headers.
 type PathTraffic struct {
 	Requests int64 `json:"requests"`
 	Bytes    int64 `json:"bytes"`
 }
 
-// Traffic so far: calls, and bytes both ways.
+// Traffic returns the number of requests so far, and the bytes on connections in both directions.
 func (c *Client) Traffic() (requestCount, bytes int64) { return c.requestCount.Load(), c.bytes.Load() }
 
-// TrafficByPath is the traffic so far of each path that was asked for.
+// TrafficByPath returns the traffic so far of each path that was requested.
 func (c *Client) TrafficByPath() map[string]PathTraffic {
 	all := map[string]PathTraffic{}
 	c.byPath.Range(func(path, value any) bool {
@@ -55,7 +56,7 @@
 	return all
 }
 
-// pathCounter is the counter of a path.
+// pathCounter returns the counter of a path.
 func (c *Client) pathCounter(path string) *pathTraffic {
 	if t, ok := c.byPath.Load(path); ok {
 		return t.(*pathTraffic)
@@ -64,7 +65,7 @@
 	return t.(*pathTraffic)
 }
 
-// countingReader counts what is read of a body.
+// countingReader counts the bytes read from a body.
 type countingReader struct {
 	io.Reader
 	bytes *atomic.Int64
@@ -76,7 +77,7 @@
 	return n, err
 }
 
-// countingConn is a connection whose bytes are countingConn.
+// countingConn is a connection that counts its bytes in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -94,9 +95,9 @@
 	return n, err
 }
 
-// dialer of connections that come from an address, "": the system's choice.
+// dialer returns a dialer whose connections come from an address. If it is empty the system chooses the address.
 func dialer(from string) *net.Dialer {
-	const connect = 500 * time.Millisecond // on a private network: some thousand ways
+	const connect = 500 * time.Millisecond // some thousand round trips on a private network
 	d := &net.Dialer{Timeout: connect}
 	if ip := net.ParseIP(from); ip != nil {
 		d.LocalAddr = &net.TCPAddr{IP: ip}
@@ -104,12 +105,13 @@
 	return d
 }
 
-// NewClient of keepers at these addresses.
+// NewClient returns a client of the coordinators at these addresses. Its connections come from the address from, or
+// from one that the system chooses if from is empty.
 func NewClient(addrs []string, from string) *Client {
 	return NewClientOver(addrs, dialer(from).DialContext)
 }
 
-// NewClientOver is NewClient with connections of the caller's making.
+// NewClientWithDial is NewClient with connections opened by dial.
 func NewClientOver(addrs []string, dial Dial) *Client {
 	c := &Client{addrs: addrs, finder: agent.NewFinder(addrs, int(time.Now().UnixNano()&0xffff))}
 	c.http = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute,
@@ -129,10 +131,11 @@
 	return c.finder.Target()
 }
 
-// Close its connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call one path; in nil: GET. It asks on while keepers send it to another, a few times.
+// Call requests one path, with GET if in is nil and POST otherwise. While coordinators redirect it to another one, or
+// do not answer, it tries again a few times.
 func (c *Client) Call(ctx context.Context, path string, in, out any) (err error) {
 	var body []byte
 	if in != nil {
@@ -201,10 +204,10 @@
 	return fault.Leader, fault.Err()
 }
 
-// statusTimeout is how long a coordinator has for its status, which takes no agreement.
+// statusTimeout bounds a status request, which needs no quorum.
 const statusTimeout = time.Second
 
-// Each keeper's own word on itself, nil where it does not answer within a second.
+// Statuses returns each coordinator's own status, nil for one that does not answer within a second.
 func (c *Client) Each(ctx context.Context, addrs []string) []*coordinator.Status {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/internal/coordserver/hedgedcall.go
+++ b/internal/coordserver/hedgedcall.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	hedgeDelay = 300 * time.Millisecond // until the next coordinator is asked beside one that has not answered
-	retryDelay = 200 * time.Millisecond // until one that could not decide is asked again
+	hedgeDelay = 300 * time.Millisecond // time without an answer after which the next coordinator is asked as well
+	retryDelay = 200 * time.Millisecond // pause before a coordinator that could not decide is asked again
 )
 
-// callResult of one coordinator.
+// callResult is the response of one coordinator.
 type callResult struct {
 	body json.RawMessage
 	err  error
 }
 
-// Ask is Call for requests that may be repeated: reads, and orders that say which fence they are about. One coordinator after another
-// is asked, each beside those that have not answered within 0.3 s; the first good answer wins and the rest are cancelled. Those that do
-// not lead or do not answer are asked again until the context ends: while leadership moves, nobody leads for some seconds. The error is
-// then the last that a coordinator gave.
+// HedgedCall is Call for requests that are safe to repeat: reads, and orders that name the fence that they apply to. It
+// asks one coordinator after another and starts the next one when the others have not answered within 0.3 s. The first
+// successful answer wins, and the other requests are cancelled. Coordinators that are not the leader or do not answer
+// are asked again until the context ends, since there is no leader for some seconds while leadership moves. The error
+// returned then is the last one that a coordinator gave.
 func (c *Client) Ask(ctx context.Context, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -37,15 +38,15 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	remaining := c.addrsLeaderFirst()
-	results := make(chan callResult, len(remaining)) // one of each: none is held up by a reader that has left
-	transientErrs := make(chan error)                // a transient error each
+	results := make(chan callResult, len(remaining)) // room for one result of each, so that no goroutine blocks after HedgedCall has returned
+	transientErrs := make(chan error)                // one value for each transient error
 	startNext := func() {
 		if len(remaining) == 0 {
 			return
 		}
 		addr := remaining[0]
 		remaining = remaining[1:]
-		go func() { results <- c.callUntilDecided(ctx, addr, path, body, transientErrs) }() // ended by the context
+		go func() { results <- c.callUntilDecided(ctx, addr, path, body, transientErrs) }() // ends with the context
 	}
 	startNext()
 	hedge := time.NewTicker(hedgeDelay)
@@ -68,8 +69,8 @@
 	}
 }
 
-// callUntilDecided asks one coordinator until it decides or the context ends. One that names a leader of which this client has no address is
-// followed there.
+// callUntilDecided asks one coordinator until it decides or the context ends. If the coordinator names a leader whose
+// address this client does not have, the request is sent to that leader.
 func (c *Client) callUntilDecided(ctx context.Context, addr, path string, body []byte, transientErrs chan<- error) callResult {
 	target := addr
 	for {
@@ -96,7 +97,7 @@
 	}
 }
 
-// isTransient tells whether another coordinator, or the same one a little later, may decide.
+// isTransient reports whether another coordinator, or the same one a little later, may decide the request.
 func isTransient(err error) bool {
 	for _, transientErr := range []error{coordinator.ErrElsewhere, coordinator.ErrUnsure, agent.ErrNoAnswer} {
 		if errors.Is(err, transientErr) {
@@ -106,7 +107,7 @@
 	return false
 }
 
-// addrsLeaderFirst is all addresses, the one that is taken to lead first.
+// addrsLeaderFirst returns all addresses, beginning with that of the presumed leader.
 func (c *Client) addrsLeaderFirst() []string {
 	first := c.leaderAddr()
 	order := []string{first}
--- a/internal/coordserver/hedgedcall_test.go
+++ b/internal/coordserver/hedgedcall_test.go
@@ -16,7 +16,7 @@
 	"dunereach/fleet/registry"
 )
 
-// fakeCoordinator answers over a real connection, by the number of times it was asked, counted from 1.
+// fakeCoordinator responds over a real connection. respond gets the number of the request, counted from 1.
 func fakeCoordinator(t *testing.T, respond func(times int64) (status int, body any)) (addr string, requests *atomic.Int64) {
 	requests = &atomic.Int64{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -27,7 +27,7 @@
 	return s.Listener.Addr().String(), requests
 }
 
-// unresponsiveCoordinator is as one under SIGSTOP: the system takes connections for it, and nothing is answered.
+// unresponsiveCoordinator is like a process under SIGSTOP: the system accepts its connections, but nothing is answered.
 func unresponsiveCoordinator(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,13 +45,14 @@
 	}
 }
 
-// startAt has a client take this address for the leader's first.
+// startAt makes the client ask this address first.
 func startAt(c *Client, addr string) *Client {
 	c.finder = agent.NewFinder([]string{addr}, 0)
 	return c
 }
 
-// TestHedgedCallUnresponsive: a coordinator that does not answer holds nobody up, whichever is asked first; a stopped one is waited for 0.3 s.
+// TestHedgedCallUnresponsive: an unresponsive coordinator must not block a request, whichever coordinator is asked
+// first. The client waits 0.3 s for it.
 func TestHedgedCallUnresponsive(t *testing.T) {
 	leader, _ := fakeCoordinator(t, respondAsLeader)
 	follower, _ := fakeCoordinator(t, redirectTo(""))
@@ -61,15 +62,16 @@
 		var p Picture
 		start := time.Now()
 		err := startAt(NewClient(addrs, ""), first).Ask(t.Context(), "/v1/record", nil, &p)
-		if took := time.Since(start); err != nil || p.Fence != 7 || took > 3*time.Second { // by Call it is five
+		if took := time.Since(start); err != nil || p.Fence != 7 || took > 3*time.Second { // with Call it takes 5 s
 			t.Errorf("%v, fence %d after %v", err, p.Fence, took)
 		}
 	}
 }
 
-// TestHedgedCallLeaderChange: leadership moves: for a while nobody leads, and an order is repeated until somebody does.
+// TestHedgedCallLeaderChange: while leadership moves there is no leader, and an order is repeated until a leader
+// accepts it.
 func TestHedgedCallLeaderChange(t *testing.T) {
-	const decidedAt = 6 // more than Call asks in all
+	const decidedAt = 6 // more than the number of attempts that Call makes
 	respond := func(n int64) (int, any) {
 		switch {
 		case n < decidedAt:
@@ -87,7 +89,8 @@
 	}
 }
 
-// TestHedgedCallUnlistedLeader: a leader that is named, and is none of the addresses, is asked.
+// TestHedgedCallUnlistedLeader: a leader that a follower names is asked although its address is not on the client's
+// list.
 func TestHedgedCallUnlistedLeader(t *testing.T) {
 	leader, _ := fakeCoordinator(t, respondAsLeader)
 	follower, _ := fakeCoordinator(t, redirectTo(leader))
@@ -97,16 +100,17 @@
 	}
 }
 
-// TestHedgedCallDecision: a coordinator's decision is told at once and asked for once; where nobody decides, the context ends it.
+// TestHedgedCallDecision: a coordinator's decision is returned at once, and the coordinator is asked only once. Where
+// no coordinator decides, the context ends the request.
 func TestHedgedCallDecision(t *testing.T) {
 	rejecting, requests := fakeCoordinator(t, func(int64) (int, any) { return http.StatusConflict, newFault(registry.ErrNoWork, "") })
 	if err := NewClient([]string{rejecting}, "").Ask(t.Context(), "/v1/order", coordinator.Order{}, &coordinator.Posted{}); !errors.Is(err, registry.ErrNoWork) || requests.Load() != 1 {
-		t.Errorf("%v, asked %d times", err, requests.Load())
+		t.Errorf("%v after %d requests", err, requests.Load())
 	}
 	follower, _ := fakeCoordinator(t, redirectTo(""))
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	if err := NewClient([]string{follower, unresponsiveCoordinator(t)}, "").Ask(ctx, "/v1/record", nil, &json.RawMessage{}); !errors.Is(err, coordinator.ErrElsewhere) {
-		t.Errorf("where nobody leads: %v", err)
+		t.Errorf("without a leader: %v", err)
 	}
 }
--- a/internal/coordserver/serve.go
+++ b/internal/coordserver/serve.go
@@ -22,7 +22,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Wire errors, by the word that stands for them in an answer.
+// errorsByCode has the errors that are sent over HTTP, by their code in a response.
 var errorsByCode = map[string]error{
 	"elsewhere": coordinator.ErrElsewhere, "unsure": coordinator.ErrUnsure, "session": coordinator.ErrSession, "bad": coordinator.ErrBad,
 	"busy": coordinator.ErrBusy, "superseded": registry.ErrSuperseded, "full": registry.ErrFull, "owned": registry.ErrOwned,
@@ -30,15 +30,15 @@
 	"version": registry.ErrUnknown,
 }
 
-// Fault is an answer that is an error.
+// ErrorResponse is the body of a response that reports an error.
 type Fault struct {
 	Error  string           `json:"error"`
 	Text   string           `json:"text,omitempty"`
-	Leader string           `json:"leader,omitempty"` // address of who leads
+	Leader string           `json:"leader,omitempty"` // the leader's address
 	Old    *lease.FenceMark `json:"old,omitempty"`
 }
 
-// Err is the error that a fault stands for.
+// Err returns the error that the response reports.
 func (f *Fault) Err() error {
 	if f.Old != nil {
 		return &lease.StaleFenceError{Work: f.Old.Work, Highest: f.Old.Fence}
@@ -65,11 +65,11 @@
 	return &Fault{Error: "other", Text: err.Error()}
 }
 
-// request for the owner's goroutine.
+// request is a request for the goroutine that runs the coordinator.
 type request struct {
-	requestID uint64 // the owner's goroutine's
+	requestID uint64 // assigned by that goroutine
 	start     func(k *coordinator.Keeper, now float64, requestID uint64)
-	response  chan reply // room for one: nobody waits for who went away
+	response  chan reply // buffered, so that sending does not block after the client has left
 }
 
 type reply struct {
@@ -77,33 +77,33 @@
 	leader string
 }
 
-// server of one keeper.
+// server is the process of one coordinator.
 type server struct {
 	store         *Store
 	coord         *coordinator.Keeper
 	log           *zap.Logger
 	funcs         chan func(now float64)
 	requests      chan *request
-	pending       map[uint64]*request
-	requestID     uint64
+	pending       map[uint64]*request // by ID
+	requestID     uint64              // the last ID assigned
 	raftTransport *transport
-	localAddr     string // address that calls to other keepers come from
+	localAddr     string // source address of connections to other coordinators, "": chosen by the system
 }
 
 const (
 	maxBody = 8 << 20 // bytes of one request of a router or an operator
-	// maxRaftBody is the bound on one request of another keeper: a snapshot, and entries that wait with it.
+	// maxRaftBody bounds one request of another coordinator: a snapshot, and the entries queued with it.
 	maxRaftBody  = registry.MostSnapshot + 8<<20
 	tickInterval = 20 * time.Millisecond
 )
 
-// Options of a keeper on this machine.
+// Options are the settings of a coordinator that depend on this machine.
 type Options struct {
-	Listen string // where others come by another address than the one that they know it by; "": that one
-	From   string // address that its calls come from, "": the system's choice
+	Listen string // address to listen on, if it is not the one that the others use; "": the one in the coordinator's identity
+	From   string // source address of its connections, "": chosen by the system
 }
 
-// Serve until the context ends.
+// Serve runs the coordinator of a folder until the context ends.
 func Serve(ctx context.Context, folder string, o Options, log *zap.Logger) error {
 	store, err := Open(folder)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return err
 }
 
-// run is the goroutine that has the keeper.
+// run is the goroutine that owns the coordinator. All access to the coordinator's state is made by it.
 func (s *server) run(ctx context.Context, persisted coordinator.Stored) error {
 	id := s.store.Identity
 	if id.Fresh {
@@ -158,7 +158,7 @@
 			return err
 		}
 	}
-	const holdTime = 1.0 // seconds: a quarter of a lease of four, the usual one
+	const holdTime = 1.0 // seconds: a quarter of the usual lease of 4 s
 	var err error
 	s.coord, err = coordinator.New(coordinator.Config{ID: id.ID, Name: id.Name, Token: id.Token, Hold: holdTime, Logger: raftLogger{s.log.Sugar()},
 		Log: func(text string) { s.log.Info(text) }}, persisted, boottime.Now())
@@ -183,7 +183,7 @@
 		case r := <-s.requests:
 			s.startRequest(r)
 		}
-		for more := true; more; { // all that has come goes into one write to the disk
+		for more := true; more; { // process everything received so far, so that one write to the disk covers it
 			select {
 			case fn := <-s.funcs:
 				fn(boottime.Now())
@@ -194,8 +194,8 @@
 			}
 		}
 		if err := s.processOutput(); err != nil {
-			// What is not on the disk must not be said: another keeper leads on.
-			return fmt.Errorf("the record can't be kept: %w", err)
+			// Nothing that is not on the disk may be sent. This coordinator ends, and another one becomes the leader.
+			return fmt.Errorf("storing the registry failed: %w", err)
 		}
 	}
 }
@@ -207,7 +207,8 @@
 	r.start(s.coord, boottime.Now(), s.requestID)
 }
 
-// processOutput out what the keeper put out: the disk first.
+// processOutput carries out the coordinator's outputs. Each is stored on disk before its messages and responses are
+// sent.
 func (s *server) processOutput() error {
 	for {
 		output, ok := s.coord.Output()
@@ -228,7 +229,7 @@
 			if member := s.coord.Record().Keeper(resp.Leader); member != nil {
 				leader = member.Addr
 			}
-			if live, ok := resp.Value.(*registry.Record); ok { // as it is now: it goes on changing
+			if live, ok := resp.Value.(*registry.Record); ok { // a copy, since the live registry goes on changing
 				resp.Value = newSnapshot(live)
 			}
 			r.response <- reply{resp, leader}
@@ -240,7 +241,7 @@
 	}
 }
 
-// Picture of the record, for people and scripts.
+// RegistrySnapshot is a copy of the registry for people and scripts.
 type Picture struct {
 	Index    uint64             `json:"index"`
 	Fence    uint64             `json:"fence"`
@@ -249,7 +250,7 @@
 	Keepers  []registry.Keeper  `json:"keepers"`
 	Sessions []registry.Session `json:"sessions"`
 	Works    []registry.Work    `json:"works"`
-	Owners   map[string]string  `json:"owners"` // name of each owned work's owner
+	Owners   map[string]string  `json:"owners"` // name of the owner of each owned task
 }
 
 func newSnapshot(r *registry.Record) Picture {
@@ -309,7 +310,8 @@
 	s.awaitResponse(w, r, startFunc(&message))
 }
 
-// awaitResponse for the owner's answer. Beats are held for a second, and a change of leaders takes two: four are long.
+// awaitResponse waits for the response of the goroutine that owns the coordinator. A heartbeat is held for 1 s and a
+// change of leader takes 2 s, so it gives up after 4 s.
 func (s *server) awaitResponse(w http.ResponseWriter, r *http.Request, start func(*coordinator.Keeper, float64, uint64)) {
 	const requestTimeout = 4 * time.Second
 	req := &request{start: start, response: make(chan reply, 1)}
@@ -318,7 +320,7 @@
 	select {
 	case s.requests <- req:
 	case <-timeout.C:
-		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the keeper is busy"})
+		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the coordinator is busy"})
 		return
 	case <-r.Context().Done():
 		return
@@ -335,7 +337,7 @@
 		}
 		writeJSON(w, http.StatusOK, resp.Value)
 	case <-timeout.C:
-		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "it was not agreed in time: no majority of keepers answers"})
+		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the request was not committed in time: no majority of coordinators answers"})
 	case <-r.Context().Done():
 		select {
 		case s.funcs <- func(float64) {
@@ -376,14 +378,15 @@
 	}
 }
 
-// awaitCoordinators waits until every keeper of a new record is there and none has taken part yet, or the record has not seen this one: who
-// comes with an empty folder to a record that knows it has lost its votes, and must not vote again under its number.
+// awaitCoordinators waits until every coordinator of a new registry answers. It returns an error if the registry knows
+// this coordinator as one that has taken part. A coordinator that comes with an empty folder to such a registry has
+// lost its votes, and it must not vote again under the same ID.
 func (s *server) awaitCoordinators(ctx context.Context) error {
 	id := s.store.Identity
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dialer(s.localAddr).DialContext}}
 	defer client.CloseIdleConnections()
 	present := map[uint64]bool{id.ID: true}
-	s.log.Info("waiting for all keepers of the new record", zap.Int("keepers", len(id.Peers)))
+	s.log.Info("waiting for all coordinators of the new registry", zap.Int("keepers", len(id.Peers)))
 	results := make(chan coordinator.Status, len(id.Peers))
 	ticker := time.NewTicker(200 * time.Millisecond)
 	defer ticker.Stop()
@@ -391,24 +394,24 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case fn := <-s.funcs: // others ask for our status
+		case fn := <-s.funcs: // other coordinators request this one's status
 			fn(boottime.Now())
 		case r := <-s.requests:
 			r.response <- reply{Answer: coordinator.Answer{Err: coordinator.ErrElsewhere}}
 		case status := <-results:
 			if status.Record != id.Token {
-				return fmt.Errorf("the keeper %q at its address keeps another record (%s, this one is %s)", status.Name, status.Record, id.Token)
+				return fmt.Errorf("coordinator %q belongs to another registry (%s, this one is %s)", status.Name, status.Record, id.Token)
 			}
 			for _, startedID := range status.Started {
 				if uint64(startedID) == id.ID {
-					return fmt.Errorf("the record knows keeper %d already, but this folder has never taken part: what it voted is lost; use `dunekeep join`", id.ID)
+					return fmt.Errorf("the registry already has coordinator %d, but this folder has never taken part: its votes are lost; use `dunekeep join`", id.ID)
 				}
 			}
 			present[status.ID] = true
 		case <-ticker.C:
 			for _, peer := range id.Peers {
 				if !present[peer.ID] {
-					go func() { // ends with its client's time
+					go func() { // ends by the client's timeout
 						if status, err := fetchStatus(ctx, client, peer.Addr); err == nil {
 							select {
 							case results <- status:
@@ -437,7 +440,7 @@
 	return status, json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&status)
 }
 
-// raftLogger passes on what raft's library says that people should see.
+// raftLogger passes on the messages of the raft library that need attention: errors and worse.
 type raftLogger struct{ log *zap.SugaredLogger }
 
 func (l raftLogger) Debug(...any)              {}
--- a/internal/coordserver/store.go
+++ b/internal/coordserver/store.go
@@ -1,5 +1,5 @@
-// Package coordserver drives a keeper of the fleet's record: its disk (bbolt), its sockets (HTTP/1.1 with JSON, raft's messages in
-// the library's own encoding) and its clock. All decisions are in package keeping.
+// Package coordserver runs a coordinator of the fleet's registry: its disk (bbolt), its sockets (HTTP/1.1 with JSON,
+// and raft messages in the library's own encoding) and its clock. All decisions are made in package coordinator.
 package coordserver
 
 import (
@@ -20,18 +20,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Identity of a keeper, made with its folder and never again.
+// Identity is the identity of a coordinator. It is created with the folder, and only Fresh changes afterwards.
 type Identity struct {
 	ID     uint64            `json:"id"`
 	Name   string            `json:"name"`
 	Listen string            `json:"listen"`
 	Zone   string            `json:"zone,omitempty"`
-	Token  string            `json:"record"` // of the record
+	Token  string            `json:"record"` // identifies the registry
 	Peers  []registry.Keeper `json:"keepers"`
 	Fresh  bool              `json:"fresh"` // it has not taken part yet
 }
 
-// Store is a keeper's folder.
+// Store is a coordinator's folder.
 type Store struct {
 	db       *bbolt.DB
 	Identity Identity
@@ -50,17 +50,17 @@
 
 const formatVersion = "dunekeep 1"
 
-// ErrEmpty is the error of a folder that holds no registry.
-var ErrEmpty = errors.New("the folder holds no record: `dunekeep init` begins one, `dunekeep join` takes the place of a keeper that was lost")
+// ErrNoRegistry is the error of a folder that holds no registry.
+var ErrEmpty = errors.New("the folder holds no record: `dunekeep init` creates a registry, `dunekeep join` replaces a coordinator that was lost")
 
-// Create a folder for a new keeper.
+// Create creates the folder of a new coordinator.
 func Create(folder string, id Identity, initial coordinator.Stored) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
 	}
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err == nil {
-		return fmt.Errorf("%s is there already: it is a keeper's record, and nothing is written over it", path)
+		return fmt.Errorf("%s already exists: a coordinator's registry is not overwritten", path)
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
@@ -89,7 +89,7 @@
 	return s.Keep(&output)
 }
 
-// Open a folder. Only one process at a time has it: the lock goes with the process.
+// Open opens a folder. Only one process at a time can open it; the lock ends with the process.
 func Open(folder string) (*Store, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
@@ -100,7 +100,7 @@
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
 	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, fmt.Errorf("%s: another keeper runs on this folder", folder)
+		return nil, fmt.Errorf("%s: another coordinator is using this folder", folder)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %v", path, err)
@@ -109,7 +109,7 @@
 	err = db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		if meta == nil || string(meta.Get(formatKey)) != formatVersion || tx.Bucket(logBucket) == nil {
-			return fmt.Errorf("%s is no record that this program reads", path)
+			return fmt.Errorf("%s is not a registry that this version can read", path)
 		}
 		return json.Unmarshal(meta.Get(identityKey), &s.Identity)
 	})
@@ -120,10 +120,10 @@
 	return s, nil
 }
 
-// Close the folder.
+// Close closes the folder.
 func (s *Store) Close() error { return s.db.Close() }
 
-// SetIdentity keeps what the keeper knows of itself.
+// SetIdentity stores the coordinator's identity.
 func (s *Store) SetIdentity(id Identity) error {
 	data, err := json.Marshal(id)
 	if err != nil {
@@ -133,7 +133,7 @@
 	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(identityKey, data) })
 }
 
-// Load what was kept.
+// Load reads the persisted state.
 func (s *Store) Load() (persisted coordinator.Stored, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
@@ -164,7 +164,7 @@
 	return persisted, err
 }
 
-// Keep what has to be on the disk before anything is sent: all of it or nothing.
+// Persist stores everything that must be on the disk before anything is sent. It stores all of it or nothing.
 func (s *Store) Keep(output *coordinator.Output) error {
 	persist := &output.Keep
 	if persist.Snapshot == nil && persist.HardState == nil && len(persist.Entries) == 0 {
@@ -176,8 +176,8 @@
 			if err := putMessage(meta, snapshotKey, persist.Snapshot); err != nil {
 				return err
 			}
-			// One that came from another keeper replaces all that is here: what lies behind it is of a log that was given up, and
-			// must not be taken for this keeper's after a restart.
+			// A snapshot from another coordinator replaces the whole log. The entries behind it belong to a log that
+			// was abandoned, and must not be taken for this coordinator's after a restart.
 			upTo := uint64(math.MaxUint64)
 			if persist.Compact > 0 {
 				upTo = persist.Compact
@@ -196,7 +196,7 @@
 	})
 }
 
-// deleteUpTo deletes the log's entries up to an index, that one too.
+// deleteUpTo deletes the log's entries up to and including an index.
 func deleteUpTo(log *bbolt.Bucket, upTo uint64) error {
 	c := log.Cursor()
 	for key, _ := c.First(); key != nil && binary.BigEndian.Uint64(key) <= upTo; key, _ = c.First() {
@@ -207,7 +207,8 @@
 	return nil
 }
 
-// replaceFrom puts entries into the log in place of all that stood there from the first one on, which was never agreed.
+// replaceFrom appends entries to the log. It first deletes all stored entries from the first new index on, which were
+// never committed.
 func replaceFrom(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
--- a/internal/coordserver/store_test.go
+++ b/internal/coordserver/store_test.go
@@ -30,12 +30,13 @@
 	return indexes, st.Snapshot.GetMetadata().GetIndex()
 }
 
-// TestStore: what is kept comes back; entries that were given up don't, neither those that newer ones replace nor those behind a
-// snapshot that another keeper sent; only one process has a folder, and nothing is written over a record.
+// TestStore: persisted state is read back. Abandoned entries are not, whether newer entries replaced them or they lie
+// behind a snapshot that another coordinator sent. Only one process can open a folder, and an existing registry is not
+// overwritten.
 func TestStore(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "k1")
 	if _, err := Open(folder); !errors.Is(err, ErrEmpty) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("opening an empty folder: %v", err)
 	}
 	initial, err := coordinator.Begin([]registry.Keeper{{ID: 1, Name: "k1", Addr: "127.0.0.1:1"}}, 4, 0.05)
 	if err != nil {
@@ -44,15 +45,15 @@
 	if err := Create(folder, Identity{ID: 1, Name: "k1", Token: "ab", Fresh: true}, initial); err != nil {
 		t.Fatal(err)
 	}
-	if err := Create(folder, Identity{ID: 2}, initial); err == nil || !strings.Contains(err.Error(), "there already") {
-		t.Errorf("a record is written over: %v", err)
+	if err := Create(folder, Identity{ID: 2}, initial); err == nil || !strings.Contains(err.Error(), "already exists") {
+		t.Errorf("creating over an existing registry: %v", err)
 	}
 	s, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(folder); err == nil || !strings.Contains(err.Error(), "another keeper") {
-		t.Errorf("two processes have the folder: %v", err)
+	if _, err := Open(folder); err == nil || !strings.Contains(err.Error(), "another coordinator") {
+		t.Errorf("opening a folder twice: %v", err)
 	}
 	persist := func(f func(o *coordinator.Output)) {
 		t.Helper()
@@ -68,11 +69,11 @@
 	})
 	persist(func(o *coordinator.Output) { o.Keep.Entries = []*pb.Entry{entry(4, 3)} })
 	if all, from := loadIndexes(t, s); len(all) != 3 || from != 1 {
-		t.Errorf("entries %v behind %d", all, from)
+		t.Errorf("entries %v after %d", all, from)
 	}
 	persist(func(o *coordinator.Output) { o.Keep.Snapshot, o.Keep.Compact = snapshot(3, 2), 2 })
 	if all, from := loadIndexes(t, s); len(all) != 1 || all[0] != 4 || from != 3 {
-		t.Errorf("entries %v behind our own snapshot %d", all, from)
+		t.Errorf("entries %v after our own snapshot %d", all, from)
 	}
 	persist(func(o *coordinator.Output) { o.Keep.Entries = []*pb.Entry{entry(5, 3), entry(6, 3), entry(7, 3)} })
 	persist(func(o *coordinator.Output) { o.Keep.Snapshot = snapshot(5, 4) })
@@ -82,7 +83,7 @@
 	}
 	defer s.Close()
 	if all, from := loadIndexes(t, s); len(all) != 0 || from != 5 {
-		t.Errorf("entries %v behind another's snapshot %d", all, from)
+		t.Errorf("entries %v after another coordinator's snapshot %d", all, from)
 	}
 	if s.Identity.ID != 1 || !s.Identity.Fresh {
 		t.Errorf("%+v", s.Identity)
@@ -92,9 +93,9 @@
 func TestParseCoordinators(t *testing.T) {
 	for text, want := range map[string]string{
 		"k1=127.0.0.1:1@a,k2=10.0.0.1:1,k3=192.168.0.1:1": "",
-		"k1=127.0.0.1:1,k2=127.0.0.1:2":                   "2 keepers",
+		"k1=127.0.0.1:1,k2=127.0.0.1:2":                   "2 coordinators",
 		"k1=8.8.8.8:1":                                    "neither a loopback nor a private",
-		"k1":                                              "is wanted",
+		"k1":                                              "must be NAME=ADDRESS:PORT",
 		"k1=127.0.0.1:1,k1=127.0.0.1:2,k3=127.0.0.1:3": "named twice",
 		"k1=host:1": "no address",
 	} {
--- a/internal/coordserver/transport.go
+++ b/internal/coordserver/transport.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// transport carries raft's messages between keepers: POST /raft/RECORD, each message with its length before it.
+// transport carries raft messages between coordinators: POST /raft/TOKEN, with each message preceded by its length.
 type transport struct {
 	ctx           context.Context
 	group         *errgroup.Group
@@ -28,10 +28,10 @@
 	registryIndex uint64
 }
 
-// peer is a keeper that messages go to. Its goroutine ends with the keeper, or when the peer has left.
+// peer is a coordinator that messages are sent to. Its goroutine ends with this coordinator, or when the peer has left.
 type peer struct {
 	addr  string
-	queue chan []*pb.Message // a few batches: raft sends again what is lost
+	queue chan []*pb.Message // a few batches; raft sends lost messages again
 	stop  context.CancelFunc
 }
 
@@ -41,7 +41,7 @@
 	return &transport{ctx: ctx, group: group, id: id, srv: srv, peers: map[uint64]*peer{}}
 }
 
-// updatePeers follows the record's list.
+// updatePeers follows the registry's list of coordinators.
 func (t *transport) updatePeers(r *registry.Record) {
 	if r.Index() == t.registryIndex && len(t.peers) > 0 {
 		return
@@ -72,7 +72,7 @@
 	return p
 }
 
-// appendQueued appends to a batch all that waits for the peer by now.
+// appendQueued appends to a batch everything that is queued for the peer.
 func (p *peer) appendQueued(batch []*pb.Message) []*pb.Message {
 	for {
 		select {
@@ -84,7 +84,7 @@
 	}
 }
 
-// encodeMessages writes messages behind their lengths, and tells whether a snapshot is among them.
+// encodeMessages encodes messages, each preceded by its length, and reports whether a snapshot is among them.
 func encodeMessages(batch []*pb.Message) (body []byte, hasSnapshot bool) {
 	for _, m := range batch {
 		data, err := proto.Marshal(m)
@@ -98,7 +98,7 @@
 	return body, hasSnapshot
 }
 
-// send messages; what finds no room is lost, as on any network.
+// send queues messages for their peers. Messages that do not fit into a peer's queue are dropped, as on any network.
 func (t *transport) send(messages []*pb.Message, coord *coordinator.Keeper) {
 	byPeer := map[uint64][]*pb.Message{}
 	for _, m := range messages {
@@ -122,10 +122,10 @@
 	}
 }
 
-// peerByID is the peer of an id, nil: there is none.
+// peerByID returns the peer of an ID, or nil if there is none.
 func (t *transport) peerByID(id uint64) *peer {
 	p := t.peers[id]
-	if p == nil { // a coordinator that joins knows the others by its folder only
+	if p == nil { // a coordinator that joins knows the others from its folder only
 		for _, x := range t.id.Peers {
 			if x.ID == id {
 				p = t.addPeer(id, x.Addr)
@@ -187,10 +187,10 @@
 	return nil
 }
 
-// receive another keeper's messages.
+// receive handles the messages of another coordinator.
 func (t *transport) receive(w http.ResponseWriter, r *http.Request) {
 	if r.PathValue("record") != t.id.Token {
-		http.Error(w, "another record", http.StatusForbidden)
+		http.Error(w, "message of another registry", http.StatusForbidden)
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRaftBody))
@@ -201,7 +201,7 @@
 	var messages []*pb.Message
 	for len(body) > 0 {
 		if len(body) < 4 || uint64(binary.BigEndian.Uint32(body)) > uint64(len(body)-4) {
-			http.Error(w, "cut short", http.StatusBadRequest)
+			http.Error(w, "truncated message", http.StatusBadRequest)
 			return
 		}
 		length := binary.BigEndian.Uint32(body)
@@ -210,7 +210,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if m.GetTo() == t.id.ID { // one for a keeper that had this address before is not for us
+		if m.GetTo() == t.id.ID { // a message for a coordinator that had this address before is ignored
 			messages = append(messages, m)
 		}
 		body = body[4+length:]
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -15,10 +15,10 @@
 	"github.com/spf13/cobra"
 )
 
-// ErrDamaged is returned where a folder was read and some of it is damaged.
-var ErrDamaged = errors.New("not all of it is whole")
+// ErrDamaged is returned if a folder was read and some of its files are damaged.
+var ErrDamaged = errors.New("some of the state is damaged")
 
-// report is what a folder has of one router.
+// report is the state that a folder has of one router.
 type report struct {
 	Name         string              `json:"name"`
 	Generation   uint64              `json:"generation"`
@@ -36,7 +36,7 @@
 	records      [][]byte
 }
 
-// inspect reads what a folder has of one router, without changing it.
+// inspect reads the state that a folder has of one router, without changing it.
 func inspect(dir, name string) (rep report, err error) {
 	r, _, err := store.Load(dir, name)
 	if err != nil {
@@ -76,25 +76,25 @@
 	asJSON bool
 }
 
-// Command returns the command `state`, as dunecheck has it. It prints to out.
+// Command returns the command `state` of dunecheck. It prints to out.
 func Command(out io.Writer) *cobra.Command {
 	t := &stateTool{out: out}
-	root := &cobra.Command{Use: "state", Short: "Look at what routers keep in a folder",
-		Long: `State works on the folder of a running router as on that of a dead one: looking takes nothing from it, and what changes a
-folder refuses one that a router has.`}
-	root.PersistentFlags().StringVar(&t.name, "name", "", "the router's (default: all that the folder has)")
+	root := &cobra.Command{Use: "state", Short: "Show and manage the state that routers store in a folder",
+		Long: `State works on the folder of a running router as well as on that of a stopped one. Reading does not change a folder, and the
+commands that change it refuse one that a running router has locked.`}
+	root.PersistentFlags().StringVar(&t.name, "name", "", "the router's name (default: all routers in the folder)")
 	root.PersistentFlags().BoolVar(&t.asJSON, "json", false, "print JSON")
 	root.AddCommand(
-		t.command("show", "Print what is kept, and how old it is", t.show),
-		t.command("verify", "Read everything, and end with 1 where something is not whole", t.verify),
+		t.command("show", "Print a summary of the stored state and its age", t.show),
+		t.command("verify", "Read everything, and exit with 1 if something is damaged", t.verify),
 		t.command("export", "Print everything as JSON", func(_ string, all []report) error { return t.print(all) }),
-		t.command("compact", "Put the journal into a new snapshot", t.changeEach(compact)),
-		t.command("drop", "Throw away what is kept; the router starts from nothing", t.changeEach(drop)),
+		t.command("compact", "Merge the journal into a new snapshot", t.changeEach(compact)),
+		t.command("drop", "Delete the stored state; the router starts without it", t.changeEach(drop)),
 	)
 	return root
 }
 
-// command returns a subcommand that does something with the reports of a folder.
+// command returns a subcommand that processes the reports of a folder.
 func (t *stateTool) command(use, short string, do func(dir string, reports []report) error) *cobra.Command {
 	runE := func(_ *cobra.Command, args []string) error {
 		names, err := t.names(args[0])
@@ -114,19 +114,19 @@
 	return &cobra.Command{Use: use + " DIR", Short: short, Args: cobra.ExactArgs(1), RunE: runE}
 }
 
-// names returns the routers that a folder has something of, or the one that the flag names.
+// names returns the routers that a folder has state of, or the one that the flag names.
 func (t *stateTool) names(dir string) ([]string, error) {
 	if info, err := os.Stat(dir); err != nil {
 		return nil, err
 	} else if !info.IsDir() {
-		return nil, fmt.Errorf("%s is no folder", dir)
+		return nil, fmt.Errorf("%s is not a folder", dir)
 	}
 	all := store.Names(dir)
 	if t.name != "" {
 		all = slices.DeleteFunc(all, func(n string) bool { return n != t.name })
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("%s has nothing that a router keeps", dir)
+		return nil, fmt.Errorf("%s has no state of a router", dir)
 	}
 	return all, nil
 }
@@ -147,14 +147,14 @@
 		return t.print(reports)
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "name\tgeneration\trecords since\tage\tof the snapshot\tfiles\tbytes\tprofiles\tengines in trouble\tteams\twaits\t")
+	fmt.Fprintln(w, "name\tgeneration\trecords since\tage\tof the snapshot\tfiles\tbytes\tprofiles\tservers in trouble\tteams\twaits\t")
 	for _, rep := range reports {
 		rep.printRow(w)
 	}
 	return w.Flush()
 }
 
-// printRow prints the cells of one router.
+// printRow prints the table row of one router.
 func (rep *report) printRow(w io.Writer) {
 	if rep.LastSnapshot == nil {
 		fmt.Fprintf(w, "%s\tnothing whole\t\t\t\t%d\t%d\t\n", rep.Name, rep.Files, rep.Bytes)
@@ -172,7 +172,7 @@
 	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t\n", len(rep.LastSnapshot.Profiles), len(record.Known.Engines), len(record.Teams), len(rep.LastSnapshot.Waits))
 }
 
-// verify prints what was found, and returns ErrDamaged where some of it is damaged.
+// verify prints the findings, and returns ErrDamaged if something is damaged.
 func (t *stateTool) verify(_ string, reports []report) error {
 	damaged := false
 	for _, rep := range reports {
@@ -194,8 +194,8 @@
 	return nil
 }
 
-// changeEach returns a function that changes what a folder has of each router, unless one that runs has it open. change returns
-// what is printed.
+// changeEach returns a function that changes the state that a folder has of each router. It refuses to change that of a
+// running router. change returns the message to print.
 func (t *stateTool) changeEach(change func(s *store.Store, rep report) (string, error)) func(dir string, reports []report) error {
 	return func(dir string, reports []report) error {
 		for _, rep := range reports {
@@ -220,7 +220,7 @@
 // compact merges the journal into a new snapshot.
 func compact(s *store.Store, rep report) (string, error) {
 	if rep.Generation == 0 {
-		return "", errors.New("nothing whole to put together")
+		return "", errors.New("no intact snapshot to merge the journal into")
 	}
 	body, err := mergeRecord(rep.body, rep.records)
 	if err != nil {
@@ -229,12 +229,12 @@
 	return fmt.Sprintf("generation %d, %d bytes", rep.Generation+1, len(body)), s.Snapshot(body)
 }
 
-// drop removes all that is kept.
+// drop removes all state of a router.
 func drop(s *store.Store, rep report) (string, error) {
-	return fmt.Sprintf("%d files thrown away", rep.Files), s.Drop()
+	return fmt.Sprintf("%d files deleted", rep.Files), s.Drop()
 }
 
-// formatDuration returns a duration as text, in the unit that a person would use.
+// formatDuration returns a duration as text, in a unit that suits its length.
 func formatDuration(seconds float64) string {
 	switch {
 	case seconds < 120:
--- a/internal/state/encoding.go
+++ b/internal/state/encoding.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// decoder has bounds: what is longer by its own word is damage, or nobody's knowledge.
+// decoder limits the lengths that data may declare: a longer one is damage, or data that no router has written.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 12, MaxNestedLevels: 12, DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
@@ -22,17 +22,19 @@
 	return m
 }()
 
-// A body is a memory.Kept; a record of the journal is a memory.Quick. Both are maps with numbered keys, so a later minor version may
-// add some: who does not know them passes them over, and compact carries them on.
+// The body of a snapshot is a warmstart.Snapshot, a record of the journal a warmstart.Record. Both are encoded as maps
+// with numbered keys, so that a later minor version can add keys. A version that does not know a key ignores it, and
+// compact preserves it.
 
 func encodeSnapshot(snapshot warmstart.Snapshot) ([]byte, error) { return cbor.Marshal(snapshot) }
 
 func encodeRecord(record warmstart.Record) ([]byte, error) { return cbor.Marshal(record) }
 
-// decodeState a snapshot's body and the journal's records. What can't be read ends the reading of the journal there.
+// decodeState decodes a snapshot's body and the records of its journal. Decoding stops at the first record that cannot
+// be decoded.
 func decodeState(body []byte, records [][]byte) (snapshot warmstart.Snapshot, decoded []warmstart.Record, err error) {
 	if err = decoder.Unmarshal(body, &snapshot); err != nil {
-		return warmstart.Snapshot{}, nil, fmt.Errorf("its body: %v", err)
+		return warmstart.Snapshot{}, nil, fmt.Errorf("snapshot body: %v", err)
 	}
 	for n, r := range records {
 		var record warmstart.Record
@@ -44,9 +46,10 @@
 	return snapshot, decoded, nil
 }
 
-// mergeRecord puts the newest record in the place of the snapshot's quick part. Keys that this version does not know stay as they are.
+// mergeRecord replaces the record within a snapshot by the newest record of the journal. Keys that this version does
+// not know are preserved.
 func mergeRecord(body []byte, records [][]byte) ([]byte, error) {
-	const recordKey = 3 // the key of memory.Kept.Quick
+	const recordKey = 3 // key of the field Quick of warmstart.Snapshot
 	var fields map[int]cbor.RawMessage
 	if err := decoder.Unmarshal(body, &fields); err != nil {
 		return nil, err
@@ -64,7 +67,7 @@
 			return nil, err
 		}
 	}
-	for key, value := range oldFields { // of a version that told more
+	for key, value := range oldFields { // keys that a later version wrote
 		if _, ok := newFields[key]; !ok && key > maxKnownKey {
 			newFields[key] = value
 		}
@@ -77,7 +80,8 @@
 	return canonicalEncoder.Marshal(fields)
 }
 
-// maxKnownKey is the highest key of memory.Quick: a record without one of these has nothing to tell there.
+// maxKnownKey is the highest key of warmstart.Record that this version knows. If a record lacks a known key, that value
+// is empty and the older one is not carried over.
 const maxKnownKey = 5
 
 var canonicalEncoder = func() cbor.EncMode {
@@ -88,12 +92,12 @@
 	return m
 }()
 
-// timestampNow by this machine's clocks.
+// timestampNow returns the time by both clocks of this machine.
 func timestampNow() warmstart.Timestamp {
 	return warmstart.Timestamp{Wall: float64(time.Now().UnixMicro()) / 1e6, Up: boottime.Now(), Boot: bootID}
 }
 
-// bootID names this start of the machine, "": it is not told.
+// bootID identifies this boot of the machine. It is empty if it cannot be read.
 var bootID = func() string {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,6 @@
-// Package state stores what a router has learned in a folder, and restores it in the next process. It decides nothing: package
-// warmstart decides what is believed, package jobs when it is written. The goroutine that owns the router's state never waits for
-// a disk.
+// Package state stores what a router has learned in a folder, and restores it in the next process. It makes no
+// decisions: package warmstart decides how much of it is trusted, and package jobs decides when it is written. The
+// goroutine that owns the router's state never waits for a disk.
 package state
 
 import (
@@ -21,35 +21,35 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Standard times, in seconds, and budgets.
+// Default intervals in seconds, and default limits.
 const (
-	defaultSnapshotInterval = 30.0            // a snapshot costs a sync of file and folder; what it has alone moves within minutes
+	defaultSnapshotInterval = 30.0            // a snapshot costs a sync of file and folder; what only the snapshot has changes within minutes
 	defaultRecordInterval   = 1.0             // what a kill may lose
 	defaultMB               = 32.0            // all files: three snapshots with their journals, and one being written
 	defaultCPU              = 0.01            // of a core
-	defaultBytes            = 1 << 20         // a second
-	maxLateness             = 0.005           // of the owner's timers from which writing waits: a tick of the platform's
-	tickInterval            = 0.1             // seconds between two of the owner's calls
-	diskTimeout             = 2 * time.Second // that the start waits for a disk, and the end
+	defaultBytes            = 1 << 20         // per second
+	maxLateness             = 0.005           // of the router's timers, above which writing waits: one tick of the platform
+	tickInterval            = 0.1             // seconds between two calls of Tick
+	diskTimeout             = 2 * time.Second // for which the start and the shutdown wait for a disk
 )
 
-// Keeper is a router's folder.
+// Persister stores the state of one router in a folder.
 type Keeper struct {
 	cfg    operator.State
 	name   string
 	log    *zap.Logger
 	runner *jobrunner.Runner
-	store  *store.Store // the jobs' alone, which run one at a time
+	store  *store.Store // used only by the jobs, which run one at a time
 
-	latestSnapshot atomic.Pointer[warmstart.Snapshot] // written by the owner, never changed after
+	latestSnapshot atomic.Pointer[warmstart.Snapshot] // written by the goroutine that owns the router's state; never modified once stored
 	latestRecord   atomic.Pointer[warmstart.Record]
 
 	startedAt                    time.Time
-	nextRecordAt, nextSnapshotAt float64 // the owner's
+	nextRecordAt, nextSnapshotAt float64 // used only by that goroutine
 	lastTickAt                   float64
 }
 
-// New keeper of a router's folder; nothing is read or written yet.
+// New returns the persister of a router's folder. It reads and writes nothing yet.
 func New(cfg operator.State, name string, log *zap.Logger) *Keeper {
 	k := &Keeper{cfg: cfg, name: name, log: log, startedAt: time.Now()}
 	k.cfg.Snapshot, k.cfg.Record = cmp.Or(cfg.Snapshot, defaultSnapshotInterval), cmp.Or(cfg.Record, defaultRecordInterval)
@@ -61,8 +61,8 @@
 	return k
 }
 
-// Recall reads what an earlier process left and has the router believe it. A disk that does not answer, or nothing that can be read, is a
-// start from nothing, and is said.
+// Recall reads the state that an earlier process left and restores it in the router. If the disk does not answer or
+// nothing can be read, the router starts without it, and this is logged.
 func (k *Keeper) Recall(m *router.Router) {
 	type result struct {
 		contents store.Read
@@ -96,17 +96,19 @@
 	fingerprints, rates := m.Prints()
 	r := warmstart.Restore(snapshot, records, timestampNow(), fingerprints, rates)
 	for _, why := range r.Why {
-		k.log.Info("not believed", zap.String("why", why))
+		k.log.Info("not trusted", zap.String("why", why))
 	}
 	m.Recall(r)
 	k.log.Info("remembered", zap.Uint64("generation", loaded.contents.Generation), zap.Int("records", len(records)), zap.Bool("age known", r.Sure),
 		zap.Float64("age", r.Age), zap.Float64("of the snapshot", r.Old), zap.Uint32("rev", r.Serial), zap.Int("engines", len(r.Engines)), zap.Bool("cut short", loaded.contents.Cut))
 }
 
-// Run its goroutines. They end after the context does, once the last snapshot is written or patience is over.
+// Run starts the goroutines. After the context has ended they end when the last snapshot is written, or after
+// diskTimeout.
 func (k *Keeper) Run(ctx context.Context, group *errgroup.Group) {
 	group.Go(func() error {
-		// What still waits for a disk has the folder, until the process is gone and the lock with it.
+		// A job that still waits for the disk uses the folder, so the store stays open and locked until the process
+		// ends.
 		if k.runner.Run(ctx, diskTimeout) && k.store != nil {
 			k.store.Close()
 		}
@@ -114,14 +116,14 @@
 	})
 }
 
-// Tick is called by the owner's goroutine some ten times a second.
+// Tick is called by the goroutine that owns the router's state, about ten times a second.
 func (k *Keeper) Tick(now float64, r *router.Router) {
 	if k.lastTickAt > 0 {
 		k.runner.ObserveLateness(now - k.lastTickAt - tickInterval)
 	}
 	k.lastTickAt = now
 	if now >= k.nextSnapshotAt {
-		k.nextSnapshotAt = now + float64(k.cfg.Snapshot)/2 // what is written is half as old again at the most
+		k.nextSnapshotAt = now + float64(k.cfg.Snapshot)/2 // at the time of writing the state is at most half an interval old
 		k.captureSnapshot(r)
 	}
 	if now >= k.nextRecordAt {
@@ -130,7 +132,7 @@
 	}
 }
 
-// End has the last of what is known ready to be written.
+// End captures the final state, to be written at shutdown.
 func (k *Keeper) End(r *router.Router) {
 	k.captureSnapshot(r)
 	k.captureRecord(r)
@@ -148,11 +150,11 @@
 	k.latestRecord.Store(&record)
 }
 
-// writeSnapshot of the latest that is known.
+// writeSnapshot writes the latest captured state as a new snapshot.
 func (k *Keeper) writeSnapshot(_ context.Context, meter *jobrunner.Meter) error {
 	snapshot, latestRecord := k.latestSnapshot.Load(), k.latestRecord.Load()
 	if snapshot == nil || latestRecord == nil {
-		return nil // nothing is known yet
+		return nil // nothing has been captured yet
 	}
 	combined := *snapshot
 	combined.Quick = *latestRecord
@@ -171,7 +173,7 @@
 	return k.closeOnError(k.store.Snapshot(body))
 }
 
-// writeRecord what changes fast.
+// writeRecord appends the latest fast-changing state to the journal.
 func (k *Keeper) writeRecord(ctx context.Context, meter *jobrunner.Meter) error {
 	latestRecord := k.latestRecord.Load()
 	if latestRecord == nil {
@@ -193,7 +195,8 @@
 	return k.closeOnError(err)
 }
 
-// closeOnError or not: a folder that failed is opened anew the next time, as it may have been taken away or come back.
+// closeOnError closes a store that failed. It is opened again the next time, as the folder may have been removed or
+// come back.
 func (k *Keeper) closeOnError(err error) error {
 	if err != nil {
 		k.store.Close()
@@ -202,7 +205,7 @@
 	return err
 }
 
-// logJobResult says so once, and once when it works again.
+// logJobResult logs the first failure of a job, and its first success afterwards.
 func (k *Keeper) logJobResult(job string, failures int, err error) {
 	switch {
 	case failures == 0:
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -32,7 +32,7 @@
 
 var update = flag.Bool("update", false, "write the golden files of this version")
 
-// sampleState is knowledge of every kind.
+// sampleState returns a snapshot and a record with a value in every field.
 func sampleState() (warmstart.Snapshot, warmstart.Record) {
 	k := warmstart.Snapshot{At: warmstart.Timestamp{Wall: 1000, Up: 10, Boot: "b"},
 		Profiles: []warmstart.Profile{{Settings: 7, Work: 0.2, Seen: 9, Hinted: 1, Worked: 2, Slow: 1.5, Times: warmstart.Times{Counts: []float64{1, 2, 3}, Sum: 4}}},
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestGolden: what the code of each version wrote is read by that of today. The files of a version are written once.
+// TestGolden: the current code reads the files that each version's code wrote. The files of a version are written once.
 func TestGolden(t *testing.T) {
 	dir := filepath.Join("testdata", fmt.Sprint("v", store.Version))
 	if *update {
@@ -85,12 +85,13 @@
 			t.Fatalf("version %d: %v", v, err)
 		}
 		if diff := cmp.Diff(k, kept) + cmp.Diff([]warmstart.Record{q}, quick); diff != "" {
-			t.Errorf("version %d is read otherwise (-written +read):\n%s", v, diff)
+			t.Errorf("version %d is read differently (-written +read):\n%s", v, diff)
 		}
 	}
 }
 
-// TestMerge: a compacted snapshot has the newest record, each piece its own age, and what this version does not know.
+// TestMerge: a compacted snapshot has the newest record, each part with its own time, and preserves keys that this
+// version does not know.
 func TestMerge(t *testing.T) {
 	k, q := sampleState()
 	body, _ := encodeSnapshot(k)
@@ -117,19 +118,19 @@
 	}
 	clear(all)
 	if err := cbor.Unmarshal(merged, &all); err != nil || all[99] != "of a later version" || all[3].(map[any]any)[uint64(77)] != "as well" {
-		t.Errorf("what a later version told is lost: %v %v", err, all)
+		t.Errorf("keys of a later version are lost: %v %v", err, all)
 	}
 }
 
-// FuzzBody: whatever bytes a body and a record are, they are read in a bounded way and believed without a crash.
+// FuzzBody: any bytes as a body and a record are decoded within bounds and restored without a crash.
 func FuzzBody(f *testing.F) {
 	k, q := sampleState()
 	body, _ := encodeSnapshot(k)
 	record, _ := encodeRecord(q)
 	f.Add(body, record)
-	f.Add([]byte{0xa1, 0x02, 0x9a, 0xff, 0xff, 0xff, 0xff}, []byte{0xbf})                   // an array of four thousand million
-	f.Add([]byte{0xa1, 0x02, 0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, record) // of 2^63 - 1
-	f.Add(bytes.Repeat([]byte{0x81}, 5000), record)                                         // nested without end
+	f.Add([]byte{0xa1, 0x02, 0x9a, 0xff, 0xff, 0xff, 0xff}, []byte{0xbf})                   // an array of 4 thousand million elements
+	f.Add([]byte{0xa1, 0x02, 0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, record) // an array of 2^63 - 1 elements
+	f.Add(bytes.Repeat([]byte{0x81}, 5000), record)                                         // unbounded nesting
 	f.Fuzz(func(t *testing.T, body, record []byte) {
 		kept, quick, _ := decodeState(body, [][]byte{record})
 		r := warmstart.Restore(kept, quick, warmstart.Timestamp{Wall: 1010, Up: 20, Boot: "b"}, []uint64{7, 8}, []float64{4})
@@ -143,14 +144,14 @@
 		}
 		for _, ahead := range r.Teams {
 			if math.IsNaN(ahead) {
-				t.Fatal("a team's debt is no number")
+				t.Fatal("a team's lead is not a number")
 			}
 		}
 		mergeRecord(body, [][]byte{record})
 	})
 }
 
-// newRouter is a router whose owner is this test.
+// newRouter returns a router whose state is owned by the test's goroutine.
 func newRouter(t *testing.T) (*router.Router, settings.Settings) {
 	t.Helper()
 	set := settings.Settings{Profiles: []string{"p"}, Tenants: []string{"a"}, Brain: admission.Settings{Routers: 1, Tick: 0.005,
@@ -163,7 +164,8 @@
 	r.Start(0, backends.New(r, backends.Limits{Streams: 1, Conns: 1}, func(netip.AddrPort, transport.Sink) backends.Line { return nil }))
 }
 
-// TestStateSurvivesRestart: what a router knows is written, the last of it when the process ends, and the next one believes it.
+// TestStateSurvivesRestart: the state of a router is written, the last time when the process ends, and the next process
+// restores it.
 func TestStateSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	runOnce := func() []string {
@@ -186,15 +188,15 @@
 		return messages
 	}
 	if messages := runOnce(); len(messages) != 1 || messages[0] != "nothing is remembered" {
-		t.Fatalf("the first: %v", messages)
+		t.Fatalf("log of the first run: %v", messages)
 	}
 	if messages := runOnce(); len(messages) != 1 || messages[0] != "remembered" {
-		t.Fatalf("the second: %v", messages)
+		t.Fatalf("log of the second run: %v", messages)
 	}
 }
 
-// TestUnusableFolder: a folder that can't be one, or that another process has, is said once; the router is served without, and kept again
-// once it can be.
+// TestUnusableFolder: a folder that cannot be created, or that another process has locked, is logged once for each job.
+// The router serves without it, and its state is stored as soon as the folder can be used.
 func TestUnusableFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if err := os.WriteFile(dir, []byte("no folder"), 0o600); err != nil {
@@ -214,33 +216,33 @@
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !seen(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s does not come: %v", what, logs.All())
+				t.Fatalf("timed out waiting for %s: %v", what, logs.All())
 			}
 		}
 	}
 	const failedMessage, recoveredMessage = "state is not kept: served without, and tried again", "state is kept again"
-	waitFor("word of each job", func() bool { return count(failedMessage) == 2 })
-	time.Sleep(1500 * time.Millisecond) // tried again meanwhile, and nothing more is said
+	waitFor("a message for each job", func() bool { return count(failedMessage) == 2 })
+	time.Sleep(1500 * time.Millisecond) // writing is retried meanwhile, and nothing more is logged
 	if n := count(failedMessage); n != 2 {
-		t.Errorf("said %d times of two jobs", n)
+		t.Errorf("%d messages for two jobs", n)
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
-	other, _, err := store.Open(dir, "n1") // a process that ends is still there
+	other, _, err := store.Open(dir, "n1") // as if the previous process had not ended yet
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(300 * time.Millisecond)
 	if names := store.Names(dir); len(names) > 0 {
-		t.Errorf("it wrote %v into what another has", names)
+		t.Errorf("it wrote %v into a folder that another process has locked", names)
 	}
 	other.Close()
-	waitFor("word that it is kept", func() bool { return count(recoveredMessage) >= 1 })
-	if err := os.RemoveAll(dir); err != nil { // taken away under it
+	waitFor("the message that state is stored again", func() bool { return count(recoveredMessage) >= 1 })
+	if err := os.RemoveAll(dir); err != nil { // the folder is removed while it is in use
 		t.Fatal(err)
 	}
-	waitFor("a folder made anew", func() bool { got, _, err := store.Load(dir, "n1"); return err == nil && got.Generation > 0 })
+	waitFor("a new folder", func() bool { got, _, err := store.Load(dir, "n1"); return err == nil && got.Generation > 0 })
 	cancel()
 	group.Wait()
 	if got, _, err := store.Load(dir, "n1"); err != nil || got.Generation == 0 {
@@ -248,7 +250,7 @@
 	}
 }
 
-// TestCommand: people and scripts look at a folder, of a dead and of a running router.
+// TestCommand: the command shows and changes the state in a folder, and does not change that of a running router.
 func TestCommand(t *testing.T) {
 	dir := t.TempDir()
 	writeState(t, dir, "n1")
@@ -277,7 +279,7 @@
 	}
 	for _, subcommand := range []string{"compact", "drop"} {
 		if _, err := run(subcommand, dir, "--name", "n1"); err == nil || !strings.Contains(err.Error(), "a router that runs has it") {
-			t.Errorf("%s what a router has: %v", subcommand, err)
+			t.Errorf("%s of a locked folder: %v", subcommand, err)
 		}
 	}
 	locked.Close()
@@ -285,16 +287,16 @@
 		t.Errorf("%v %s", err, out)
 	}
 	if l, err := inspect(dir, "n1"); err != nil || l.Records != 0 || l.LastSnapshot.Quick.Serial != 4 {
-		t.Errorf("compacted: %+v %v", l, err)
+		t.Errorf("after compact: %+v %v", l, err)
 	}
 	path := filepath.Join(dir, "n1.2.snap")
 	data, _ := os.ReadFile(path)
 	data[len(data)-1] ^= 1
 	os.WriteFile(path, data, 0o600)
-	if out, err := run("verify", dir, "--name", "n1"); err != ErrDamaged || !strings.Contains(out, "n1.2.snap: its checksum is wrong") {
-		t.Errorf("damaged: %v %s", err, out)
+	if out, err := run("verify", dir, "--name", "n1"); err != ErrDamaged || !strings.Contains(out, "n1.2.snap: checksum mismatch") {
+		t.Errorf("verify of a damaged snapshot: %v %s", err, out)
 	}
-	if out, err := run("drop", dir); err != nil || strings.Count(out, "thrown away") != 2 || len(store.Names(dir)) != 0 {
+	if out, err := run("drop", dir); err != nil || strings.Count(out, "files deleted") != 2 || len(store.Names(dir)) != 0 {
 		t.Errorf("%v %s", err, out)
 	}
 	for _, missing := range []string{dir, filepath.Join(dir, "none")} {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// Costs of the two that were weighed (docs/design/memory.md): a snapshot of 50 kB and a record of 500 bytes, each lasting when the call
-// returns.
+// Costs of the two stores that were compared (docs/design/memory.md): a snapshot of 50 kB and a record of 500 bytes,
+// each durable when the call returns.
 
 func BenchmarkSnapshot(b *testing.B) {
 	s, _, err := Open(b.TempDir(), "n1")
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -14,7 +14,7 @@
 
 const writerFolderEnv = "DUNEREACH_TEST_WRITER"
 
-// TestMain lets the test binary be the process that is killed.
+// TestMain lets the test binary also run as the process that is killed.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(writerFolderEnv); dir != "" {
 		fmt.Fprintln(os.Stderr, writeUntilKilled(dir))
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// writeUntilKilled numbers that grow until it is killed, and print each that must last.
+// writeUntilKilled writes increasing numbers until the process is killed, and prints each number that must be durable.
 func writeUntilKilled(dir string) error {
 	s, r, err := Open(dir, "n1")
 	if err != nil {
@@ -61,7 +61,8 @@
 	return n
 }
 
-// TestKills is the short form of `make show-state`: a process that writes is killed at random moments, and what it had synced is read whole.
+// TestKills is the short form of `make show-state`: a process that writes is killed at random times, and everything
+// that it had synced must be readable afterwards.
 func TestKills(t *testing.T) {
 	dir := t.TempDir()
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -74,7 +75,7 @@
 		must(t, writer.Start())
 		lines := bufio.NewScanner(out)
 		var synced uint64
-		timer := time.AfterFunc(time.Duration(5e6+rnd.Float64()*20e6), func() { writer.Process.Kill() }) // a moment by chance
+		timer := time.AfterFunc(time.Duration(5e6+rnd.Float64()*20e6), func() { writer.Process.Kill() }) // at a random time
 		for lines.Scan() {
 			synced, _ = strconv.ParseUint(lines.Text(), 10, 64)
 		}
@@ -85,12 +86,12 @@
 			t.Fatalf("kill %d: %v", kill, r.Passed)
 		}
 		if n := lastNumber(r); n < synced || n < previous || r.Generation < generation {
-			t.Fatalf("kill %d: read %d of generation %d, %d was synced, before %d of generation %d", kill, n, r.Generation, synced, previous, generation)
+			t.Fatalf("kill %d: read %d of generation %d, but %d was synced, and %d of generation %d was read before", kill, n, r.Generation, synced, previous, generation)
 		} else {
 			previous, generation = n, r.Generation
 		}
 	}
 	if previous < 50 {
-		t.Errorf("only %d were written in all: nothing was tried", previous)
+		t.Errorf("only %d numbers were written in all: the test tried nothing", previous)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,6 @@
-// Package store keeps snapshots and a journal in a folder that is never half written: each snapshot is a file of its own, and the
-// journal holds small records since the newest. It does not interpret them: bodies are bytes.
+// Package store stores snapshots and a journal in a folder, which is never left half written. Each snapshot is a file
+// of its own, and the journal holds small records since the newest one. The package does not interpret them: bodies are
+// bytes.
 package store
 
 import (
@@ -19,28 +20,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// Version of the format. Older ones are read; a newer one is refused, and its files are left as they are.
+// Version is the version of the file format. Older versions are read. Files of a newer version are refused and left
+// unchanged.
 const Version = 1
 
-// A snapshot is the headerSize and its body: magic, version, generation, the body's length, a checksum of all before it and of the body.
+// A snapshot is a header and its body. The header has the magic bytes, the version, the generation, the body's length,
+// and a checksum of all these and of the body.
 const (
 	magic         = "DRSTORE\n"
 	headerSize    = 8 + 4 + 8 + 8 + 8
 	frameSize     = 4 + 8 // of a journal's record: length and checksum
-	keptSnapshots = 3     // generations: one that is whole, one that it replaces, and one more for a disk that lies
+	keptSnapshots = 3     // generations: the newest intact one, the one that it replaced, and one more in case a disk acknowledged writes that it lost
 )
 
-// Bounds on what is written and read. What is longer by its own word is not read: a length may be damage.
+// Limits on what is written and read. Anything that declares a greater length is not read: the length itself may be
+// damaged.
 const (
 	MostBody    = 4 << 20
 	MostRecord  = 64 << 10
 	MostJournal = 4 << 20
 )
 
-// What a folder can be wrong by.
+// Errors of a folder.
 var (
-	ErrNewer  = errors.New("written by a newer version of this program; it is left as it is")
-	ErrLocked = errors.New("another process has it")
+	ErrNewer  = errors.New("written by a newer version of this program; left unchanged")
+	ErrLocked = errors.New("another process has locked it")
 	ErrFull   = errors.New("the journal is full until the next snapshot")
 )
 
@@ -54,22 +58,22 @@
 	maxSizes    [2]int // bytes of a snapshot's body and of a journal
 }
 
-// Read is what a folder held.
+// Contents is what was read from a folder.
 type Read struct {
-	Generation uint64   // 0: nothing whole
-	Body       []byte   // of the newest snapshot that is whole
-	Records    [][]byte // of the journal since then, as far as they are whole
-	Cut        bool     // the journal ends in half a record, as after a kill
-	Passed     []string // what was passed over, and why
+	Generation uint64   // 0: no intact snapshot
+	Body       []byte   // of the newest intact snapshot
+	Records    [][]byte // of the journal since then, up to the first damaged one
+	Cut        bool     // the journal ends within a record, as after a kill
+	Passed     []string // the files that were skipped, and why
 }
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// Open locks a name in a folder and reads what is there. The lock ends with the process, however it ends. It returns ErrLocked
-// where another process has it.
+// Open locks a name in a folder and reads its files. The lock ends with the process, however it ends. Open returns
+// ErrLocked if another process has the lock.
 func Open(dir, name string) (*Store, Read, error) {
 	if !validName.MatchString(name) {
-		return nil, Read{}, fmt.Errorf("store: %q is no name for files", name)
+		return nil, Read{}, fmt.Errorf("store: %q is not a valid name", name)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, Read{}, fmt.Errorf("store: %v", err)
@@ -88,21 +92,21 @@
 		s.Close()
 		return nil, r, err
 	}
-	s.generation = newest // above every file there, whole or not: a number is never used twice
+	s.generation = newest // at least that of every file there, intact or not: a generation is never used twice
 	return s, r, nil
 }
 
-// Bound bounds the bytes of all files together: the generations that stay and one that is being written, each a snapshot and its
-// journal.
+// LimitSize limits the bytes of all files together: the generations that are kept and one that is being written, each
+// with a snapshot and its journal.
 func (s *Store) Bound(total int) {
 	share := total / (2 * (keptSnapshots + 1))
 	s.maxSizes = [2]int{min(share, MostBody), min(share, MostJournal)}
 }
 
-// Begun reports whether there is a journal to append to.
+// HasJournal reports whether there is a journal to append to.
 func (s *Store) Begun() bool { return s.journal != nil }
 
-// Close unlocks the folder. What was appended and not synced may be lost.
+// Close unlocks the folder. Records that were appended and not synced may be lost.
 func (s *Store) Close() error {
 	if s.journal != nil {
 		s.journal.Close()
@@ -115,10 +119,11 @@
 	return filepath.Join(s.dir, fmt.Sprintf("%s.%d.%s", s.name, generation, kind))
 }
 
-// Snapshot writes the next generation to a temporary file, syncs it, renames it and syncs the folder. The journal begins anew.
+// WriteSnapshot writes the next generation to a temporary file, syncs it, renames it and syncs the folder. It starts a
+// new journal.
 func (s *Store) Snapshot(body []byte) error {
 	if len(body) > s.maxSizes[0] {
-		return fmt.Errorf("store: a snapshot of %d bytes, %d at most", len(body), s.maxSizes[0])
+		return fmt.Errorf("store: the snapshot has %d bytes, at most %d are allowed", len(body), s.maxSizes[0])
 	}
 	next := s.generation + 1
 	data := make([]byte, 0, headerSize+len(body))
@@ -127,8 +132,9 @@
 	data = binary.LittleEndian.AppendUint64(data, next)
 	data = binary.LittleEndian.AppendUint64(data, uint64(len(body)))
 	data = binary.LittleEndian.AppendUint64(data, checksum(data, body))
-	s.generation = next // also where it fails: half of it may lie there
-	// The newJournal first: an empty one without its snapshot is nothing, and one synced folder stands for both names.
+	s.generation = next // even if writing fails, as a partial file may be left
+	// The journal is created first: an empty one without its snapshot is harmless, and one sync of the folder then
+	// covers both names.
 	newJournal, err := os.OpenFile(s.path(next, "log"), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND|unix.O_NOFOLLOW|unix.O_CLOEXEC, 0o600)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -138,7 +144,7 @@
 		os.Remove(newJournal.Name())
 		return fmt.Errorf("store: %w", err)
 	}
-	// From here on this snapshot is the newest, whatever comes: records belong to its journal.
+	// From here on this snapshot is the newest, even if a later step fails: records belong to its journal.
 	if s.journal != nil {
 		s.journal.Close()
 	}
@@ -150,14 +156,14 @@
 	return nil
 }
 
-// Append appends a record to the journal, which is durable after the next Sync. It returns ErrFull until the next snapshot where
-// the journal has no room for it.
+// Append appends a record to the journal. The record is durable after the next Sync. Append returns ErrFull if the
+// journal has no room for it, until the next snapshot.
 func (s *Store) Append(record []byte) error {
 	switch {
 	case s.journal == nil:
 		return errors.New("store: no snapshot has been written yet")
 	case len(record) == 0 || len(record) > MostRecord:
-		return fmt.Errorf("store: a record of %d bytes, 1 to %d are kept", len(record), MostRecord)
+		return fmt.Errorf("store: the record has %d bytes, 1 to %d are allowed", len(record), MostRecord)
 	case s.journalSize+frameSize+len(record) > s.maxSizes[1]:
 		return fmt.Errorf("store: %w", ErrFull)
 	}
@@ -166,14 +172,14 @@
 	n, err := s.journal.Write(append(data, record...))
 	s.journalSize += n
 	if err != nil {
-		s.journal.Close() // half a record lies there: what came after it would not be read
+		s.journal.Close() // it may end within a record, and anything after that would not be read
 		s.journal = nil
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
 }
 
-// Sync makes durable what was appended. One call covers all records since the one before.
+// Sync makes the appended records durable. One call covers all records since the call before.
 func (s *Store) Sync() error {
 	if s.journal == nil {
 		return nil
@@ -184,7 +190,8 @@
 	return nil
 }
 
-// prune removes what is older than the snapshots that stay. Snapshots are counted, as failed writes leave gaps in the numbers.
+// prune removes everything older than the snapshots that are kept. It counts the snapshots, as failed writes leave gaps
+// in the numbers.
 func (s *Store) prune() {
 	all, kept, oldest := listFiles(s.dir, s.name), 0, uint64(0)
 	for _, f := range all { // newest first
@@ -199,7 +206,7 @@
 	}
 }
 
-// Drop removes all files of a name but its lock.
+// Drop removes all files of a name except its lock.
 func (s *Store) Drop() error {
 	if s.journal != nil {
 		s.journal.Close()
@@ -218,7 +225,7 @@
 	isSnapshot bool
 }
 
-// listFiles of a name in a folder, newest first.
+// listFiles returns the files of a name in a folder, newest first.
 func listFiles(dir, name string) (all []file) {
 	entries, _ := os.ReadDir(dir)
 	pattern := regexp.MustCompile(`^` + regexp.QuoteMeta(name) + `\.([0-9]{1,19})\.(snap|log)$`)
@@ -299,7 +306,7 @@
 	}
 	info, err := f.Stat()
 	if err == nil && !info.Mode().IsRegular() {
-		err = errors.New("it is no regular file")
+		err = errors.New("not a regular file")
 	}
 	if err != nil {
 		f.Close()
@@ -316,10 +323,10 @@
 	defer f.Close()
 	var h [headerSize]byte
 	if _, err := io.ReadFull(f, h[:]); err != nil {
-		return nil, errors.New("it ends within its header")
+		return nil, errors.New("truncated header")
 	}
 	if string(h[:8]) != magic {
-		return nil, errors.New("it is no snapshot")
+		return nil, errors.New("not a snapshot")
 	}
 	if v := binary.LittleEndian.Uint32(h[8:]); v > Version {
 		return nil, ErrNewer
@@ -329,21 +336,22 @@
 	length := binary.LittleEndian.Uint64(h[20:])
 	switch {
 	case binary.LittleEndian.Uint64(h[12:]) != generation:
-		return nil, errors.New("it bears another generation than its name")
+		return nil, errors.New("the generation does not match the file name")
 	case length > MostBody || int64(length) != size-headerSize:
-		return nil, fmt.Errorf("its length is not the file's")
+		return nil, fmt.Errorf("the length does not match the file size")
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(f, body); err != nil {
-		return nil, errors.New("it ends within its body")
+		return nil, errors.New("truncated body")
 	}
 	if checksum(h[:28], body) != binary.LittleEndian.Uint64(h[28:]) {
-		return nil, errors.New("its checksum is wrong")
+		return nil, errors.New("checksum mismatch")
 	}
 	return body, nil
 }
 
-// readJournal as far as it is whole. A record cut short at the end is normal; anything else that is wrong ends the reading and is said.
+// readJournal reads the intact records of a journal. A truncated record at the end is normal; any other damage ends the
+// reading and is described in damage.
 func readJournal(path string) (records [][]byte, cut bool, damage string) {
 	f, size, err := openRegular(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -363,7 +371,7 @@
 		}
 		n := int(binary.LittleEndian.Uint32(data))
 		if n == 0 || n > MostRecord {
-			return records, false, fmt.Sprintf("damaged at byte %d, %d records before it are whole", at, len(records))
+			return records, false, fmt.Sprintf("damaged at byte %d, %d records before it are intact", at, len(records))
 		}
 		if len(data) < frameSize+n {
 			return records, true, damage
@@ -371,9 +379,9 @@
 		body := data[frameSize : frameSize+n]
 		if checksum(data[:4], body) != binary.LittleEndian.Uint64(data[4:]) {
 			if len(data) == frameSize+n {
-				return records, true, damage // the last one: its pages were not all written
+				return records, true, damage // the last record: not all of its pages were written
 			}
-			return records, false, fmt.Sprintf("damaged at byte %d, %d records before it are whole", at, len(records))
+			return records, false, fmt.Sprintf("damaged at byte %d, %d records before it are intact", at, len(records))
 		}
 		records = append(records, slices.Clone(body))
 		data, at = data[frameSize+n:], at+frameSize+n
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -25,7 +25,7 @@
 	s, r, err := Open(dir, "n1")
 	must(t, err)
 	if r.Generation != 0 || r.Body != nil {
-		t.Fatalf("an empty folder has %+v", r)
+		t.Fatalf("an empty folder contains %+v", r)
 	}
 	must(t, s.Snapshot([]byte("first")))
 	must(t, s.Append([]byte("lost with the next snapshot")))
@@ -61,22 +61,22 @@
 		t.Errorf("%+v", r)
 	}
 	if n := len(listFiles(dir, "n1")); n > 2*keptSnapshots {
-		t.Errorf("%d files stay", n)
+		t.Errorf("%d files are kept", n)
 	}
 	if _, _, err := Open(dir, "n1"); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("opening a second time: %v", err)
 	}
 	other, _, err := Open(dir, "n2")
 	must(t, err)
 	other.Close()
 	must(t, s.Drop())
 	if r := load(t, dir); r.Generation != 0 {
-		t.Errorf("dropped, and it has %+v", r)
+		t.Errorf("after Drop the folder contains %+v", r)
 	}
 }
 
-// TestDamage: each bit flipped, and the file cut at every byte: never a wrong body, never a record that was not written, and the
-// generation before takes over.
+// TestDamage flips each bit of a file and truncates it at every byte. The result must never be a wrong body or a record
+// that was not written, and a damaged snapshot is replaced by the generation before it.
 func TestDamage(t *testing.T) {
 	dir := newFolder(t)
 	for _, name := range []string{"n1.2.snap", "n1.2.log"} {
@@ -93,7 +93,7 @@
 				t.Fatalf("%s %s: the body is %q", name, what, r.Body)
 			}
 			if name == "n1.2.snap" && err == nil && string(r.Body) == "first" && len(r.Passed) == 0 {
-				t.Fatalf("%s %s: nobody is told", name, what)
+				t.Fatalf("%s %s: the damage is not reported", name, what)
 			}
 			for n, x := range r.Records {
 				if string(r.Body) == "second" && string(x) != fmt.Sprint("record ", n) {
@@ -115,7 +115,7 @@
 	intact, _ := os.ReadFile(path)
 	must(t, os.WriteFile(path, intact[:len(intact)-3], 0o600))
 	if r := load(t, dir); !r.Cut || len(r.Records) != 2 || len(r.Passed) > 0 {
-		t.Errorf("a journal that a kill cut short: %+v", r)
+		t.Errorf("a truncated journal: %+v", r)
 	}
 	intact[frameSize] ^= 1
 	must(t, os.WriteFile(path, intact, 0o600))
@@ -124,7 +124,8 @@
 	}
 }
 
-// TestForeignFiles: what is no file of ours, or of a newer version, is passed over or refused, and left as it is.
+// TestForeignFiles: files that the store did not write, or that a newer version wrote, are skipped or refused, and left
+// unchanged.
 func TestForeignFiles(t *testing.T) {
 	dir := newFolder(t)
 	secret := filepath.Join(t.TempDir(), "secret")
@@ -158,30 +159,30 @@
 	for _, name := range []string{"", "..", "a/b", "../n1", "a b", strings.Repeat("x", 70)} {
 		if s, _, err := Open(dir, name); err == nil {
 			s.Close()
-			t.Errorf("%q is taken as a name", name)
+			t.Errorf("%q is accepted as a name", name)
 		}
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	must(t, os.WriteFile(file, nil, 0o600))
 	if _, _, err := Open(file, "n1"); err == nil {
-		t.Error("a folder that is a file")
+		t.Error("a file was accepted as a folder")
 	}
 }
 
-// TestBounds: what is too long is refused when it is written.
+// TestBounds: snapshots and records that are too long are refused when they are written.
 func TestBounds(t *testing.T) {
 	s, _, err := Open(t.TempDir(), "n1")
 	must(t, err)
 	defer s.Close()
 	if s.Append([]byte("x")) == nil {
-		t.Error("a record before any snapshot")
+		t.Error("a record was accepted before any snapshot")
 	}
 	if s.Snapshot(make([]byte, MostBody+1)) == nil {
-		t.Error("a snapshot too long")
+		t.Error("a snapshot that is too long was accepted")
 	}
 	must(t, s.Snapshot(nil))
 	if s.Append(nil) == nil || s.Append(make([]byte, MostRecord+1)) == nil {
-		t.Error("a record too short or too long")
+		t.Error("a record that is too short or too long was accepted")
 	}
 	n := 0
 	for ; ; n++ {
@@ -199,13 +200,14 @@
 	must(t, s.Append([]byte("x")))
 }
 
-// TestArbitraryFiles: whatever bytes lie there, reading ends without a crash and gives only what has its checksum.
+// TestArbitraryFiles: whatever bytes the files contain, reading them ends without a crash and returns only data with a
+// valid checksum.
 func TestArbitraryFiles(t *testing.T) {
 	dir := t.TempDir()
 	rapid.Check(t, func(t *rapid.T) {
 		for _, name := range []string{"n1.1.snap", "n1.1.log", "n1.2.snap"} {
 			text := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, name)
-			if rapid.Bool().Draw(t, "looks like one") {
+			if rapid.Bool().Draw(t, "has a header") {
 				text = append([]byte(magic+"\x01\x00\x00\x00"), text...)
 			}
 			if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
@@ -213,13 +215,13 @@
 			}
 		}
 		if r, _, err := Load(dir, "n1"); err == nil && r.Generation != 0 {
-			t.Fatalf("out of nothing: %+v", r)
+			t.Fatalf("arbitrary bytes were read as a snapshot: %+v", r)
 		}
 	})
 }
 
-// TestFailedWrites: snapshots that can't be written take nothing away: records go on after the newest that is whole, and generations
-// that were whole stay.
+// TestFailedWrites: snapshots that cannot be written lose nothing. Records are still appended after the newest intact
+// snapshot, and earlier intact generations stay.
 func TestFailedWrites(t *testing.T) {
 	dir := newFolder(t)
 	s, _, err := Open(dir, "n1")
@@ -227,10 +229,10 @@
 	defer s.Close()
 	must(t, s.Snapshot([]byte("third")))
 	must(t, s.Append([]byte("before")))
-	for g := 4; g < 10; g++ { // something stands where each would go
+	for g := 4; g < 10; g++ { // a folder stands in the place of each snapshot
 		must(t, os.MkdirAll(filepath.Join(dir, fmt.Sprintf("n1.%d.snap", g), "x"), 0o700))
 		if s.Snapshot([]byte("lost")) == nil {
-			t.Fatal("it was written over a folder")
+			t.Fatal("a snapshot was written over a folder")
 		}
 	}
 	must(t, s.Append([]byte("after")))
@@ -245,8 +247,8 @@
 	path := filepath.Join(dir, "n1.10.snap")
 	text, err := os.ReadFile(path)
 	must(t, err)
-	must(t, os.WriteFile(path, text[:len(text)-1], 0o600)) // the disk lied
+	must(t, os.WriteFile(path, text[:len(text)-1], 0o600)) // as if the disk had lost a write that it acknowledged
 	if r := load(t, dir); string(r.Body) != "third" || len(r.Passed) != 1 {
-		t.Errorf("the generation before is gone: %+v", r)
+		t.Errorf("the generation before is not read: %+v", r)
 	}
 }
