--- a/internal/agentdriver/link.go
+++ b/internal/agentdriver/link.go
@@ -34,7 +34,7 @@
 	M         *agent.Member
 	client    *coordserver.Client
 	fenceFile *fenceFile
-	updates   chan func()
+	updates   chan func() // to be called by the goroutine that owns the member
 	requests  chan agent.Request
 }
 
--- a/internal/coordserver/client.go
+++ b/internal/coordserver/client.go
@@ -125,6 +125,7 @@
 	return c
 }
 
+// leaderAddr returns the address of the presumed leader.
 func (c *Client) leaderAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,6 +168,7 @@
 	return err
 }
 
+// callOnce sends one request to one coordinator. leader is the address of the leader that the coordinator names, if any.
 func (c *Client) callOnce(ctx context.Context, addr, path string, body []byte, out any) (leader string, err error) {
 	method := http.MethodGet
 	if body != nil {
--- a/internal/coordserver/hedgedcall.go
+++ b/internal/coordserver/hedgedcall.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	remaining := c.addrsLeaderFirst()
-	results := make(chan callResult, len(remaining)) // room for one result of each, so that no goroutine blocks after HedgedCall has returned
+	results := make(chan callResult, len(remaining)) // one result each: no goroutine blocks after HedgedCall has returned
 	transientErrs := make(chan error)                // one value for each transient error
 	startNext := func() {
 		if len(remaining) == 0 {
--- a/internal/coordserver/serve.go
+++ b/internal/coordserver/serve.go
@@ -52,6 +52,7 @@
 	return errors.New(f.Text)
 }
 
+// newFault returns the response for an error. leader is the address of the leader, if it is known.
 func newFault(err error, leader string) *Fault {
 	var stale *lease.StaleFenceError
 	if errors.As(err, &stale) {
@@ -82,7 +83,7 @@
 	store         *Store
 	coord         *coordinator.Keeper
 	log           *zap.Logger
-	funcs         chan func(now float64)
+	funcs         chan func(now float64) // run by the goroutine that owns the coordinator
 	requests      chan *request
 	pending       map[uint64]*request // by ID
 	requestID     uint64              // the last ID assigned
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -41,11 +41,11 @@
 	runner *jobrunner.Runner
 	store  *store.Store // used only by the jobs, which run one at a time
 
-	latestSnapshot atomic.Pointer[warmstart.Snapshot] // written by the goroutine that owns the router's state; never modified once stored
+	latestSnapshot atomic.Pointer[warmstart.Snapshot] // written by the router's goroutine; never modified once stored
 	latestRecord   atomic.Pointer[warmstart.Record]
 
 	startedAt                    time.Time
-	nextRecordAt, nextSnapshotAt float64 // used only by that goroutine
+	nextRecordAt, nextSnapshotAt float64 // used only by the router's goroutine
 	lastTickAt                   float64
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -30,7 +30,7 @@
 	magic         = "DRSTORE\n"
 	headerSize    = 8 + 4 + 8 + 8 + 8
 	frameSize     = 4 + 8 // of a journal's record: length and checksum
-	keptSnapshots = 3     // generations: the newest intact one, the one that it replaced, and one more in case a disk acknowledged writes that it lost
+	keptSnapshots = 3     // the newest, the one that it replaced, and one more in case a disk loses writes that it acknowledged
 )
 
 // Limits on what is written and read. Anything that declares a greater length is not read: the length itself may be
