--- a/internal/agentdriver/commands.go
+++ b/internal/agentdriver/commands.go
@@ -24,7 +24,7 @@
 // coordinators elect a leader.
 const registryTimeout = 4 * time.Second
 
-// Command returns the command `dunereach fleet` with its subcommands.
+// FleetCommand returns the command `dunereach fleet` with its subcommands.
 func Words() *cobra.Command {
 	var addrs []string
 	var asJSON bool
--- a/internal/agentdriver/link.go
+++ b/internal/agentdriver/link.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	carryWorkers   = 6               // two heartbeats, and messages and actions beside them
+	workerCount    = 6               // two heartbeats, and messages and actions beside them
 	queueLength    = 64              // requests: some seconds of a busy router
 	requestTimeout = 2 * time.Second // a heartbeat is held for 1 s
 )
@@ -143,7 +143,7 @@
 
 // Run starts the driver's goroutines.
 func (l *Driver) Run(ctx context.Context, group *errgroup.Group) {
-	for range carryWorkers {
+	for range workerCount {
 		group.Go(func() error {
 			for {
 				select {
--- a/internal/coordserver/hedgedcall_test.go
+++ b/internal/coordserver/hedgedcall_test.go
@@ -71,12 +71,12 @@
 // TestHedgedCallLeaderChange: while leadership moves there is no leader, and an order is repeated until a leader
 // accepts it.
 func TestHedgedCallLeaderChange(t *testing.T) {
-	const decidedAt = 6 // more than the number of attempts that Call makes
+	const unsureAt = 6 // more than the number of attempts that Call makes
 	respond := func(n int64) (int, any) {
 		switch {
-		case n < decidedAt:
+		case n < unsureAt:
 			return http.StatusMisdirectedRequest, &Fault{Error: "elsewhere"}
-		case n == decidedAt:
+		case n == unsureAt:
 			return http.StatusConflict, &Fault{Error: "unsure"}
 		}
 		return http.StatusOK, coordinator.Posted{}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -76,7 +76,7 @@
 }
 
 // TestDamage flips each bit of a file and truncates it at every byte. The result must never be a wrong body or a record
-// that was not written, and a damaged snapshot is replaced by the generation before it.
+// that was not written, and a damaged snapshot is skipped for the generation before it.
 func TestDamage(t *testing.T) {
 	dir := newFolder(t)
 	for _, name := range []string{"n1.2.snap", "n1.2.log"} {
