--- a/internal/agentdriver/link.go
+++ b/internal/agentdriver/link.go
@@ -1,5 +1,6 @@
-// Package agentdriver drives a router's part in the fleet (package member): it carries its requests to the keepers and their answers
-// back, and keeps what must outlive the process. The owner's goroutine never waits for any of it.
+// Package agentdriver connects a router to the fleet. It carries the requests of its member (package agent) to the
+// coordinators and their answers back, and stores what must outlive the process. The goroutine that owns the router's
+// state never waits for any of this.
 package agentdriver
 
 import (
@@ -22,131 +23,132 @@
 )
 
 const (
-	workers  = 6               // two beats, and letters and acts beside them
-	waiting  = 64              // requests: some seconds of a busy owner
-	patience = 2 * time.Second // a beat is held for one
+	workerCount    = 6               // two heartbeats, and messages and actions beside them
+	queueLength    = 64              // requests: some seconds of a busy router
+	requestTimeout = 2 * time.Second // a heartbeat is held for 1 s
 )
 
-// Driver carries a member's requests to the keepers and their answers back. The member is one goroutine's, which calls what
-// comes by News.
+// Driver carries a member's requests to the coordinators and their answers back. Only one goroutine may use the member;
+// it calls the functions that it receives from News.
 type Driver struct {
-	M      *agent.Member
-	client *coordserver.Client
-	vault  *vault
-	news   chan func()
-	work   chan agent.Request
+	M         *agent.Member
+	client    *coordserver.Client
+	fenceFile *fenceFile
+	updates   chan func() // to be called by the goroutine that owns the member
+	requests  chan agent.Request
 }
 
-// NewDriver over a client; the vault may be nil.
-func newDriver(m *agent.Member, c *coordserver.Client, v *vault) *Driver {
-	return &Driver{M: m, client: c, vault: v, news: make(chan func(), waiting), work: make(chan agent.Request, waiting)}
+// newDriver returns a driver over a client. f may be nil.
+func newDriver(m *agent.Member, c *coordserver.Client, f *fenceFile) *Driver {
+	return &Driver{M: m, client: c, fenceFile: f, updates: make(chan func(), queueLength), requests: make(chan agent.Request, queueLength)}
 }
 
-// NewDriver of a member that keeps nothing.
+// NewDriver returns the driver of a member that stores nothing.
 func NewDriver(m *agent.Member, c *coordserver.Client) *Driver { return newDriver(m, c, nil) }
 
-// Link is the part. All its methods but Run's goroutines are the owner's goroutine's.
+// Link is a router's connection to the fleet. All its methods are called by the goroutine that owns the router's state.
 type Link struct {
 	*Driver
-	log    *zap.Logger
-	zones  []string
-	ahead  float64 // of the router's clock: the one that leases are counted on
-	last   agent.Stats
-	lastAt float64
+	log         *zap.Logger
+	zones       []string
+	clockOffset float64 // clock of the leases minus the router's clock
+	loggedStats agent.Stats
+	loggedAt    float64
 }
 
-// New part of a router.
+// New returns the connection of a router to the fleet.
 func New(cfg config.Config, log *zap.Logger) (*Link, error) {
-	f := cfg.Operator.Fleet
+	fleet := cfg.Operator.Fleet
 	l := &Link{log: log, zones: cfg.Settings.Zones}
-	zone := f.Zone
+	zone := fleet.Zone
 	if z := cfg.Settings.Admission.Zone; zone == "" && z >= 0 && z < len(l.zones) {
 		zone = l.zones[z]
 	}
-	works := f.TaskKinds
-	if len(works) == 0 {
-		works = []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind, agent.PlanKind}
+	candidates := fleet.TaskKinds
+	if len(candidates) == 0 {
+		candidates = []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind, agent.PlanKind}
 	}
-	var kept agent.PersistentState
-	var v *vault
-	if f.Folder != "" {
+	var persisted agent.PersistentState
+	var fences *fenceFile
+	if fleet.Folder != "" {
 		var err error
-		if v, kept, err = openVault(f.Folder, cfg.Name); err != nil {
+		if fences, persisted, err = openFenceFile(fleet.Folder, cfg.Name); err != nil {
 			return nil, err
 		}
-		if v.why != "" {
-			log.Warn("fences of an earlier process are not known", zap.String("why", v.why))
+		if fences.unreadable != "" {
+			log.Warn("fences of an earlier process are not known", zap.String("why", fences.unreadable))
 		}
 	}
-	const digits = 1<<52 - 1 // so that any reader of JSON gets it whole
+	const idMask = 1<<52 - 1 // 52 bits, so that any JSON parser reads the number exactly
 	var trace func(agent.Trace)
-	if f.Trace {
-		trace = func(t agent.Trace) {
-			log.Info("trace "+t.Event+" "+t.Task, zap.String("what", t.Event), zap.String("work", t.Task), zap.Uint64("fence", t.Fence),
-				zap.Float64("part", t.Share), zap.Float64("at", t.At), zap.Float64("until", t.Until))
+	if fleet.Trace {
+		trace = func(event agent.Trace) {
+			log.Info("trace "+event.Event+" "+event.Task, zap.String("what", event.Event), zap.String("work", event.Task), zap.Uint64("fence", event.Fence),
+				zap.Float64("part", event.Share), zap.Float64("at", event.At), zap.Float64("until", event.Until))
 		}
 	}
-	m := agent.New(agent.Config{ZoneCount: len(l.zones), ZoneNames: l.zones, ZoneNumber: cfg.Settings.Admission.Zone, RoundTrips: ways(l.zones, f.Regions), Name: cfg.Name, Tenants: cfg.Settings.Tenants, Zone: zone, Region: f.Region, Incarnation: rand.Uint64()&digits | 1, Seed: rand.Uint64(),
-		CandidateKinds: works, RouterCount: max(cfg.Settings.Admission.Routers, 1), Window: cfg.Settings.Admission.FallWindow, StartedAt: boottime.Now(),
-		Persistent: v != nil, Now: boottime.Now, Trace: trace, Log: func(text string) { log.Info(text) }}, kept)
-	l.Driver = newDriver(m, coordserver.NewClient(f.Coordinators, f.From), v)
+	member := agent.New(agent.Config{ZoneCount: len(l.zones), ZoneNames: l.zones, ZoneNumber: cfg.Settings.Admission.Zone, RoundTrips: roundTrips(l.zones, fleet.Regions), Name: cfg.Name, Tenants: cfg.Settings.Tenants, Zone: zone, Region: fleet.Region, Incarnation: rand.Uint64()&idMask | 1, Seed: rand.Uint64(),
+		CandidateKinds: candidates, RouterCount: max(cfg.Settings.Admission.Routers, 1), Window: cfg.Settings.Admission.FallWindow, StartedAt: boottime.Now(),
+		Persistent: fences != nil, Now: boottime.Now, Trace: trace, Log: func(text string) { log.Info(text) }}, persisted)
+	l.Driver = newDriver(member, coordserver.NewClient(fleet.Coordinators, fleet.From), fences)
 	return l, nil
 }
 
-// ways between zones, seconds there and back: what order they have is what counts for near before far.
-func ways(zones []string, regions map[string][]string) [][]float64 {
+// roundTrips returns the assumed round-trip times between zones, in seconds. Only their order matters: it makes near
+// zones preferred to far ones.
+func roundTrips(zones []string, regions map[string][]string) [][]float64 {
 	const near, far = 0.005, 0.1
 	region := map[string]string{}
-	for r, all := range regions {
-		for _, z := range all {
+	for r, regionZones := range regions {
+		for _, z := range regionZones {
 			region[z] = r
 		}
 	}
-	table := make([][]float64, len(zones))
+	seconds := make([][]float64, len(zones))
 	for o := range zones {
-		table[o] = make([]float64, len(zones))
+		seconds[o] = make([]float64, len(zones))
 		for z := range zones {
 			switch {
 			case o == z:
 			case region[zones[o]] == region[zones[z]]:
-				table[o][z] = near
+				seconds[o][z] = near
 			default:
-				table[o][z] = far
+				seconds[o][z] = far
 			}
 		}
 	}
-	return table
+	return seconds
 }
 
-// Plan that the module follows, nil: none.
+// Plan returns the plan that admission follows, or nil if there is none.
 func (l *Link) Plan() admission.Plan {
 	if l.M.Guide() == nil {
 		return nil
 	}
-	return guide{l}
+	return planFollower{l}
 }
 
-// guide is the member's by the router's clock.
-type guide struct{ l *Link }
+// planFollower is the member's plan follower, with times by the router's clock.
+type planFollower struct{ l *Link }
 
-func (g guide) Price(now float64, zone int, work float64) (float64, bool) {
-	return g.l.M.Guide().Price(now+g.l.ahead, zone, work)
+func (g planFollower) Price(now float64, zone int, work float64) (float64, bool) {
+	return g.l.M.Guide().Price(now+g.l.clockOffset, zone, work)
 }
-func (g guide) Sent(now float64, zone int, work float64) {
-	g.l.M.Guide().RecordSent(now+g.l.ahead, zone, work)
+func (g planFollower) Sent(now float64, zone int, work float64) {
+	g.l.M.Guide().RecordSent(now+g.l.clockOffset, zone, work)
 }
-func (g guide) Keeps(now, price, work float64) bool {
-	return g.l.M.Guide().Admits(now+g.l.ahead, price, work)
+func (g planFollower) Keeps(now, price, work float64) bool {
+	return g.l.M.Guide().Admits(now+g.l.clockOffset, price, work)
 }
 
-// Run its goroutines.
+// Run starts the driver's goroutines.
 func (l *Driver) Run(ctx context.Context, group *errgroup.Group) {
-	for range workers {
+	for range workerCount {
 		group.Go(func() error {
 			for {
 				select {
-				case r := <-l.work:
-					l.carry(ctx, r)
+				case r := <-l.requests:
+					l.execute(ctx, r)
 				case <-ctx.Done():
 					return nil
 				}
@@ -156,60 +158,60 @@
 	group.Go(func() error {
 		<-ctx.Done()
 		l.client.Close()
-		if l.vault != nil {
-			return l.vault.close()
+		if l.fenceFile != nil {
+			return l.fenceFile.close()
 		}
 		return nil
 	})
 }
 
-// carry one request to the keepers, or to the disk, and its answer back.
-func (l *Driver) carry(ctx context.Context, r agent.Request) {
+// execute sends one request to the coordinators, or stores it on disk, and returns the result to the member.
+func (l *Driver) execute(ctx context.Context, r agent.Request) {
 	if r.Persist != nil {
-		err := l.vault.keep(*r.Persist)
-		l.tell(ctx, func() { l.M.Persisted(r.Seq, *r.Persist, err) })
+		err := l.fenceFile.persist(*r.Persist)
+		l.sendUpdate(ctx, func() { l.M.Persisted(r.Seq, *r.Persist, err) })
 		return
 	}
-	ask, cancel := context.WithTimeout(ctx, patience)
+	callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var value any
 	var err error
 	switch {
 	case r.Heartbeat != nil:
-		var v coordinator.Snapshot
-		err = l.client.Call(ask, "/v1/beat", r.Heartbeat, &v)
-		value = v
+		var snapshot coordinator.Snapshot
+		err = l.client.Call(callCtx, "/v1/beat", r.Heartbeat, &snapshot)
+		value = snapshot
 	case r.Messages != nil:
-		var p coordinator.PostResult
-		err = l.client.Call(ask, "/v1/mail", r.Messages, &p)
-		value = p
+		var result coordinator.PostResult
+		err = l.client.Call(callCtx, "/v1/mail", r.Messages, &result)
+		value = result
 	case r.Action != nil:
-		var p coordinator.PostResult
-		err = l.client.Call(ask, "/v1/act", r.Action, &p)
-		var old *lease.StaleFenceError
-		if errors.As(err, &old) {
-			old.Fence = r.Action.Fence
+		var result coordinator.PostResult
+		err = l.client.Call(callCtx, "/v1/act", r.Action, &result)
+		var stale *lease.StaleFenceError
+		if errors.As(err, &stale) {
+			stale.Fence = r.Action.Fence
 		}
-		value = p
+		value = result
 	}
-	l.tell(ctx, func() { l.M.Answer(boottime.Now(), r.Seq, value, err) })
+	l.sendUpdate(ctx, func() { l.M.Answer(boottime.Now(), r.Seq, value, err) })
 }
 
-func (l *Driver) tell(ctx context.Context, take func()) {
+func (l *Driver) sendUpdate(ctx context.Context, apply func()) {
 	select {
-	case l.news <- func() {
-		take()
+	case l.updates <- func() {
+		apply()
 		l.Put(l.M.Tick(boottime.Now()))
 	}:
 	case <-ctx.Done():
 	}
 }
 
-// Put requests on their way; one that finds no room got no answer.
-func (l *Driver) Put(all []agent.Request) {
-	for _, r := range all {
+// Submit queues requests. A request that does not fit into the queue gets ErrNoAnswer.
+func (l *Driver) Put(batch []agent.Request) {
+	for _, r := range batch {
 		select {
-		case l.work <- r:
+		case l.requests <- r:
 		default:
 			if r.Persist != nil {
 				l.M.Persisted(r.Seq, *r.Persist, agent.ErrNoAnswer)
@@ -220,77 +222,78 @@
 	}
 }
 
-// News are to be called by the owner's goroutine.
-func (l *Driver) News() <-chan func() { return l.news }
+// News returns functions that the goroutine that owns the router's state has to call.
+func (l *Driver) News() <-chan func() { return l.updates }
 
-// Tick tells the fleet what the module has use for, and lets time pass.
-func (l *Link) Tick(now float64, mind *admission.Controller) {
-	mine := boottime.Now()
-	l.ahead = mine - now
-	var d agent.Demand
-	engine := func(id uint32, zone int, start float64) agent.Server {
-		e := agent.Server{ID: id, Start: start}
+// Tick reports the router's needs to the fleet and advances time.
+func (l *Link) Tick(now float64, controller *admission.Controller) {
+	bootNow := boottime.Now()
+	l.clockOffset = bootNow - now
+	var demand agent.Demand
+	server := func(id uint32, zone int, start float64) agent.Server {
+		s := agent.Server{ID: id, Start: start}
 		if zone >= 0 && zone < len(l.zones) {
-			e.Zone = l.zones[zone]
+			s.Zone = l.zones[zone]
 		}
-		return e
+		return s
 	}
-	mind.Needs(now, admission.NeedsSink{
+	controller.Needs(now, admission.NeedsSink{
 		Cold: func(id uint32, zone int, start, need, least float64) {
-			d.ColdServers = append(d.ColdServers, agent.ColdServer{Server: engine(id, zone, start), Need: need, Least: least})
+			demand.ColdServers = append(demand.ColdServers, agent.ColdServer{Server: server(id, zone, start), Need: need, Least: least})
 		},
 		Suspected: func(id uint32, zone int, start float64) {
-			d.Suspected = append(d.Suspected, agent.Health{Server: engine(id, zone, start)})
+			demand.Suspected = append(demand.Suspected, agent.Health{Server: server(id, zone, start)})
 		},
 		Tenant: func(tenant int, need float64) {
-			d.Tenants = append(d.Tenants, agent.Tenant{Number: tenant, Need: need})
+			demand.Tenants = append(demand.Tenants, agent.Tenant{Number: tenant, Need: need})
 		},
 	})
-	d.Health = func(id uint32) (agent.Health, bool) {
-		start, ill, heard, ok := mind.Health(id)
-		return agent.Health{Server: agent.Server{ID: id, Start: start}, Unhealthy: ill, SinceAnswer: heard}, ok
+	demand.Health = func(id uint32) (agent.Health, bool) {
+		start, unhealthy, sinceAnswer, ok := controller.Health(id)
+		return agent.Health{Server: agent.Server{ID: id, Start: start}, Unhealthy: unhealthy, SinceAnswer: sinceAnswer}, ok
 	}
-	d.Report = func() failover.Report { return mind.Report(now, len(l.zones)) }
-	l.M.SetDemand(mine, d)
-	l.Put(l.M.Tick(mine))
-	l.account(mine)
+	demand.Report = func() failover.Report { return controller.Report(now, len(l.zones)) }
+	l.M.SetDemand(bootNow, demand)
+	l.Put(l.M.Tick(bootNow))
+	l.logActivity(bootNow)
 }
 
-// account says now and then what became of the fleet's work, where there is news.
-func (l *Link) account(now float64) {
-	const every = 30.0 // seconds
-	if now < l.lastAt+every {
+// logActivity logs the fleet's activity at most every 30 s, and only if there was any.
+func (l *Link) logActivity(now float64) {
+	const interval = 30.0 // seconds
+	if now < l.loggedAt+interval {
 		return
 	}
-	s, was := l.M.Stats, l.last
-	l.last, l.lastAt = s, now
-	if s.Granted+s.Relinquishments+s.RejectedStale+s.LateGrants+s.StaleNotices != was.Granted+was.Relinquishments+was.RejectedStale+was.LateGrants+was.StaleNotices {
-		l.log.Info("work for the fleet", zap.Int("sessions", l.M.FleetSize()), zap.Int("works", len(l.M.Held())), zap.Int("dealt", s.Granted-was.Granted),
-			zap.Int("pledged", s.Relinquishments-was.Relinquishments), zap.Int("late", s.LateGrants-was.LateGrants), zap.Int("refused", s.RejectedStale-was.RejectedStale+s.StaleNotices-was.StaleNotices))
+	s, last := l.M.Stats, l.loggedStats
+	l.loggedStats, l.loggedAt = s, now
+	if s.Granted+s.Relinquishments+s.RejectedStale+s.LateGrants+s.StaleNotices != last.Granted+last.Relinquishments+last.RejectedStale+last.LateGrants+last.StaleNotices {
+		l.log.Info("work for the fleet", zap.Int("sessions", l.M.FleetSize()), zap.Int("works", len(l.M.Held())), zap.Int("dealt", s.Granted-last.Granted),
+			zap.Int("pledged", s.Relinquishments-last.Relinquishments), zap.Int("late", s.LateGrants-last.LateGrants), zap.Int("refused", s.RejectedStale-last.RejectedStale+s.StaleNotices-last.StaleNotices))
 	}
 }
 
-// End gives the works back.
+// End releases the tasks.
 func (l *Link) End(float64) { l.Put(l.M.Close(boottime.Now())) }
 
-// What the module asks, by the router's clock.
+// Methods that admission calls, with times by the router's clock.
 
-// WarmUpShare is this router's share of a server's budget, where the fleet has granted one.
-func (l *Link) WarmUpShare(now float64, engine uint32, start float64) (float64, bool) {
-	return l.M.WarmUpShare(now+l.ahead, engine, start)
+// WarmUpShare returns this router's share of a cold server's allowance, if the fleet has granted one.
+func (l *Link) WarmUpShare(now float64, server uint32, start float64) (float64, bool) {
+	return l.M.WarmUpShare(now+l.clockOffset, server, start)
 }
 
-// QuotaShare is this router's share of a tenant's quota, where the fleet has granted one.
+// QuotaShare returns this router's share of a tenant's quota, if the fleet has granted one.
 func (l *Link) QuotaShare(now float64, tenant int) (float64, bool) {
-	return l.M.QuotaShare(now+l.ahead, tenant)
+	return l.M.QuotaShare(now+l.clockOffset, tenant)
 }
 
-// NextProbe is when this router may probe a suspected server, given the time that it would choose alone.
-func (l *Link) NextProbe(now float64, engine uint32, start, own float64) float64 {
-	return l.M.NextProbe(now+l.ahead, engine, start, own+l.ahead) - l.ahead
+// NextProbe returns the time at which this router may probe a suspected server, given the time that it would choose by
+// itself.
+func (l *Link) NextProbe(now float64, server uint32, start, ownTime float64) float64 {
+	return l.M.NextProbe(now+l.clockOffset, server, start, ownTime+l.clockOffset) - l.clockOffset
 }
 
-// Probed takes the result of a probe of a suspected server.
-func (l *Link) Probed(now float64, engine uint32, start float64, well bool) {
-	l.M.Probed(now+l.ahead, engine, start, well)
+// Probed records the result of a probe of a suspected server.
+func (l *Link) Probed(now float64, server uint32, start float64, healthy bool) {
+	l.M.Probed(now+l.clockOffset, server, start, healthy)
 }
--- a/internal/coordserver/admin.go
+++ b/internal/coordserver/admin.go
@@ -15,82 +15,86 @@
 	"dunereach/internal/netaddr"
 )
 
-// ParseKeepers reads "k1=127.0.0.1:7001@east,k2=...": name, address and, after the @, zone.
-func ParseKeepers(text string) (all []registry.Coordinator, err error) {
+// ParseCoordinators parses a list such as "k1=127.0.0.1:7001@east,k2=...". Each item has a name, an address and, after
+// the @, a zone.
+func ParseKeepers(text string) (coordinators []registry.Coordinator, err error) {
 	names := map[string]bool{}
-	for n, part := range strings.Split(text, ",") {
-		name, rest, ok := strings.Cut(strings.TrimSpace(part), "=")
+	for n, item := range strings.Split(text, ",") {
+		name, rest, ok := strings.Cut(strings.TrimSpace(item), "=")
 		addr, zone, _ := strings.Cut(rest, "@")
 		if !ok || name == "" {
-			return nil, fmt.Errorf("keeper %d, %q: NAME=ADDRESS:PORT or NAME=ADDRESS:PORT@ZONE is wanted", n+1, part)
+			return nil, fmt.Errorf("coordinator %d, %q: must be NAME=ADDRESS:PORT or NAME=ADDRESS:PORT@ZONE", n+1, item)
 		}
 		if err := netaddr.CheckPrivate(addr); err != nil {
-			return nil, fmt.Errorf("keeper %q: %v", name, err)
+			return nil, fmt.Errorf("coordinator %q: %v", name, err)
 		}
 		if names[name] {
-			return nil, fmt.Errorf("keeper %q is named twice", name)
+			return nil, fmt.Errorf("coordinator %q is named twice", name)
 		}
 		names[name] = true
-		all = append(all, registry.Coordinator{ID: uint64(n + 1), Name: name, Addr: addr, Zone: zone})
+		coordinators = append(coordinators, registry.Coordinator{ID: uint64(n + 1), Name: name, Addr: addr, Zone: zone})
 	}
-	if len(all) != 1 && len(all) != 3 && len(all) != 5 {
-		return nil, fmt.Errorf("%d keepers: one (for trying out), three or five can begin a record", len(all))
+	if len(coordinators) != 1 && len(coordinators) != 3 && len(coordinators) != 5 {
+		return nil, fmt.Errorf("%d coordinators: a registry starts with one (for trials), three or five", len(coordinators))
 	}
-	return all, nil
+	return coordinators, nil
 }
 
-// Init makes the folder of one of a new record's keepers. No token: this is the first, and a token is drawn.
+// Init creates the folder of one coordinator of a new registry. Without a token the coordinator must be the first of
+// the list, and a token is generated.
 func Init(folder, name, keepers, token string, lease, drift float64) (Identity, error) {
-	all, err := ParseKeepers(keepers)
+	coordinators, err := ParseKeepers(keepers)
 	if err != nil {
 		return Identity{}, err
 	}
-	id := Identity{Name: name, Peers: all, Fresh: true, Token: token}
-	for _, k := range all {
-		if k.Name == name {
-			id.ID, id.Listen, id.Zone = k.ID, k.Addr, k.Zone
+	id := Identity{Name: name, Peers: coordinators, Fresh: true, Token: token}
+	for _, coord := range coordinators {
+		if coord.Name == name {
+			id.ID, id.Listen, id.Zone = coord.ID, coord.Addr, coord.Zone
 		}
 	}
 	switch {
 	case id.ID == 0:
-		return id, fmt.Errorf("%q is none of the keepers", name)
+		return id, fmt.Errorf("%q is not one of the coordinators", name)
 	case token == "" && id.ID != 1:
-		return id, fmt.Errorf("%q is not the first keeper: give --record with what `dunekeep init` printed for %q", name, all[0].Name)
+		return id, fmt.Errorf("%q is not the first coordinator: pass --record with the token that `dunekeep init` printed for %q", name, coordinators[0].Name)
 	case token == "":
-		var b [8]byte
-		rand.Read(b[:])
-		id.Token = hex.EncodeToString(b[:])
+		var random [8]byte
+		rand.Read(random[:])
+		id.Token = hex.EncodeToString(random[:])
 	}
 	if len(id.Token) > 64 || strings.Trim(id.Token, "0123456789abcdef") != "" {
-		return id, fmt.Errorf("%q is no token of a record", id.Token)
+		return id, fmt.Errorf("%q is not a registry token", id.Token)
 	}
-	stored, err := coordinator.InitialState(all, lease, drift)
+	initial, err := coordinator.InitialState(coordinators, lease, drift)
 	if err != nil {
 		return id, err
 	}
-	return id, Create(folder, id, stored)
+	return id, Create(folder, id, initial)
 }
 
-// Join makes the folder of a keeper that takes the place of one that was lost, or comes to the others.
-func Join(ctx context.Context, folder, name, listen, zone, ask string) (Identity, error) {
-	for _, a := range [...]string{listen, ask} {
-		if err := netaddr.CheckPrivate(a); err != nil {
+// Join registers a new coordinator with the running ones and creates its folder. It may replace a coordinator that was
+// lost.
+func Join(ctx context.Context, folder, name, listen, zone, contact string) (Identity, error) {
+	for _, addr := range [...]string{listen, contact} {
+		if err := netaddr.CheckPrivate(addr); err != nil {
 			return Identity{}, err
 		}
 	}
-	c := NewClient([]string{ask}, "")
-	var n uint64
+	client := NewClient([]string{contact}, "")
+	var number uint64
 	for {
-		err := c.Call(ctx, "/v1/order", coordinator.Order{Kind: "join", Name: name, Addr: listen, Zone: zone}, &n)
+		err := client.Call(ctx, "/v1/order", coordinator.Order{Kind: "join", Name: name, Addr: listen, Zone: zone}, &number)
 		if err == nil {
 			break
 		}
-		// While the others choose a leader it is asked again; one that was taken in and has not started is told its number again.
-		again := false
-		for _, e := range []error{coordinator.ErrNotLeader, coordinator.ErrBusy, coordinator.ErrOutcomeUnknown, agent.ErrNoAnswer} {
-			again = again || errors.Is(err, e)
+		// While no leader is elected the order is repeated. A coordinator that was added but has not started yet gets
+		// the same ID again.
+		retryable := false
+		for _, transientErr := range []error{coordinator.ErrNotLeader, coordinator.ErrBusy, coordinator.ErrOutcomeUnknown, agent.ErrNoAnswer} {
+			retryable = retryable || errors.Is(err, transientErr)
 		}
-		if !again || ctx.Err() != nil {
+		if !retryable || ctx.Err() != nil {
 			return Identity{}, err
 		}
 		select {
@@ -98,14 +102,14 @@
 		case <-ctx.Done():
 		}
 	}
-	var now Picture
-	if err := c.Call(ctx, "/v1/record", nil, &now); err != nil {
+	var snapshot Picture
+	if err := client.Call(ctx, "/v1/record", nil, &snapshot); err != nil {
 		return Identity{}, err
 	}
-	st, err := askStatus(ctx, c.http, ask)
+	status, err := fetchStatus(ctx, client.http, contact)
 	if err != nil {
 		return Identity{}, err
 	}
-	id := Identity{ID: n, Name: name, Listen: listen, Zone: zone, Token: st.Registry, Peers: now.Keepers}
+	id := Identity{ID: number, Name: name, Listen: listen, Zone: zone, Token: status.Registry, Peers: snapshot.Keepers}
 	return id, Create(folder, id, coordinator.PersistedState{})
 }
--- a/internal/coordserver/serve.go
+++ b/internal/coordserver/serve.go
@@ -22,54 +22,55 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Wire errors, by the word that stands for them in an answer.
-var wireErrors = map[string]error{
+// errorsByCode has the errors that are sent over HTTP, by their code in a response.
+var errorsByCode = map[string]error{
 	"elsewhere": coordinator.ErrNotLeader, "unsure": coordinator.ErrOutcomeUnknown, "session": coordinator.ErrUnknownSession, "bad": coordinator.ErrBadRequest,
 	"busy": coordinator.ErrBusy, "superseded": registry.ErrSuperseded, "full": registry.ErrFull, "owned": registry.ErrOwned,
 	"fence": registry.ErrFence, "work": registry.ErrNoTask, "keeper": registry.ErrCoordinator, "no session": registry.ErrNoSession,
 	"version": registry.ErrUnknown,
 }
 
-// Fault is an answer that is an error.
+// ErrorResponse is the body of a response that reports an error.
 type Fault struct {
 	Error  string           `json:"error"`
 	Text   string           `json:"text,omitempty"`
-	Leader string           `json:"leader,omitempty"` // address of who leads
+	Leader string           `json:"leader,omitempty"` // the leader's address
 	Old    *lease.TaskFence `json:"old,omitempty"`
 }
 
-// Err is the error that a fault stands for.
+// Err returns the error that the response reports.
 func (f *Fault) Err() error {
 	if f.Old != nil {
 		return &lease.StaleFenceError{Task: f.Old.Task, Highest: f.Old.Fence}
 	}
-	if e := wireErrors[f.Error]; e != nil {
+	if known := errorsByCode[f.Error]; known != nil {
 		if f.Text != "" {
-			return fmt.Errorf("%w (%s)", e, f.Text)
+			return fmt.Errorf("%w (%s)", known, f.Text)
 		}
-		return e
+		return known
 	}
 	return errors.New(f.Text)
 }
 
-func faultOf(err error, leader string) *Fault {
-	var old *lease.StaleFenceError
-	if errors.As(err, &old) {
-		return &Fault{Error: "fence", Text: err.Error(), Old: &lease.TaskFence{Task: old.Task, Fence: old.Highest}}
+// newFault returns the response for an error. leader is the address of the leader, if it is known.
+func newFault(err error, leader string) *Fault {
+	var stale *lease.StaleFenceError
+	if errors.As(err, &stale) {
+		return &Fault{Error: "fence", Text: err.Error(), Old: &lease.TaskFence{Task: stale.Task, Fence: stale.Highest}}
 	}
-	for word, e := range wireErrors {
-		if errors.Is(err, e) {
-			return &Fault{Error: word, Text: err.Error(), Leader: leader}
+	for code, known := range errorsByCode {
+		if errors.Is(err, known) {
+			return &Fault{Error: code, Text: err.Error(), Leader: leader}
 		}
 	}
 	return &Fault{Error: "other", Text: err.Error()}
 }
 
-// request for the owner's goroutine.
+// request is a request for the goroutine that runs the coordinator.
 type request struct {
-	number uint64 // the owner's goroutine's
-	do     func(k *coordinator.Coordinator, now float64, number uint64)
-	answer chan reply // room for one: nobody waits for who went away
+	requestID uint64 // assigned by that goroutine
+	start     func(k *coordinator.Coordinator, now float64, requestID uint64)
+	response  chan reply // buffered, so that sending does not block after the client has left
 }
 
 type reply struct {
@@ -77,33 +78,33 @@
 	leader string
 }
 
-// server of one keeper.
+// server is the process of one coordinator.
 type server struct {
-	store  *Store
-	k      *coordinator.Coordinator
-	log    *zap.Logger
-	inbox  chan func(now float64)
-	asks   chan *request
-	open   map[uint64]*request
-	number uint64
-	wire   *transport
-	from   string // address that calls to other keepers come from
+	store         *Store
+	coord         *coordinator.Coordinator
+	log           *zap.Logger
+	funcs         chan func(now float64) // run by the goroutine that owns the coordinator
+	requests      chan *request
+	pending       map[uint64]*request // by ID
+	requestID     uint64              // the last ID assigned
+	raftTransport *transport
+	localAddr     string // source address of connections to other coordinators, "": chosen by the system
 }
 
 const (
-	mostBody = 8 << 20 // bytes of one request of a router or an operator
-	// mostRaft is the bound on one request of another keeper: a snapshot, and entries that wait with it.
-	mostRaft = registry.MaxSnapshot + 8<<20
-	tick     = 20 * time.Millisecond
+	maxBody = 8 << 20 // bytes of one request of a router or an operator
+	// maxRaftBody bounds one request of another coordinator: a snapshot, and the entries queued with it.
+	maxRaftBody  = registry.MaxSnapshot + 8<<20
+	tickInterval = 20 * time.Millisecond
 )
 
-// Options of a keeper on this machine.
+// Options are the settings of a coordinator that depend on this machine.
 type Options struct {
-	Listen string // where others come by another address than the one that they know it by; "": that one
-	From   string // address that its calls come from, "": the system's choice
+	Listen string // address to listen on, if it is not the one that the others use; "": the one in the coordinator's identity
+	From   string // source address of its connections, "": chosen by the system
 }
 
-// Serve until the context ends.
+// Serve runs the coordinator of a folder until the context ends.
 func Serve(ctx context.Context, folder string, o Options, log *zap.Logger) error {
 	store, err := Open(folder)
 	if err != nil {
@@ -123,26 +124,26 @@
 		return err
 	}
 	defer listener.Close()
-	stored, err := store.Load()
+	persisted, err := store.Load()
 	if err != nil {
 		return fmt.Errorf("%s: %v", folder, err)
 	}
-	s := &server{from: o.From, store: store, log: log, inbox: make(chan func(float64), 1024), asks: make(chan *request, 1024), open: map[uint64]*request{}}
+	s := &server{localAddr: o.From, store: store, log: log, funcs: make(chan func(float64), 1024), requests: make(chan *request, 1024), pending: map[uint64]*request{}}
 	group, ctx := errgroup.WithContext(ctx)
-	s.wire = newTransport(ctx, group, id, s)
-	h := &http.Server{Handler: s.routes(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
+	s.raftTransport = newTransport(ctx, group, id, s)
+	httpServer := &http.Server{Handler: s.routes(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
 		IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10, BaseContext: func(net.Listener) context.Context { return ctx }}
 	group.Go(func() error {
-		if err := h.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
 	})
 	group.Go(func() error {
 		<-ctx.Done()
-		return h.Close()
+		return httpServer.Close()
 	})
-	group.Go(func() error { return s.own(ctx, stored) })
+	group.Go(func() error { return s.run(ctx, persisted) })
 	err = group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -150,23 +151,23 @@
 	return err
 }
 
-// own is the goroutine that has the keeper.
-func (s *server) own(ctx context.Context, stored coordinator.PersistedState) error {
+// run is the goroutine that owns the coordinator. All access to the coordinator's state is made by it.
+func (s *server) run(ctx context.Context, persisted coordinator.PersistedState) error {
 	id := s.store.Identity
 	if id.Fresh {
-		if err := s.begin(ctx); err != nil {
+		if err := s.awaitCoordinators(ctx); err != nil {
 			return err
 		}
 	}
-	const holds = 1.0 // seconds: a quarter of a lease of four, the usual one
+	const holdTime = 1.0 // seconds: a quarter of the usual lease of 4 s
 	var err error
-	s.k, err = coordinator.New(coordinator.Config{ID: id.ID, Name: id.Name, RegistryToken: id.Token, HoldTime: holds, Logger: quiet{s.log.Sugar()},
-		Log: func(text string) { s.log.Info(text) }}, stored, boottime.Now())
+	s.coord, err = coordinator.New(coordinator.Config{ID: id.ID, Name: id.Name, RegistryToken: id.Token, HoldTime: holdTime, Logger: raftLogger{s.log.Sugar()},
+		Log: func(text string) { s.log.Info(text) }}, persisted, boottime.Now())
 	if err != nil {
 		return err
 	}
 	s.log.Info("keeping", zap.String("name", id.Name), zap.Uint64("id", id.ID), zap.String("record", id.Token), zap.String("listen", id.Listen))
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -174,73 +175,74 @@
 			return nil
 		case <-ticker.C:
 			now := boottime.Now()
-			s.k.Tick(now)
-			if s.k.IsLeader() {
-				s.k.ReportVersion(id.ID, registry.Version)
+			s.coord.Tick(now)
+			if s.coord.IsLeader() {
+				s.coord.ReportVersion(id.ID, registry.Version)
 			}
-		case do := <-s.inbox:
-			do(boottime.Now())
-		case r := <-s.asks:
-			s.ask(r)
+		case fn := <-s.funcs:
+			fn(boottime.Now())
+		case r := <-s.requests:
+			s.startRequest(r)
 		}
-		for more := true; more; { // all that has come goes into one write to the disk
+		for more := true; more; { // process everything received so far, so that one write to the disk covers it
 			select {
-			case do := <-s.inbox:
-				do(boottime.Now())
-			case r := <-s.asks:
-				s.ask(r)
+			case fn := <-s.funcs:
+				fn(boottime.Now())
+			case r := <-s.requests:
+				s.startRequest(r)
 			default:
 				more = false
 			}
 		}
-		if err := s.carry(); err != nil {
-			// What is not on the disk must not be said: another keeper leads on.
-			return fmt.Errorf("the record can't be kept: %w", err)
+		if err := s.processOutput(); err != nil {
+			// Nothing that is not on the disk may be sent. This coordinator ends, and another one becomes the leader.
+			return fmt.Errorf("storing the registry failed: %w", err)
 		}
 	}
 }
 
-func (s *server) ask(r *request) {
-	s.number++
-	r.number = s.number
-	s.open[s.number] = r
-	r.do(s.k, boottime.Now(), s.number)
+func (s *server) startRequest(r *request) {
+	s.requestID++
+	r.requestID = s.requestID
+	s.pending[s.requestID] = r
+	r.start(s.coord, boottime.Now(), s.requestID)
 }
 
-// carry out what the keeper put out: the disk first.
-func (s *server) carry() error {
+// processOutput carries out the coordinator's outputs. Each is stored on disk before its messages and responses are
+// sent.
+func (s *server) processOutput() error {
 	for {
-		out, ok := s.k.Output()
+		output, ok := s.coord.Output()
 		if !ok {
 			return nil
 		}
-		if err := s.store.Keep(&out); err != nil {
+		if err := s.store.Keep(&output); err != nil {
 			return err
 		}
-		s.wire.send(out.Messages, s.k)
-		for _, a := range out.Responses {
-			r := s.open[a.Request]
-			delete(s.open, a.Request)
+		s.raftTransport.send(output.Messages, s.coord)
+		for _, resp := range output.Responses {
+			r := s.pending[resp.Request]
+			delete(s.pending, resp.Request)
 			if r == nil {
 				continue
 			}
 			leader := ""
-			if x := s.k.Registry().Coordinator(a.Leader); x != nil {
-				leader = x.Addr
+			if member := s.coord.Registry().Coordinator(resp.Leader); member != nil {
+				leader = member.Addr
 			}
-			if rec, ok := a.Value.(*registry.Registry); ok { // as it is now: it goes on changing
-				a.Value = picture(rec)
+			if live, ok := resp.Value.(*registry.Registry); ok { // a copy, since the live registry goes on changing
+				resp.Value = newSnapshot(live)
 			}
-			r.answer <- reply{a, leader}
+			r.response <- reply{resp, leader}
 		}
-		if err := s.k.Done(); err != nil {
+		if err := s.coord.Done(); err != nil {
 			return err
 		}
-		s.wire.peers(s.k.Registry())
+		s.raftTransport.updatePeers(s.coord.Registry())
 	}
 }
 
-// Picture of the record, for people and scripts.
+// RegistrySnapshot is a copy of the registry for people and scripts.
 type Picture struct {
 	Index    uint64                 `json:"index"`
 	Fence    uint64                 `json:"fence"`
@@ -249,169 +251,171 @@
 	Keepers  []registry.Coordinator `json:"keepers"`
 	Sessions []registry.Session     `json:"sessions"`
 	Works    []registry.Task        `json:"works"`
-	Owners   map[string]string      `json:"owners"` // name of each owned work's owner
+	Owners   map[string]string      `json:"owners"` // name of the owner of each owned task
 }
 
-func picture(r *registry.Registry) Picture {
-	p := Picture{Index: r.Index(), Fence: r.Fence(), Owners: map[string]string{}, Sessions: []registry.Session{}, Works: []registry.Task{}}
-	p.Lease, p.Drift = r.LeaseTerms()
+func newSnapshot(r *registry.Registry) Picture {
+	snap := Picture{Index: r.Index(), Fence: r.Fence(), Owners: map[string]string{}, Sessions: []registry.Session{}, Works: []registry.Task{}}
+	snap.Lease, snap.Drift = r.LeaseTerms()
 	for _, k := range r.Coordinators() {
-		p.Keepers = append(p.Keepers, *k)
+		snap.Keepers = append(snap.Keepers, *k)
 	}
 	for _, x := range r.Sessions() {
-		p.Sessions = append(p.Sessions, *x)
+		snap.Sessions = append(snap.Sessions, *x)
 	}
 	for _, x := range r.Tasks() {
-		p.Works = append(p.Works, *x)
+		snap.Works = append(snap.Works, *x)
 		if o := r.Session(x.Owner); o != nil {
-			p.Owners[x.Name] = o.Name
+			snap.Owners[x.Name] = o.Name
 		}
 	}
-	return p
+	return snap
 }
 
 func (s *server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/beat", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(b *coordinator.Heartbeat) func(*coordinator.Coordinator, float64, uint64) {
+		handleJSON(s, w, r, func(b *coordinator.Heartbeat) func(*coordinator.Coordinator, float64, uint64) {
 			return func(k *coordinator.Coordinator, now float64, n uint64) { k.Heartbeat(now, n, b) }
 		})
 	})
 	mux.HandleFunc("POST /v1/mail", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(m *coordinator.MessageBatch) func(*coordinator.Coordinator, float64, uint64) {
+		handleJSON(s, w, r, func(m *coordinator.MessageBatch) func(*coordinator.Coordinator, float64, uint64) {
 			return func(k *coordinator.Coordinator, now float64, n uint64) { k.PostMessages(now, n, m) }
 		})
 	})
 	mux.HandleFunc("POST /v1/act", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(a *coordinator.Action) func(*coordinator.Coordinator, float64, uint64) {
+		handleJSON(s, w, r, func(a *coordinator.Action) func(*coordinator.Coordinator, float64, uint64) {
 			return func(k *coordinator.Coordinator, now float64, n uint64) { k.Perform(now, n, a) }
 		})
 	})
 	mux.HandleFunc("POST /v1/order", func(w http.ResponseWriter, r *http.Request) {
-		handle(s, w, r, func(o *coordinator.Order) func(*coordinator.Coordinator, float64, uint64) {
+		handleJSON(s, w, r, func(o *coordinator.Order) func(*coordinator.Coordinator, float64, uint64) {
 			return func(k *coordinator.Coordinator, now float64, n uint64) { k.ExecuteOrder(now, n, o) }
 		})
 	})
 	mux.HandleFunc("GET /v1/record", func(w http.ResponseWriter, r *http.Request) {
-		s.wait(w, r, func(k *coordinator.Coordinator, now float64, n uint64) { k.ReadRegistry(now, n) })
+		s.awaitResponse(w, r, func(k *coordinator.Coordinator, now float64, n uint64) { k.ReadRegistry(now, n) })
 	})
-	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) { s.status(w, r) })
-	mux.HandleFunc("POST /raft/{record}", s.wire.receive)
+	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) { s.serveStatus(w, r) })
+	mux.HandleFunc("POST /raft/{record}", s.raftTransport.receive)
 	return mux
 }
 
-func handle[T any](s *server, w http.ResponseWriter, r *http.Request, of func(*T) func(*coordinator.Coordinator, float64, uint64)) {
-	var v T
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBody)).Decode(&v); err != nil {
-		write(w, http.StatusBadRequest, &Fault{Error: "bad", Text: err.Error()})
+func handleJSON[T any](s *server, w http.ResponseWriter, r *http.Request, startFunc func(*T) func(*coordinator.Coordinator, float64, uint64)) {
+	var message T
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&message); err != nil {
+		writeJSON(w, http.StatusBadRequest, &Fault{Error: "bad", Text: err.Error()})
 		return
 	}
-	s.wait(w, r, of(&v))
+	s.awaitResponse(w, r, startFunc(&message))
 }
 
-// wait for the owner's answer. Beats are held for a second, and a change of leaders takes two: four are long.
-func (s *server) wait(w http.ResponseWriter, r *http.Request, do func(*coordinator.Coordinator, float64, uint64)) {
-	const patience = 4 * time.Second
-	q := &request{do: do, answer: make(chan reply, 1)}
-	timeout := time.NewTimer(patience)
+// awaitResponse waits for the response of the goroutine that owns the coordinator. A heartbeat is held for 1 s and a
+// change of leader takes 2 s, so it gives up after 4 s.
+func (s *server) awaitResponse(w http.ResponseWriter, r *http.Request, start func(*coordinator.Coordinator, float64, uint64)) {
+	const requestTimeout = 4 * time.Second
+	req := &request{start: start, response: make(chan reply, 1)}
+	timeout := time.NewTimer(requestTimeout)
 	defer timeout.Stop()
 	select {
-	case s.asks <- q:
+	case s.requests <- req:
 	case <-timeout.C:
-		write(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the keeper is busy"})
+		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the coordinator is busy"})
 		return
 	case <-r.Context().Done():
 		return
 	}
 	select {
-	case a := <-q.answer:
-		if a.Err != nil {
+	case resp := <-req.response:
+		if resp.Err != nil {
 			status := http.StatusConflict
-			if errors.Is(a.Err, coordinator.ErrNotLeader) {
+			if errors.Is(resp.Err, coordinator.ErrNotLeader) {
 				status = http.StatusMisdirectedRequest
 			}
-			write(w, status, faultOf(a.Err, a.leader))
+			writeJSON(w, status, newFault(resp.Err, resp.leader))
 			return
 		}
-		write(w, http.StatusOK, a.Value)
+		writeJSON(w, http.StatusOK, resp.Value)
 	case <-timeout.C:
-		write(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "it was not agreed in time: no majority of keepers answers"})
+		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the request was not committed in time: no majority of coordinators answers"})
 	case <-r.Context().Done():
 		select {
-		case s.inbox <- func(float64) {
-			delete(s.open, q.number)
-			if s.k != nil {
-				s.k.RequestClosed(q.number)
+		case s.funcs <- func(float64) {
+			delete(s.pending, req.requestID)
+			if s.coord != nil {
+				s.coord.RequestClosed(req.requestID)
 			}
 		}:
-		case <-s.wire.ctx.Done():
+		case <-s.raftTransport.ctx.Done():
 		}
 	}
 }
 
-func write(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-func (s *server) status(w http.ResponseWriter, r *http.Request) {
-	got := make(chan coordinator.Status, 1)
+func (s *server) serveStatus(w http.ResponseWriter, r *http.Request) {
+	statuses := make(chan coordinator.Status, 1)
 	select {
-	case s.inbox <- func(float64) {
-		if s.k == nil {
+	case s.funcs <- func(float64) {
+		if s.coord == nil {
 			id := s.store.Identity
-			got <- coordinator.Status{ID: id.ID, Name: id.Name, Registry: id.Token, State: "waiting for the others to begin", Started: []int{}}
+			statuses <- coordinator.Status{ID: id.ID, Name: id.Name, Registry: id.Token, State: "waiting for the others to begin", Started: []int{}}
 			return
 		}
-		got <- s.k.Status()
+		statuses <- s.coord.Status()
 	}:
 	case <-r.Context().Done():
 		return
 	}
 	select {
-	case st := <-got:
-		write(w, http.StatusOK, st)
+	case st := <-statuses:
+		writeJSON(w, http.StatusOK, st)
 	case <-r.Context().Done():
 	}
 }
 
-// begin waits until every keeper of a new record is there and none has taken part yet, or the record has not seen this one: who
-// comes with an empty folder to a record that knows it has lost its votes, and must not vote again under its number.
-func (s *server) begin(ctx context.Context) error {
+// awaitCoordinators waits until every coordinator of a new registry answers. It returns an error if the registry knows
+// this coordinator as one that has taken part. A coordinator that comes with an empty folder to such a registry has
+// lost its votes, and it must not vote again under the same ID.
+func (s *server) awaitCoordinators(ctx context.Context) error {
 	id := s.store.Identity
-	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dialer(s.from).DialContext}}
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DialContext: dialer(s.localAddr).DialContext}}
 	defer client.CloseIdleConnections()
-	seen := map[uint64]bool{id.ID: true}
-	s.log.Info("waiting for all keepers of the new record", zap.Int("keepers", len(id.Peers)))
+	present := map[uint64]bool{id.ID: true}
+	s.log.Info("waiting for all coordinators of the new registry", zap.Int("keepers", len(id.Peers)))
 	results := make(chan coordinator.Status, len(id.Peers))
-	ask := time.NewTicker(200 * time.Millisecond)
-	defer ask.Stop()
-	for len(seen) < len(id.Peers) {
+	ticker := time.NewTicker(200 * time.Millisecond)
+	defer ticker.Stop()
+	for len(present) < len(id.Peers) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case do := <-s.inbox: // others ask for our status
-			do(boottime.Now())
-		case r := <-s.asks:
-			r.answer <- reply{Response: coordinator.Response{Err: coordinator.ErrNotLeader}}
-		case st := <-results:
-			if st.Registry != id.Token {
-				return fmt.Errorf("the keeper %q at its address keeps another record (%s, this one is %s)", st.Name, st.Registry, id.Token)
+		case fn := <-s.funcs: // other coordinators request this one's status
+			fn(boottime.Now())
+		case r := <-s.requests:
+			r.response <- reply{Response: coordinator.Response{Err: coordinator.ErrNotLeader}}
+		case status := <-results:
+			if status.Registry != id.Token {
+				return fmt.Errorf("coordinator %q belongs to another registry (%s, this one is %s)", status.Name, status.Registry, id.Token)
 			}
-			for _, n := range st.Started {
-				if uint64(n) == id.ID {
-					return fmt.Errorf("the record knows keeper %d already, but this folder has never taken part: what it voted is lost; use `dunekeep join`", id.ID)
+			for _, startedID := range status.Started {
+				if uint64(startedID) == id.ID {
+					return fmt.Errorf("the registry already has coordinator %d, but this folder has never taken part: its votes are lost; use `dunekeep join`", id.ID)
 				}
 			}
-			seen[st.ID] = true
-		case <-ask.C:
-			for _, p := range id.Peers {
-				if !seen[p.ID] {
-					go func() { // ends with its client's time
-						if st, err := askStatus(ctx, client, p.Addr); err == nil {
+			present[status.ID] = true
+		case <-ticker.C:
+			for _, peer := range id.Peers {
+				if !present[peer.ID] {
+					go func() { // ends by the client's timeout
+						if status, err := fetchStatus(ctx, client, peer.Addr); err == nil {
 							select {
-							case results <- st:
+							case results <- status:
 							default:
 							}
 						}
@@ -424,32 +428,32 @@
 	return s.store.SetIdentity(id)
 }
 
-func askStatus(ctx context.Context, c *http.Client, addr string) (st coordinator.Status, err error) {
+func fetchStatus(ctx context.Context, c *http.Client, addr string) (status coordinator.Status, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/status", nil)
 	if err != nil {
-		return st, err
+		return status, err
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return st, err
+		return status, err
 	}
 	defer resp.Body.Close()
-	return st, json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&st)
+	return status, json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&status)
 }
 
-// quiet passes on what raft's library says that people should see.
-type quiet struct{ log *zap.SugaredLogger }
+// raftLogger passes on the messages of the raft library that need attention: errors and worse.
+type raftLogger struct{ log *zap.SugaredLogger }
 
-func (q quiet) Debug(...any)              {}
-func (q quiet) Debugf(string, ...any)     {}
-func (q quiet) Info(...any)               {}
-func (q quiet) Infof(string, ...any)      {}
-func (q quiet) Warning(...any)            {}
-func (q quiet) Warningf(string, ...any)   {}
-func (q quiet) Error(v ...any)            { q.log.Warn(v...) }
-func (q quiet) Errorf(f string, v ...any) { q.log.Warnf(f, v...) }
-func (q quiet) Fatal(v ...any)            { q.log.Fatal(v...) }
-func (q quiet) Fatalf(f string, v ...any) { q.log.Fatalf(f, v...) }
-func (q quiet) Panic(v ...any)            { q.log.Panic(v...) }
-func (q quiet) Panicf(f string, v ...any) { q.log.Panicf(f, v...) }
-func number(text string) uint64           { n, _ := strconv.ParseUint(strings.TrimSpace(text), 10, 64); return n }
+func (l raftLogger) Debug(...any)              {}
+func (l raftLogger) Debugf(string, ...any)     {}
+func (l raftLogger) Info(...any)               {}
+func (l raftLogger) Infof(string, ...any)      {}
+func (l raftLogger) Warning(...any)            {}
+func (l raftLogger) Warningf(string, ...any)   {}
+func (l raftLogger) Error(v ...any)            { l.log.Warn(v...) }
+func (l raftLogger) Errorf(f string, v ...any) { l.log.Warnf(f, v...) }
+func (l raftLogger) Fatal(v ...any)            { l.log.Fatal(v...) }
+func (l raftLogger) Fatalf(f string, v ...any) { l.log.Fatalf(f, v...) }
+func (l raftLogger) Panic(v ...any)            { l.log.Panic(v...) }
+func (l raftLogger) Panicf(f string, v ...any) { l.log.Panicf(f, v...) }
+func toUint(text string) uint64                { n, _ := strconv.ParseUint(strings.TrimSpace(text), 10, 64); return n }
--- a/internal/coordserver/store.go
+++ b/internal/coordserver/store.go
@@ -1,5 +1,5 @@
-// Package coordserver drives a keeper of the fleet's record: its disk (bbolt), its sockets (HTTP/1.1 with JSON, raft's messages in
-// the library's own encoding) and its clock. All decisions are in package keeping.
+// Package coordserver runs a coordinator of the fleet's registry: its disk (bbolt), its sockets (HTTP/1.1 with JSON,
+// and raft messages in the library's own encoding) and its clock. All decisions are made in package coordinator.
 package coordserver
 
 import (
@@ -20,18 +20,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Identity of a keeper, made with its folder and never again.
+// Identity is the identity of a coordinator. It is created with the folder, and only Fresh changes afterwards.
 type Identity struct {
 	ID     uint64                 `json:"id"`
 	Name   string                 `json:"name"`
 	Listen string                 `json:"listen"`
 	Zone   string                 `json:"zone,omitempty"`
-	Token  string                 `json:"record"` // of the record
+	Token  string                 `json:"record"` // identifies the registry
 	Peers  []registry.Coordinator `json:"keepers"`
 	Fresh  bool                   `json:"fresh"` // it has not taken part yet
 }
 
-// Store is a keeper's folder.
+// Store is a coordinator's folder.
 type Store struct {
 	db       *bbolt.DB
 	Identity Identity
@@ -40,27 +40,27 @@
 const fileName = "record.db"
 
 var (
-	metaBucket  = []byte("meta")
-	logBucket   = []byte("log")
-	identityKey = []byte("identity")
-	stateKey    = []byte("hardstate")
-	snapKey     = []byte("snapshot")
-	formatKey   = []byte("format")
+	metaBucket   = []byte("meta")
+	logBucket    = []byte("log")
+	identityKey  = []byte("identity")
+	hardStateKey = []byte("hardstate")
+	snapshotKey  = []byte("snapshot")
+	formatKey    = []byte("format")
 )
 
-const format = "dunekeep 1"
+const formatVersion = "dunekeep 1"
 
-// ErrEmpty is the error of a folder that holds no registry.
-var ErrEmpty = errors.New("the folder holds no record: `dunekeep init` begins one, `dunekeep join` takes the place of a keeper that was lost")
+// ErrNoRegistry is the error of a folder that holds no registry.
+var ErrEmpty = errors.New("the folder holds no record: `dunekeep init` creates a registry, `dunekeep join` replaces a coordinator that was lost")
 
-// Create a folder for a new keeper.
-func Create(folder string, id Identity, stored coordinator.PersistedState) error {
+// Create creates the folder of a new coordinator.
+func Create(folder string, id Identity, initial coordinator.PersistedState) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
 	}
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err == nil {
-		return fmt.Errorf("%s is there already: it is a keeper's record, and nothing is written over it", path)
+		return fmt.Errorf("%s already exists: a coordinator's registry is not overwritten", path)
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
@@ -76,7 +76,7 @@
 		if _, err = tx.CreateBucketIfNotExists(logBucket); err != nil {
 			return err
 		}
-		return meta.Put(formatKey, []byte(format))
+		return meta.Put(formatKey, []byte(formatVersion))
 	})
 	if err == nil {
 		err = s.SetIdentity(id)
@@ -84,12 +84,12 @@
 	if err != nil {
 		return err
 	}
-	var out coordinator.Output
-	out.Persist.Snapshot, out.Persist.HardState = stored.Snapshot, stored.HardState
-	return s.Keep(&out)
+	var output coordinator.Output
+	output.Persist.Snapshot, output.Persist.HardState = initial.Snapshot, initial.HardState
+	return s.Keep(&output)
 }
 
-// Open a folder. Only one process at a time has it: the lock goes with the process.
+// Open opens a folder. Only one process at a time can open it; the lock ends with the process.
 func Open(folder string) (*Store, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
@@ -100,7 +100,7 @@
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
 	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, fmt.Errorf("%s: another keeper runs on this folder", folder)
+		return nil, fmt.Errorf("%s: another coordinator is using this folder", folder)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %v", path, err)
@@ -108,8 +108,8 @@
 	s := &Store{db: db}
 	err = db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		if meta == nil || string(meta.Get(formatKey)) != format || tx.Bucket(logBucket) == nil {
-			return fmt.Errorf("%s is no record that this program reads", path)
+		if meta == nil || string(meta.Get(formatKey)) != formatVersion || tx.Bucket(logBucket) == nil {
+			return fmt.Errorf("%s is not a registry that this version can read", path)
 		}
 		return json.Unmarshal(meta.Get(identityKey), &s.Identity)
 	})
@@ -120,83 +120,83 @@
 	return s, nil
 }
 
-// Close the folder.
+// Close closes the folder.
 func (s *Store) Close() error { return s.db.Close() }
 
-// SetIdentity keeps what the keeper knows of itself.
+// SetIdentity stores the coordinator's identity.
 func (s *Store) SetIdentity(id Identity) error {
-	text, err := json.Marshal(id)
+	data, err := json.Marshal(id)
 	if err != nil {
 		return err
 	}
 	s.Identity = id
-	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(identityKey, text) })
+	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(identityKey, data) })
 }
 
-// Load what was kept.
-func (s *Store) Load() (st coordinator.PersistedState, err error) {
+// Load reads the persisted state.
+func (s *Store) Load() (persisted coordinator.PersistedState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
-		if text := meta.Get(snapKey); text != nil {
-			st.Snapshot = &pb.Snapshot{}
-			if err := proto.Unmarshal(text, st.Snapshot); err != nil {
+		if data := meta.Get(snapshotKey); data != nil {
+			persisted.Snapshot = &pb.Snapshot{}
+			if err := proto.Unmarshal(data, persisted.Snapshot); err != nil {
 				return fmt.Errorf("snapshot: %v", err)
 			}
 		}
-		if text := meta.Get(stateKey); text != nil {
-			st.HardState = &pb.HardState{}
-			if err := proto.Unmarshal(text, st.HardState); err != nil {
+		if data := meta.Get(hardStateKey); data != nil {
+			persisted.HardState = &pb.HardState{}
+			if err := proto.Unmarshal(data, persisted.HardState); err != nil {
 				return fmt.Errorf("hard state: %v", err)
 			}
 		}
-		from := st.Snapshot.GetMetadata().GetIndex()
+		snapshotIndex := persisted.Snapshot.GetMetadata().GetIndex()
 		return tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
 			e := &pb.Entry{}
 			if err := proto.Unmarshal(v, e); err != nil {
 				return fmt.Errorf("entry %d: %v", binary.BigEndian.Uint64(k), err)
 			}
-			if e.GetIndex() > from {
-				st.Entries = append(st.Entries, e)
+			if e.GetIndex() > snapshotIndex {
+				persisted.Entries = append(persisted.Entries, e)
 			}
 			return nil
 		})
 	})
-	return st, err
+	return persisted, err
 }
 
-// Keep what has to be on the disk before anything is sent: all of it or nothing.
-func (s *Store) Keep(out *coordinator.Output) error {
-	k := &out.Persist
-	if k.Snapshot == nil && k.HardState == nil && len(k.Entries) == 0 {
+// Persist stores everything that must be on the disk before anything is sent. It stores all of it or nothing.
+func (s *Store) Keep(output *coordinator.Output) error {
+	persist := &output.Persist
+	if persist.Snapshot == nil && persist.HardState == nil && len(persist.Entries) == 0 {
 		return nil
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
-		if k.Snapshot != nil {
-			if err := put(meta, snapKey, k.Snapshot); err != nil {
+		if persist.Snapshot != nil {
+			if err := putMessage(meta, snapshotKey, persist.Snapshot); err != nil {
 				return err
 			}
-			// One that came from another keeper replaces all that is here: what lies behind it is of a log that was given up, and
-			// must not be taken for this keeper's after a restart.
+			// A snapshot from another coordinator replaces the whole log. The entries behind it belong to a log that
+			// was abandoned, and must not be taken for this coordinator's after a restart.
 			upTo := uint64(math.MaxUint64)
-			if k.Compact > 0 {
-				upTo = k.Compact
+			if persist.Compact > 0 {
+				upTo = persist.Compact
 			}
 			if err := deleteUpTo(log, upTo); err != nil {
 				return err
 			}
 		}
-		if err := replaceFrom(log, k.Entries); err != nil {
+		if err := replaceFrom(log, persist.Entries); err != nil {
 			return err
 		}
-		if h := k.HardState; h != nil && (h.GetTerm() != 0 || h.GetCommit() != 0 || h.GetVote() != 0) {
-			return put(meta, stateKey, h)
+		if h := persist.HardState; h != nil && (h.GetTerm() != 0 || h.GetCommit() != 0 || h.GetVote() != 0) {
+			return putMessage(meta, hardStateKey, h)
 		}
 		return nil
 	})
 }
 
-// deleteUpTo deletes the log's entries up to an index, that one too.
+// deleteUpTo deletes the log's entries up to and including an index.
 func deleteUpTo(log *bbolt.Bucket, upTo uint64) error {
 	c := log.Cursor()
 	for key, _ := c.First(); key != nil && binary.BigEndian.Uint64(key) <= upTo; key, _ = c.First() {
@@ -207,32 +207,33 @@
 	return nil
 }
 
-// replaceFrom puts entries into the log in place of all that stood there from the first one on, which was never agreed.
+// replaceFrom appends entries to the log. It first deletes all stored entries from the first new index on, which were
+// never committed.
 func replaceFrom(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
 	first := entries[0].GetIndex()
 	c := log.Cursor()
-	for key, _ := c.Seek(index(first)); key != nil; key, _ = c.Seek(index(first)) {
+	for key, _ := c.Seek(indexKey(first)); key != nil; key, _ = c.Seek(indexKey(first)) {
 		if err := c.Delete(); err != nil {
 			return err
 		}
 	}
 	for _, e := range entries {
-		if err := put(log, index(e.GetIndex()), e); err != nil {
+		if err := putMessage(log, indexKey(e.GetIndex()), e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func index(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func indexKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	text, err := proto.Marshal(m)
+func putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, text)
+	return b.Put(key, data)
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// Costs of the two that were weighed (docs/design/memory.md): a snapshot of 50 kB and a record of 500 bytes, each lasting when the call
-// returns.
+// Costs of the two stores that were compared (docs/design/memory.md): a snapshot of 50 kB and a record of 500 bytes,
+// each durable when the call returns.
 
 func BenchmarkSnapshot(b *testing.B) {
 	s, _, err := Open(b.TempDir(), "n1")
@@ -51,7 +51,7 @@
 	}
 }
 
-func bolt(b *testing.B, size int) {
+func benchmarkBolt(b *testing.B, size int) {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "n1.db"), 0o600, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -75,6 +75,6 @@
 	b.ReportMetric(float64(stats.TxStats.GetPageAlloc())/float64(b.N), "pagebytes/op")
 }
 
-func BenchmarkSnapshotBolt(b *testing.B) { bolt(b, 50<<10) }
+func BenchmarkSnapshotBolt(b *testing.B) { benchmarkBolt(b, 50<<10) }
 
-func BenchmarkRecordBolt(b *testing.B) { bolt(b, 500) }
+func BenchmarkRecordBolt(b *testing.B) { benchmarkBolt(b, 500) }
