--- a/cmd/dunereach/crowd_test.go
+++ b/cmd/dunereach/crowd_test.go
@@ -11,25 +11,25 @@
 	"dunereach/internal/fake"
 )
 
-// limited is the router's command under a limit on descriptors that it can't raise.
-func limited(cmd *exec.Cmd, descriptors int) *exec.Cmd {
+// withDescriptorLimit is the router's command under a limit on descriptors that it can't raise.
+func withDescriptorLimit(cmd *exec.Cmd, descriptors int) *exec.Cmd {
 	shell := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", descriptors, cmd.Path))
 	shell.Env = cmd.Env
 	return shell
 }
 
-// running has so many requests of a client at the server, none of which it has answered.
-func (w *town) running(client *fake.Client, requests int) (open []fake.Said) {
+// startRequests has so many requests of a client at the server, none of which it has answered.
+func (w *cluster) startRequests(client *fake.Client, requests int) (open []fake.Said) {
 	w.t.Helper()
 	for range requests {
-		w.call(client, "lookup", 30000, "SELECT 1")
-		open = append(open, w.hear("fetch"))
+		w.request(client, "lookup", 30000, "SELECT 1")
+		open = append(open, w.receive("fetch"))
 	}
 	return open
 }
 
-// completed has the server answer the running requests one by one, and each answer reach its client.
-func (w *town) completed(client *fake.Client, open []fake.Said) {
+// completeAll has the server answer the running requests one by one, and each answer reach its client.
+func (w *cluster) completeAll(client *fake.Client, open []fake.Said) {
 	w.t.Helper()
 	for _, s := range open {
 		s.Answer("served", "count=1", "x\t\t\n")
@@ -49,35 +49,35 @@
 		settings, system int
 	}{{"the settings' limit", descriptors, descriptors}, {"the system's limit", 1024, descriptors}} {
 		t.Run(c.name, func(t *testing.T) {
-			w := plan(t, 1, c.settings)
-			w.descriptors = c.system
-			w.names.Down(true)
+			w := prepareCluster(t, 1, c.settings)
+			w.descriptorLimit = c.system
+			w.nameServer.Down(true)
 			w.start()
-			w.logged("serving")
+			w.waitForLog("serving")
 			for k := range 2 * descriptors { // idle clients, which stay until the test's end
 				idle := fake.NewClient(t, w.addr)
 				if k%2 == 0 {
 					idle.AskHealth()
 				}
 			}
-			w.logged("the name server does not answer")
+			w.waitForLog("the name server does not answer")
 			const running = 12 // a connection to the server each
 			client := fake.NewClient(t, w.addr)
-			open := w.running(client, running)
+			open := w.startRequests(client, running)
 			for range 2 * descriptors { // anew, up to the brim
 				fake.NewClient(t, w.addr)
 			}
 			w.cmd.Process.Signal(syscall.SIGHUP)
-			w.logged(`"msg":"new configuration"`)
-			w.names.Set(2, fmt.Sprintf("s-0.east 0 10 std 0 0 %s", w.engines[0].Addr))
-			w.names.Down(false)
+			w.waitForLog(`"msg":"new configuration"`)
+			w.nameServer.Set(2, fmt.Sprintf("s-0.east 0 10 std 0 0 %s", w.servers[0].Addr))
+			w.nameServer.Down(false)
 			from := time.Now()
-			w.logged(`"list of engines","rev":2`)
+			w.waitForLog(`"list of engines","rev":2`)
 			if took := time.Since(from); took > time.Second {
 				t.Errorf("the list was heard after %v", took)
 			}
-			w.serve(fake.NewClient(t, w.addr), "lookup")
-			w.completed(client, open)
+			w.completeRequest(fake.NewClient(t, w.addr), "lookup")
+			w.completeAll(client, open)
 		})
 	}
 }
--- a/cmd/dunereach/earlier_list_test.go
+++ b/cmd/dunereach/earlier_list_test.go
@@ -23,38 +23,38 @@
 // servers, one of them draining, and then six times number 1, each logged as "an older list". At 9.02, 9.32, 9.62 and 9.92 came number 3
 // with ten servers, two of them draining: read, and passed over as no news. Two of 44 routers were so, and each had such a first answer.
 
-// server is an entry of the name server's list: priority 0 is ready, 1 draining.
-func (w *town) server(k, priority int) string {
-	return fmt.Sprintf("s-%d.east %d 10 std 0 0 %s", k, priority, w.engines[k].Addr)
+// listEntry is an entry of the name listEntry's list: priority 0 is ready, 1 draining.
+func (w *cluster) listEntry(k, priority int) string {
+	return fmt.Sprintf("s-%d.east %d 10 std 0 0 %s", k, priority, w.servers[k].Addr)
 }
 
-// restarted is a router before two servers that has been killed and started again. The name server holds the list that both know, and
+// newRestartedCluster is a router before two servers that has been killed and started again. The name server holds the list that both know, and
 // its next answer is a stray.
-func restarted(t *testing.T, number uint32, stray func(w *town) []string) *town {
+func newRestartedCluster(t *testing.T, staleNumber uint32, staleList func(w *cluster) []string) *cluster {
 	t.Helper()
-	w := newTown(t, 2)
-	w.names.Set(3, w.server(0, 0), w.server(1, 0))
-	w.logged(`"list of engines","rev":3`)
+	w := newCluster(t, 2)
+	w.nameServer.Set(3, w.listEntry(0, 0), w.listEntry(1, 0))
+	w.waitForLog(`"list of engines","rev":3`)
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
-	w.names.Set(1, w.server(0, 0), w.server(1, 0))
-	w.names.Stray(number, stray(w)...)
+	w.nameServer.Set(1, w.listEntry(0, 0), w.listEntry(1, 0))
+	w.nameServer.Stray(staleNumber, staleList(w)...)
 	w.start()
-	w.logged(`"serving"`)
+	w.waitForLog(`"serving"`)
 	return w
 }
 
-// avoids checks that requests, ten at a time, go to other servers than one.
-func (w *town) avoids(c *fake.Client, server int) {
+// expectAvoids checks that requests, ten at a time, go to other servers than one.
+func (w *cluster) expectAvoids(c *fake.Client, server int) {
 	w.t.Helper()
-	const rounds, together = 3, 10
+	const rounds, concurrent = 3, 10
 	for range rounds {
-		for range together {
-			w.call(c, "lookup", 30000, "SELECT 1")
+		for range concurrent {
+			w.request(c, "lookup", 30000, "SELECT 1")
 		}
-		for range together {
-			s := w.hear("fetch")
-			if s.Engine == w.engines[server] {
+		for range concurrent {
+			s := w.receive("fetch")
+			if s.Engine == w.servers[server] {
 				w.t.Fatalf("server %d was sent a request", server)
 			}
 			s.Answer("served", "count=1", "x\t\t\n")
@@ -66,61 +66,61 @@
 // drain as soon as the name server has told it, whatever the number of that event is; and that list alone has nothing sent to a server
 // that drains or is gone.
 func TestListOfEarlierLife(t *testing.T) {
-	const stray = 3
-	for name, number := range map[string]uint32{"lower number": stray - 1, "same number": stray, "higher number": stray + 1} {
-		t.Run(name, func(t *testing.T) { hearsOfDrain(t, stray, number) })
+	const staleNumber = 3
+	for name, number := range map[string]uint32{"lower number": staleNumber - 1, "same number": staleNumber, "higher number": staleNumber + 1} {
+		t.Run(name, func(t *testing.T) { testDrainAfterStaleList(t, staleNumber, number) })
 	}
-	t.Run("a number that no other passes", func(t *testing.T) { hearsOfDrain(t, 1<<32-1, 2) })
+	t.Run("a number that no other passes", func(t *testing.T) { testDrainAfterStaleList(t, 1<<32-1, 2) })
 	t.Run("same number after an outage", func(t *testing.T) {
-		w := restarted(t, stray, func(w *town) []string {
-			w.names.Down(true)
-			return w.bothReady()
+		w := newRestartedCluster(t, staleNumber, func(w *cluster) []string {
+			w.nameServer.Down(true)
+			return w.bothReadyList()
 		})
-		w.names.Down(false)
-		w.logged(fmt.Sprintf(`"list of engines","rev":%d`, stray))
-		w.drained(stray)
-		w.avoids(fake.NewClient(t, w.addr), 0)
+		w.nameServer.Down(false)
+		w.waitForLog(fmt.Sprintf(`"list of engines","rev":%d`, staleNumber))
+		w.drainFirst(staleNumber)
+		w.expectAvoids(fake.NewClient(t, w.addr), 0)
 	})
 	t.Run("allows nothing that drains", func(t *testing.T) {
-		allowsNothing(t, stray, func(w *town) {
-			w.rewrite(w.engines[0].Addr+`","az":"east","model":"std","state":"ready"`, w.engines[0].Addr+`","az":"east","model":"std","state":"draining"`)
+		testStaleListAlone(t, staleNumber, func(w *cluster) {
+			w.replaceConfig(w.servers[0].Addr+`","az":"east","model":"std","state":"ready"`, w.servers[0].Addr+`","az":"east","model":"std","state":"draining"`)
 		})
 	})
 	t.Run("allows nothing that is gone", func(t *testing.T) {
-		allowsNothing(t, stray, func(w *town) {
-			w.rewrite(fmt.Sprintf(`{"uid":"s-0","endpoint":"%s","az":"east","model":"std","state":"ready"},`, w.engines[0].Addr), "")
+		testStaleListAlone(t, staleNumber, func(w *cluster) {
+			w.replaceConfig(fmt.Sprintf(`{"uid":"s-0","endpoint":"%s","az":"east","model":"std","state":"ready"},`, w.servers[0].Addr), "")
 		})
 	})
 }
 
-// bothReady is the list in which nothing drains.
-func (w *town) bothReady() []string { return []string{w.server(0, 0), w.server(1, 0)} }
+// bothReadyList is the list in which nothing drains.
+func (w *cluster) bothReadyList() []string { return []string{w.listEntry(0, 0), w.listEntry(1, 0)} }
 
-// drained has the name server tell under a number that the first server drains, and waits until the grace is over.
-func (w *town) drained(number uint32) {
-	w.names.Set(number, w.server(0, 1), w.server(1, 0))
-	w.names.Sent()
+// drainFirst has the name server tell under a number that the first server drains, and waits until the grace is over.
+func (w *cluster) drainFirst(number uint32) {
+	w.nameServer.Set(number, w.listEntry(0, 1), w.listEntry(1, 0))
+	w.nameServer.Sent()
 	time.Sleep(grace)
 }
 
-// hearsOfDrain gives a router the stray, the true list, and then a drain under a number.
-func hearsOfDrain(t *testing.T, stray, number uint32) {
-	w := restarted(t, stray, (*town).bothReady)
-	w.names.Sent() // the stray has gone out before
-	w.drained(number)
-	w.avoids(fake.NewClient(t, w.addr), 0)
+// testDrainAfterStaleList gives a router the stray, the true list, and then a drain under a number.
+func testDrainAfterStaleList(t *testing.T, staleNumber, number uint32) {
+	w := newRestartedCluster(t, staleNumber, (*cluster).bothReadyList)
+	w.nameServer.Sent() // the stray has gone out before
+	w.drainFirst(number)
+	w.expectAvoids(fake.NewClient(t, w.addr), 0)
 }
 
-// allowsNothing gives a router the stray alone, and nothing after it. Known changes what it knows at its start.
-func allowsNothing(t *testing.T, stray uint32, known func(w *town)) {
-	w := plan(t, 2, 1024)
-	known(w)
-	w.names.Down(true)
-	w.names.Stray(stray, w.bothReady()...)
+// testStaleListAlone gives a router the stray alone, and nothing after it. Known changes what it knows at its start.
+func testStaleListAlone(t *testing.T, staleNumber uint32, changeConfig func(w *cluster)) {
+	w := prepareCluster(t, 2, 1024)
+	changeConfig(w)
+	w.nameServer.Down(true)
+	w.nameServer.Stray(staleNumber, w.bothReadyList()...)
 	w.start()
-	w.logged(`"serving"`)
-	w.names.Down(false)
-	w.logged(fmt.Sprintf(`"list of engines","rev":%d`, stray))
-	w.names.Down(true)
-	w.avoids(fake.NewClient(t, w.addr), 0)
+	w.waitForLog(`"serving"`)
+	w.nameServer.Down(false)
+	w.waitForLog(fmt.Sprintf(`"list of engines","rev":%d`, staleNumber))
+	w.nameServer.Down(true)
+	w.expectAvoids(fake.NewClient(t, w.addr), 0)
 }
--- a/cmd/dunereach/flood_test.go
+++ b/cmd/dunereach/flood_test.go
@@ -11,8 +11,8 @@
 	"dunereach/internal/fake"
 )
 
-// calledUntil has a client ask for one request after another until it is over: how many were served, and how long each answer took.
-func calledUntil(over <-chan struct{}, c *fake.Client, fields func(j int) []string) (served int, took []time.Duration) {
+// requestUntil has a client ask for one request after another until it is over: how many were served, and how long each answer took.
+func requestUntil(done <-chan struct{}, c *fake.Client, fields func(j int) []string) (served int, took []time.Duration) {
 	for j := 0; ; j++ {
 		from := time.Now()
 		c.Call("SELECT 1", fields(j)...)
@@ -21,7 +21,7 @@
 		}
 		took = append(took, time.Since(from))
 		select {
-		case <-over:
+		case <-done:
 			return served, took
 		case <-time.After(time.Millisecond):
 		}
@@ -31,9 +31,9 @@
 // TestFloods: clients that send much at once and go, that send a byte at a time, that never read, and that say nothing don't hold
 // up the others: each of their commands has its answer soon.
 func TestFloods(t *testing.T) {
-	w := newTown(t, 2)
+	w := newCluster(t, 2)
 	go func() {
-		for s := range w.heard {
+		for s := range w.received {
 			if s.Words[0] == "fetch" {
 				s.Answer("served", "count=1", "x\t\t\n")
 			}
@@ -44,10 +44,10 @@
 		return []string{"service", "lookup", "project", "acme", "allow", "30000", "ref", ref}
 	}
 	var group sync.WaitGroup
-	flood := func(k int, once func(k, j int)) {
+	flood := func(k int, action func(k, j int)) {
 		group.Go(func() {
 			for j := range 200 {
-				once(k, j)
+				action(k, j)
 				time.Sleep(5 * time.Millisecond) // under 8,000 calls a second from each of two: far over what usual clients send
 			}
 		})
@@ -60,18 +60,18 @@
 		c.Leave()
 	})
 	flood(2, func(k, j int) { fake.NewClient(t, w.addr).Raw([]byte{0}) }) // half a message
-	dripping, deaf := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
+	slowWriter, nonReader := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
 	message := fake.Call(1, "SELECT 1", fields(ref(3, 0))...)
-	flood(3, func(_, j int) { dripping.Raw(message[j%len(message):][:1]) })
+	flood(3, func(_, j int) { slowWriter.Raw(message[j%len(message):][:1]) })
 	flood(4, func(k, j int) {
 		for n := range 40 {
-			deaf.Call("SELECT 1", fields(ref(k, 100*j+n))...)
+			nonReader.Call("SELECT 1", fields(ref(k, 100*j+n))...)
 		}
 	})
-	over := make(chan struct{})
-	go func() { group.Wait(); close(over) }()
+	done := make(chan struct{})
+	go func() { group.Wait(); close(done) }()
 	c := fake.NewClient(t, w.addr)
-	served, took := calledUntil(over, c, func(j int) []string { return fields(ref(0, j)) })
+	served, took := requestUntil(done, c, func(j int) []string { return fields(ref(0, j)) })
 	slices.Sort(took)
 	n := len(took)
 	t.Logf("%d of %d served, after %v in the median and %v at most", served, n, took[n/2], took[n-1])
--- a/cmd/dunereach/forms_test.go
+++ b/cmd/dunereach/forms_test.go
@@ -10,8 +10,8 @@
 	"dunereach/internal/thrift"
 )
 
-// message is a frame with the struct that a function appends.
-func message(kind thrift.Kind, name string, seq int32, arguments func(b []byte) []byte) []byte {
+// encodeMessage is a frame with the struct that a function appends.
+func encodeMessage(kind thrift.Kind, name string, seq int32, arguments func(b []byte) []byte) []byte {
 	return thrift.End(append(arguments(thrift.Begin(nil, kind, name, seq)), byte(thrift.Stop)))
 }
 
@@ -38,8 +38,8 @@
 	return b
 }
 
-// rawInPieces has a client write a text in pieces of so many bytes.
-func rawInPieces(c *fake.Client, text []byte, piece int) {
+// writeInPieces has a client write a text in pieces of so many bytes.
+func writeInPieces(c *fake.Client, text []byte, piece int) {
 	for len(text) > 0 {
 		n := min(piece, len(text))
 		c.Raw(text[:n])
@@ -50,62 +50,66 @@
 // TestForms: requests in every form that the protocol allows are served as they are in the usual one, whole or in pieces of whatever
 // size, and several in one piece.
 func TestForms(t *testing.T) {
-	w := newTown(t, 1)
-	w.logged("serving")
+	w := newCluster(t, 1)
+	w.waitForLog("serving")
 	const body = "SELECT 1 FROM sales_17.orders"
-	usual := func() []string {
-		w.refs++
-		return []string{"service", "lookup", "ref", fmt.Sprintf("%016x", w.refs), "allow", "30000", "project", "acme"}
+	usualFields := func() []string {
+		w.lastRef++
+		return []string{"service", "lookup", "ref", fmt.Sprintf("%016x", w.lastRef), "allow", "30000", "project", "acme"}
 	}
 	forms := map[string]func(b []byte) []byte{
-		"usual":      func(b []byte) []byte { return appendBody(appendMap(b, usual()...), body) },
-		"body first": func(b []byte) []byte { return appendMap(appendBody(b, body), usual()...) },
+		"usual":      func(b []byte) []byte { return appendBody(appendMap(b, usualFields()...), body) },
+		"body first": func(b []byte) []byte { return appendMap(appendBody(b, body), usualFields()...) },
 		"with estimates": func(b []byte) []byte {
-			return appendBody(appendMap(b, append(usual(), "effort", "820.0", "memory", "96")...), body)
+			return appendBody(appendMap(b, append(usualFields(), "effort", "820.0", "memory", "96")...), body)
 		},
 		"decimals": func(b []byte) []byte {
-			return appendBody(appendMap(b, append(usual(), "effort", "1.5e2", "memory", ".5")...), body)
+			return appendBody(appendMap(b, append(usualFields(), "effort", "1.5e2", "memory", ".5")...), body)
+		},
+		"unknown names": func(b []byte) []byte {
+			return appendBody(appendMap(b, append(usualFields(), "trace", "", "", "x")...), body)
+		},
+		"unknown fields": func(b []byte) []byte {
+			return appendUnknown(appendBody(appendMap(appendUnknown(b), usualFields()...), body))
 		},
-		"unknown names":  func(b []byte) []byte { return appendBody(appendMap(b, append(usual(), "trace", "", "", "x")...), body) },
-		"unknown fields": func(b []byte) []byte { return appendUnknown(appendBody(appendMap(appendUnknown(b), usual()...), body)) },
 		"capital digits": func(b []byte) []byte {
-			return appendBody(appendMap(b, append(usual()[:2], "ref", fmt.Sprintf("ABCDEF%010X", w.refs), "allow", "30000", "project", "acme")...), body)
+			return appendBody(appendMap(b, append(usualFields()[:2], "ref", fmt.Sprintf("ABCDEF%010X", w.lastRef), "allow", "30000", "project", "acme")...), body)
 		},
 		"fields backwards": func(b []byte) []byte {
-			u := usual()
-			return appendBody(appendMap(b, u[6], u[7], u[4], u[5], u[2], u[3], u[0], u[1]), body)
+			fields := usualFields()
+			return appendBody(appendMap(b, fields[6], fields[7], fields[4], fields[5], fields[2], fields[3], fields[0], fields[1]), body)
 		},
 	}
 	for name, form := range forms {
 		for _, piece := range []int{1, 2, 5, 64, 1 << 20} {
 			t.Run(fmt.Sprintf("%s in pieces of %d", name, piece), func(t *testing.T) {
 				c := fake.NewClient(t, w.addr)
-				rawInPieces(c, message(thrift.Call, "call", 1, form), piece)
-				s := w.hear("fetch")
+				writeInPieces(c, encodeMessage(thrift.Call, "call", 1, form), piece)
+				s := w.receive("fetch")
 				if s.Body != body {
 					t.Errorf("the server got %q", s.Body)
 				}
 				s.Answer("served", "count=1", "x\t\t\n")
-				w.expect(c, served(1, "x\t\t\n"))
+				w.expectAnswer(c, resultMessage(1, "x\t\t\n"))
 				c.Leave()
 			})
 		}
 	}
 	t.Run("several in one piece", func(t *testing.T) {
 		c := fake.NewClient(t, w.addr)
-		one := message(thrift.Call, "call", 1, forms["usual"])
-		ask := message(thrift.Call, "health", 2, func(b []byte) []byte { return b })
-		two := message(thrift.Call, "call", 3, forms["body first"])
-		cancel := message(thrift.Oneway, "cancel", 4, func(b []byte) []byte {
+		one := encodeMessage(thrift.Call, "call", 1, forms["usual"])
+		health := encodeMessage(thrift.Call, "health", 2, func(b []byte) []byte { return b })
+		two := encodeMessage(thrift.Call, "call", 3, forms["body first"])
+		cancel := encodeMessage(thrift.Oneway, "cancel", 4, func(b []byte) []byte {
 			return binary.BigEndian.AppendUint32(thrift.AppendField(b, thrift.I32, 1), 3)
 		})
-		three := message(thrift.Call, "call", 5, forms["usual"])
-		c.Raw(bytes.Join([][]byte{one, ask, two, cancel, three}, nil))
-		w.expect(c, `2/2 health{ 0={ 1="" 2=[ ] 3=1 } }`)
-		go answerAll(w) // the cancelled one may have left, or been taken back
+		three := encodeMessage(thrift.Call, "call", 5, forms["usual"])
+		c.Raw(bytes.Join([][]byte{one, health, two, cancel, three}, nil))
+		w.expectAnswer(c, `2/2 health{ 0={ 1="" 2=[ ] 3=1 } }`)
+		go answerRequests(w) // the cancelled one may have left, or been taken back
 		got := map[string]bool{c.Next(): true}
 		got[c.Next()] = true
-		if !got[served(1, "x\t\t\n")] || !got[served(5, "x\t\t\n")] {
+		if !got[resultMessage(1, "x\t\t\n")] || !got[resultMessage(5, "x\t\t\n")] {
 			t.Errorf("the client got %v", got)
 		}
 	})
--- a/cmd/dunereach/life_soak_test.go
+++ b/cmd/dunereach/life_soak_test.go
@@ -31,64 +31,64 @@
 )
 
 const (
-	livesPerSeed    = 3
-	soakServers     = 3
-	soakClients     = 6
-	soakDescriptors = 64                     // clients have 26 of them
-	connectFor      = 300 * time.Millisecond // after SIGTERM new connections come for so long
-	mostDeadline    = 3 * time.Second        // the longest deadline counts as this at most
-	pageGrace       = 700 * time.Millisecond // of SIGKILL beside it
+	runsPerSeed        = 3
+	soakServers        = 3
+	soakClients        = 6
+	soakDescriptors    = 64                     // clients have 26 of them
+	connectAfterTerm   = 300 * time.Millisecond // after SIGTERM new connections come for so long
+	maxCountedDeadline = 3 * time.Second        // the longest deadline counts as this at most
+	killGrace          = 700 * time.Millisecond // of SIGKILL beside it
 )
 
-// lifePlan is what is drawn for one life.
-type lifePlan struct {
-	deadline time.Duration
-	runs     time.Duration
-	crowd    int // clients that ask nothing, 0: none
-	crowdAt  time.Duration
-	reloads  int // SIGHUP in series
-	reloadAt time.Duration
-	stop     time.Duration // by SIGSTOP, 0: none
-	stopAt   time.Duration
-	hang     time.Duration // of one server, 0: none
-	hangAt   time.Duration
-	kill     bool // outright
-	terms    int  // SIGTERM in series
-	hupToo   bool // SIGHUP in the same instant
+// runPlan is what is drawn for one life.
+type runPlan struct {
+	deadline       time.Duration
+	duration       time.Duration
+	crowdSize      int // clients that ask nothing, 0: none
+	crowdAt        time.Duration
+	reloads        int // SIGHUP in series
+	reloadAt       time.Duration
+	suspendFor     time.Duration // by SIGSTOP, 0: none
+	suspendAt      time.Duration
+	hangFor        time.Duration // of one server, 0: none
+	hangAt         time.Duration
+	kill           bool // outright
+	terminations   int  // SIGTERM in series
+	reloadWithTerm bool // SIGHUP in the same instant
 }
 
-func drawLife(draw *rand.Rand, deadline time.Duration) lifePlan {
-	some := func(least, most int) time.Duration {
-		return time.Duration(least+draw.IntN(most-least)) * time.Millisecond
+func drawRun(draw *rand.Rand, deadline time.Duration) runPlan {
+	duration := func(lowest, highest int) time.Duration {
+		return time.Duration(lowest+draw.IntN(highest-lowest)) * time.Millisecond
 	}
 	chance := func(percent int) bool { return draw.IntN(100) < percent }
-	p := lifePlan{deadline: deadline, runs: some(800, 2200), terms: 1 + draw.IntN(3), kill: chance(25), hupToo: chance(40)}
+	p := runPlan{deadline: deadline, duration: duration(800, 2200), terminations: 1 + draw.IntN(3), kill: chance(25), reloadWithTerm: chance(40)}
 	if chance(50) {
-		p.crowd, p.crowdAt = 20+draw.IntN(150), some(0, 800)
+		p.crowdSize, p.crowdAt = 20+draw.IntN(150), duration(0, 800)
 	}
 	if chance(50) {
-		p.reloads, p.reloadAt = 1+draw.IntN(5), some(0, 800)
+		p.reloads, p.reloadAt = 1+draw.IntN(5), duration(0, 800)
 	}
 	if chance(30) {
-		p.stop, p.stopAt = some(50, 400), some(100, 700)
+		p.suspendFor, p.suspendAt = duration(50, 400), duration(100, 700)
 	}
 	if chance(60) {
-		p.hang, p.hangAt = some(300, 4000), some(0, 2500)
+		p.hangFor, p.hangAt = duration(300, 4000), duration(0, 2500)
 	}
 	return p
 }
 
-// soakLife is one life under way. The lock guards its record.
-type soakLife struct {
-	*town
-	plan   lifePlan
-	stop   chan struct{} // clients end
-	noMore atomic.Bool   // no new connections
-	done   sync.WaitGroup
-	hung   atomic.Bool // the first server answers nothing
+// soakRun is one life under way. The lock guards its record.
+type soakRun struct {
+	*cluster
+	plan               runPlan
+	stop               chan struct{} // clients end
+	connectionsRefused atomic.Bool   // no new connections
+	workers            sync.WaitGroup
+	firstServerHangs   atomic.Bool // the first server answers nothing
 
 	mu     sync.Mutex
-	record lifeRecord
+	record runRecord
 }
 
 // TestLifeSoak guards against requests that are lost, late, run twice or sent for nobody, over the lives of router processes.
@@ -97,46 +97,46 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Logf("again: go test ./cmd/dunereach -count=1 -run TestLifeSoak -life-seed %d -life-seeds 1", seed)
 			draw := rand.New(rand.NewPCG(seed, 4))
-			w := plan(t, soakServers, soakDescriptors)
-			w.descriptors = 0 // the settings' limit is the lower one
+			w := prepareCluster(t, soakServers, soakDescriptors)
+			w.descriptorLimit = 0 // the settings' limit is the lower one
 			deadline := []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second}[draw.IntN(3)]
-			w.text = strings.NewReplacer(`"Deadline":30000`, fmt.Sprintf(`"Deadline":%d`, deadline.Milliseconds()),
-				`"Aim":20000`, fmt.Sprintf(`"Aim":%d`, deadline.Milliseconds()/2)).Replace(w.text)
-			if err := os.WriteFile(w.config, []byte(w.text), 0o600); err != nil {
+			w.configText = strings.NewReplacer(`"Deadline":30000`, fmt.Sprintf(`"Deadline":%d`, deadline.Milliseconds()),
+				`"Aim":20000`, fmt.Sprintf(`"Aim":%d`, deadline.Milliseconds()/2)).Replace(w.configText)
+			if err := os.WriteFile(w.configPath, []byte(w.configText), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			for life := range livesPerSeed {
-				playLife(t, w, drawLife(draw, deadline), draw.Uint64(), life)
+			for number := range runsPerSeed {
+				playRun(t, w, drawRun(draw, deadline), draw.Uint64(), number)
 			}
 		})
 	}
 }
 
-// playLife starts a router, has the plan's faults happen, ends it, and judges its life.
-func playLife(t *testing.T, w *town, p lifePlan, seed uint64, number int) {
+// playRun starts a router, has the plan's faults happen, ends it, and judges its life.
+func playRun(t *testing.T, w *cluster, p runPlan, seed uint64, number int) {
 	t.Helper()
-	l := &soakLife{town: w, plan: p, stop: make(chan struct{})}
+	l := &soakRun{cluster: w, plan: p, stop: make(chan struct{})}
 	w.start()
-	w.logged("serving")
+	w.waitForLog("serving")
 	go func(log chan string) {
 		for range log { // nobody reads it
 		}
-	}(w.log)
-	l.done.Go(l.serve)
+	}(w.logLines)
+	l.workers.Go(l.answerAttempts)
 	for k := range soakClients {
-		l.done.Go(func() { l.client(k, rand.New(rand.NewPCG(seed, uint64(k)))) })
+		l.workers.Go(func() { l.runClient(k, rand.New(rand.NewPCG(seed, uint64(k)))) })
 	}
 	began := time.Now()
-	faults := l.faults(began)
-	time.Sleep(p.runs)
+	faults := l.startFaults(began)
+	time.Sleep(p.duration)
 	faults.Wait()
-	l.end()
+	l.endRouter()
 	close(l.stop)
-	l.done.Wait()
+	l.workers.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t.Logf("life %d: %+v: %d requests, %d attempts", number, p, len(l.record.requests), len(l.record.attempts))
-	for _, text := range l.record.audit() {
+	for _, text := range l.record.violations() {
 		t.Errorf("life %d: %s", number, text)
 	}
 	if len(l.record.requests) < soakClients {
@@ -144,8 +144,8 @@
 	}
 }
 
-// faults has the plan's faults happen at their times.
-func (l *soakLife) faults(began time.Time) *sync.WaitGroup {
+// startFaults has the plan's startFaults happen at their times.
+func (l *soakRun) startFaults(began time.Time) *sync.WaitGroup {
 	var group sync.WaitGroup
 	at := func(after time.Duration, happens bool, fault func()) {
 		if happens {
@@ -156,11 +156,11 @@
 		}
 	}
 	p := l.plan
-	at(p.crowdAt, p.crowd > 0, func() {
+	at(p.crowdAt, p.crowdSize > 0, func() {
 		l.mu.Lock()
 		l.record.crowded = true
 		l.mu.Unlock()
-		l.crowd(mixedCrowd, p.crowd)
+		l.connectCrowd(mixedCrowd, p.crowdSize)
 	})
 	at(p.reloadAt, p.reloads > 0, func() {
 		for range p.reloads {
@@ -168,75 +168,75 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
-	at(p.stopAt, p.stop > 0, func() {
+	at(p.suspendAt, p.suspendFor > 0, func() {
 		l.cmd.Process.Signal(syscall.SIGSTOP)
 		from := time.Now()
-		time.Sleep(p.stop)
+		time.Sleep(p.suspendFor)
 		l.cmd.Process.Signal(syscall.SIGCONT)
 		l.mu.Lock()
-		l.record.stopped += time.Since(from)
+		l.record.suspendedFor += time.Since(from)
 		l.mu.Unlock()
 	})
-	if p.hang > 0 {
-		time.AfterFunc(p.hangAt, func() { l.hung.Store(true) })
-		time.AfterFunc(p.hangAt+p.hang, func() { l.hung.Store(false) })
+	if p.hangFor > 0 {
+		time.AfterFunc(p.hangAt, func() { l.firstServerHangs.Store(true) })
+		time.AfterFunc(p.hangAt+p.hangFor, func() { l.firstServerHangs.Store(false) })
 	}
 	return &group
 }
 
-// end kills the router outright, or asks it to end and kills it at the page's earliest.
-func (l *soakLife) end() {
+// endRouter kills the router outright, or asks it to endRouter and kills it at the page's earliest.
+func (l *soakRun) endRouter() {
 	now := time.Now()
 	if l.plan.kill {
 		l.mu.Lock()
-		l.record.killed = now
+		l.record.killedAt = now
 		l.mu.Unlock()
-		l.noMore.Store(true)
+		l.connectionsRefused.Store(true)
 		l.cmd.Process.Kill()
 		l.cmd.Wait()
 		return
 	}
 	l.mu.Lock()
-	l.record.asked = now
+	l.record.terminatedAt = now
 	l.mu.Unlock()
-	for range l.plan.terms {
+	for range l.plan.terminations {
 		l.cmd.Process.Signal(syscall.SIGTERM)
-		if l.plan.hupToo {
+		if l.plan.reloadWithTerm {
 			l.cmd.Process.Signal(syscall.SIGHUP)
 		}
 	}
-	time.AfterFunc(connectFor, func() { l.noMore.Store(true) })
+	time.AfterFunc(connectAfterTerm, func() { l.connectionsRefused.Store(true) })
 	ended := make(chan struct{})
 	go func() { l.cmd.Wait(); close(ended) }()
 	select {
 	case <-ended:
-	case <-time.After(min(l.plan.deadline, mostDeadline) + pageGrace):
+	case <-time.After(min(l.plan.deadline, maxCountedDeadline) + killGrace):
 		l.mu.Lock()
-		l.record.killed = time.Now()
+		l.record.killedAt = time.Now()
 		l.mu.Unlock()
 		l.cmd.Process.Kill()
 		<-ended
 	}
-	l.noMore.Store(true)
+	l.connectionsRefused.Store(true)
 	if status := l.cmd.ProcessState.ExitCode(); status > 0 {
 		l.t.Errorf("it ended with status %d", status)
 	}
 }
 
-// serve answers what reaches the servers, but for the hung one.
-func (l *soakLife) serve() {
+// answerAttempts answers what reaches the servers, but for the hung one.
+func (l *soakRun) answerAttempts() {
 	for {
 		select {
-		case said := <-l.heard:
-			l.attempt(said)
+		case said := <-l.received:
+			l.answerAttempt(said)
 		case <-l.stop:
 			return
 		}
 	}
 }
 
-// limitOf is how long the server is told that the router waits.
-func limitOf(said fake.Said) time.Duration {
+// sentTimeLimit is how long the server is told that the router waits.
+func sentTimeLimit(said fake.Said) time.Duration {
 	for _, field := range strings.Split(said.Words[2], ",") {
 		if text, ok := strings.CutPrefix(field, "ms="); ok {
 			ms, _ := strconv.ParseFloat(text, 64)
@@ -246,21 +246,21 @@
 	return 0
 }
 
-func (l *soakLife) attempt(said fake.Said) {
+func (l *soakRun) answerAttempt(said fake.Said) {
 	if said.Words[0] != "fetch" {
 		return
 	}
 	l.mu.Lock()
-	l.record.attempts = append(l.record.attempts, attemptRecord{said.Words[1], said.At, limitOf(said)})
+	l.record.attempts = append(l.record.attempts, attemptRecord{said.Words[1], said.At, sentTimeLimit(said)})
 	l.mu.Unlock()
-	if said.Engine == l.engines[0] && l.hung.Load() {
+	if said.Engine == l.servers[0] && l.firstServerHangs.Load() {
 		return
 	}
 	time.AfterFunc(5*time.Millisecond, func() { said.Answer("served", "count=1", "x\t\t\n") })
 }
 
-// client asks one request after another, on one connection for as long as that lives.
-func (l *soakLife) client(number int, draw *rand.Rand) {
+// runClient asks one request after another, on one connection for as long as that lives.
+func (l *soakRun) runClient(number int, draw *rand.Rand) {
 	var c *soakConnection
 	for sequence := 0; ; sequence++ {
 		select {
@@ -270,7 +270,7 @@
 		case <-time.After(time.Duration(draw.IntN(30)) * time.Millisecond):
 		}
 		if c == nil {
-			if l.noMore.Load() {
+			if l.connectionsRefused.Load() {
 				continue
 			}
 			c = dialSoak(l.addr)
@@ -278,13 +278,13 @@
 				continue
 			}
 		}
-		r := &requestRecord{ref: fmt.Sprintf("%04x%012x", number+1, draw.Uint64()&0xffffffffffff), allow: l.plan.deadline, fresh: c.sequence == 0,
+		r := &requestRecord{ref: fmt.Sprintf("%04x%012x", number+1, draw.Uint64()&0xffffffffffff), timeout: l.plan.deadline, firstOnConnection: c.sequence == 0,
 			class: []string{"lookup", "order", "ledger"}[draw.IntN(3)]}
-		leaves := time.Duration(0)
+		leaveAfter := time.Duration(0)
 		if draw.IntN(20) == 0 {
-			leaves = time.Duration(1+draw.IntN(20)) * time.Millisecond
+			leaveAfter = time.Duration(1+draw.IntN(20)) * time.Millisecond
 		}
-		if !c.ask(r, leaves) {
+		if !c.exchange(r, leaveAfter) {
 			c.close()
 			c = nil
 		}
@@ -314,23 +314,23 @@
 	}
 }
 
-const soakPatience = 4 * time.Second // past a request's time
+const answerPatience = 4 * time.Second // past a request's time
 
-// ask sends a request and records what comes of it. It tells whether the connection can be used again.
-func (c *soakConnection) ask(r *requestRecord, leaves time.Duration) bool {
+// exchange sends a request and records what comes of it. It tells whether the connection can be used again.
+func (c *soakConnection) exchange(r *requestRecord, leaveAfter time.Duration) bool {
 	c.sequence++
-	message := fake.Call(c.sequence, "SELECT 1", "service", r.class, "project", "acme", "allow", fmt.Sprint(r.allow.Milliseconds()), "ref", r.ref)
+	message := fake.Call(c.sequence, "SELECT 1", "service", r.class, "project", "acme", "allow", fmt.Sprint(r.timeout.Milliseconds()), "ref", r.ref)
 	r.sent = time.Now()
 	if _, err := c.Write(message); err != nil {
-		r.ended, r.outcome = time.Now(), closedOn
+		r.ended, r.outcome = time.Now(), connectionClosed
 		return false
 	}
-	patience := r.allow + soakPatience
-	if leaves > 0 {
-		patience = leaves
+	patience := r.timeout + answerPatience
+	if leaveAfter > 0 {
+		patience = leaveAfter
 	}
 	c.SetReadDeadline(r.sent.Add(patience))
-	sequence, err := c.answer()
+	sequence, err := c.readAnswer()
 	r.ended = time.Now()
 	switch {
 	case err == nil && sequence == c.sequence:
@@ -340,19 +340,19 @@
 	case err == nil: // a second answer to an earlier one
 		r.answers += 2
 		return false
-	case errors.Is(err, os.ErrDeadlineExceeded) && leaves > 0:
+	case errors.Is(err, os.ErrDeadlineExceeded) && leaveAfter > 0:
 		c.Conn.Close()
 		r.ended, r.outcome = time.Now(), clientLeft
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return false
 	}
-	r.outcome = closedOn
+	r.outcome = connectionClosed
 	return false
 }
 
-// answer reads one message, and says which request it answers.
-func (c *soakConnection) answer() (sequence int32, err error) {
+// readAnswer reads one message, and says which request it answers.
+func (c *soakConnection) readAnswer() (sequence int32, err error) {
 	head := make([]byte, 4)
 	if _, err := io.ReadFull(c.Conn, head); err != nil {
 		return 0, err
--- a/cmd/dunereach/list_soak_test.go
+++ b/cmd/dunereach/list_soak_test.go
@@ -25,145 +25,145 @@
 )
 
 const (
-	// toldBy is the time after which news counts as told though the answer with it went wrong.
-	toldBy = 1500 * time.Millisecond
-	// lag is what a busy machine may take to run a process that is ready, on both ends. A router that does not hear is late by seconds.
-	lag = 400 * time.Millisecond
-	// badShare is how many answers of a hundred go wrong.
-	badShare = 35
+	// reportDelay is the time after which news counts as told though the answer with it went wrong.
+	reportDelay = 1500 * time.Millisecond
+	// machineLag is what a busy machine may take to run a process that is ready, on both ends. A router that does not hear is late by seconds.
+	machineLag = 400 * time.Millisecond
+	// badAnswerPercent is how many answers of a hundred go wrong.
+	badAnswerPercent = 35
 )
 
-// listed is one server of the soak.
-type listed struct {
-	id      string
-	engine  *fake.Engine
-	drains  bool
-	told    time.Time // when this life of the router was told of it, zero: it was not
-	retired bool      // it is gone from the list
+// listedServer is one server of the soak.
+type listedServer struct {
+	id         string
+	server     *fake.Engine
+	draining   bool
+	reportedAt time.Time // when this life of the router was told of it, zero: it was not
+	removed    bool      // it is gone from the list
 }
 
-// soak is the servers and the name server. The lock guards all of it.
-type soak struct {
-	t     *testing.T
-	heard chan fake.Said
+// listSoak is the servers and the name server. The lock guards all of it.
+type listSoak struct {
+	t        *testing.T
+	received chan fake.Said
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	servers []*listed
-	number  uint32
-	history []numberedList // of all lives
-	down    time.Time      // until then nobody is answered
-	late    []string
-	strays  int
-	sent    int
+	mu           sync.Mutex
+	rng          *rand.Rand
+	servers      []*listedServer
+	listNumber   uint32
+	history      []numberedList // of all lives
+	downUntil    time.Time      // until then nobody is answered
+	violations   []string
+	staleAnswers int
+	goodAnswers  int
 }
 
 // numberedList is a list as it was told, under its number of then.
 type numberedList struct {
-	number uint32
-	lines  []string
+	number  uint32
+	entries []string
 }
 
-func (k *soak) lines() (all []string) {
+func (k *listSoak) listEntries() (all []string) {
 	for _, s := range k.servers {
 		priority := 0
-		if s.drains {
+		if s.draining {
 			priority = 1
 		}
-		if !s.retired {
-			all = append(all, fmt.Sprintf("%s.east %d 10 std 0 0 %s", s.id, priority, s.engine.Addr))
+		if !s.removed {
+			all = append(all, fmt.Sprintf("%s.east %d 10 std 0 0 %s", s.id, priority, s.server.Addr))
 		}
 	}
 	return all
 }
 
-// news is an event of the list.
-func (k *soak) news() {
-	k.number++
-	k.history = append(k.history, numberedList{k.number, k.lines()})
+// recordList is an event of the list.
+func (k *listSoak) recordList() {
+	k.listNumber++
+	k.history = append(k.history, numberedList{k.listNumber, k.listEntries()})
 }
 
-func (k *soak) add() {
-	k.servers = append(k.servers, &listed{id: fmt.Sprintf("s-%04d", len(k.servers)), engine: fake.NewEngine(k.t, k.heard)})
+func (k *listSoak) addServer() {
+	k.servers = append(k.servers, &listedServer{id: fmt.Sprintf("s-%04d", len(k.servers)), server: fake.NewEngine(k.t, k.received)})
 }
 
-// event has one server drain and another come, or one that drains go.
-func (k *soak) event() {
+// changeList has one server drain and another come, or one that drains go.
+func (k *listSoak) changeList() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var ready, draining []*listed
+	var ready, draining []*listedServer
 	for _, s := range k.servers {
 		switch {
-		case s.retired:
-		case s.drains:
+		case s.removed:
+		case s.draining:
 			draining = append(draining, s)
 		default:
 			ready = append(ready, s)
 		}
 	}
 	if len(draining) > 1 {
-		draining[0].retired = true
+		draining[0].removed = true
 	} else {
 		s := ready[k.rng.IntN(len(ready))]
-		s.drains = true
-		k.add()
+		s.draining = true
+		k.addServer()
 	}
-	k.news()
+	k.recordList()
 }
 
-// outage has the name server answer nobody for a while.
-func (k *soak) outage() {
+// startOutage has the name server answer nobody for a while.
+func (k *listSoak) startOutage() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.down = time.Now().Add(time.Duration(500+k.rng.IntN(2000)) * time.Millisecond)
+	k.downUntil = time.Now().Add(time.Duration(500+k.rng.IntN(2000)) * time.Millisecond)
 }
 
-// startOver begins the numbering of another life, which knows the list of now.
-func (k *soak) startOver() (known string) {
+// restartNumbering begins the numbering of another life, which knows the list of now.
+func (k *listSoak) restartNumbering() (known string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.number = 0
-	k.news()
+	k.listNumber = 0
+	k.recordList()
 	var targets []string
 	for _, s := range k.servers {
-		s.told = time.Time{}
-		if s.retired {
+		s.reportedAt = time.Time{}
+		if s.removed {
 			continue
 		}
 		state := "ready"
-		if s.drains {
-			state, s.told = "draining", time.Now()
+		if s.draining {
+			state, s.reportedAt = "draining", time.Now()
 		}
-		targets = append(targets, fmt.Sprintf(`{"uid":"%s","endpoint":"%s","az":"east","model":"std","state":"%s"}`, s.id, s.engine.Addr, state))
+		targets = append(targets, fmt.Sprintf(`{"uid":"%s","endpoint":"%s","az":"east","model":"std","state":"%s"}`, s.id, s.server.Addr, state))
 	}
 	return fmt.Sprintf(`"known":{"rev":1,"notices":[{"rev":1,"pool":{"rev":1,"all":true,"targets":[%s]}}]}`, strings.Join(targets, ","))
 }
 
-// tell notes that the router has been told the list of now, as far as it is about drains, at a time.
-func (k *soak) tell(at time.Time) {
+// markReported notes that the router has been told the list of now, as far as it is about drains, at a time.
+func (k *listSoak) markReported(at time.Time) {
 	for _, s := range k.servers {
-		if (s.drains || s.retired) && (s.told.IsZero() || at.Before(s.told)) {
-			s.told = at
+		if (s.draining || s.removed) && (s.reportedAt.IsZero() || at.Before(s.reportedAt)) {
+			s.reportedAt = at
 		}
 	}
 }
 
-// reply draws what becomes of a question: the answers that go out.
-func (k *soak) reply(question []byte) (answers [][]byte) {
+// answersTo draws what becomes of a question: the answers that go out.
+func (k *listSoak) answersTo(question []byte) (answers [][]byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if now.Before(k.down) {
+	if now.Before(k.downUntil) {
 		return nil
 	}
 	id := binary.BigEndian.Uint16(question)
-	good := func() []byte { return fake.Reply(id, k.number, discovery.Record, k.lines()...) }
-	if k.rng.IntN(100) >= badShare {
-		k.tell(now)
-		k.sent++
+	good := func() []byte { return fake.Reply(id, k.listNumber, discovery.Record, k.listEntries()...) }
+	if k.rng.IntN(100) >= badAnswerPercent {
+		k.markReported(now)
+		k.goodAnswers++
 		return [][]byte{good()}
 	}
-	k.tell(now.Add(toldBy))
+	k.markReported(now.Add(reportDelay))
 	switch k.rng.IntN(6) {
 	case 0: // lost
 		return nil
@@ -175,16 +175,16 @@
 		msg := good()
 		return [][]byte{msg[:k.rng.IntN(len(msg))]}
 	case 3: // under another id
-		return [][]byte{fake.Reply(id^1, k.number, discovery.Record, k.lines()...)}
+		return [][]byte{fake.Reply(id^1, k.listNumber, discovery.Record, k.listEntries()...)}
 	default: // a list of any earlier time
-		k.strays++
-		was := k.history[k.rng.IntN(len(k.history))]
-		return [][]byte{fake.Reply(id, was.number, discovery.Record, was.lines...)}
+		k.staleAnswers++
+		earlier := k.history[k.rng.IntN(len(k.history))]
+		return [][]byte{fake.Reply(id, earlier.number, discovery.Record, earlier.entries...)}
 	}
 }
 
-// serveNames answers questions until the test ends.
-func (k *soak) serveNames() (addr string) {
+// startNameServer answers questions until the test ends.
+func (k *listSoak) startNameServer() (addr string) {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		k.t.Fatal(err)
@@ -197,7 +197,7 @@
 			if err != nil {
 				return
 			}
-			for _, answer := range k.reply(buf[:n]) {
+			for _, answer := range k.answersTo(buf[:n]) {
 				c.WriteTo(answer, from)
 			}
 		}
@@ -205,13 +205,13 @@
 	return c.LocalAddr().String()
 }
 
-// judge answers a request that has reached a server, and notes one that came too late.
-func (k *soak) judge(said fake.Said) {
+// checkMessage answers a request that has reached a server, and notes one that came too late.
+func (k *listSoak) checkMessage(said fake.Said) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range k.servers {
-		if late := said.At.Sub(s.told); s.engine == said.Engine && !s.told.IsZero() && late > grace+lag {
-			k.late = append(k.late, fmt.Sprintf("request %s reached %s %v after its drain was told", said.Words[1], s.id, late))
+		if late := said.At.Sub(s.reportedAt); s.server == said.Engine && !s.reportedAt.IsZero() && late > grace+machineLag {
+			k.violations = append(k.violations, fmt.Sprintf("request %s reached %s %v after its drain was told", said.Words[1], s.id, late))
 		}
 	}
 	if said.Words[0] == "fetch" {
@@ -219,8 +219,8 @@
 	}
 }
 
-// ask sends requests to a router for as long as it lives, some hundred a second.
-func ask(addr string, stop <-chan struct{}) {
+// sendUntil sends requests to a router for as long as it lives, some hundred a second.
+func sendUntil(addr string, stop <-chan struct{}) {
 	var c net.Conn
 	for seq := int32(1); ; seq++ {
 		select {
@@ -247,78 +247,78 @@
 	}
 }
 
-// lives starts one router process after another.
-type lives struct {
-	*town
-	k     *soak
-	known string // in the configuration
-	count int
+// routerRuns starts one router process after another.
+type routerRuns struct {
+	*cluster
+	soak      *listSoak
+	knownList string // in the configuration
+	count     int
 }
 
-// begin starts a process that knows the list of now.
-func (l *lives) begin() {
-	known := l.k.startOver()
-	l.rewrite(l.known, known)
-	l.known = known
+// startNext starts a process that knows the list of now.
+func (l *routerRuns) startNext() {
+	known := l.soak.restartNumbering()
+	l.replaceConfig(l.knownList, known)
+	l.knownList = known
 	l.start()
 	go func(log chan string) {
 		for range log { // nobody reads it
 		}
-	}(l.log)
+	}(l.logLines)
 	l.count++
 }
 
-// draw has one thing happen, or nothing.
-func (l *lives) draw() {
-	l.k.mu.Lock()
-	n := l.k.rng.IntN(20)
-	l.k.mu.Unlock()
+// drawEvent has one thing happen, or nothing.
+func (l *routerRuns) drawEvent() {
+	l.soak.mu.Lock()
+	n := l.soak.rng.IntN(20)
+	l.soak.mu.Unlock()
 	switch {
 	case n < 9:
-		l.k.event()
+		l.soak.changeList()
 	case n == 9:
-		l.k.outage()
+		l.soak.startOutage()
 	case n <= 12:
 		l.cmd.Process.Kill()
 		l.cmd.Wait()
-		l.begin()
+		l.startNext()
 	}
 }
 
 // TestListSoak draws faults for some time, from a seed.
 func TestListSoak(t *testing.T) {
-	w := plan(t, 1, 1024)
-	k := &soak{t: t, heard: w.heard, rng: rand.New(rand.NewPCG(*soakSeed, 0))}
+	w := prepareCluster(t, 1, 1024)
+	k := &listSoak{t: t, received: w.received, rng: rand.New(rand.NewPCG(*soakSeed, 0))}
 	for range 4 {
-		k.add()
+		k.addServer()
 	}
-	w.rewrite(w.names.Addr, k.serveNames())
-	l := &lives{town: w, k: k, known: w.text[strings.Index(w.text, `"known":`):strings.Index(w.text, `,"settings":`)]}
-	l.begin()
+	w.replaceConfig(w.nameServer.Addr, k.startNameServer())
+	l := &routerRuns{cluster: w, soak: k, knownList: w.configText[strings.Index(w.configText, `"known":`):strings.Index(w.configText, `,"settings":`)]}
+	l.startNext()
 	stop := make(chan struct{})
 	defer close(stop)
-	go ask(w.addr, stop)
+	go sendUntil(w.addr, stop)
 	step := time.NewTicker(300 * time.Millisecond)
 	defer step.Stop()
 	served := 0
 	for end, over := time.After(*soakFor), false; !over; {
 		select {
-		case said := <-w.heard:
-			k.judge(said)
+		case said := <-w.received:
+			k.checkMessage(said)
 			served++
 		case <-step.C:
-			l.draw()
+			l.drawEvent()
 		case <-end:
 			over = true
 		}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t.Logf("%d lives, %d servers, %d good answers, %d strays, %d requests", l.count, len(k.servers), k.sent, k.strays, served)
-	for _, line := range k.late[:min(len(k.late), 10)] {
+	t.Logf("%d lives, %d servers, %d good answers, %d strays, %d requests", l.count, len(k.servers), k.goodAnswers, k.staleAnswers, served)
+	for _, line := range k.violations[:min(len(k.violations), 10)] {
 		t.Error(line)
 	}
-	if served < int(soakFor.Seconds())*20 || k.strays == 0 || l.count < 2 {
+	if served < int(soakFor.Seconds())*20 || k.staleAnswers == 0 || l.count < 2 {
 		t.Error("too little came about")
 	}
 }
--- a/cmd/dunereach/main_test.go
+++ b/cmd/dunereach/main_test.go
@@ -28,8 +28,8 @@
 	script.Programs(m, func(dir string) { program = filepath.Join(dir, "dunereach") }, "../dunecheck", ".")
 }
 
-// settingsIn writes a configuration and, unless it is empty, an operators' file to a folder, and gives the environment that names both.
-func settingsIn(dir, configText, operatorText string) []string {
+// writeSettings writes a configuration and, unless it is empty, an operators' file to a folder, and gives the environment that names both.
+func writeSettings(dir, configText, operatorText string) []string {
 	config, operator := filepath.Join(dir, "config.json"), ""
 	os.WriteFile(config, []byte(configText), 0o600)
 	if operatorText != "" {
@@ -66,7 +66,7 @@
 		{"no JSON", "", "", `{"teams":`, "line 1, column 9: unexpected end of JSON input"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			env := settingsIn(t.TempDir(), strings.Replace(string(good), c.old, c.new, 1), c.operator)
+			env := writeSettings(t.TempDir(), strings.Replace(string(good), c.old, c.new, 1), c.operator)
 			checked := exec.Command(program, "check")
 			checked.Env = env
 			out, err := checked.CombinedOutput()
@@ -90,7 +90,7 @@
 }
 
 // One kind of machine, a replayable profile, one that must never run twice and one that keeps its order.
-const settings = `{"Balancers":1,"Tick":5,"Dcs":["east"],"Kinds":["std"],"Discovery":"push",
+const testSettings = `{"Balancers":1,"Tick":5,"Dcs":["east"],"Kinds":["std"],"Discovery":"push",
 	"Classes":[{"Name":"lookup","Aim":20000,"Deadline":30000,"Effect":"safe","Worth":1},
 		{"Name":"order","Aim":20000,"Deadline":30000,"Effect":"unsafe","Worth":1},
 		{"Name":"ledger","Aim":20000,"Deadline":30000,"Effect":"safe","ByArrival":true,"Worth":1}],
@@ -98,94 +98,94 @@
 	"Limits":{"ConnIdle":30000,"ConnectTimeout":5000,"MaxStreams":100,"MaxRetryAfter":500,"OpenCap":1000,"RetryAfter":true,"SendCap":6},
 	"Obligations":{"ColdFrom":0.35,"DrainGrace":250,"Fall":1000,"FallMultiple":2,"WarmUp":15000}}`
 
-// town is a router with what it talks to.
-type town struct {
-	t        testing.TB
-	addr     string
-	config   string
-	operator string // the operators' file, "": none
-	names    *fake.NameServer
-	engines  []*fake.Engine
-	heard    chan fake.Said
-	text     string // of the configuration
-	cmd      *exec.Cmd
-	log      chan string
-	refs     int
-
-	descriptors int      // the system's limit for the router, 0: the test's own
-	environment []string // of the router, beside what it needs
-}
-
-func newTown(t testing.TB, engines int) *town { return newTownOf(t, engines, 1024) }
-
-// newTownOf is one that serves already.
-func newTownOf(t testing.TB, engines, descriptors int) *town {
-	w := plan(t, engines, descriptors)
+// cluster is a router with what it talks to.
+type cluster struct {
+	t            testing.TB
+	addr         string
+	configPath   string
+	operatorPath string // the operators' file, "": none
+	nameServer   *fake.NameServer
+	servers      []*fake.Engine
+	received     chan fake.Said
+	configText   string // of the configuration
+	cmd          *exec.Cmd
+	logLines     chan string
+	lastRef      int
+
+	descriptorLimit int      // the system's limit for the router, 0: the test's own
+	extraEnv        []string // of the router, beside what it needs
+}
+
+func newCluster(t testing.TB, servers int) *cluster { return newClusterWithLimit(t, servers, 1024) }
+
+// newClusterWithLimit is one that serves already.
+func newClusterWithLimit(t testing.TB, servers, descriptors int) *cluster {
+	w := prepareCluster(t, servers, descriptors)
 	w.start()
 	return w
 }
 
-// plan is one whose router is yet to start.
-func plan(t testing.TB, engines, descriptors int) *town {
-	w := &town{t: t, names: fake.NewNameServer(t, discovery.Record), heard: make(chan fake.Said, 1000)}
+// prepareCluster is one whose router is yet to start.
+func prepareCluster(t testing.TB, servers, descriptors int) *cluster {
+	w := &cluster{t: t, nameServer: fake.NewNameServer(t, discovery.Record), received: make(chan fake.Said, 1000)}
 	// An address that is this router's own: a port that was free on a shared one may be an engine's by the time.
 	w.addr = fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 	var targets []string
-	for k := range engines {
-		w.engines = append(w.engines, fake.NewEngine(t, w.heard))
+	for k := range servers {
+		w.servers = append(w.servers, fake.NewEngine(t, w.received))
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"east","model":"std","state":"ready"}`,
-			k, w.engines[k].Addr))
+			k, w.servers[k].Addr))
 	}
-	w.config = filepath.Join(t.TempDir(), "config.json")
+	w.configPath = filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":%d},"nameserver":"%s",
 		"known":{"rev":1,"notices":[{"rev":1,"pool":{"rev":1,"all":true,"targets":[%s]}}]},"settings":%s}`,
-		descriptors, w.names.Addr, strings.Join(targets, ","), settings)
-	w.text = text
-	if err := os.WriteFile(w.config, []byte(text), 0o600); err != nil {
+		descriptors, w.nameServer.Addr, strings.Join(targets, ","), testSettings)
+	w.configText = text
+	if err := os.WriteFile(w.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
-// rewrite replaces a part of the configuration before the router starts.
-func (w *town) rewrite(old, text string) {
+// replaceConfig replaces a part of the configuration before the router starts.
+func (w *cluster) replaceConfig(old, new string) {
 	w.t.Helper()
-	if !strings.Contains(w.text, old) {
+	if !strings.Contains(w.configText, old) {
 		w.t.Fatalf("the configuration has no %q", old)
 	}
-	w.text = strings.Replace(w.text, old, text, 1)
-	if err := os.WriteFile(w.config, []byte(w.text), 0o600); err != nil {
+	w.configText = strings.Replace(w.configText, old, new, 1)
+	if err := os.WriteFile(w.configPath, []byte(w.configText), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// pipe has the configuration come through a pipe, so that its reader waits for it.
-func (w *town) pipe() {
-	os.Remove(w.config)
-	if err := syscall.Mkfifo(w.config, 0o600); err != nil {
+// configFromPipe has the configuration come through a configFromPipe, so that its reader waits for it.
+func (w *cluster) configFromPipe() {
+	os.Remove(w.configPath)
+	if err := syscall.Mkfifo(w.configPath, 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// operators writes the operators' file.
-func (w *town) operators(text string) {
-	w.operator = filepath.Join(filepath.Dir(w.config), "operator.json")
-	if err := os.WriteFile(w.operator, []byte(text), 0o600); err != nil {
+// writeOperatorFile writes the writeOperatorFile' file.
+func (w *cluster) writeOperatorFile(text string) {
+	w.operatorPath = filepath.Join(filepath.Dir(w.configPath), "operator.json")
+	if err := os.WriteFile(w.operatorPath, []byte(text), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-func (w *town) command() *exec.Cmd {
+func (w *cluster) routerCommand() *exec.Cmd {
 	cmd := exec.Command(program)
-	cmd.Env = append([]string{"BALANCER_NAME=n1", "BALANCER_LISTEN=" + w.addr, "BALANCER_CONFIG=" + w.config,
-		"DUNEREACH_OPERATOR=" + w.operator}, w.environment...)
+	cmd.Env = append([]string{"BALANCER_NAME=n1", "BALANCER_LISTEN=" + w.addr, "BALANCER_CONFIG=" + w.configPath,
+		"DUNEREACH_OPERATOR=" + w.operatorPath}, w.extraEnv...)
 	return cmd
 }
 
-func (w *town) start() {
-	w.cmd, w.log = w.command(), make(chan string, 1000)
-	if w.descriptors > 0 {
-		w.cmd = limited(w.cmd, w.descriptors)
+func (w *cluster) start() {
+	w.cmd, w.logLines = w.routerCommand(), make(chan string, 1000)
+	if w.descriptorLimit > 0 {
+		w.cmd = withDescriptorLimit(w.cmd, w.descriptorLimit)
 	}
 	out, err := w.cmd.StderrPipe()
 	if err == nil {
@@ -194,7 +194,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	cmd, log := w.cmd, w.log
+	cmd, log := w.cmd, w.logLines
 	w.t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
 	go func() {
 		for s := bufio.NewScanner(out); s.Scan(); {
@@ -204,70 +204,70 @@
 	}()
 }
 
-// logged waits for a line of the log.
-func (w *town) logged(part string) {
+// waitForLog waits for a line of the log.
+func (w *cluster) waitForLog(part string) {
 	w.t.Helper()
-	late := time.After(fake.Patience)
+	timeout := time.After(fake.Patience)
 	for {
 		select {
-		case line, ok := <-w.log:
+		case line, ok := <-w.logLines:
 			if strings.Contains(line, part) {
 				return
 			}
 			if !ok {
 				w.t.Fatalf("the log ended without %q", part)
 			}
-		case <-late:
+		case <-timeout:
 			w.t.Fatalf("no %q in the log", part)
 		}
 	}
 }
 
-// hear waits for the next thing said to an engine, which must start with a word.
-func (w *town) hear(word string) fake.Said {
+// receive waits for the next thing said to an engine, which must start with a word.
+func (w *cluster) receive(verb string) fake.Said {
 	w.t.Helper()
 	select {
-	case s := <-w.heard:
-		if s.Words[0] != word {
-			w.t.Fatalf("an engine was sent %q, want a %s", s.Words, word)
+	case s := <-w.received:
+		if s.Words[0] != verb {
+			w.t.Fatalf("an engine was sent %q, want a %s", s.Words, verb)
 		}
 		return s
 	case <-time.After(fake.Patience):
 		w.cmd.Process.Kill()
-		for line := range w.log {
+		for line := range w.logLines {
 			w.t.Log(line)
 		}
-		w.t.Fatalf("no engine was sent a %s", word)
+		w.t.Fatalf("no engine was sent a %s", verb)
 	}
 	return fake.Said{}
 }
 
-// call asks for a statement to be run, allowing some milliseconds.
-func (w *town) call(c *fake.Client, profile string, allow int, statement string) int32 {
-	w.refs++
-	return c.Call(statement, "service", profile, "project", "acme", "allow", fmt.Sprint(allow), "ref", fmt.Sprintf("%016x", w.refs))
+// request asks for a statement to be run, allowing some milliseconds.
+func (w *cluster) request(c *fake.Client, profile string, timeoutMs int, statement string) int32 {
+	w.lastRef++
+	return c.Call(statement, "service", profile, "project", "acme", "allow", fmt.Sprint(timeoutMs), "ref", fmt.Sprintf("%016x", w.lastRef))
 }
 
-// serve has an engine run a command and checks that the client has the result.
-func (w *town) serve(c *fake.Client, profile string) fake.Said {
+// completeRequest has an engine run a command and checks that the client has the result.
+func (w *cluster) completeRequest(c *fake.Client, profile string) fake.Said {
 	w.t.Helper()
-	seq := w.call(c, profile, 30000, "SELECT 1")
-	s := w.hear("fetch")
+	seq := w.request(c, profile, 30000, "SELECT 1")
+	s := w.receive("fetch")
 	s.Answer("served", "count=1", "x\t\t\n")
-	w.expect(c, served(seq, "x\t\t\n"))
+	w.expectAnswer(c, resultMessage(seq, "x\t\t\n"))
 	return s
 }
 
-func (w *town) expect(c *fake.Client, want string) {
+func (w *cluster) expectAnswer(c *fake.Client, want string) {
 	w.t.Helper()
 	if diff := cmp.Diff(want, c.Next()); diff != "" {
 		w.t.Fatalf("the client got (-want +got):\n%s", diff)
 	}
 }
 
-func (w *town) ended(status int) {
+func (w *cluster) waitForExit(status int) {
 	w.t.Helper()
-	for range w.log { // to its end
+	for range w.logLines { // to its end
 	}
 	w.cmd.Wait()
 	if got := w.cmd.ProcessState.ExitCode(); got != status {
@@ -275,18 +275,18 @@
 	}
 }
 
-func served(seq int32, body string) string {
+func resultMessage(seq int32, body string) string {
 	return fmt.Sprintf(`2/%d call{ 0={ 1=%q 2=[ ] 3=1 } }`, seq, body)
 }
 
 func TestServed(t *testing.T) {
-	w := newTown(t, 1)
+	w := newCluster(t, 1)
 	c := fake.NewClient(t, w.addr)
 	if !c.Health() {
 		t.Fatal("not ready")
 	}
-	one, two := w.call(c, "lookup", 30000, "SELECT 'a\r\nb' FROM sales_17.orders"), w.call(c, "order", 30000, "UPDATE sales_3.x")
-	first, second := w.hear("fetch"), w.hear("fetch")
+	one, two := w.request(c, "lookup", 30000, "SELECT 'a\r\nb' FROM sales_17.orders"), w.request(c, "order", 30000, "UPDATE sales_3.x")
+	first, second := w.receive("fetch"), w.receive("fetch")
 	if second.Words[1] < first.Words[1] { // on connections of their own
 		first, second = second, first
 	}
@@ -294,79 +294,79 @@
 		t.Errorf("the engine got %q, %q", first.Words, first.Body)
 	}
 	second.Answer("served", "count=1,ticks=12.5,footprint=4", "")
-	w.expect(c, served(two, ""))
+	w.expectAnswer(c, resultMessage(two, ""))
 	first.Answer("update", "res=p,reading=0.5", "")
 	first.Answer("served", "count=3,ticks=820,footprint=96", "1\t2\t3\n")
-	w.hear("more").Answer("rows", "pos=1", "4\t5\t6\n")
-	w.hear("more").Answer("rows", "pos=2", "7\t8\t9\n")
-	w.expect(c, served(one, "1\t2\t3\n4\t5\t6\n7\t8\t9\n"))
-	w.hear("done")
+	w.receive("more").Answer("rows", "pos=1", "4\t5\t6\n")
+	w.receive("more").Answer("rows", "pos=2", "7\t8\t9\n")
+	w.expectAnswer(c, resultMessage(one, "1\t2\t3\n4\t5\t6\n7\t8\t9\n"))
+	w.receive("done")
 }
 
 // TestSilentEngine: a command that no engine answers is shed before the client gives it up, with word when to
 // come back; what is answered too late goes nowhere.
 func TestSilentEngine(t *testing.T) {
-	w := newTown(t, 1)
+	w := newCluster(t, 1)
 	c := fake.NewClient(t, w.addr)
-	seq := w.call(c, "lookup", 300, "SELECT 1")
-	late := w.hear("fetch")
-	w.expect(c, fmt.Sprintf(`2/%d call{ 1={ 1=[ cooldown=250 ] } }`, seq))
-	w.hear("abort")
+	seq := w.request(c, "lookup", 300, "SELECT 1")
+	late := w.receive("fetch")
+	w.expectAnswer(c, fmt.Sprintf(`2/%d call{ 1={ 1=[ cooldown=250 ] } }`, seq))
+	w.receive("abort")
 	late.Answer("served", "count=1", "old\t\t\n")
-	w.serve(c, "lookup")
+	w.completeRequest(c, "lookup")
 }
 
 // TestFailed: what may have run and must not run twice fails; what is replayable goes elsewhere, and no part of the
 // lost result goes to the client.
 func TestFailed(t *testing.T) {
-	w := newTown(t, 2)
+	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
-	seq := w.call(c, "order", 30000, "UPDATE sales_3.x")
-	w.hear("fetch").Die()
-	w.expect(c, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, seq))
-	seq = w.call(c, "lookup", 30000, "SELECT 1")
-	first := w.hear("fetch")
+	seq := w.request(c, "order", 30000, "UPDATE sales_3.x")
+	w.receive("fetch").Die()
+	w.expectAnswer(c, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, seq))
+	seq = w.request(c, "lookup", 30000, "SELECT 1")
+	first := w.receive("fetch")
 	first.Answer("served", "count=2", "old\t\t\n")
-	w.hear("more").Die()
-	again := w.hear("fetch")
+	w.receive("more").Die()
+	again := w.receive("fetch")
 	if again.Engine == first.Engine || again.Words[1] != first.Words[1] {
 		t.Errorf("again under %q at the same engine", again.Words)
 	}
 	again.Answer("served", "count=1", "new\t\t\n")
-	w.expect(c, served(seq, "new\t\t\n"))
+	w.expectAnswer(c, resultMessage(seq, "new\t\t\n"))
 }
 
 // TestSpoilt: an answer that can't be read costs the send that it came for; what else runs at that engine goes on, and
 // the command goes elsewhere. A second copy of a good answer costs nothing.
 func TestSpoilt(t *testing.T) {
-	w := newTown(t, 2)
+	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
 	var open []fake.Said
 	var seqs []int32
 	for range 4 {
-		seqs = append(seqs, w.call(c, "lookup", 30000, "SELECT 1"))
-		open = append(open, w.hear("fetch"))
+		seqs = append(seqs, w.request(c, "lookup", 30000, "SELECT 1"))
+		open = append(open, w.receive("fetch"))
 	}
 	open[0].Raw(open[0].Words[1] + " served count=1 3000000000\r\nnoise")
-	again := w.hear("fetch")
+	again := w.receive("fetch")
 	if again.Words[1] != open[0].Words[1] || again.Engine == open[0].Engine {
 		t.Errorf("again %q at the same engine", again.Words)
 	}
 	for k, s := range append([]fake.Said{again}, open[1:]...) {
 		s.Answer("served", "count=1", "x\t\t\n")
 		s.Answer("served", "count=1", "y\t\t\n")
-		w.expect(c, served(seqs[k], "x\t\t\n"))
+		w.expectAnswer(c, resultMessage(seqs[k], "x\t\t\n"))
 	}
-	w.serve(c, "lookup")
+	w.completeRequest(c, "lookup")
 }
 
 // TestRefused: an engine that nobody listens for never ran anything, so that even what must not run twice goes on.
 func TestRefused(t *testing.T) {
-	w := newTown(t, 2)
-	w.engines[0].Close()
+	w := newCluster(t, 2)
+	w.servers[0].Close()
 	c := fake.NewClient(t, w.addr)
 	for range 6 {
-		if s := w.serve(c, "order"); s.Engine != w.engines[1] {
+		if s := w.completeRequest(c, "order"); s.Engine != w.servers[1] {
 			t.Error("an engine that is not there was sent something")
 		}
 	}
@@ -374,35 +374,35 @@
 
 // TestDrain: once told that an engine drains it gets nothing new; what runs there still ends.
 func TestDrain(t *testing.T) {
-	w := newTown(t, 2)
+	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
 	entry := func(k, priority int) string {
-		return fmt.Sprintf("s-%d.east %d 10 std 0 0 %s", k, priority, w.engines[k].Addr)
+		return fmt.Sprintf("s-%d.east %d 10 std 0 0 %s", k, priority, w.servers[k].Addr)
 	}
-	running := w.call(c, "lookup", 30000, "SELECT 1")
-	there := w.hear("fetch")
+	running := w.request(c, "lookup", 30000, "SELECT 1")
+	there := w.receive("fetch")
 	drains := 0
-	if there.Engine == w.engines[1] {
+	if there.Engine == w.servers[1] {
 		drains = 1
 	}
-	w.names.Set(2, entry(drains, 1), entry(1-drains, 0))
-	w.logged(`"list of engines","rev":2`)
+	w.nameServer.Set(2, entry(drains, 1), entry(1-drains, 0))
+	w.waitForLog(`"list of engines","rev":2`)
 	for range 20 {
-		if s := w.serve(c, "lookup"); s.Engine == there.Engine {
+		if s := w.completeRequest(c, "lookup"); s.Engine == there.Engine {
 			t.Fatal("a draining engine was sent something")
 		}
 	}
 	there.Answer("served", "count=1", "y\t\t\n")
-	w.expect(c, served(running, "y\t\t\n"))
+	w.expectAnswer(c, resultMessage(running, "y\t\t\n"))
 }
 
 // TestClients: one that cancels is owed nothing; one that can't be read loses its connection alone.
 func TestClients(t *testing.T) {
-	w := newTown(t, 1)
+	w := newCluster(t, 1)
 	c, bad := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
-	given := w.call(c, "lookup", 30000, "SELECT 1")
-	runs := w.hear("fetch") // a cancel that came before it had left would take it back
-	c.Cancel(given)
+	cancelled := w.request(c, "lookup", 30000, "SELECT 1")
+	runs := w.receive("fetch") // a cancel that came before it had left would take it back
+	c.Cancel(cancelled)
 	if !c.Health() { // its answer tells that the cancel was read
 		t.Error("not ready")
 	}
@@ -411,18 +411,18 @@
 	if got := bad.Next(); got != "closed" && !strings.Contains(got, "reset") {
 		t.Errorf("a client that speaks another protocol got %q", got)
 	}
-	seq := w.call(c, "nobody's", 30000, "SELECT 1")
-	w.expect(c, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, seq))
-	w.serve(c, "lookup")
+	seq := w.request(c, "nobody's", 30000, "SELECT 1")
+	w.expectAnswer(c, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, seq))
+	w.completeRequest(c, "lookup")
 }
 
 // TestCrowd: connections that ask nothing, or no more, make room for those that do, and each is closed. One that asks
 // keeps its place.
 func TestCrowd(t *testing.T) {
-	w := newTownOf(t, 1, 48) // 18 of them for clients
+	w := newClusterWithLimit(t, 1, 48) // 18 of them for clients
 	c := fake.NewClient(t, w.addr)
-	seq := w.call(c, "lookup", 30000, "SELECT 1")
-	open := w.hear("fetch")
+	seq := w.request(c, "lookup", 30000, "SELECT 1")
+	open := w.receive("fetch")
 	var crowd []*fake.Client
 	for k := range 60 {
 		crowd = append(crowd, fake.NewClient(t, w.addr))
@@ -430,86 +430,86 @@
 			crowd[k].Raw([]byte{0, 0, 0, 50, 0x80})
 		}
 	}
-	w.serve(fake.NewClient(t, w.addr), "lookup")
+	w.completeRequest(fake.NewClient(t, w.addr), "lookup")
 	for _, c := range crowd {
 		if got := c.Next(); got != "closed" && !strings.Contains(got, "reset") {
 			t.Errorf("one that says nothing got %q", got)
 		}
 	}
 	open.Answer("served", "count=1", "x\t\t\n")
-	w.expect(c, served(seq, "x\t\t\n"))
+	w.expectAnswer(c, resultMessage(seq, "x\t\t\n"))
 }
 
 // TestEnd: asked to end, a router takes what still comes, answers all, and ends well. Another start under its name
 // and address begins from nothing.
 func TestEnd(t *testing.T) {
-	w := newTown(t, 1)
+	w := newCluster(t, 1)
 	c := fake.NewClient(t, w.addr)
-	one := w.call(c, "lookup", 30000, "SELECT 1")
-	first := w.hear("fetch")
+	one := w.request(c, "lookup", 30000, "SELECT 1")
+	first := w.receive("fetch")
 	w.cmd.Process.Signal(syscall.SIGTERM)
-	w.logged("asked to end")
+	w.waitForLog("asked to end")
 	if c.Health() {
 		t.Error("still ready")
 	}
-	w.serve(c, "lookup")
+	w.completeRequest(c, "lookup")
 	first.Answer("served", "count=1", "one\t\t\n")
-	w.expect(c, served(one, "one\t\t\n"))
-	w.expect(c, "closed")
-	w.ended(0)
+	w.expectAnswer(c, resultMessage(one, "one\t\t\n"))
+	w.expectAnswer(c, "closed")
+	w.waitForExit(0)
 
 	w.start()
 	c = fake.NewClient(t, w.addr)
 	if !c.Health() {
 		t.Error("not ready after a new start")
 	}
-	w.serve(c, "lookup")
+	w.completeRequest(c, "lookup")
 }
 
 // TestReload: SIGHUP, several in a row too, has the configuration read again, and what is open goes on. The name server
 // is the new one at once; what the old one says counts no more. A file that can't be read changes nothing.
 func TestReload(t *testing.T) {
-	w := newTown(t, 2)
+	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
-	seq := w.call(c, "lookup", 30000, "SELECT 1")
-	open := w.hear("fetch")
-	good, err := os.ReadFile(w.config)
+	seq := w.request(c, "lookup", 30000, "SELECT 1")
+	open := w.receive("fetch")
+	good, err := os.ReadFile(w.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reload := func(text string, log string) {
-		os.WriteFile(w.config, []byte(text), 0o600)
+		os.WriteFile(w.configPath, []byte(text), 0o600)
 		w.cmd.Process.Signal(syscall.SIGHUP)
 		w.cmd.Process.Signal(syscall.SIGHUP)
-		w.logged(log)
+		w.waitForLog(log)
 	}
 	reload(string(good[:len(good)/2]), "new configuration not taken")
 	names := fake.NewNameServer(t, discovery.Record)
-	other := strings.Replace(string(good), w.names.Addr, names.Addr, 1)
+	other := strings.Replace(string(good), w.nameServer.Addr, names.Addr, 1)
 	reload(strings.Replace(other, "192", "96", 1), `"kept until a restart":["limits"]`)
-	w.names.Set(9)
-	names.Set(2, fmt.Sprintf("s-1.east 0 10 std 0 0 %s", w.engines[1].Addr))
-	w.logged(`"list of engines","rev":2`)
+	w.nameServer.Set(9)
+	names.Set(2, fmt.Sprintf("s-1.east 0 10 std 0 0 %s", w.servers[1].Addr))
+	w.waitForLog(`"list of engines","rev":2`)
 	for range 9 {
-		if s := w.serve(c, "lookup"); s.Engine != w.engines[1] {
+		if s := w.completeRequest(c, "lookup"); s.Engine != w.servers[1] {
 			t.Error("an engine that is gone was sent something")
 		}
 	}
 	open.Answer("served", "count=1", "y\t\t\n")
-	w.expect(c, served(seq, "y\t\t\n"))
+	w.expectAnswer(c, resultMessage(seq, "y\t\t\n"))
 	w.cmd.Process.Signal(syscall.SIGTERM)
 	w.cmd.Process.Signal(syscall.SIGHUP)
-	w.logged("asked to end")
-	w.serve(c, "lookup")
-	w.expect(c, "closed")
-	w.ended(0)
+	w.waitForLog("asked to end")
+	w.completeRequest(c, "lookup")
+	w.expectAnswer(c, "closed")
+	w.waitForExit(0)
 }
 
 // TestNoStart: what can't serve says why in one line and ends with a status.
 func TestNoStart(t *testing.T) {
-	w := newTown(t, 1)
-	w.logged("serving")
-	good, err := os.ReadFile(w.config)
+	w := newCluster(t, 1)
+	w.waitForLog("serving")
+	good, err := os.ReadFile(w.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -521,7 +521,7 @@
 		"known":      func(m map[string]any) { m["known"] = map[string]any{"notices": []any{7}} },
 		"names no":   nil,
 	} {
-		cmd := w.command()
+		cmd := w.routerCommand()
 		if change == nil {
 			cmd.Env = nil
 		} else {
@@ -529,7 +529,7 @@
 			json.Unmarshal(good, &m)
 			change(m)
 			text, _ := json.Marshal(m)
-			os.WriteFile(w.config, text, 0o600)
+			os.WriteFile(w.configPath, text, 0o600)
 		}
 		out, err := cmd.CombinedOutput()
 		if err == nil || !strings.Contains(string(out), want) || strings.Count(string(out), "\n") != 1 {
@@ -541,56 +541,56 @@
 // TestTeams: the operators' file has budgets and waits kept: a call names its team, answers and refusals tell waits, the
 // file is taken again at SIGHUP, a bad one changes nothing, and what can't change is said.
 func TestTeams(t *testing.T) {
-	w := plan(t, 1, 1024)
-	w.operators(`{"teams":[{"name":"a","weight":1,"tenants":["acme"]},{"name":"b","weight":1}],
+	w := prepareCluster(t, 1, 1024)
+	w.writeOperatorFile(`{"teams":[{"name":"a","weight":1,"tenants":["acme"]},{"name":"b","weight":1}],
 		"budgets":{"default":"a","by_call":true},"waits":{"fields":true}}`)
 	w.start()
 	c := fake.NewClient(t, w.addr)
-	if w.logged("serving"); !c.Health() {
+	if w.waitForLog("serving"); !c.Health() {
 		t.Fatal("not ready")
 	}
-	ask := func(team string) string {
-		w.refs++
-		c.Call("select 1", "service", "lookup", "project", "acme", "team", team, "allow", "20000", "ref", fmt.Sprintf("%016x", w.refs))
-		w.hear("fetch").Answer("served", "count=1,ticks=5", "a\tb\tc\n")
+	completeAs := func(team string) string {
+		w.lastRef++
+		c.Call("select 1", "service", "lookup", "project", "acme", "team", team, "allow", "20000", "ref", fmt.Sprintf("%016x", w.lastRef))
+		w.receive("fetch").Answer("served", "count=1,ticks=5", "a\tb\tc\n")
 		return c.Next()
 	}
 	fields := regexp.MustCompile(`2=\[ wait_p50=\d+ wait_p90=\d+ waited=0 \]`)
-	if got := ask("b"); !fields.MatchString(got) {
+	if got := completeAs("b"); !fields.MatchString(got) {
 		t.Errorf("an answer tells no waits: %s", got)
 	}
-	ask("nobody")
-	signal := func(text, line string) {
+	completeAs("nobody")
+	reload := func(text, line string) {
 		t.Helper()
-		w.operators(text)
+		w.writeOperatorFile(text)
 		w.cmd.Process.Signal(syscall.SIGHUP)
-		w.logged(line)
+		w.waitForLog(line)
 	}
-	signal(`{"teams":[{"name":"a","weight":0}],"budgets":{"default":"a"}}`, "/teams/0/weight: 0 is not over 0")
-	if got := ask("b"); !fields.MatchString(got) {
+	reload(`{"teams":[{"name":"a","weight":0}],"budgets":{"default":"a"}}`, "/teams/0/weight: 0 is not over 0")
+	if got := completeAs("b"); !fields.MatchString(got) {
 		t.Errorf("a bad file changed what is told: %s", got)
 	}
-	signal(`{"teams":[{"name":"c","weight":1,"tenants":["acme"]}],"budgets":{"default":"c"},"waits":{"fields":false}}`,
+	reload(`{"teams":[{"name":"c","weight":1,"tenants":["acme"]}],"budgets":{"default":"c"},"waits":{"fields":false}}`,
 		`"kept until a restart":[]`)
-	if got := ask("b"); strings.Contains(got, "wait_p50") {
+	if got := completeAs("b"); strings.Contains(got, "wait_p50") {
 		t.Errorf("waits are told although the file says no: %s", got)
 	}
-	signal(`{}`, `"kept until a restart":["teams","waits"]`)
-	ask("b")
+	reload(`{}`, `"kept until a restart":["teams","waits"]`)
+	completeAs("b")
 }
 
 // BenchmarkThrift is commands from client to engine and back, with the router on one core: 32 connections, each with one
 // command at a time, and an engine that answers at once.
 func BenchmarkThrift(b *testing.B) {
-	w := newTown(b, 1)
+	w := newCluster(b, 1)
 	go func() {
-		for s := range w.heard {
+		for s := range w.received {
 			if s.Words[0] == "fetch" {
 				s.Answer("served", "count=1,ticks=5", "a\tb\tc\n")
 			}
 		}
 	}()
-	w.logged("serving")
+	w.waitForLog("serving")
 	const clients = 32
 	var group sync.WaitGroup
 	for k := range clients {
@@ -612,21 +612,21 @@
 // TestExpected: a new configuration that fails its expectations is not taken, where the operators' file says so; one that
 // holds them is.
 func TestExpected(t *testing.T) {
-	w := plan(t, 1, 1024)
-	folder := filepath.Join(filepath.Dir(w.config), "expectations")
+	w := prepareCluster(t, 1, 1024)
+	folder := filepath.Join(filepath.Dir(w.configPath), "expectations")
 	os.Mkdir(folder, 0o700)
-	expects := func(grace string) {
+	expectGrace := func(grace string) {
 		os.WriteFile(filepath.Join(folder, "a.json"), []byte(`{"expectations":[{"name":"grace","says":"The grace is a quarter of a second.",
 			"given":{"seconds":2,"traffic":[{"name":"t","profile":"lookup","rate":20,"work":0.1}]},
 			"holds":[{"always":{"on":"send","that":"grace == `+grace+`"}}]}]}`), 0o600)
 	}
-	w.operators(fmt.Sprintf(`{"expect":{"folder":%q,"refuse":true}}`, folder))
-	expects("0.5")
+	w.writeOperatorFile(fmt.Sprintf(`{"expect":{"folder":%q,"refuse":true}}`, folder))
+	expectGrace("0.5")
 	w.start()
-	w.logged("serving")
+	w.waitForLog("serving")
 	w.cmd.Process.Signal(syscall.SIGHUP)
-	w.logged("it fails its expectations: failed  grace: The grace is a quarter of a second.")
-	expects("0.25")
+	w.waitForLog("it fails its expectations: failed  grace: The grace is a quarter of a second.")
+	expectGrace("0.25")
 	w.cmd.Process.Signal(syscall.SIGHUP)
-	w.logged(`"msg":"new configuration"`)
+	w.waitForLog(`"msg":"new configuration"`)
 }
--- a/cmd/dunereach/names_test.go
+++ b/cmd/dunereach/names_test.go
@@ -18,24 +18,24 @@
 		"a b": false, "a,ms=1": false, "a\r\nabort": false, "a\tb": false, "a\u00a0b": false, "a\x00b": false,
 	} {
 		t.Run(fmt.Sprintf("%q", name), func(t *testing.T) {
-			w := plan(t, 1, 1024)
+			w := prepareCluster(t, 1, 1024)
 			quoted, _ := json.Marshal(name)
-			text := strings.Replace(w.text, `"Name":"lookup"`, `"Name":`+string(quoted), 1)
-			if err := os.WriteFile(w.config, []byte(text), 0o600); err != nil {
+			text := strings.Replace(w.configText, `"Name":"lookup"`, `"Name":`+string(quoted), 1)
+			if err := os.WriteFile(w.configPath, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			w.start()
 			c := fake.NewClient(t, w.addr)
 			if usable {
-				if s := w.serve(c, name); !strings.HasPrefix(s.Words[2], "kind="+name+",ms=") {
+				if s := w.completeRequest(c, name); !strings.HasPrefix(s.Words[2], "kind="+name+",ms=") {
 					t.Errorf("the server was sent %q", s.Words)
 				}
 			} else {
-				seq := w.call(c, name, 30000, "SELECT 1")
-				w.expect(c, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, seq))
-				w.logged("class name can't be told to servers")
+				seq := w.request(c, name, 30000, "SELECT 1")
+				w.expectAnswer(c, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, seq))
+				w.waitForLog("class name can't be told to servers")
 			}
-			w.serve(c, "order")
+			w.completeRequest(c, "order")
 		})
 	}
 }
--- a/cmd/dunereach/profiles_test.go
+++ b/cmd/dunereach/profiles_test.go
@@ -11,30 +11,30 @@
 // TestToken: what a client sends for a repeat to be known by goes on to engines with each send, unchanged; one that could
 // not stand there is refused.
 func TestToken(t *testing.T) {
-	w := newTown(t, 2)
+	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
 	call := func(token string) int32 {
-		w.refs++
-		return c.Call("SELECT 1", "service", "lookup", "project", "acme", "allow", "30000", "ref", fmt.Sprintf("%016x", w.refs), "replay", token)
+		w.lastRef++
+		return c.Call("SELECT 1", "service", "lookup", "project", "acme", "allow", "30000", "ref", fmt.Sprintf("%016x", w.lastRef), "replay", token)
 	}
 	seq := call("f67149c9:8847")
-	first := w.hear("fetch")
+	first := w.receive("fetch")
 	first.Die()
-	again := w.hear("fetch")
+	again := w.receive("fetch")
 	for _, s := range []fake.Said{first, again} {
 		if !strings.HasSuffix(s.Words[2], ",token=f67149c9:8847") {
 			t.Errorf("an engine was sent %q", s.Words)
 		}
 	}
 	again.Answer("served", "count=1", "x\t\t\n")
-	w.expect(c, served(seq, "x\t\t\n"))
+	w.expectAnswer(c, resultMessage(seq, "x\t\t\n"))
 	for _, bad := range []string{"a,ms=1", "a b", "a\r\nabort", "a=b", strings.Repeat("x", 129)} {
 		call(bad)
 		if got := c.Next(); !strings.Contains(got, "replay can't be used") {
 			t.Errorf("%q: %s", bad, got)
 		}
 	}
-	if s := w.serve(c, "lookup"); strings.Contains(s.Words[2], "token") {
+	if s := w.completeRequest(c, "lookup"); strings.Contains(s.Words[2], "token") {
 		t.Errorf("one without was sent with %q", s.Words)
 	}
 }
@@ -42,62 +42,62 @@
 // TestOrdered: of an ordered profile, commands with one key run one at a time and in the order in which they came, whatever
 // connections they came on; those with another key, with none, or of another profile don't wait for them.
 func TestOrdered(t *testing.T) {
-	w := newTown(t, 2)
+	w := newCluster(t, 2)
 	a, b := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
 	call := func(c *fake.Client, profile, statement string, key ...string) int32 {
-		w.refs++
+		w.lastRef++
 		return c.Call(statement, append([]string{"service", profile, "project", "acme", "allow", "30000", "ref",
-			fmt.Sprintf("%016x", w.refs)}, key...)...)
+			fmt.Sprintf("%016x", w.lastRef)}, key...)...)
 	}
 	one := call(a, "ledger", "SELECT 1", "lookup", "000616d7ae5218ff")
-	first := w.hear("fetch")
+	first := w.receive("fetch")
 	two := call(b, "ledger", "SELECT 2", "lookup", "000616d7ae5218ff")
 	for k, free := range [][]string{{"ledger", "lookup", "000616d7ae5218fe"}, {"ledger"}, {"lookup", "lookup", "000616d7ae5218ff"}} {
 		seq := call(b, free[0], fmt.Sprintf("SELECT %d", 3+k), free[1:]...)
-		s := w.hear("fetch")
+		s := w.receive("fetch")
 		if want := fmt.Sprintf("SELECT %d", 3+k); s.Body != want {
 			t.Fatalf("an engine was sent %q, want %q", s.Body, want)
 		}
 		s.Answer("served", "count=1", "x\t\t\n")
-		w.expect(b, served(seq, "x\t\t\n"))
+		w.expectAnswer(b, resultMessage(seq, "x\t\t\n"))
 	}
 	first.Answer("served", "count=1", "x\t\t\n")
-	w.expect(a, served(one, "x\t\t\n"))
-	second := w.hear("fetch")
+	w.expectAnswer(a, resultMessage(one, "x\t\t\n"))
+	second := w.receive("fetch")
 	if second.Body != "SELECT 2" {
 		t.Errorf("an engine was sent %q", second.Body)
 	}
 	second.Answer("served", "count=1", "y\t\t\n")
-	w.expect(b, served(two, "y\t\t\n"))
+	w.expectAnswer(b, resultMessage(two, "y\t\t\n"))
 }
 
 // TestRepeated: a client's further try, while the first is out or after it failed, is a command of its own with one answer; the
 // same id on another connection fails while the first waits, which goes on, and is free again after it.
 func TestRepeated(t *testing.T) {
-	w := newTown(t, 2)
+	w := newCluster(t, 2)
 	a, b := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
 	call := func(c *fake.Client, ref string) int32 {
 		return c.Call("UPDATE sales_3.x", "service", "order", "project", "acme", "allow", "30000", "ref", strings.Repeat(ref, 16))
 	}
 	one := call(a, "a")
-	first := w.hear("fetch")
-	w.expect(b, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, call(b, "a")))
+	first := w.receive("fetch")
+	w.expectAnswer(b, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, call(b, "a")))
 	two := call(b, "b")
-	again := w.hear("fetch")
+	again := w.receive("fetch")
 	again.Answer("served", "count=1", "2\t\t\n")
-	w.expect(b, served(two, "2\t\t\n"))
+	w.expectAnswer(b, resultMessage(two, "2\t\t\n"))
 	first.Answer("served", "count=1", "1\t\t\n")
-	w.expect(a, served(one, "1\t\t\n"))
+	w.expectAnswer(a, resultMessage(one, "1\t\t\n"))
 	three := call(b, "a")
-	w.hear("fetch").Die() // it may have run
-	w.expect(b, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, three))
+	w.receive("fetch").Die() // it may have run
+	w.expectAnswer(b, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, three))
 	four := call(b, "a")
-	w.hear("fetch").Answer("served", "count=1", "4\t\t\n")
-	w.expect(b, served(four, "4\t\t\n"))
+	w.receive("fetch").Answer("served", "count=1", "4\t\t\n")
+	w.expectAnswer(b, resultMessage(four, "4\t\t\n"))
 	if !a.Health() || !b.Health() { // and nothing more
 		t.Error("not ready")
 	}
-	if len(w.heard) > 0 {
-		t.Errorf("an engine was sent %q", (<-w.heard).Words)
+	if len(w.received) > 0 {
+		t.Errorf("an engine was sent %q", (<-w.received).Words)
 	}
 }
--- a/cmd/dunereach/signal_test.go
+++ b/cmd/dunereach/signal_test.go
@@ -15,33 +15,33 @@
 
 // TestHalfWritten: a configuration that is half written when the signal comes is taken once it is whole, without another.
 func TestHalfWritten(t *testing.T) {
-	w := newTown(t, 1)
-	w.logged("serving")
-	good, err := os.ReadFile(w.config)
+	w := newCluster(t, 1)
+	w.waitForLog("serving")
+	good, err := os.ReadFile(w.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := strings.Replace(string(good), `"memory_mb":192`, `"memory_mb":96`, 1)
-	f, err := os.Create(w.config)
+	f, err := os.Create(w.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprint(f, text[:len(text)/2])
 	w.cmd.Process.Signal(syscall.SIGHUP)
-	w.logged("new configuration not taken")
+	w.waitForLog("new configuration not taken")
 	fmt.Fprint(f, text[len(text)/2:])
 	f.Close()
-	w.logged(`"kept until a restart":["limits"]`)
+	w.waitForLog(`"kept until a restart":["limits"]`)
 }
 
 // TestEndsEarly: asked to end while it starts, a router ends well and has taken nothing that it does not answer; so does one
 // that is asked to end and to read its configuration again, many times over.
 func TestEndsEarly(t *testing.T) {
 	for _, wait := range []time.Duration{0, 5, 20, 100} {
-		w := plan(t, 1, 1024)
-		w.pipe() // it can't start before its configuration is there
+		w := prepareCluster(t, 1, 1024)
+		w.configFromPipe() // it can't start before its configuration is there
 		w.start()
-		f, err := os.OpenFile(w.config, os.O_WRONLY, 0) // it has been opened to be read
+		f, err := os.OpenFile(w.configPath, os.O_WRONLY, 0) // it has been opened to be read
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,16 +50,16 @@
 			w.cmd.Process.Signal(syscall.SIGHUP)
 			w.cmd.Process.Signal(syscall.SIGTERM)
 		}
-		f.WriteString(w.text)
+		f.WriteString(w.configText)
 		f.Close()
-		w.ended(0)
+		w.waitForExit(0)
 	}
 }
 
 // TestNoReader: a router whose log nobody reads ends all the same.
 func TestNoReader(t *testing.T) {
-	w := plan(t, 1, 1024)
-	cmd := w.command()
+	w := prepareCluster(t, 1, 1024)
+	cmd := w.routerCommand()
 	r, out, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -95,8 +95,8 @@
 
 // TestReaderGone: a router whose log's reader has gone serves on.
 func TestReaderGone(t *testing.T) {
-	w := plan(t, 1, 1024)
-	cmd := w.command()
+	w := prepareCluster(t, 1, 1024)
+	cmd := w.routerCommand()
 	r, out, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -130,25 +130,25 @@
 // TestReadySoon: two dozen routers that start at once on a busy machine, with a name server that says nothing, are ready in the
 // time that a restart is given.
 func TestReadySoon(t *testing.T) {
-	mute, err := net.ListenPacket("udp", "127.0.0.1:0")
+	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
-	towns := make([]*town, 24)
-	for k := range towns {
-		w := plan(t, 1, 1024)
-		if err := os.WriteFile(w.config, []byte(strings.Replace(w.text, w.names.Addr, mute.LocalAddr().String(), 1)), 0o600); err != nil {
+	defer silent.Close()
+	clusters := make([]*cluster, 24)
+	for k := range clusters {
+		w := prepareCluster(t, 1, 1024)
+		if err := os.WriteFile(w.configPath, []byte(strings.Replace(w.configText, w.nameServer.Addr, silent.LocalAddr().String(), 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		towns[k] = w
+		clusters[k] = w
 	}
 	from := time.Now()
-	for _, w := range towns {
+	for _, w := range clusters {
 		w.start()
 	}
 	var took []float64
-	for _, w := range towns {
+	for _, w := range clusters {
 		if c := fake.NewClient(t, w.addr); !c.Health() {
 			t.Error("not ready")
 		}
--- a/cmd/dunereach/subset_test.go
+++ b/cmd/dunereach/subset_test.go
@@ -9,24 +9,24 @@
 
 // TestSubset: a router with a subset sends to the databases of it alone, and to more of them once those can't be reached.
 func TestSubset(t *testing.T) {
-	w := plan(t, 6, 1024)
-	w.operators(`{"subset":{"size":2,"room":0,"least":0}}`)
+	w := prepareCluster(t, 6, 1024)
+	w.writeOperatorFile(`{"subset":{"size":2,"room":0,"least":0}}`)
 	w.start()
 	c := fake.NewClient(t, w.addr)
-	var held []*fake.Engine
-	const open = 8 // at once, so that they spread over all that there are
+	var subset []*fake.Engine
+	const requests = 8 // at once, so that they spread over all that there are
 	var running []fake.Said
-	for range open {
-		w.call(c, "lookup", 30000, "SELECT 1")
+	for range requests {
+		w.request(c, "lookup", 30000, "SELECT 1")
 	}
-	for range open {
-		s := w.hear("fetch")
-		if running = append(running, s); !slices.Contains(held, s.Engine) {
-			held = append(held, s.Engine)
+	for range requests {
+		s := w.receive("fetch")
+		if running = append(running, s); !slices.Contains(subset, s.Engine) {
+			subset = append(subset, s.Engine)
 		}
 	}
-	if len(held) != 2 {
-		t.Fatalf("%d databases were sent something, the subset is of 2", len(held))
+	if len(subset) != 2 {
+		t.Fatalf("%d databases were sent something, the subset is of 2", len(subset))
 	}
 	for _, s := range running {
 		s.Answer("served", "count=1", "x\t\t\n")
@@ -34,15 +34,15 @@
 	}
 
 	w.cmd.Process.Kill()
-	for range w.log { // to its end
+	for range w.logLines { // to its end
 	}
-	for _, e := range held {
+	for _, e := range subset {
 		e.Close()
 	}
 	w.start() // under the same name it has the same subset
 	c = fake.NewClient(t, w.addr)
 	for range 6 {
-		if s := w.serve(c, "order"); slices.Contains(held, s.Engine) {
+		if s := w.completeRequest(c, "order"); slices.Contains(subset, s.Engine) {
 			t.Error("a database that is not there was sent something")
 		}
 	}
--- a/cmd/dunereach/undelivered_test.go
+++ b/cmd/dunereach/undelivered_test.go
@@ -24,18 +24,18 @@
 const (
 	// grace is the settings' time for sends to a server that drains, with the protocol's slack of 50 ms.
 	grace = 300 * time.Millisecond
-	// shut is more than the window of a server that does not read, and far less than what the system holds for a sender.
-	shut = 100 << 10
-	// oneConnection is the number of descriptors with which a router shares one connection to a single server among its attempts.
-	oneConnection = 20
+	// overWindow is more than the window of a server that does not read, and far less than what the system holds for a sender.
+	overWindow = 100 << 10
+	// oneConnectionLimit is the number of descriptors with which a router shares one connection to a single server among its attempts.
+	oneConnectionLimit = 20
 )
 
 // stalledServer accepts connections with a small window and reads nothing until it is told to.
 type stalledServer struct {
-	addr    string
-	resumed chan struct{}
-	fetches chan string // ids of whole requests, as they are read
-	ended   chan struct{}
+	addr       string
+	resumed    chan struct{}
+	requestIDs chan string // ids of whole requests, as they are read
+	ended      chan struct{}
 }
 
 // newStalledServer is one that accepts a single connection.
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	s := &stalledServer{addr: listener.Addr().String(), resumed: make(chan struct{}), fetches: make(chan string, 100), ended: make(chan struct{})}
+	s := &stalledServer{addr: listener.Addr().String(), resumed: make(chan struct{}), requestIDs: make(chan string, 100), ended: make(chan struct{})}
 	go func() {
 		defer close(s.ended)
 		conn, err := listener.Accept()
@@ -58,13 +58,13 @@
 		}
 		defer conn.Close()
 		<-s.resumed
-		s.read(conn)
+		s.readRequests(conn)
 	}()
 	return s
 }
 
-// read notes whole requests until the connection ends or is quiet for a second.
-func (s *stalledServer) read(conn net.Conn) {
+// readRequests notes whole requests until the connection ends or is quiet for a second.
+func (s *stalledServer) readRequests(conn net.Conn) {
 	for r := bufio.NewReader(conn); ; {
 		conn.SetReadDeadline(time.Now().Add(time.Second))
 		line, err := r.ReadString('\n')
@@ -80,12 +80,12 @@
 		if _, err := io.CopyN(io.Discard, r, int64(size+len("\r\n"))); err != nil {
 			return
 		}
-		s.fetches <- words[1]
+		s.requestIDs <- words[1]
 	}
 }
 
-// received lets the server read on and returns the ids of the requests that it gets whole from then on.
-func (s *stalledServer) received(t *testing.T) (ids []string) {
+// resume lets the server read on and returns the ids of the requests that it gets whole from then on.
+func (s *stalledServer) resume(t *testing.T) (ids []string) {
 	t.Helper()
 	close(s.resumed)
 	select {
@@ -93,71 +93,71 @@
 	case <-time.After(fake.Patience):
 		t.Fatal("the server reads on and on")
 	}
-	close(s.fetches)
-	for id := range s.fetches {
+	close(s.requestIDs)
+	for id := range s.requestIDs {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// stalledTown is a router whose only server is stalled, with all attempts on one connection.
-func stalledTown(t *testing.T) (w *town, server *stalledServer) {
+// newStalledCluster is a router whose only server is stalled, with all attempts on one connection.
+func newStalledCluster(t *testing.T) (w *cluster, server *stalledServer) {
 	t.Helper()
-	w = plan(t, 1, oneConnection)
+	w = prepareCluster(t, 1, oneConnectionLimit)
 	server = newStalledServer(t)
-	w.rewrite(w.engines[0].Addr, server.addr)
-	w.rewrite(`"CpuOfKind":[8]`, `"CpuOfKind":[64]`) // room for all that a test asks
-	w.environment = []string{logs.LevelVariable + "=debug"}
+	w.replaceConfig(w.servers[0].Addr, server.addr)
+	w.replaceConfig(`"CpuOfKind":[8]`, `"CpuOfKind":[64]`) // room for all that a test asks
+	w.extraEnv = []string{logs.LevelVariable + "=debug"}
 	w.start()
 	return w, server
 }
 
-// ask sends a request of a size and waits until the router has written its attempt.
-func (w *town) ask(c *fake.Client, profile string, allow, size int) (seq int32, id string) {
+// requestWritten sends a request of a size and waits until the router has written its attempt.
+func (w *cluster) requestWritten(c *fake.Client, profile string, timeoutMs, size int) (seq int32, id string) {
 	w.t.Helper()
-	seq = w.call(c, profile, allow, "SELECT '"+strings.Repeat("x", size)+"'")
-	id = fmt.Sprintf("%016x", w.refs)
-	w.logged(fmt.Sprintf(`"attempt written","request":%q`, id))
+	seq = w.request(c, profile, timeoutMs, "SELECT '"+strings.Repeat("x", size)+"'")
+	id = fmt.Sprintf("%016x", w.lastRef)
+	w.waitForLog(fmt.Sprintf(`"attempt written","request":%q`, id))
 	return seq, id
 }
 
-// drain has the name server tell that the only server drains, and waits until the grace is over.
-func (w *town) drain(server *stalledServer) {
+// drainStalled has the name server tell that the only server drains, and waits until the grace is over.
+func (w *cluster) drainStalled(server *stalledServer) {
 	w.t.Helper()
-	w.names.Set(2, fmt.Sprintf("s-0.east 1 10 std 0 0 %s", server.addr))
-	w.logged(`"to":"draining"`)
+	w.nameServer.Set(2, fmt.Sprintf("s-0.east 1 10 std 0 0 %s", server.addr))
+	w.waitForLog(`"to":"draining"`)
 	time.Sleep(grace)
 }
 
 // TestDrainUndelivered: what a router has written and its system has not delivered never reaches a server past the grace of its drain,
 // whether the attempt is still out, was given up before, or stands before a write that blocks.
 func TestDrainUndelivered(t *testing.T) {
-	const short = 300 // milliseconds that a client waits
-	for name, before := range map[string]func(w *town, c *fake.Client) string{
-		"out": func(w *town, c *fake.Client) string {
-			_, id := w.ask(c, "lookup", 30000, 1)
+	const shortTimeoutMs = 300 // milliseconds that a client waits
+	for name, before := range map[string]func(w *cluster, c *fake.Client) string{
+		"out": func(w *cluster, c *fake.Client) string {
+			_, id := w.requestWritten(c, "lookup", 30000, 1)
 			return id
 		},
-		"given up": func(w *town, c *fake.Client) string {
-			_, id := w.ask(c, "lookup", short, 1)
-			w.logged(fmt.Sprintf(`"request rejected","request":%q`, id))
+		"given up": func(w *cluster, c *fake.Client) string {
+			_, id := w.requestWritten(c, "lookup", shortTimeoutMs, 1)
+			w.waitForLog(fmt.Sprintf(`"request rejected","request":%q`, id))
 			return id
 		},
-		"before a write that blocks": func(w *town, c *fake.Client) string {
-			_, id := w.ask(c, "lookup", 30000, 1)
+		"before a write that blocks": func(w *cluster, c *fake.Client) string {
+			_, id := w.requestWritten(c, "lookup", 30000, 1)
 			for range 30 { // more than the system takes for one connection
-				w.ask(c, "lookup", 30000, shut)
+				w.requestWritten(c, "lookup", 30000, overWindow)
 			}
 			return id
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, server := stalledTown(t)
+			w, server := newStalledCluster(t)
 			c := fake.NewClient(t, w.addr)
-			w.ask(c, "lookup", 30000, shut)
+			w.requestWritten(c, "lookup", 30000, overWindow)
 			late := before(w, c)
-			w.drain(server)
-			for _, id := range server.received(t) {
+			w.drainStalled(server)
+			for _, id := range server.resume(t) {
 				if id == late {
 					t.Errorf("request %s reached a draining server past the grace", id)
 				}
@@ -168,28 +168,28 @@
 
 // TestLeftUndelivered: requests whose client has left while they had not arrived at their server do not arrive later.
 func TestLeftUndelivered(t *testing.T) {
-	w, server := stalledTown(t)
+	w, server := newStalledCluster(t)
 	c := fake.NewClient(t, w.addr)
-	w.ask(c, "lookup", 30000, shut)
-	w.ask(c, "lookup", 30000, 1)
+	w.requestWritten(c, "lookup", 30000, overWindow)
+	w.requestWritten(c, "lookup", 30000, 1)
 	c.Leave()
-	w.logged(`"why":"requests undelivered"`)
-	if ids := server.received(t); len(ids) > 0 {
+	w.waitForLog(`"why":"requests undelivered"`)
+	if ids := server.resume(t); len(ids) > 0 {
 		t.Errorf("requests %q ran for a client that had left", ids)
 	}
 }
 
 // TestEndUndelivered: what a router has given up and its system has not delivered does not arrive after the router's end.
 func TestEndUndelivered(t *testing.T) {
-	const short = 300 // milliseconds that a client waits
-	w, server := stalledTown(t)
+	const shortTimeoutMs = 300 // milliseconds that a client waits
+	w, server := newStalledCluster(t)
 	c := fake.NewClient(t, w.addr)
-	w.ask(c, "lookup", short, shut)
-	_, id := w.ask(c, "lookup", short, 1)
-	w.logged(fmt.Sprintf(`"request rejected","request":%q`, id))
+	w.requestWritten(c, "lookup", shortTimeoutMs, overWindow)
+	_, id := w.requestWritten(c, "lookup", shortTimeoutMs, 1)
+	w.waitForLog(fmt.Sprintf(`"request rejected","request":%q`, id))
 	w.cmd.Process.Signal(syscall.SIGTERM)
-	w.ended(0)
-	if ids := server.received(t); len(ids) > 0 {
+	w.waitForExit(0)
+	if ids := server.resume(t); len(ids) > 0 {
 		t.Errorf("requests %q ran after their router's end", ids)
 	}
 }
--- a/cmd/dunereach/waited_test.go
+++ b/cmd/dunereach/waited_test.go
@@ -14,45 +14,45 @@
 // TestWaitedUnread guards against a server that is told more time than the client has left, as the request lay unread with the system: on a
 // connection behind a crowd, and on old and new ones while the router stood still.
 func TestWaitedUnread(t *testing.T) {
-	const allow = 10 * time.Second
+	const timeout = 10 * time.Second
 	for _, c := range []struct {
-		name string
-		wait func(w *town) // before the request is sent
-		then func(w *town) // after it
-		dial bool          // on a new connection
+		name          string
+		before        func(w *cluster) // before the request is sent
+		after         func(w *cluster) // after it
+		newConnection bool             // on a new connection
 	}{
-		{"behind a crowd", func(w *town) { w.crowd(halfCrowd, 40) }, func(*town) {}, true},
-		{"new while stopped", (*town).standStill, goOn, true},
-		{"open while stopped", (*town).standStill, goOn, false},
+		{"behind a crowd", func(w *cluster) { w.connectCrowd(partialMessageCrowd, 40) }, func(*cluster) {}, true},
+		{"new while stopped", (*cluster).suspend, resumeLater, true},
+		{"open while stopped", (*cluster).suspend, resumeLater, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTownOf(t, 1, smallTable)
-			w.logged("serving")
+			w := newClusterWithLimit(t, 1, smallDescriptorLimit)
+			w.waitForLog("serving")
 			client := fake.NewClient(t, w.addr)
 			if !client.Health() {
 				t.Fatal("not ready")
 			}
-			c.wait(w)
-			if c.dial {
+			c.before(w)
+			if c.newConnection {
 				client = fake.NewClient(t, w.addr)
 			}
 			from := time.Now()
-			w.call(client, "lookup", int(allow.Milliseconds()), "SELECT 1")
-			c.then(w)
-			said := w.hear("fetch")
+			w.request(client, "lookup", int(timeout.Milliseconds()), "SELECT 1")
+			c.after(w)
+			said := w.receive("fetch")
 			waited := said.At.Sub(from)
-			if told := limitOf(said); waited < limitSlack || told > allow-waited+limitSlack {
-				t.Errorf("the server was told %v, the client has waited %v of %v", told, waited, allow)
+			if reported := sentTimeLimit(said); waited < timeLimitSlack || reported > timeout-waited+timeLimitSlack {
+				t.Errorf("the server was told %v, the client has waited %v of %v", reported, waited, timeout)
 			}
 			said.Answer("served", "count=1", "x\t\t\n")
-			w.expect(client, served(map[bool]int32{true: 1, false: 2}[c.dial], "x\t\t\n"))
+			w.expectAnswer(client, resultMessage(map[bool]int32{true: 1, false: 2}[c.newConnection], "x\t\t\n"))
 		})
 	}
 }
 
-// standStill stops the router, and waits until it has.
-func (w *town) standStill() {
+// suspend stops the router, and waits until it has.
+func (w *cluster) suspend() {
 	w.t.Helper()
 	w.cmd.Process.Signal(syscall.SIGSTOP)
 	for end := time.Now().Add(fake.Patience); ; time.Sleep(time.Millisecond) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// goOn lets a stopped router stand still for a while.
-func goOn(w *town) {
+// resumeLater lets a stopped router stand still for a while.
+func resumeLater(w *cluster) {
 	time.Sleep(600 * time.Millisecond) // what is measured is a time
 	w.cmd.Process.Signal(syscall.SIGCONT)
 }
