--- a/cmd/dunereach/accept_test.go
+++ b/cmd/dunereach/accept_test.go
@@ -12,8 +12,8 @@
 	"dunereach/internal/fake"
 )
 
-// TestSignalAtAccept: connections, their calls and SIGTERM all come while the process stands still, so that it finds them in the same
-// instant. Each call has an answer and no connection is reset.
+// TestSignalAtAccept guards against requests lost when new connections, their requests and SIGTERM arrive together. The process
+// is suspended meanwhile, so it finds all of them in the same instant. Each request gets an answer and no connection is reset.
 func TestSignalAtAccept(t *testing.T) {
 	w := newCluster(t, 1)
 	w.waitForLog("serving")
@@ -37,8 +37,8 @@
 	w.waitForExit(0)
 }
 
-// TestKilledAfterAccept: routers are killed right after they have accepted a connection with a call, and started again at once: the client
-// sees its connection end, and the next process serves under the same id.
+// TestKilledAfterAccept kills routers right after they accepted a connection with a request and restarts them at once: the client
+// sees its connection close, and the next process serves the retry under the same id.
 func TestKilledAfterAccept(t *testing.T) {
 	w := newCluster(t, 1)
 	for range 5 {
@@ -47,15 +47,15 @@
 		seq := w.request(c, "lookup", 30000, "SELECT 1")
 		w.cmd.Process.Kill()
 		if got := c.Next(); strings.HasPrefix(got, "2/") {
-			t.Errorf("call %d got %q", seq, got)
+			t.Errorf("request %d got %q", seq, got)
 		}
 		w.cmd.Wait()
 		w.start()
 		again := fake.NewClient(t, w.addr)
-		w.lastRef-- // the client's retry under the same id
+		w.lastRef-- // the client retries with the same id
 		seq = w.request(again, "lookup", 30000, "SELECT 1")
 		s := w.receive("fetch")
-		s.Answer("served", "count=1", "x\t\t\n") // of the process that was killed, or of this one
+		s.Answer("served", "count=1", "x\t\t\n") // the attempt of the killed process or of the new one
 		select {
 		case other := <-w.received:
 			other.Answer("served", "count=1", "x\t\t\n")
@@ -65,7 +65,7 @@
 	}
 }
 
-// answerRequests has the servers answer each request at once.
+// answerRequests lets the servers answer each request at once.
 func answerRequests(w *cluster) {
 	for s := range w.received {
 		if s.Words[0] == "fetch" {
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestReloadThenDrain: a new configuration moves discovery, and brings the whole list with one server gone; right after it another
-// server drains. Neither is sent anything once the list is taken, while requests go on all the time.
+// TestReloadThenDrain: a new configuration changes the name server and brings a complete list without one of the servers; right
+// after it another server drains. Neither server may receive a request once the list is applied, under continuous traffic.
 func TestReloadThenDrain(t *testing.T) {
 	w := newCluster(t, 3)
 	w.waitForLog("serving")
@@ -105,16 +105,17 @@
 	w.waitForLog(`"list of engines","rev":4`)
 	const listDelayLimit = 1500 * time.Millisecond
 	if took := time.Since(from); took > listDelayLimit {
-		t.Errorf("the drain was heard of after %v", took)
+		t.Errorf("the list with the drain arrived after %v", took)
 	}
 	for range 20 {
 		if s := w.completeRequest(c, "lookup"); s.Engine != w.servers[2] {
-			t.Error("a server that is gone or drains was sent something")
+			t.Error("a removed or draining server received a request")
 		}
 	}
 }
 
-// TestListFallsSilentTwice: the name server's flow is lost, and the new one again later: the list is heard of each time, whole.
+// TestListFallsSilentTwice: the name server stops answering the router's socket, repeatedly. The router must receive the current
+// list each time, complete and within 3 s.
 func TestListFallsSilentTwice(t *testing.T) {
 	w := newCluster(t, 2)
 	w.waitForLog("serving")
@@ -129,10 +130,10 @@
 		from := time.Now()
 		w.waitForLog(fmt.Sprintf(`"list of engines","rev":%d`, rev))
 		if took := time.Since(from); took > 3*time.Second {
-			t.Errorf("list %d was heard after %v", rev, took)
+			t.Errorf("list %d arrived after %v", rev, took)
 		}
 		if s := w.completeRequest(fake.NewClient(t, w.addr), "lookup"); s.Engine != w.servers[1-drains] {
-			t.Error("a draining server was sent something")
+			t.Error("a draining server received a request")
 		}
 	}
 }
--- a/cmd/dunereach/crowd_states_test.go
+++ b/cmd/dunereach/crowd_states_test.go
@@ -10,7 +10,7 @@
 	"dunereach/internal/fake"
 )
 
-// crowdKind is what the clients of a crowd do. None of them asks for anything.
+// crowdKind is the behavior of the clients of a crowd: many clients that hold connections and send no request.
 type crowdKind string
 
 const (
@@ -22,10 +22,10 @@
 	mixedCrowd          crowdKind = "mixed"
 )
 
-// smallDescriptorLimit is a number of descriptors that gives clients eighteen.
+// smallDescriptorLimit is a number of file descriptors of which the router allots eighteen to clients.
 const smallDescriptorLimit = 48
 
-// connectCrowd has so many clients connect.
+// connectCrowd connects size clients of the given kind.
 func (w *cluster) connectCrowd(kind crowdKind, size int) (clients []*fake.Client) {
 	w.t.Helper()
 	partialMessage := []byte{0, 0, 0, 50, 0x80}
@@ -57,7 +57,8 @@
 	return clients
 }
 
-// TestBehindCrowd guards against a client that is not served, or closed unread, since others that ask nothing hold the descriptors.
+// TestBehindCrowd guards against a client that is not served, or whose connection is closed unread, because clients without
+// requests hold all descriptors.
 func TestBehindCrowd(t *testing.T) {
 	for _, c := range []struct {
 		kind crowdKind
@@ -82,13 +83,13 @@
 
 const sparedCrowdSize = 60 // clients
 
-// requestInOrder asks for a request that runs after all others with its key.
+// requestInOrder sends a request of an ordered profile: it runs after all earlier requests with its key.
 func (w *cluster) requestInOrder(c *fake.Client, key string) int32 {
 	w.lastRef++
 	return c.Call("SELECT 1", "service", "ledger", "project", "acme", "allow", "30000", "lookup", key, "ref", fmt.Sprintf("%016x", w.lastRef))
 }
 
-// completeNext has the server run the next request, which is the client's.
+// completeNext lets the server complete the next request, which must be the one of the client.
 func (w *cluster) completeNext(c *fake.Client, seq int32) {
 	w.t.Helper()
 	w.receive("fetch").Answer("served", "count=1", "x\t\t\n")
@@ -141,8 +142,8 @@
 	w.completeAll(c, open)
 }
 
-// TestCrowdSparesRequests guards against a connection that is closed to make room while its request is on its way: each state that a
-// request can be in, with a crowd that comes then.
+// TestCrowdSparesRequests guards against the close of a connection with an open request to free a descriptor. For each state that
+// a request can be in, a crowd connects then.
 func TestCrowdSparesRequests(t *testing.T) {
 	for _, c := range []struct {
 		state string
@@ -162,8 +163,8 @@
 	}
 }
 
-// TestCrowdAtChange guards against requests that are lost to a crowd at a reload, at a drain and at a shutdown: each has its answer, the
-// drained server is sent nothing, and the router ends in time.
+// TestCrowdAtChange guards against requests lost to a crowd at a reload, at a drain and at a shutdown: each request gets an
+// answer, the drained server receives nothing, and the router exits in time.
 func TestCrowdAtChange(t *testing.T) {
 	const size = 60
 	sendRequests := func(w *cluster) (clients []*fake.Client) {
@@ -202,7 +203,7 @@
 		w.connectCrowd(mixedCrowd, size)
 		for range 5 {
 			if s := w.completeRequest(fake.NewClient(t, w.addr), "lookup"); s.Engine != w.servers[1] {
-				t.Error("a draining server was sent a request")
+				t.Error("a draining server received a request")
 			}
 		}
 	})
--- a/cmd/dunereach/crowd_test.go
+++ b/cmd/dunereach/crowd_test.go
@@ -11,14 +11,14 @@
 	"dunereach/internal/fake"
 )
 
-// withDescriptorLimit is the router's command under a limit on descriptors that it can't raise.
+// withDescriptorLimit runs the command of the router under a descriptor limit that it can't raise.
 func withDescriptorLimit(cmd *exec.Cmd, descriptors int) *exec.Cmd {
 	shell := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", descriptors, cmd.Path))
 	shell.Env = cmd.Env
 	return shell
 }
 
-// startRequests has so many requests of a client at the server, none of which it has answered.
+// startRequests sends requests of a client until the given number of them runs at the server, all unanswered.
 func (w *cluster) startRequests(client *fake.Client, requests int) (open []fake.Said) {
 	w.t.Helper()
 	for range requests {
@@ -28,7 +28,7 @@
 	return open
 }
 
-// completeAll has the server answer the running requests one by one, and each answer reach its client.
+// completeAll lets the server answer the running requests one by one and checks that each result reaches the client.
 func (w *cluster) completeAll(client *fake.Client, open []fake.Said) {
 	w.t.Helper()
 	for _, s := range open {
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestCrowdWhileListIsDown: idle clients fill the descriptors while the name server says nothing, under the settings' limit or a lower
-// one of the system. Requests that need a connection to a server each are served, so are new clients, a new configuration is read, and
-// the list is heard within a second of the name server's return.
+// TestCrowdWhileListIsDown: idle clients hold all descriptors while the name server is silent. The descriptor limit is that of the
+// settings or a lower one of the system. Requests that need a server connection each must be served, and so must new clients. A new
+// configuration must be read, and the list must arrive within a second of the name server's return.
 func TestCrowdWhileListIsDown(t *testing.T) {
 	const descriptorLimit = 64
 	for _, c := range []struct {
@@ -54,17 +54,17 @@
 			w.nameServer.Down(true)
 			w.start()
 			w.waitForLog("serving")
-			for k := range 2 * descriptorLimit { // idle clients, which stay until the test's end
+			for k := range 2 * descriptorLimit { // idle clients, which stay connected until the end of the test
 				idle := fake.NewClient(t, w.addr)
 				if k%2 == 0 {
 					idle.AskHealth()
 				}
 			}
 			w.waitForLog("the name server does not answer")
-			const running = 12 // a connection to the server each
+			const running = 12 // each uses its own connection to the server
 			client := fake.NewClient(t, w.addr)
 			open := w.startRequests(client, running)
-			for range 2 * descriptorLimit { // anew, up to the brim
+			for range 2 * descriptorLimit { // new clients up to the limit
 				fake.NewClient(t, w.addr)
 			}
 			w.cmd.Process.Signal(syscall.SIGHUP)
@@ -74,7 +74,7 @@
 			from := time.Now()
 			w.waitForLog(`"list of engines","rev":2`)
 			if took := time.Since(from); took > time.Second {
-				t.Errorf("the list was heard after %v", took)
+				t.Errorf("the list arrived after %v", took)
 			}
 			w.completeRequest(fake.NewClient(t, w.addr), "lookup")
 			w.completeAll(client, open)
--- a/cmd/dunereach/earlier_list_test.go
+++ b/cmd/dunereach/earlier_list_test.go
@@ -8,28 +8,28 @@
 	"dunereach/internal/fake"
 )
 
-// What users saw: after a release in which routers were killed and started again, requests ran on a server that had been draining for
-// a second and more, while other routers had left it.
+// The tests of this file guard against requests that run on a server which has been draining for a second or more, after a release
+// that killed and restarted routers. Other routers had stopped using the server by then.
 //
-// The order of events:
-//   - A router is killed and starts again. The events of the list of servers are numbered anew for it, from 1.
-//   - An answer of the name server brings it a list of before its start, under the number that this list had then: 3.
+// Sequence of events:
+//   - A router is killed and restarts. List events are numbered anew for it, from 1.
+//   - An answer of the name server delivers a list from before the restart, with the number of that list: 3.
 //   - The list changes; its number for this router is now 2, later 3.
 //
-// The cause: the list with the highest number counted as the newest, whatever came after it. So the router took the answers under 1 and 2
-// for old ones and the one under 3 for the list that it had.
+// Cause: the router took the list with the highest number as the newest, regardless of the order of arrival. It skipped the answers
+// numbered 1 and 2 as stale, and the one numbered 3 as a duplicate.
 //
-// The evidence: each question and answer in the log of a router in a replay. It had started at 4.22 s. At 5.12 came number 3 with nine
-// servers, one of them draining, and then six times number 1, each logged as "an older list". At 9.02, 9.32, 9.62 and 9.92 came number 3
-// with ten servers, two of them draining: read, and passed over as no news. Two of 44 routers were so, and each had such a first answer.
+// Evidence from the log of a router in a replay, started at 4.22 s: at 5.12 s list 3 arrived with nine servers, one of them draining,
+// followed by six answers with list 1, each logged as "an older list". At 9.02, 9.32, 9.62 and 9.92 s list 3 arrived with ten servers,
+// two of them draining, and was skipped as a duplicate. Two of 44 routers were affected, both after such a first answer.
 
-// listEntry is an entry of the name listEntry's list: priority 0 is ready, 1 draining.
+// listEntry is an entry of the name server's list. Priority 0 means ready, 1 draining.
 func (w *cluster) listEntry(k, priority int) string {
 	return fmt.Sprintf("s-%d.east %d 10 std 0 0 %s", k, priority, w.servers[k].Addr)
 }
 
-// newRestartedCluster is a router before two servers that has been killed and started again. The name server holds the list that both know, and
-// its next answer is a stray.
+// newRestartedCluster returns a router with two servers that was killed and started again. The name server has the list that both
+// processes know, but its next answer is the stale list.
 func newRestartedCluster(t *testing.T, staleNumber uint32, staleList func(w *cluster) []string) *cluster {
 	t.Helper()
 	w := newCluster(t, 2)
@@ -44,7 +44,7 @@
 	return w
 }
 
-// expectAvoids checks that requests, ten at a time, go to other servers than one.
+// expectAvoids checks that no request reaches the given server, with ten concurrent requests in each round.
 func (w *cluster) expectAvoids(c *fake.Client, server int) {
 	w.t.Helper()
 	const rounds, concurrent = 3, 10
@@ -55,16 +55,16 @@
 		for range concurrent {
 			s := w.receive("fetch")
 			if s.Engine == w.servers[server] {
-				w.t.Fatalf("server %d was sent a request", server)
+				w.t.Fatalf("server %d received a request", server)
 			}
 			s.Answer("served", "count=1", "x\t\t\n")
 		}
 	}
 }
 
-// TestListOfEarlierLife: a router that was given a list of before its start, under a number higher than those that follow, hears of a
-// drain as soon as the name server has told it, whatever the number of that event is; and that list alone has nothing sent to a server
-// that drains or is gone.
+// TestListOfEarlierLife: a router received a list from before its start, with a higher number than those that follow. It must
+// apply a drain as soon as the name server reports it, whatever the number of that event. The stale list alone must not lead to
+// requests for a server that drains or is gone.
 func TestListOfEarlierLife(t *testing.T) {
 	const staleNumber = 3
 	for name, number := range map[string]uint32{"lower number": staleNumber - 1, "same number": staleNumber, "higher number": staleNumber + 1} {
@@ -93,25 +93,25 @@
 	})
 }
 
-// bothReadyList is the list in which nothing drains.
+// bothReadyList is the list with both servers ready.
 func (w *cluster) bothReadyList() []string { return []string{w.listEntry(0, 0), w.listEntry(1, 0)} }
 
-// drainFirst has the name server tell under a number that the first server drains, and waits until the grace is over.
+// drainFirst lets the name server report the drain of the first server under a list number, and waits for the end of the grace.
 func (w *cluster) drainFirst(number uint32) {
 	w.nameServer.Set(number, w.listEntry(0, 1), w.listEntry(1, 0))
 	w.nameServer.Sent()
 	time.Sleep(grace)
 }
 
-// testDrainAfterStaleList gives a router the stray, the true list, and then a drain under a number.
+// testDrainAfterStaleList gives a router the stale list, then the current list, then a drain under the given number.
 func testDrainAfterStaleList(t *testing.T, staleNumber, number uint32) {
 	w := newRestartedCluster(t, staleNumber, (*cluster).bothReadyList)
-	w.nameServer.Sent() // the stray has gone out before
+	w.nameServer.Sent() // the stale list was sent before this one
 	w.drainFirst(number)
 	w.expectAvoids(fake.NewClient(t, w.addr), 0)
 }
 
-// testStaleListAlone gives a router the stray alone, and nothing after it. Known changes what it knows at its start.
+// testStaleListAlone gives a router only the stale list. changeConfig changes the list that the router knows at its start.
 func testStaleListAlone(t *testing.T, staleNumber uint32, changeConfig func(w *cluster)) {
 	w := prepareCluster(t, 2, 1024)
 	changeConfig(w)
--- a/cmd/dunereach/flood_test.go
+++ b/cmd/dunereach/flood_test.go
@@ -11,7 +11,8 @@
 	"dunereach/internal/fake"
 )
 
-// requestUntil has a client ask for one request after another until it is over: how many were served, and how long each answer took.
+// requestUntil sends one request after another until done is closed. It returns the number of served requests and the response time
+// of each.
 func requestUntil(done <-chan struct{}, c *fake.Client, fields func(j int) []string) (served int, took []time.Duration) {
 	for j := 0; ; j++ {
 		from := time.Now()
@@ -28,8 +29,8 @@
 	}
 }
 
-// TestFloods: clients that send much at once and go, that send a byte at a time, that never read, and that say nothing don't hold
-// up the others: each of their commands has its answer soon.
+// TestFloods: clients that send many requests and disconnect, that send one byte at a time, that never read, or that send only part
+// of a message must not delay others: each request of another client is answered soon.
 func TestFloods(t *testing.T) {
 	w := newCluster(t, 2)
 	go func() {
@@ -48,18 +49,18 @@
 		group.Go(func() {
 			for j := range 200 {
 				action(k, j)
-				time.Sleep(5 * time.Millisecond) // under 8,000 calls a second from each of two: far over what usual clients send
+				time.Sleep(5 * time.Millisecond) // below 8,000 requests a second from each of two clients, far above usual clients
 			}
 		})
 	}
-	flood(1, func(k, j int) { // much at once, and gone
+	flood(1, func(k, j int) { // many requests, then a disconnect
 		c := fake.NewClient(t, w.addr)
 		for n := range 40 {
 			c.Call("SELECT 1", fields(ref(k, 100*j+n))...)
 		}
 		c.Leave()
 	})
-	flood(2, func(k, j int) { fake.NewClient(t, w.addr).Raw([]byte{0}) }) // half a message
+	flood(2, func(k, j int) { fake.NewClient(t, w.addr).Raw([]byte{0}) }) // part of a message
 	slowWriter, nonReader := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
 	message := fake.Call(1, "SELECT 1", fields(ref(3, 0))...)
 	flood(3, func(_, j int) { slowWriter.Raw(message[j%len(message):][:1]) })
--- a/cmd/dunereach/forms_test.go
+++ b/cmd/dunereach/forms_test.go
@@ -10,7 +10,7 @@
 	"dunereach/internal/thrift"
 )
 
-// encodeMessage is a frame with the struct that a function appends.
+// encodeMessage returns a frame whose struct has the fields that arguments appends.
 func encodeMessage(kind thrift.Kind, name string, seq int32, arguments func(b []byte) []byte) []byte {
 	return thrift.End(append(arguments(thrift.Begin(nil, kind, name, seq)), byte(thrift.Stop)))
 }
@@ -23,7 +23,7 @@
 	return thrift.AppendBytes(thrift.AppendField(b, thrift.String, 2), body)
 }
 
-// appendUnknown appends fields that the service does not know, of every type.
+// appendUnknown appends fields of every type that the service does not know.
 func appendUnknown(b []byte) []byte {
 	const id = 9
 	for kind, value := range map[thrift.Type][]byte{
@@ -38,7 +38,7 @@
 	return b
 }
 
-// writeInPieces has a client write a text in pieces of so many bytes.
+// writeInPieces writes the bytes to the connection of a client in pieces of the given size.
 func writeInPieces(c *fake.Client, text []byte, piece int) {
 	for len(text) > 0 {
 		n := min(piece, len(text))
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestForms: requests in every form that the protocol allows are served as they are in the usual one, whole or in pieces of whatever
-// size, and several in one piece.
+// TestForms: a request in any form that the protocol allows is served like one in the usual form, whether it arrives whole, in
+// pieces of any size, or together with others in one piece.
 func TestForms(t *testing.T) {
 	w := newCluster(t, 1)
 	w.waitForLog("serving")
@@ -83,7 +83,7 @@
 				writeInPieces(c, encodeMessage(thrift.Call, "call", 1, form), piece)
 				s := w.receive("fetch")
 				if s.Body != body {
-					t.Errorf("the server got %q", s.Body)
+					t.Errorf("the server received %q", s.Body)
 				}
 				s.Answer("served", "count=1", "x\t\t\n")
 				w.expectAnswer(c, resultMessage(1, "x\t\t\n"))
@@ -102,7 +102,7 @@
 		three := encodeMessage(thrift.Call, "call", 5, forms["usual"])
 		c.Raw(bytes.Join([][]byte{one, health, two, cancel, three}, nil))
 		w.expectAnswer(c, `2/2 health{ 0={ 1="" 2=[ ] 3=1 } }`)
-		go answerRequests(w) // the cancelled one may have left, or been taken back
+		go answerRequests(w) // the cancelled request may already have been sent, or may have been withdrawn
 		got := map[string]bool{c.Next(): true}
 		got[c.Next()] = true
 		if !got[resultMessage(1, "x\t\t\n")] || !got[resultMessage(5, "x\t\t\n")] {
--- a/cmd/dunereach/life_audit_test.go
+++ b/cmd/dunereach/life_audit_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// This file judges what clients and servers recorded of one router process, its life. It shares no code with the router.
+// This file checks the records of clients and servers about the run of one router process. It shares no code with the router.
 
-// outcome is what a client saw of a request.
+// outcome is the result of a request as its client sees it.
 type outcome uint8
 
 const (
-	neverAnswered    outcome = iota // nothing, up to the end of the record
-	answered                        // a result, a refusal or a failure
-	connectionClosed                // the connection ended first
+	neverAnswered    outcome = iota // no answer until the end of the record
+	answered                        // a result, a rejection or a failure
+	connectionClosed                // the connection was closed without an answer
 	clientLeft                      // the client closed its connection or cancelled
 )
 
@@ -24,39 +24,39 @@
 	class             string
 	timeout           time.Duration
 	sent              time.Time
-	ended             time.Time // the answer, the connection's end, or when the client left
+	ended             time.Time // time of the answer, of the close, or when the client left
 	outcome           outcome
 	answers           int
-	firstOnConnection bool // the first on its connection
+	firstOnConnection bool // the first request of its connection
 }
 
-// attemptRecord is one request as it reached a server.
+// attemptRecord is one attempt as it reached a server.
 type attemptRecord struct {
 	ref       string
 	at        time.Time
-	timeLimit time.Duration // that the server was told
+	timeLimit time.Duration // as sent to the server
 }
 
-// runRecord is one router process.
+// runRecord is the run of one router process.
 type runRecord struct {
-	terminatedAt time.Time     // to end, zero: it was not
-	killedAt     time.Time     // zero: it ended by itself
-	suspendedFor time.Duration // in all, by SIGSTOP
-	crowded      bool          // clients that ask nothing took more than clients' share of the descriptors
+	terminatedAt time.Time     // time of SIGTERM; zero: none was sent
+	killedAt     time.Time     // time of SIGKILL; zero: the process exited by itself
+	suspendedFor time.Duration // total time in SIGSTOP
+	crowded      bool          // clients without requests held more descriptors than the share of all clients
 	requests     []*requestRecord
 	attempts     []attemptRecord
 }
 
 const (
-	answerSlack     = 500 * time.Millisecond // past a client's time, where an answer earns nothing and is not lost
-	socketSlack     = 50 * time.Millisecond  // on sockets each time limit is longer by this
-	closeRaceSlack  = 50 * time.Millisecond  // a request that crosses the close of a resting connection is sent again
-	clientLeftSlack = 100 * time.Millisecond // an attempt may begin so late after its client has gone
-	timeLimitSlack  = 150 * time.Millisecond // of what a server is told over what the client has left
-	machineSlack    = 300 * time.Millisecond // for a busy machine on both ends, as stand-ins are not the router
+	answerSlack     = 500 * time.Millisecond // past the client timeout: an answer this late has no benefit, but is not lost
+	socketSlack     = 50 * time.Millisecond  // added to each time limit on sockets
+	closeRaceSlack  = 50 * time.Millisecond  // a request that crosses the close of an idle connection is retried by the client
+	clientLeftSlack = 100 * time.Millisecond // an attempt may begin this long after its client left
+	timeLimitSlack  = 150 * time.Millisecond // by which the limit sent to a server may exceed the time left to the client
+	machineSlack    = 300 * time.Millisecond // for a busy machine, as test clients and fake servers are delayed too
 )
 
-// violations names each rule that a life broke, with the request.
+// violations describes each violated rule, with the request that violated it.
 func (l *runRecord) violations() (found []string) {
 	requestByRef := map[string]*requestRecord{}
 	for _, r := range l.requests {
@@ -73,7 +73,7 @@
 			continue
 		}
 		if attemptCount[a.ref]++; r.class == "order" && attemptCount[a.ref] == 2 {
-			found = append(found, fmt.Sprintf("request %s: an unsafe one was sent twice", a.ref))
+			found = append(found, fmt.Sprintf("request %s: a non-idempotent request was sent twice", a.ref))
 		}
 		if text := l.attemptViolation(r, a); text != "" {
 			found = append(found, fmt.Sprintf("attempt of %s: %s", a.ref, text))
@@ -82,7 +82,7 @@
 	return found
 }
 
-// requestViolation says which rule a request's end breaks, "": none.
+// requestViolation returns the rule that the outcome of a request violates, or "".
 func (l *runRecord) requestViolation(r *requestRecord) string {
 	took := r.ended.Sub(r.sent)
 	endedByKill := !l.killedAt.IsZero() && !r.ended.Before(l.killedAt)
@@ -94,38 +94,39 @@
 	case r.outcome == answered || r.outcome == clientLeft || l.mayBeClosedUnread(r):
 		return ""
 	case endedByKill && l.terminatedAt.IsZero():
-		return "" // killed outright
+		return "" // killed without SIGTERM
 	case r.outcome == connectionClosed && !r.firstOnConnection && took <= closeRaceSlack+l.suspendedFor:
 		return ""
 	case r.outcome == connectionClosed:
-		return fmt.Sprintf("its connection ended after %v with no answer, %s", took, l.sendTime(r))
+		return fmt.Sprintf("its connection closed after %v without an answer, %s", took, l.sendTime(r))
 	}
 	return "never answered, " + l.sendTime(r)
 }
 
-// mayBeClosedUnread tells whether the page frees a request of its answer: behind a crowd new connections may be shut unread.
+// mayBeClosedUnread reports whether a request may stay unanswered: with a crowd, the router may close new connections before it
+// reads from them.
 func (l *runRecord) mayBeClosedUnread(r *requestRecord) bool { return l.crowded && r.firstOnConnection }
 
-// sendTime places a request in the life's end.
+// sendTime describes when a request was sent relative to the SIGTERM of the run.
 func (l *runRecord) sendTime(r *requestRecord) string {
 	if l.terminatedAt.IsZero() {
-		return "not asked to end"
+		return "without SIGTERM"
 	}
 	return fmt.Sprintf("sent %v after SIGTERM", r.sent.Sub(l.terminatedAt))
 }
 
-// attemptViolation says which rule an attempt breaks, "": none.
+// attemptViolation returns the rule that an attempt violates, or "".
 func (l *runRecord) attemptViolation(r *requestRecord, a attemptRecord) string {
 	if late := a.at.Sub(r.ended); r.outcome == clientLeft && late > clientLeftSlack+machineSlack+l.suspendedFor {
-		return fmt.Sprintf("%v after its client had gone", late)
+		return fmt.Sprintf("%v after its client had left", late)
 	}
 	if left := r.timeout - a.at.Sub(r.sent); a.timeLimit > left+timeLimitSlack+machineSlack+l.suspendedFor {
-		return fmt.Sprintf("the server was told %v, its client has %v left", a.timeLimit, left)
+		return fmt.Sprintf("the server received a time limit of %v, its client has %v left", a.timeLimit, left)
 	}
 	return ""
 }
 
-// TestLifeAudit plants a break of each rule, and what each rule allows beside it.
+// TestLifeAudit checks a violation of each rule, and the nearest cases that the rule allows.
 func TestLifeAudit(t *testing.T) {
 	zero := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return zero.Add(time.Duration(ms) * time.Millisecond) }
@@ -143,11 +144,11 @@
 	}{
 		{"in time", runRecord{requests: []*requestRecord{request(answered, 0, 1400)}}, false},
 		{"late", runRecord{requests: []*requestRecord{request(answered, 0, 2000)}}, true},
-		{"late by a stop", runRecord{suspendedFor: 300 * time.Millisecond, requests: []*requestRecord{request(answered, 0, 2000)}}, false},
+		{"late because of a suspension", runRecord{suspendedFor: 300 * time.Millisecond, requests: []*requestRecord{request(answered, 0, 2000)}}, false},
 		{"never", runRecord{requests: []*requestRecord{request(neverAnswered, 0, 4000)}}, true},
 		{"two answers", runRecord{requests: []*requestRecord{with(request(answered, 0, 10), func(r *requestRecord) { r.answers = 2 })}}, true},
 		{"closed", runRecord{requests: []*requestRecord{request(connectionClosed, 0, 200)}}, true},
-		{"crosses a close", runRecord{requests: []*requestRecord{request(connectionClosed, 0, 20)}}, false},
+		{"crosses a connection close", runRecord{requests: []*requestRecord{request(connectionClosed, 0, 20)}}, false},
 		{"closed when new", runRecord{requests: []*requestRecord{with(request(connectionClosed, 0, 20), func(r *requestRecord) { r.firstOnConnection = true })}}, true},
 		{"closed when new behind a crowd", runRecord{crowded: true,
 			requests: []*requestRecord{with(request(connectionClosed, 0, 20), func(r *requestRecord) { r.firstOnConnection = true })}}, false},
@@ -156,9 +157,9 @@
 		{"sent twice", runRecord{requests: []*requestRecord{with(request(answered, 0, 10), func(r *requestRecord) { r.class = "order" })},
 			attempts: []attemptRecord{attempt(1, 900), attempt(2, 900)}}, true},
 		{"retried", runRecord{requests: []*requestRecord{request(answered, 0, 10)}, attempts: []attemptRecord{attempt(1, 900), attempt(2, 900)}}, false},
-		{"for one that left", runRecord{requests: []*requestRecord{request(clientLeft, 0, 10)}, attempts: []attemptRecord{attempt(450, 500)}}, true},
-		{"as one leaves", runRecord{requests: []*requestRecord{request(clientLeft, 0, 10)}, attempts: []attemptRecord{attempt(100, 900)}}, false},
-		{"told too long", runRecord{requests: []*requestRecord{request(answered, 0, 900)}, attempts: []attemptRecord{attempt(500, 1000)}}, true},
+		{"attempt after the client left", runRecord{requests: []*requestRecord{request(clientLeft, 0, 10)}, attempts: []attemptRecord{attempt(450, 500)}}, true},
+		{"attempt while the client leaves", runRecord{requests: []*requestRecord{request(clientLeft, 0, 10)}, attempts: []attemptRecord{attempt(100, 900)}}, false},
+		{"time limit too long", runRecord{requests: []*requestRecord{request(answered, 0, 900)}, attempts: []attemptRecord{attempt(500, 1000)}}, true},
 		{"nobody's", runRecord{attempts: []attemptRecord{attempt(1, 1)}}, true},
 	} {
 		if broken := c.run.violations(); len(broken) > 0 != c.broken {
--- a/cmd/dunereach/life_soak_test.go
+++ b/cmd/dunereach/life_soak_test.go
@@ -22,8 +22,9 @@
 	"dunereach/internal/thrift"
 )
 
-// This soak has one router process after another under crowds, signals in series, stops, hung servers and kills at the page's earliest, with
-// clients that use open connections until then. An auditor judges what clients and servers recorded.
+// TestLifeSoak runs one router process after another under crowds, repeated signals, suspensions, hung servers, and kills at the
+// earliest time that the specification allows. Clients use open connections until then. The rules of life_audit_test.go are checked
+// against the records of clients and servers.
 
 var (
 	lifeSeed  = flag.Uint64("life-seed", 1, "the first seed that TestLifeSoak draws from")
@@ -34,27 +35,27 @@
 	runsPerSeed        = 3
 	soakServers        = 3
 	soakClients        = 6
-	soakDescriptors    = 64                     // clients have 26 of them
-	connectAfterTerm   = 300 * time.Millisecond // after SIGTERM new connections come for so long
-	maxCountedDeadline = 3 * time.Second        // the longest deadline counts as this at most
-	killGrace          = 700 * time.Millisecond // of SIGKILL beside it
+	soakDescriptors    = 64                     // 26 of them for clients
+	connectAfterTerm   = 300 * time.Millisecond // new connections arrive for this long after SIGTERM
+	maxCountedDeadline = 3 * time.Second        // upper bound on the longest deadline in the wait before SIGKILL
+	killGrace          = 700 * time.Millisecond // added to the deadline before SIGKILL
 )
 
-// runPlan is what is drawn for one life.
+// runPlan holds the values drawn for one run of the router.
 type runPlan struct {
 	deadline       time.Duration
 	duration       time.Duration
-	crowdSize      int // clients that ask nothing, 0: none
+	crowdSize      int // clients without requests; 0: none
 	crowdAt        time.Duration
-	reloads        int // SIGHUP in series
+	reloads        int // number of successive SIGHUPs
 	reloadAt       time.Duration
-	suspendFor     time.Duration // by SIGSTOP, 0: none
+	suspendFor     time.Duration // time in SIGSTOP; 0: none
 	suspendAt      time.Duration
-	hangFor        time.Duration // of one server, 0: none
+	hangFor        time.Duration // time for which one server hangs; 0: none
 	hangAt         time.Duration
-	kill           bool // outright
-	terminations   int  // SIGTERM in series
-	reloadWithTerm bool // SIGHUP in the same instant
+	kill           bool // SIGKILL without SIGTERM
+	terminations   int  // number of successive SIGTERMs
+	reloadWithTerm bool // SIGHUP together with each SIGTERM
 }
 
 func drawRun(draw *rand.Rand, deadline time.Duration) runPlan {
@@ -78,27 +79,28 @@
 	return p
 }
 
-// soakRun is one life under way. The lock guards its record.
+// soakRun is a run in progress. The lock guards its record.
 type soakRun struct {
 	*cluster
-	plan               runPlan
-	stop               chan struct{} // clients end
-	connectionsRefused atomic.Bool   // no new connections
-	workers            sync.WaitGroup
-	firstServerHangs   atomic.Bool // the first server answers nothing
+	plan             runPlan
+	stop             chan struct{} // closed to stop the clients
+	noNewConnections atomic.Bool   // clients open no new connections
+	workers          sync.WaitGroup
+	firstServerHangs atomic.Bool // the first server answers nothing
 
 	mu     sync.Mutex
 	record runRecord
 }
 
-// TestLifeSoak guards against requests that are lost, late, run twice or sent for nobody, over the lives of router processes.
+// TestLifeSoak guards against requests that are lost, late, run twice or sent without a client, over the runs of several router
+// processes.
 func TestLifeSoak(t *testing.T) {
 	for seed := *lifeSeed; seed < *lifeSeed+uint64(*lifeSeeds); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			t.Logf("again: go test ./cmd/dunereach -count=1 -run TestLifeSoak -life-seed %d -life-seeds 1", seed)
+			t.Logf("to repeat: go test ./cmd/dunereach -count=1 -run TestLifeSoak -life-seed %d -life-seeds 1", seed)
 			draw := rand.New(rand.NewPCG(seed, 4))
 			w := prepareCluster(t, soakServers, soakDescriptors)
-			w.descriptorLimit = 0 // the settings' limit is the lower one
+			w.descriptorLimit = 0 // the limit in the settings is the lower one
 			deadline := []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second}[draw.IntN(3)]
 			w.text = strings.NewReplacer(`"Deadline":30000`, fmt.Sprintf(`"Deadline":%d`, deadline.Milliseconds()),
 				`"Aim":20000`, fmt.Sprintf(`"Aim":%d`, deadline.Milliseconds()/2)).Replace(w.text)
@@ -112,14 +114,14 @@
 	}
 }
 
-// playRun starts a router, has the plan's faults happen, ends it, and judges its life.
+// playRun starts a router, injects the faults of the plan, ends the router, and checks the record of the run.
 func playRun(t *testing.T, w *cluster, p runPlan, seed uint64, number int) {
 	t.Helper()
 	l := &soakRun{cluster: w, plan: p, stop: make(chan struct{})}
 	w.start()
 	w.waitForLog("serving")
 	go func(logLines chan string) {
-		for range logLines { // nobody reads it
+		for range logLines { // discard, so that the reader of the log does not block
 		}
 	}(w.logLines)
 	l.workers.Go(l.answerAttempts)
@@ -135,16 +137,16 @@
 	l.workers.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.Logf("life %d: %+v: %d requests, %d attempts", number, p, len(l.record.requests), len(l.record.attempts))
+	t.Logf("run %d: %+v: %d requests, %d attempts", number, p, len(l.record.requests), len(l.record.attempts))
 	for _, text := range l.record.violations() {
-		t.Errorf("life %d: %s", number, text)
+		t.Errorf("run %d: %s", number, text)
 	}
 	if len(l.record.requests) < soakClients {
-		t.Errorf("life %d: too little came about", number)
+		t.Errorf("run %d: too few requests", number)
 	}
 }
 
-// startFaults has the plan's startFaults happen at their times.
+// startFaults starts the faults of the plan, each at its time.
 func (l *soakRun) startFaults(began time.Time) *sync.WaitGroup {
 	var group sync.WaitGroup
 	at := func(after time.Duration, happens bool, fault func()) {
@@ -184,14 +186,14 @@
 	return &group
 }
 
-// endRouter kills the router outright, or asks it to endRouter and kills it at the page's earliest.
+// endRouter kills the router, or sends SIGTERM and kills it at the earliest time that the specification allows.
 func (l *soakRun) endRouter() {
 	now := time.Now()
 	if l.plan.kill {
 		l.mu.Lock()
 		l.record.killedAt = now
 		l.mu.Unlock()
-		l.connectionsRefused.Store(true)
+		l.noNewConnections.Store(true)
 		l.cmd.Process.Kill()
 		l.cmd.Wait()
 		return
@@ -205,7 +207,7 @@
 			l.cmd.Process.Signal(syscall.SIGHUP)
 		}
 	}
-	time.AfterFunc(connectAfterTerm, func() { l.connectionsRefused.Store(true) })
+	time.AfterFunc(connectAfterTerm, func() { l.noNewConnections.Store(true) })
 	ended := make(chan struct{})
 	go func() { l.cmd.Wait(); close(ended) }()
 	select {
@@ -217,13 +219,13 @@
 		l.cmd.Process.Kill()
 		<-ended
 	}
-	l.connectionsRefused.Store(true)
+	l.noNewConnections.Store(true)
 	if status := l.cmd.ProcessState.ExitCode(); status > 0 {
-		l.t.Errorf("it ended with status %d", status)
+		l.t.Errorf("the router exited with status %d", status)
 	}
 }
 
-// answerAttempts answers what reaches the servers, but for the hung one.
+// answerAttempts answers the attempts that reach the servers, except those at the hung server.
 func (l *soakRun) answerAttempts() {
 	for {
 		select {
@@ -235,7 +237,7 @@
 	}
 }
 
-// sentTimeLimit is how long the server is told that the router waits.
+// sentTimeLimit is the time limit that the router sent to the server.
 func sentTimeLimit(said fake.Said) time.Duration {
 	for _, field := range strings.Split(said.Words[2], ",") {
 		if text, ok := strings.CutPrefix(field, "ms="); ok {
@@ -259,7 +261,7 @@
 	time.AfterFunc(5*time.Millisecond, func() { said.Answer("served", "count=1", "x\t\t\n") })
 }
 
-// runClient asks one request after another, on one connection for as long as that lives.
+// runClient sends one request after another, on one connection for as long as it is open.
 func (l *soakRun) runClient(number int, draw *rand.Rand) {
 	var c *soakConnection
 	for sequence := 0; ; sequence++ {
@@ -270,7 +272,7 @@
 		case <-time.After(time.Duration(draw.IntN(30)) * time.Millisecond):
 		}
 		if c == nil {
-			if l.connectionsRefused.Load() {
+			if l.noNewConnections.Load() {
 				continue
 			}
 			c = dialSoak(l.addr)
@@ -294,7 +296,7 @@
 	}
 }
 
-// soakConnection is a client's connection.
+// soakConnection is the connection of a client.
 type soakConnection struct {
 	net.Conn
 	sequence int32
@@ -314,9 +316,9 @@
 	}
 }
 
-const answerPatience = 4 * time.Second // past a request's time
+const answerPatience = 4 * time.Second // past the timeout of a request
 
-// exchange sends a request and records what comes of it. It tells whether the connection can be used again.
+// exchange sends a request and records its outcome. It reports whether the connection can be used again.
 func (c *soakConnection) exchange(r *requestRecord, leaveAfter time.Duration) bool {
 	c.sequence++
 	message := fake.Call(c.sequence, "SELECT 1", "service", r.class, "project", "acme", "allow", fmt.Sprint(r.timeout.Milliseconds()), "ref", r.ref)
@@ -337,7 +339,7 @@
 		r.outcome = answered
 		r.answers++
 		return true
-	case err == nil: // a second answer to an earlier one
+	case err == nil: // a second answer to an earlier request
 		r.answers += 2
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded) && leaveAfter > 0:
@@ -351,7 +353,7 @@
 	return false
 }
 
-// readAnswer reads one message, and says which request it answers.
+// readAnswer reads one message and returns the sequence number of the request that it answers.
 func (c *soakConnection) readAnswer() (sequence int32, err error) {
 	head := make([]byte, 4)
 	if _, err := io.ReadFull(c.Conn, head); err != nil {
--- a/cmd/dunereach/list_soak_test.go
+++ b/cmd/dunereach/list_soak_test.go
@@ -16,8 +16,8 @@
 	"dunereach/internal/fake"
 )
 
-// This soak has one router process after another under a name server whose answers go wrong in drawn ways, while servers drain, go and are
-// replaced: whatever it is told, nothing reaches a server past the grace of its drain.
+// TestListSoak runs one router process after another with a name server that gives wrong answers at random, while servers drain, are
+// removed and are replaced. Whatever the answers are, no request may reach a server after the grace of its drain.
 
 var (
 	soakFor  = flag.Duration("soak", 25*time.Second, "how long TestListSoak goes on")
@@ -25,11 +25,12 @@
 )
 
 const (
-	// reportDelay is the time after which news counts as told though the answer with it went wrong.
+	// reportDelay is the time after which a list change counts as reported although the answer with it was lost or wrong.
 	reportDelay = 1500 * time.Millisecond
-	// machineLag is what a busy machine may take to run a process that is ready, on both ends. A router that does not hear is late by seconds.
+	// machineLag is the time that a busy machine may take to run a ready process, on both ends. A router that missed a list is late
+	// by seconds.
 	machineLag = 400 * time.Millisecond
-	// badAnswerPercent is how many answers of a hundred go wrong.
+	// badAnswerPercent is the percentage of wrong answers.
 	badAnswerPercent = 35
 )
 
@@ -38,11 +39,11 @@
 	id         string
 	server     *fake.Engine
 	draining   bool
-	reportedAt time.Time // when this life of the router was told of it, zero: it was not
-	removed    bool      // it is gone from the list
+	reportedAt time.Time // when the drain or removal was reported to the current router process; zero: not yet
+	removed    bool      // no longer in the list
 }
 
-// listSoak is the servers and the name server. The lock guards all of it.
+// listSoak holds the servers and the state of the name server. The lock guards all of it.
 type listSoak struct {
 	t        *testing.T
 	received chan fake.Said
@@ -51,14 +52,14 @@
 	rng          *rand.Rand
 	servers      []*listedServer
 	listNumber   uint32
-	history      []numberedList // of all lives
-	downUntil    time.Time      // until then nobody is answered
+	history      []numberedList // of all router processes
+	downUntil    time.Time      // no question is answered before this time
 	late         []string
 	staleAnswers int
 	goodAnswers  int
 }
 
-// numberedList is a list as it was told, under its number of then.
+// numberedList is a list as it was sent, with its number at that time.
 type numberedList struct {
 	listNumber  uint32
 	listEntries []string
@@ -77,7 +78,7 @@
 	return all
 }
 
-// recordList is an event of the list.
+// recordList adds the current list to the history under a new number.
 func (k *listSoak) recordList() {
 	k.listNumber++
 	k.history = append(k.history, numberedList{k.listNumber, k.listEntries()})
@@ -87,7 +88,7 @@
 	k.servers = append(k.servers, &listedServer{id: fmt.Sprintf("s-%04d", len(k.servers)), server: fake.NewEngine(k.t, k.received)})
 }
 
-// changeList has one server drain and another come, or one that drains go.
+// changeList drains one server and adds another, or removes a draining one.
 func (k *listSoak) changeList() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -111,14 +112,14 @@
 	k.recordList()
 }
 
-// startOutage has the name server answer nobody for a while.
+// startOutage stops the answers of the name server for a while.
 func (k *listSoak) startOutage() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.downUntil = time.Now().Add(time.Duration(500+k.rng.IntN(2000)) * time.Millisecond)
 }
 
-// restartNumbering begins the numbering of another life, which knows the list of now.
+// restartNumbering restarts the list numbers for a new router process and returns its initial list, which is the current one.
 func (k *listSoak) restartNumbering() (known string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -139,7 +140,7 @@
 	return fmt.Sprintf(`"known":{"rev":1,"notices":[{"rev":1,"pool":{"rev":1,"all":true,"targets":[%s]}}]}`, strings.Join(targets, ","))
 }
 
-// markReported notes that the router has been told the list of now, as far as it is about drains, at a time.
+// markReported records that the drains and removals of the current list were reported to the router at the given time.
 func (k *listSoak) markReported(at time.Time) {
 	for _, s := range k.servers {
 		if (s.draining || s.removed) && (s.reportedAt.IsZero() || at.Before(s.reportedAt)) {
@@ -148,7 +149,7 @@
 	}
 }
 
-// answersTo draws what becomes of a question: the answers that go out.
+// answersTo draws the answers to a question.
 func (k *listSoak) answersTo(question []byte) (answers [][]byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -167,14 +168,14 @@
 	switch k.rng.IntN(6) {
 	case 0: // lost
 		return nil
-	case 1: // a failure
+	case 1: // failure code
 		msg := good()
 		msg[3] |= 2
 		return [][]byte{msg}
-	case 2: // cut short
+	case 2: // truncated
 		msg := good()
 		return [][]byte{msg[:k.rng.IntN(len(msg))]}
-	case 3: // under another id
+	case 3: // wrong id
 		return [][]byte{fake.Reply(id^1, k.listNumber, discovery.Record, k.listEntries()...)}
 	default: // a list of any earlier time
 		k.staleAnswers++
@@ -205,13 +206,13 @@
 	return c.LocalAddr().String()
 }
 
-// checkMessage answers a request that has reached a server, and notes one that came too late.
+// checkMessage answers a request that reached a server, and records it if it came too late.
 func (k *listSoak) checkMessage(said fake.Said) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range k.servers {
 		if late := said.At.Sub(s.reportedAt); s.server == said.Engine && !s.reportedAt.IsZero() && late > grace+machineLag {
-			k.late = append(k.late, fmt.Sprintf("request %s reached %s %v after its drain was told", said.Words[1], s.id, late))
+			k.late = append(k.late, fmt.Sprintf("request %s reached %s %v after its drain was reported", said.Words[1], s.id, late))
 		}
 	}
 	if said.Words[0] == "fetch" {
@@ -219,7 +220,7 @@
 	}
 }
 
-// sendUntil sends requests to a router for as long as it lives, some hundred a second.
+// sendUntil sends about a hundred requests per second to the router until stop is closed, and reconnects after a restart.
 func sendUntil(addr string, stop <-chan struct{}) {
 	var c net.Conn
 	for seq := int32(1); ; seq++ {
@@ -251,24 +252,24 @@
 type routerRuns struct {
 	*cluster
 	soak      *listSoak
-	knownList string // in the configuration
+	knownList string // as it stands in the configuration
 	count     int
 }
 
-// startNext starts a process that knows the list of now.
+// startNext starts a process that knows the current list.
 func (l *routerRuns) startNext() {
 	knownList := l.soak.restartNumbering()
 	l.replaceConfig(l.knownList, knownList)
 	l.knownList = knownList
 	l.start()
 	go func(logLines chan string) {
-		for range logLines { // nobody reads it
+		for range logLines { // discard, so that the reader of the log does not block
 		}
 	}(l.logLines)
 	l.count++
 }
 
-// drawEvent has one thing happen, or nothing.
+// drawEvent triggers one random event, or none.
 func (l *routerRuns) drawEvent() {
 	l.soak.mu.Lock()
 	n := l.soak.rng.IntN(20)
@@ -285,7 +286,7 @@
 	}
 }
 
-// TestListSoak draws faults for some time, from a seed.
+// TestListSoak draws faults from a seed for the duration of the -soak flag.
 func TestListSoak(t *testing.T) {
 	w := prepareCluster(t, 1, 1024)
 	soak := &listSoak{t: t, received: w.received, rng: rand.New(rand.NewPCG(*soakSeed, 0))}
@@ -314,11 +315,11 @@
 	}
 	soak.mu.Lock()
 	defer soak.mu.Unlock()
-	t.Logf("%d lives, %d servers, %d good answers, %d strays, %d requests", l.count, len(soak.servers), soak.goodAnswers, soak.staleAnswers, served)
+	t.Logf("%d router processes, %d servers, %d good answers, %d stale answers, %d requests", l.count, len(soak.servers), soak.goodAnswers, soak.staleAnswers, served)
 	for _, line := range soak.late[:min(len(soak.late), 10)] {
 		t.Error(line)
 	}
 	if served < int(soakFor.Seconds())*20 || soak.staleAnswers == 0 || l.count < 2 {
-		t.Error("too little came about")
+		t.Error("too few requests, stale answers or restarts")
 	}
 }
--- a/cmd/dunereach/main_test.go
+++ b/cmd/dunereach/main_test.go
@@ -28,7 +28,8 @@
 	script.Programs(m, func(dir string) { program = filepath.Join(dir, "dunereach") }, "../dunecheck", ".")
 }
 
-// writeSettings writes a configuration and, unless it is empty, an operators' file to a folder, and gives the environment that names both.
+// writeSettings writes a configuration and, unless it is empty, an operators' file to a folder. It returns the environment that
+// names both.
 func writeSettings(dir, configText, operatorText string) []string {
 	config, operator := filepath.Join(dir, "config.json"), ""
 	os.WriteFile(config, []byte(configText), 0o600)
@@ -39,7 +40,8 @@
 	return append(os.Environ(), "BALANCER_CONFIG="+config, "DUNEREACH_OPERATOR="+operator)
 }
 
-// TestCheck: what can't serve is said in one line, with its place and cause, by check and by the start alike.
+// TestCheck: both the check command and the start of the router report an unusable file in one line, with the place and the cause of
+// the error.
 func TestCheck(t *testing.T) {
 	good, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
@@ -77,19 +79,20 @@
 				return
 			}
 			if status := checked.ProcessState.ExitCode(); status != 2 || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), c.want) {
-				t.Errorf("check: status %d, said %q, wanted %q", status, out, c.want)
+				t.Errorf("check: status %d, output %q, want %q", status, out, c.want)
 			}
 			served := exec.Command(program)
 			served.Env = env
 			out, _ = served.CombinedOutput()
 			if status := served.ProcessState.ExitCode(); status != 1 || !strings.Contains(string(out), c.want) {
-				t.Errorf("start: status %d, said %q, wanted %q", status, out, c.want)
+				t.Errorf("start: status %d, output %q, want %q", status, out, c.want)
 			}
 		})
 	}
 }
 
-// One kind of machine, a replayable profile, one that must never run twice and one that keeps its order.
+// testSettings has one server kind and three profiles: an idempotent one, a non-idempotent one that must never run twice, and one
+// that runs requests in the order of arrival.
 const testSettings = `{"Balancers":1,"Tick":5,"Dcs":["east"],"Kinds":["std"],"Discovery":"push",
 	"Classes":[{"Name":"lookup","Aim":20000,"Deadline":30000,"Effect":"safe","Worth":1},
 		{"Name":"order","Aim":20000,"Deadline":30000,"Effect":"unsafe","Worth":1},
@@ -98,37 +101,37 @@
 	"Limits":{"ConnIdle":30000,"ConnectTimeout":5000,"MaxStreams":100,"MaxRetryAfter":500,"OpenCap":1000,"RetryAfter":true,"SendCap":6},
 	"Obligations":{"ColdFrom":0.35,"DrainGrace":250,"Fall":1000,"FallMultiple":2,"WarmUp":15000}}`
 
-// cluster is a router with what it talks to.
+// cluster is a router with fakes of the servers and the name server that it connects to.
 type cluster struct {
 	t            testing.TB
 	addr         string
 	configPath   string
-	operatorPath string // the operators' file, "": none
+	operatorPath string // the operators' file; empty: none
 	nameServer   *fake.NameServer
 	servers      []*fake.Engine
 	received     chan fake.Said
-	text         string // of the configuration
+	text         string // contents of the configuration file
 	cmd          *exec.Cmd
 	logLines     chan string
 	lastRef      int
 
-	descriptorLimit int      // the system's limit for the router, 0: the test's own
-	extraEnv        []string // of the router, beside what it needs
+	descriptorLimit int      // descriptor limit of the router's process; 0: the limit of the test
+	extraEnv        []string // of the router, beside the required variables
 }
 
 func newCluster(t testing.TB, servers int) *cluster { return newClusterWithLimit(t, servers, 1024) }
 
-// newClusterWithLimit is one that serves already.
+// newClusterWithLimit returns a cluster whose router is started, with the given descriptor limit in its configuration.
 func newClusterWithLimit(t testing.TB, servers, descriptors int) *cluster {
 	w := prepareCluster(t, servers, descriptors)
 	w.start()
 	return w
 }
 
-// prepareCluster is one whose router is yet to start.
+// prepareCluster returns a cluster whose router is not yet started.
 func prepareCluster(t testing.TB, servers, descriptors int) *cluster {
 	w := &cluster{t: t, nameServer: fake.NewNameServer(t, discovery.Record), received: make(chan fake.Said, 1000)}
-	// An address that is this router's own: a port that was free on a shared one may be an engine's by the time.
+	// The router gets an address of its own: on a shared address, a port that was free may belong to a server by the time it starts.
 	w.addr = fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 	var targets []string
 	for k := range servers {
@@ -147,7 +150,7 @@
 	return w
 }
 
-// replaceConfig replaces a part of the configuration before the router starts.
+// replaceConfig replaces a part of the configuration. Call it before the router starts.
 func (w *cluster) replaceConfig(old, text string) {
 	w.t.Helper()
 	if !strings.Contains(w.text, old) {
@@ -159,7 +162,7 @@
 	}
 }
 
-// configFromPipe has the configuration come through a configFromPipe, so that its reader waits for it.
+// configFromPipe replaces the configuration file by a named pipe, so that a reader waits for the contents.
 func (w *cluster) configFromPipe() {
 	os.Remove(w.configPath)
 	if err := syscall.Mkfifo(w.configPath, 0o600); err != nil {
@@ -167,7 +170,7 @@
 	}
 }
 
-// writeOperatorFile writes the writeOperatorFile' file.
+// writeOperatorFile writes the operators' file.
 func (w *cluster) writeOperatorFile(text string) {
 	w.operatorPath = filepath.Join(filepath.Dir(w.configPath), "operator.json")
 	if err := os.WriteFile(w.operatorPath, []byte(text), 0o600); err != nil {
@@ -204,7 +207,7 @@
 	}()
 }
 
-// waitForLog waits for a line of the log.
+// waitForLog waits for a log line that contains part.
 func (w *cluster) waitForLog(part string) {
 	w.t.Helper()
 	timeout := time.After(fake.Patience)
@@ -223,13 +226,13 @@
 	}
 }
 
-// receive waits for the next thing said to an engine, which must start with a word.
+// receive waits for the next message that a server receives. It must start with the given verb.
 func (w *cluster) receive(verb string) fake.Said {
 	w.t.Helper()
 	select {
 	case s := <-w.received:
 		if s.Words[0] != verb {
-			w.t.Fatalf("an engine was sent %q, want a %s", s.Words, verb)
+			w.t.Fatalf("a server received %q, want %s", s.Words, verb)
 		}
 		return s
 	case <-time.After(fake.Patience):
@@ -237,18 +240,18 @@
 		for line := range w.logLines {
 			w.t.Log(line)
 		}
-		w.t.Fatalf("no engine was sent a %s", verb)
+		w.t.Fatalf("no server received %s", verb)
 	}
 	return fake.Said{}
 }
 
-// request asks for a statement to be run, allowing some milliseconds.
+// request sends a statement with a client timeout in milliseconds and returns its sequence number.
 func (w *cluster) request(c *fake.Client, profile string, timeoutMs int, statement string) int32 {
 	w.lastRef++
 	return c.Call(statement, "service", profile, "project", "acme", "allow", fmt.Sprint(timeoutMs), "ref", fmt.Sprintf("%016x", w.lastRef))
 }
 
-// completeRequest has an engine run a command and checks that the client has the result.
+// completeRequest lets a server run a request and checks that the client receives the result.
 func (w *cluster) completeRequest(c *fake.Client, profile string) fake.Said {
 	w.t.Helper()
 	seq := w.request(c, profile, 30000, "SELECT 1")
@@ -267,11 +270,11 @@
 
 func (w *cluster) waitForExit(status int) {
 	w.t.Helper()
-	for range w.logLines { // to its end
+	for range w.logLines { // until the process closes it
 	}
 	w.cmd.Wait()
 	if got := w.cmd.ProcessState.ExitCode(); got != status {
-		w.t.Errorf("ended with status %d, want %d", got, status)
+		w.t.Errorf("exit status %d, want %d", got, status)
 	}
 }
 
@@ -287,11 +290,11 @@
 	}
 	one, two := w.request(c, "lookup", 30000, "SELECT 'a\r\nb' FROM sales_17.orders"), w.request(c, "order", 30000, "UPDATE sales_3.x")
 	first, second := w.receive("fetch"), w.receive("fetch")
-	if second.Words[1] < first.Words[1] { // on connections of their own
+	if second.Words[1] < first.Words[1] { // they arrive on separate connections
 		first, second = second, first
 	}
 	if first.Body != "SELECT 'a\r\nb' FROM sales_17.orders" || !strings.HasPrefix(first.Words[2], "kind=lookup,ms=") {
-		t.Errorf("the engine got %q, %q", first.Words, first.Body)
+		t.Errorf("the server received %q, %q", first.Words, first.Body)
 	}
 	second.Answer("served", "count=1,ticks=12.5,footprint=4", "")
 	w.expectAnswer(c, resultMessage(two, ""))
@@ -303,8 +306,8 @@
 	w.receive("done")
 }
 
-// TestSilentEngine: a command that no engine answers is shed before the client gives it up, with word when to
-// come back; what is answered too late goes nowhere.
+// TestSilentEngine: a request that no server answers is rejected before the client timeout, with a time after which to retry. An
+// answer that arrives later is dropped.
 func TestSilentEngine(t *testing.T) {
 	w := newCluster(t, 1)
 	c := fake.NewClient(t, w.addr)
@@ -316,8 +319,8 @@
 	w.completeRequest(c, "lookup")
 }
 
-// TestFailed: what may have run and must not run twice fails; what is replayable goes elsewhere, and no part of the
-// lost result goes to the client.
+// TestFailed: a request that may have run and must not run twice fails. An idempotent request is retried on another server, and
+// no part of the lost result reaches the client.
 func TestFailed(t *testing.T) {
 	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
@@ -330,14 +333,14 @@
 	w.receive("more").Die()
 	again := w.receive("fetch")
 	if again.Engine == first.Engine || again.Words[1] != first.Words[1] {
-		t.Errorf("again under %q at the same engine", again.Words)
+		t.Errorf("retry %q has another id or is at the same server", again.Words)
 	}
 	again.Answer("served", "count=1", "new\t\t\n")
 	w.expectAnswer(c, resultMessage(seq, "new\t\t\n"))
 }
 
-// TestSpoilt: an answer that can't be read costs the send that it came for; what else runs at that engine goes on, and
-// the command goes elsewhere. A second copy of a good answer costs nothing.
+// TestSpoilt: an unreadable answer ends only the attempt that it belongs to. Other attempts at that server continue, and the
+// request is retried on another server. A duplicate of a good answer has no effect.
 func TestSpoilt(t *testing.T) {
 	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
@@ -350,7 +353,7 @@
 	open[0].Raw(open[0].Words[1] + " served count=1 3000000000\r\nnoise")
 	again := w.receive("fetch")
 	if again.Words[1] != open[0].Words[1] || again.Engine == open[0].Engine {
-		t.Errorf("again %q at the same engine", again.Words)
+		t.Errorf("retry %q has another id or is at the same server", again.Words)
 	}
 	for k, s := range append([]fake.Said{again}, open[1:]...) {
 		s.Answer("served", "count=1", "x\t\t\n")
@@ -360,19 +363,20 @@
 	w.completeRequest(c, "lookup")
 }
 
-// TestRefused: an engine that nobody listens for never ran anything, so that even what must not run twice goes on.
+// TestRefused: a server that refuses connections has run nothing, so even a non-idempotent request is retried on another
+// server.
 func TestRefused(t *testing.T) {
 	w := newCluster(t, 2)
 	w.servers[0].Close()
 	c := fake.NewClient(t, w.addr)
 	for range 6 {
 		if s := w.completeRequest(c, "order"); s.Engine != w.servers[1] {
-			t.Error("an engine that is not there was sent something")
+			t.Error("an unreachable server received a request")
 		}
 	}
 }
 
-// TestDrain: once told that an engine drains it gets nothing new; what runs there still ends.
+// TestDrain: once the drain of a server is reported it receives no new requests, and requests that run there complete.
 func TestDrain(t *testing.T) {
 	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
@@ -389,21 +393,22 @@
 	w.waitForLog(`"list of engines","rev":2`)
 	for range 20 {
 		if s := w.completeRequest(c, "lookup"); s.Engine == there.Engine {
-			t.Fatal("a draining engine was sent something")
+			t.Fatal("a draining server received a request")
 		}
 	}
 	there.Answer("served", "count=1", "y\t\t\n")
 	w.expectAnswer(c, resultMessage(running, "y\t\t\n"))
 }
 
-// TestClients: one that cancels is owed nothing; one that can't be read loses its connection alone.
+// TestClients: a client that cancels gets no answer. A client whose messages can't be parsed loses its own connection, and no
+// other.
 func TestClients(t *testing.T) {
 	w := newCluster(t, 1)
 	c, bad := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
 	cancelled := w.request(c, "lookup", 30000, "SELECT 1")
-	runs := w.receive("fetch") // a cancel that came before it had left would take it back
+	runs := w.receive("fetch") // a cancel before the attempt is sent would withdraw the request
 	c.Cancel(cancelled)
-	if !c.Health() { // its answer tells that the cancel was read
+	if !c.Health() { // its answer shows that the cancel was read
 		t.Error("not ready")
 	}
 	runs.Answer("served", "count=1", "unwanted\t\t\n")
@@ -416,8 +421,8 @@
 	w.completeRequest(c, "lookup")
 }
 
-// TestCrowd: connections that ask nothing, or no more, make room for those that do, and each is closed. One that asks
-// keeps its place.
+// TestCrowd: connections without requests, or with part of one, are closed to free descriptors for others. A connection with an
+// open request stays open.
 func TestCrowd(t *testing.T) {
 	w := newClusterWithLimit(t, 1, 48) // 18 of them for clients
 	c := fake.NewClient(t, w.addr)
@@ -433,15 +438,15 @@
 	w.completeRequest(fake.NewClient(t, w.addr), "lookup")
 	for _, c := range crowd {
 		if got := c.Next(); got != "closed" && !strings.Contains(got, "reset") {
-			t.Errorf("one that says nothing got %q", got)
+			t.Errorf("a client without requests got %q", got)
 		}
 	}
 	open.Answer("served", "count=1", "x\t\t\n")
 	w.expectAnswer(c, resultMessage(seq, "x\t\t\n"))
 }
 
-// TestEnd: asked to end, a router takes what still comes, answers all, and ends well. Another start under its name
-// and address begins from nothing.
+// TestEnd: after SIGTERM a router still accepts requests, answers all, and exits with status 0. A new process with the same name and
+// address starts without state.
 func TestEnd(t *testing.T) {
 	w := newCluster(t, 1)
 	c := fake.NewClient(t, w.addr)
@@ -466,8 +471,8 @@
 	w.completeRequest(c, "lookup")
 }
 
-// TestReload: SIGHUP, several in a row too, has the configuration read again, and what is open goes on. The name server
-// is the new one at once; what the old one says counts no more. A file that can't be read changes nothing.
+// TestReload: SIGHUP, also several in a row, makes the router read its configuration again while open requests continue. The new name
+// server applies at once, and answers of the old one are ignored. An unreadable file changes nothing.
 func TestReload(t *testing.T) {
 	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
@@ -492,7 +497,7 @@
 	w.waitForLog(`"list of engines","rev":2`)
 	for range 9 {
 		if s := w.completeRequest(c, "lookup"); s.Engine != w.servers[1] {
-			t.Error("an engine that is gone was sent something")
+			t.Error("a removed server received a request")
 		}
 	}
 	open.Answer("served", "count=1", "y\t\t\n")
@@ -505,7 +510,7 @@
 	w.waitForExit(0)
 }
 
-// TestNoStart: what can't serve says why in one line and ends with a status.
+// TestNoStart: a router that can't start reports the reason in one line and exits with a nonzero status.
 func TestNoStart(t *testing.T) {
 	w := newCluster(t, 1)
 	w.waitForLog("serving")
@@ -514,7 +519,7 @@
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(map[string]any){
-		"listen":     func(map[string]any) {}, // in use
+		"listen":     func(map[string]any) {}, // address in use
 		"nameserver": func(m map[string]any) { m["nameserver"] = "nowhere" },
 		"seed":       func(m map[string]any) { m["seed"] = 7 },
 		"no classes": func(m map[string]any) { m["settings"] = map[string]any{} },
@@ -538,8 +543,8 @@
 	}
 }
 
-// TestTeams: the operators' file has budgets and waits kept: a call names its team, answers and refusals tell waits, the
-// file is taken again at SIGHUP, a bad one changes nothing, and what can't change is said.
+// TestTeams: the operators' file enables budgets and wait figures: a request names its team, and answers and rejections report
+// waits. SIGHUP reloads the file, an invalid one changes nothing, and settings that need a restart are logged.
 func TestTeams(t *testing.T) {
 	w := prepareCluster(t, 1, 1024)
 	w.writeOperatorFile(`{"teams":[{"name":"a","weight":1,"tenants":["acme"]},{"name":"b","weight":1}],
@@ -557,7 +562,7 @@
 	}
 	fields := regexp.MustCompile(`2=\[ wait_p50=\d+ wait_p90=\d+ waited=0 \]`)
 	if got := completeAs("b"); !fields.MatchString(got) {
-		t.Errorf("an answer tells no waits: %s", got)
+		t.Errorf("an answer has no wait fields: %s", got)
 	}
 	completeAs("nobody")
 	reload := func(text, line string) {
@@ -568,19 +573,19 @@
 	}
 	reload(`{"teams":[{"name":"a","weight":0}],"budgets":{"default":"a"}}`, "/teams/0/weight: 0 is not over 0")
 	if got := completeAs("b"); !fields.MatchString(got) {
-		t.Errorf("a bad file changed what is told: %s", got)
+		t.Errorf("an invalid file changed the answer: %s", got)
 	}
 	reload(`{"teams":[{"name":"c","weight":1,"tenants":["acme"]}],"budgets":{"default":"c"},"waits":{"fields":false}}`,
 		`"kept until a restart":[]`)
 	if got := completeAs("b"); strings.Contains(got, "wait_p50") {
-		t.Errorf("waits are told although the file says no: %s", got)
+		t.Errorf("an answer has wait fields although the file disables them: %s", got)
 	}
 	reload(`{}`, `"kept until a restart":["teams","waits"]`)
 	completeAs("b")
 }
 
-// BenchmarkThrift is commands from client to engine and back, with the router on one core: 32 connections, each with one
-// command at a time, and an engine that answers at once.
+// BenchmarkThrift measures requests from client to server and back, with the router on one core: 32 connections, each with one
+// request at a time, and a server that answers at once.
 func BenchmarkThrift(b *testing.B) {
 	w := newCluster(b, 1)
 	go func() {
@@ -609,8 +614,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commands/s")
 }
 
-// TestExpected: a new configuration that fails its expectations is not taken, where the operators' file says so; one that
-// holds them is.
+// TestExpected: where the operators' file says so, a new configuration that fails its expectations is not applied, and one that
+// meets them is.
 func TestExpected(t *testing.T) {
 	w := prepareCluster(t, 1, 1024)
 	folder := filepath.Join(filepath.Dir(w.configPath), "expectations")
--- a/cmd/dunereach/names_test.go
+++ b/cmd/dunereach/names_test.go
@@ -10,8 +10,8 @@
 	"dunereach/internal/fake"
 )
 
-// TestOddNames: a class's name goes on to servers unchanged whatever its bytes are, but for those that would end the field, the word or
-// the line: requests of such a class fail, are never sent on, and do no harm to others.
+// TestOddNames: a class name is passed to servers unchanged, unless it has bytes that would end the field, the word or the line of
+// the protocol. Requests of such a class fail, are never sent to a server, and do not affect others.
 func TestOddNames(t *testing.T) {
 	for name, usable := range map[string]bool{
 		"look.up:v2_A": true, "größe": true, `a/b;c"d\e`: true, "a=b": true, "-": true, "%20": true,
@@ -28,7 +28,7 @@
 			c := fake.NewClient(t, w.addr)
 			if usable {
 				if s := w.completeRequest(c, name); !strings.HasPrefix(s.Words[2], "kind="+name+",ms=") {
-					t.Errorf("the server was sent %q", s.Words)
+					t.Errorf("the server received %q", s.Words)
 				}
 			} else {
 				seq := w.request(c, name, 30000, "SELECT 1")
--- a/cmd/dunereach/profiles_test.go
+++ b/cmd/dunereach/profiles_test.go
@@ -8,8 +8,8 @@
 	"dunereach/internal/fake"
 )
 
-// TestToken: what a client sends for a repeat to be known by goes on to engines with each send, unchanged; one that could
-// not stand there is refused.
+// TestToken: the idempotency token of a client is passed to servers unchanged with each attempt. A token with characters that the
+// protocol does not allow is rejected.
 func TestToken(t *testing.T) {
 	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
@@ -23,7 +23,7 @@
 	again := w.receive("fetch")
 	for _, s := range []fake.Said{first, again} {
 		if !strings.HasSuffix(s.Words[2], ",token=f67149c9:8847") {
-			t.Errorf("an engine was sent %q", s.Words)
+			t.Errorf("a server received %q", s.Words)
 		}
 	}
 	again.Answer("served", "count=1", "x\t\t\n")
@@ -35,12 +35,12 @@
 		}
 	}
 	if s := w.completeRequest(c, "lookup"); strings.Contains(s.Words[2], "token") {
-		t.Errorf("one without was sent with %q", s.Words)
+		t.Errorf("a request without a token was sent with %q", s.Words)
 	}
 }
 
-// TestOrdered: of an ordered profile, commands with one key run one at a time and in the order in which they came, whatever
-// connections they came on; those with another key, with none, or of another profile don't wait for them.
+// TestOrdered: in an ordered profile, requests with the same key run one at a time in the order of arrival, also across
+// connections. Requests with another key, without a key, or of another profile do not wait for them.
 func TestOrdered(t *testing.T) {
 	w := newCluster(t, 2)
 	a, b := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
@@ -56,7 +56,7 @@
 		seq := call(b, free[0], fmt.Sprintf("SELECT %d", 3+k), free[1:]...)
 		s := w.receive("fetch")
 		if want := fmt.Sprintf("SELECT %d", 3+k); s.Body != want {
-			t.Fatalf("an engine was sent %q, want %q", s.Body, want)
+			t.Fatalf("a server received %q, want %q", s.Body, want)
 		}
 		s.Answer("served", "count=1", "x\t\t\n")
 		w.expectAnswer(b, resultMessage(seq, "x\t\t\n"))
@@ -65,14 +65,15 @@
 	w.expectAnswer(a, resultMessage(one, "x\t\t\n"))
 	second := w.receive("fetch")
 	if second.Body != "SELECT 2" {
-		t.Errorf("an engine was sent %q", second.Body)
+		t.Errorf("a server received %q", second.Body)
 	}
 	second.Answer("served", "count=1", "y\t\t\n")
 	w.expectAnswer(b, resultMessage(two, "y\t\t\n"))
 }
 
-// TestRepeated: a client's further try, while the first is out or after it failed, is a command of its own with one answer; the
-// same id on another connection fails while the first waits, which goes on, and is free again after it.
+// TestRepeated: a client's retry under a new id, while the first request is open or after it failed, is a request of its own with
+// one answer. The same id on another connection fails while the first request is open, does not disturb it, and can be used again
+// after it.
 func TestRepeated(t *testing.T) {
 	w := newCluster(t, 2)
 	a, b := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
@@ -89,15 +90,15 @@
 	first.Answer("served", "count=1", "1\t\t\n")
 	w.expectAnswer(a, resultMessage(one, "1\t\t\n"))
 	three := call(b, "a")
-	w.receive("fetch").Die() // it may have run
+	w.receive("fetch").Die() // the request may have run
 	w.expectAnswer(b, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, three))
 	four := call(b, "a")
 	w.receive("fetch").Answer("served", "count=1", "4\t\t\n")
 	w.expectAnswer(b, resultMessage(four, "4\t\t\n"))
-	if !a.Health() || !b.Health() { // and nothing more
+	if !a.Health() || !b.Health() { // no further answer precedes this one
 		t.Error("not ready")
 	}
 	if len(w.received) > 0 {
-		t.Errorf("an engine was sent %q", (<-w.received).Words)
+		t.Errorf("a server received %q", (<-w.received).Words)
 	}
 }
--- a/cmd/dunereach/restart_test.go
+++ b/cmd/dunereach/restart_test.go
@@ -9,8 +9,8 @@
 	"dunereach/internal/fake"
 )
 
-// TestThirtyRestart: thirty routers that serve are killed and started again at once while discovery is down. Nine in ten are ready within
-// 10 s, and hear of the list within a second of its return; all serve then.
+// TestThirtyRestart: thirty serving routers are killed and restarted at once while the name server is down. Nine in ten must be
+// ready within 10 s, and receive the list within a second of the name server's return. All of them must serve then.
 func TestThirtyRestart(t *testing.T) {
 	const routers, ninetyPercent = 30, 27
 	w := make([]*cluster, routers)
@@ -53,19 +53,19 @@
 	for _, r := range w {
 		r.completeRequest(fake.NewClient(t, r.addr), "lookup")
 	}
-	t.Logf("ready after %v (nine in ten), %v (last); the list heard after %v, %v", readyAfter[ninetyPercent-1], readyAfter[routers-1], listAfter[ninetyPercent-1], listAfter[routers-1])
+	t.Logf("ready after %v (nine in ten), %v (last); list received after %v, %v", readyAfter[ninetyPercent-1], readyAfter[routers-1], listAfter[ninetyPercent-1], listAfter[routers-1])
 	if readyAfter[ninetyPercent-1] > 10*time.Second || listAfter[ninetyPercent-1] > time.Second {
-		t.Errorf("nine in ten are ready after %v and hear of the list after %v", readyAfter[ninetyPercent-1], listAfter[ninetyPercent-1])
+		t.Errorf("nine in ten are ready after %v and receive the list after %v", readyAfter[ninetyPercent-1], listAfter[ninetyPercent-1])
 	}
 }
 
-// sortedWaits waits for something of all routers at once, and gives how long each took, in order.
+// sortedWaits runs wait for all routers at once and returns how long each took, in ascending order.
 func sortedWaits(all []*cluster, wait func(*cluster) (from time.Time)) []time.Duration {
 	took := make(chan time.Duration, len(all))
 	for _, r := range all {
 		go func() {
 			var from time.Time
-			defer func() { took <- time.Since(from) }() // also where it is waited for in vain
+			defer func() { took <- time.Since(from) }() // also if the wait fails the test
 			from = wait(r)
 		}()
 	}
--- a/cmd/dunereach/signal_test.go
+++ b/cmd/dunereach/signal_test.go
@@ -13,7 +13,7 @@
 	"dunereach/internal/fake"
 )
 
-// TestHalfWritten: a configuration that is half written when the signal comes is taken once it is whole, without another.
+// TestHalfWritten: a configuration that is partly written at SIGHUP is applied once it is complete, without another signal.
 func TestHalfWritten(t *testing.T) {
 	w := newCluster(t, 1)
 	w.waitForLog("serving")
@@ -34,14 +34,14 @@
 	w.waitForLog(`"kept until a restart":["limits"]`)
 }
 
-// TestEndsEarly: asked to end while it starts, a router ends well and has taken nothing that it does not answer; so does one
-// that is asked to end and to read its configuration again, many times over.
+// TestEndsEarly: SIGTERM during the start makes a router exit with status 0 and leave no accepted request unanswered. So do many
+// SIGTERMs and SIGHUPs in turn.
 func TestEndsEarly(t *testing.T) {
 	for _, wait := range []time.Duration{0, 5, 20, 100} {
 		w := prepareCluster(t, 1, 1024)
-		w.configFromPipe() // it can't start before its configuration is there
+		w.configFromPipe() // the router waits for its configuration
 		w.start()
-		f, err := os.OpenFile(w.configPath, os.O_WRONLY, 0) // it has been opened to be read
+		f, err := os.OpenFile(w.configPath, os.O_WRONLY, 0) // returns once the router has opened it
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestNoReader: a router whose log nobody reads ends all the same.
+// TestNoReader: a router exits on SIGTERM even if nothing reads its log.
 func TestNoReader(t *testing.T) {
 	w := prepareCluster(t, 1, 1024)
 	cmd := w.routerCommand()
@@ -70,9 +70,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill() })
-	fd := int(out.Fd()) // each call of Fd has it block again
+	fd := int(out.Fd()) // each call of Fd sets the descriptor to blocking mode again
 	syscall.SetNonblock(fd, true)
-	for full := false; !full; { // what it would write to is full
+	for full := false; !full; { // until the pipe is full
 		_, err := syscall.Write(fd, []byte("noise\n"))
 		full = err != nil
 	}
@@ -89,11 +89,11 @@
 			t.Error(err)
 		}
 	case <-time.After(fake.Patience):
-		t.Error("it does not end")
+		t.Error("the router does not exit")
 	}
 }
 
-// TestReaderGone: a router whose log's reader has gone serves on.
+// TestReaderGone: a router continues to serve after the reader of its log has closed the pipe.
 func TestReaderGone(t *testing.T) {
 	w := prepareCluster(t, 1, 1024)
 	cmd := w.routerCommand()
@@ -112,9 +112,9 @@
 		t.Fatal(line, err)
 	}
 	r.Close()
-	cmd.Process.Signal(syscall.SIGHUP) // which it says in its log
+	cmd.Process.Signal(syscall.SIGHUP) // the router logs the reload
 	for range 3 {
-		bad := fake.NewClient(t, w.addr) // and this
+		bad := fake.NewClient(t, w.addr) // the router logs the bad message
 		bad.Raw([]byte("GET / HTTP/1.0\r\n\r\n"))
 		bad.Next()
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestReadySoon: two dozen routers that start at once on a busy machine, with a name server that says nothing, are ready in the
-// time that a restart is given.
+// TestReadySoon: 24 routers that start at once on a busy machine, with a silent name server, are ready within the 10 s that a
+// restart may take.
 func TestReadySoon(t *testing.T) {
 	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/dunereach/subset_test.go
+++ b/cmd/dunereach/subset_test.go
@@ -7,14 +7,14 @@
 	"dunereach/internal/fake"
 )
 
-// TestSubset: a router with a subset sends to the databases of it alone, and to more of them once those can't be reached.
+// TestSubset: a router with a subset sends requests only to the servers in it, and to others once those are unreachable.
 func TestSubset(t *testing.T) {
 	w := prepareCluster(t, 6, 1024)
 	w.writeOperatorFile(`{"subset":{"size":2,"room":0,"least":0}}`)
 	w.start()
 	c := fake.NewClient(t, w.addr)
 	var subset []*fake.Engine
-	const requests = 8 // at once, so that they spread over all that there are
+	const requests = 8 // concurrent, so that they spread over all servers in the subset
 	var running []fake.Said
 	for range requests {
 		w.request(c, "lookup", 30000, "SELECT 1")
@@ -26,7 +26,7 @@
 		}
 	}
 	if len(subset) != 2 {
-		t.Fatalf("%d databases were sent something, the subset is of 2", len(subset))
+		t.Fatalf("%d servers received requests, the subset has 2", len(subset))
 	}
 	for _, s := range running {
 		s.Answer("served", "count=1", "x\t\t\n")
@@ -34,16 +34,16 @@
 	}
 
 	w.cmd.Process.Kill()
-	for range w.logLines { // to its end
+	for range w.logLines { // until the process closes it
 	}
 	for _, e := range subset {
 		e.Close()
 	}
-	w.start() // under the same name it has the same subset
+	w.start() // the same name gives the same subset
 	c = fake.NewClient(t, w.addr)
 	for range 6 {
 		if s := w.completeRequest(c, "order"); slices.Contains(subset, s.Engine) {
-			t.Error("a database that is not there was sent something")
+			t.Error("an unreachable server received a request")
 		}
 	}
 }
--- a/cmd/dunereach/undelivered_test.go
+++ b/cmd/dunereach/undelivered_test.go
@@ -15,30 +15,30 @@
 	"dunereach/internal/logs"
 )
 
-// What users saw: a request ran on a server that drained, after the grace in which sends to it have to stop.
+// The tests of this file guard against a request that runs on a draining server after the grace in which attempts there have to stop.
 //
-// The order of events that these tests force, over real processes and sockets: a server reads nothing for a while, so that its window
-// is shut; requests for it are written and stay in the router's system; the server drains; it reads again, past the grace. Until then the
-// router took bytes that its system had accepted for bytes that had left, and an attempt that it had given up for one that is over.
+// They force this sequence over real processes and sockets: a server stops reading, so that its receive window closes; requests for it
+// are written and stay in the socket buffer of the router's system; the server drains; it reads again after the grace. The fault was
+// that the router counted bytes accepted by its system as sent, and an attempt that it had given up as ended.
 
 const (
-	// grace is the settings' time for sends to a server that drains, with the protocol's slack of 50 ms.
+	// grace is the time in the settings for attempts at a draining server, plus the protocol's slack of 50 ms.
 	grace = 300 * time.Millisecond
-	// overWindow is more than the window of a server that does not read, and far less than what the system holds for a sender.
+	// overWindow is larger than the receive window of a server that does not read, and much smaller than the send buffer of the system.
 	overWindow = 100 << 10
-	// oneConnectionLimit is the number of descriptors with which a router shares one connection to a single server among its attempts.
+	// oneConnectionLimit is a descriptor limit at which a router uses one connection to a single server for all attempts.
 	oneConnectionLimit = 20
 )
 
-// stalledServer accepts connections with a small window and reads nothing until it is told to.
+// stalledServer accepts a connection with a small receive window and reads nothing until it is resumed.
 type stalledServer struct {
 	addr       string
 	resumed    chan struct{}
-	requestIDs chan string // ids of whole requests, as they are read
+	requestIDs chan string // ids of complete requests, in the order of arrival
 	ended      chan struct{}
 }
 
-// newStalledServer is one that accepts a single connection.
+// newStalledServer returns a server that accepts a single connection.
 func newStalledServer(t *testing.T) *stalledServer {
 	t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -63,7 +63,7 @@
 	return s
 }
 
-// readRequests notes whole requests until the connection ends or is quiet for a second.
+// readRequests records complete requests until the connection closes or is silent for a second.
 func (s *stalledServer) readRequests(conn net.Conn) {
 	for r := bufio.NewReader(conn); ; {
 		conn.SetReadDeadline(time.Now().Add(time.Second))
@@ -84,14 +84,14 @@
 	}
 }
 
-// resume lets the server read on and returns the ids of the requests that it gets whole from then on.
+// resume lets the server read again and returns the ids of the complete requests that it receives from then on.
 func (s *stalledServer) resume(t *testing.T) (ids []string) {
 	t.Helper()
 	close(s.resumed)
 	select {
 	case <-s.ended:
 	case <-time.After(fake.Patience):
-		t.Fatal("the server reads on and on")
+		t.Fatal("the server does not stop reading")
 	}
 	close(s.requestIDs)
 	for id := range s.requestIDs {
@@ -100,19 +100,19 @@
 	return ids
 }
 
-// newStalledCluster is a router whose only server is stalled, with all attempts on one connection.
+// newStalledCluster returns a router whose only server is stalled, with all attempts on one connection.
 func newStalledCluster(t *testing.T) (w *cluster, server *stalledServer) {
 	t.Helper()
 	w = prepareCluster(t, 1, oneConnectionLimit)
 	server = newStalledServer(t)
 	w.replaceConfig(w.servers[0].Addr, server.addr)
-	w.replaceConfig(`"CpuOfKind":[8]`, `"CpuOfKind":[64]`) // room for all that a test asks
+	w.replaceConfig(`"CpuOfKind":[8]`, `"CpuOfKind":[64]`) // capacity for all requests of a test
 	w.extraEnv = []string{logs.LevelVariable + "=debug"}
 	w.start()
 	return w, server
 }
 
-// requestWritten sends a request of a size and waits until the router has written its attempt.
+// requestWritten sends a request with a body of the given size and waits until the router has written the attempt.
 func (w *cluster) requestWritten(c *fake.Client, profile string, timeoutMs, size int) (seq int32, id string) {
 	w.t.Helper()
 	seq = w.request(c, profile, timeoutMs, "SELECT '"+strings.Repeat("x", size)+"'")
@@ -121,7 +121,7 @@
 	return seq, id
 }
 
-// drainStalled has the name server tell that the only server drains, and waits until the grace is over.
+// drainStalled lets the name server report that the only server drains, and waits for the end of the grace.
 func (w *cluster) drainStalled(server *stalledServer) {
 	w.t.Helper()
 	w.nameServer.Set(2, fmt.Sprintf("s-0.east 1 10 std 0 0 %s", server.addr))
@@ -129,10 +129,10 @@
 	time.Sleep(grace)
 }
 
-// TestDrainUndelivered: what a router has written and its system has not delivered never reaches a server past the grace of its drain,
-// whether the attempt is still out, was given up before, or stands before a write that blocks.
+// TestDrainUndelivered: bytes that a router has written and its system has not delivered never reach a server after the grace of its
+// drain. The attempt may be open, may have been given up before, or may precede a write that blocks.
 func TestDrainUndelivered(t *testing.T) {
-	const shortTimeoutMs = 300 // milliseconds that a client waits
+	const shortTimeoutMs = 300 // client timeout in milliseconds
 	for name, before := range map[string]func(w *cluster, c *fake.Client) string{
 		"out": func(w *cluster, c *fake.Client) string {
 			_, id := w.requestWritten(c, "lookup", 30000, 1)
@@ -145,7 +145,7 @@
 		},
 		"before a write that blocks": func(w *cluster, c *fake.Client) string {
 			_, id := w.requestWritten(c, "lookup", 30000, 1)
-			for range 30 { // more than the system takes for one connection
+			for range 30 { // more than the system buffers for one connection
 				w.requestWritten(c, "lookup", 30000, overWindow)
 			}
 			return id
@@ -159,14 +159,14 @@
 			w.drainStalled(server)
 			for _, id := range server.resume(t) {
 				if id == late {
-					t.Errorf("request %s reached a draining server past the grace", id)
+					t.Errorf("request %s reached a draining server after the grace", id)
 				}
 			}
 		})
 	}
 }
 
-// TestLeftUndelivered: requests whose client has left while they had not arrived at their server do not arrive later.
+// TestLeftUndelivered: a request whose client leaves before the request has reached its server is not delivered later.
 func TestLeftUndelivered(t *testing.T) {
 	w, server := newStalledCluster(t)
 	c := fake.NewClient(t, w.addr)
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestEndUndelivered: what a router has given up and its system has not delivered does not arrive after the router's end.
+// TestEndUndelivered: a request that was given up while undelivered does not reach its server after the exit of the router.
 func TestEndUndelivered(t *testing.T) {
-	const shortTimeoutMs = 300 // milliseconds that a client waits
+	const shortTimeoutMs = 300 // client timeout in milliseconds
 	w, server := newStalledCluster(t)
 	c := fake.NewClient(t, w.addr)
 	w.requestWritten(c, "lookup", shortTimeoutMs, overWindow)
@@ -190,6 +190,6 @@
 	w.cmd.Process.Signal(syscall.SIGTERM)
 	w.waitForExit(0)
 	if ids := server.resume(t); len(ids) > 0 {
-		t.Errorf("requests %q ran after their router's end", ids)
+		t.Errorf("requests %q ran after the exit of their router", ids)
 	}
 }
--- a/cmd/dunereach/waited_test.go
+++ b/cmd/dunereach/waited_test.go
@@ -11,15 +11,15 @@
 	"dunereach/internal/fake"
 )
 
-// TestWaitedUnread guards against a server that is told more time than the client has left, as the request lay unread with the system: on a
-// connection behind a crowd, and on old and new ones while the router stood still.
+// TestWaitedUnread guards against a time limit sent to a server that exceeds the time left to the client, because the request waited
+// unread in the system's buffers: on a connection behind a crowd, or on old and new connections while the router was suspended.
 func TestWaitedUnread(t *testing.T) {
 	const timeout = 10 * time.Second
 	for _, c := range []struct {
 		name          string
 		before        func(w *cluster) // before the request is sent
-		after         func(w *cluster) // after it
-		newConnection bool             // on a new connection
+		after         func(w *cluster) // after the request is sent
+		newConnection bool             // send the request on a new connection
 	}{
 		{"behind a crowd", func(w *cluster) { w.connectCrowd(partialMessageCrowd, 40) }, func(*cluster) {}, true},
 		{"new while stopped", (*cluster).suspend, resumeLater, true},
@@ -43,7 +43,7 @@
 			said := w.receive("fetch")
 			waited := said.At.Sub(from)
 			if reported := sentTimeLimit(said); waited < timeLimitSlack || reported > timeout-waited+timeLimitSlack {
-				t.Errorf("the server was told %v, the client has waited %v of %v", reported, waited, timeout)
+				t.Errorf("the server received a time limit of %v, the client has waited %v of %v", reported, waited, timeout)
 			}
 			said.Answer("served", "count=1", "x\t\t\n")
 			w.expectAnswer(client, resultMessage(map[bool]int32{true: 1, false: 2}[c.newConnection], "x\t\t\n"))
@@ -51,7 +51,7 @@
 	}
 }
 
-// suspend stops the router, and waits until it has.
+// suspend stops the router with SIGSTOP and waits until it has stopped.
 func (w *cluster) suspend() {
 	w.t.Helper()
 	w.cmd.Process.Signal(syscall.SIGSTOP)
@@ -61,13 +61,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatal("it does not stop")
+			w.t.Fatal("the router does not stop")
 		}
 	}
 }
 
-// resumeLater lets a stopped router stand still for a while.
+// resumeLater keeps a suspended router stopped for a while, then resumes it.
 func resumeLater(w *cluster) {
-	time.Sleep(600 * time.Millisecond) // what is measured is a time
+	time.Sleep(600 * time.Millisecond) // the wait that the test checks for
 	w.cmd.Process.Signal(syscall.SIGCONT)
 }
