--- a/cmd/dunereach/life_soak_test.go
+++ b/cmd/dunereach/life_soak_test.go
@@ -27,8 +27,8 @@
 // against the records of clients and servers.
 
 var (
-	lifeSeed  = flag.Uint64("life-seed", 1, "the first seed that TestLifeSoak draws from")
-	lifeSeeds = flag.Int("life-seeds", 2, "how many seeds TestLifeSoak plays, one after another")
+	lifeSeed  = flag.Uint64("life-seed", 1, "the first seed of TestLifeSoak")
+	lifeSeeds = flag.Int("life-seeds", 2, "number of successive seeds that TestLifeSoak runs")
 )
 
 const (
@@ -121,7 +121,7 @@
 	w.start()
 	w.waitForLog("serving")
 	go func(logLines chan string) {
-		for range logLines { // discard, so that the reader of the log does not block
+		for range logLines { // discard, so that the goroutine that forwards the log does not block
 		}
 	}(w.logLines)
 	l.workers.Go(l.answerAttempts)
--- a/cmd/dunereach/list_soak_test.go
+++ b/cmd/dunereach/list_soak_test.go
@@ -20,8 +20,8 @@
 // removed and are replaced. Whatever the answers are, no request may reach a server after the grace of its drain.
 
 var (
-	soakFor  = flag.Duration("soak", 25*time.Second, "how long TestListSoak goes on")
-	soakSeed = flag.Uint64("soak-seed", 3, "what TestListSoak draws its faults from")
+	soakFor  = flag.Duration("soak", 25*time.Second, "how long TestListSoak runs")
+	soakSeed = flag.Uint64("soak-seed", 3, "the seed of the faults in TestListSoak")
 )
 
 const (
@@ -54,7 +54,7 @@
 	listNumber   uint32
 	history      []numberedList // of all router processes
 	downUntil    time.Time      // no question is answered before this time
-	late         []string
+	late         []string       // descriptions of requests that came after the grace
 	staleAnswers int
 	goodAnswers  int
 }
@@ -263,7 +263,7 @@
 	l.knownList = knownList
 	l.start()
 	go func(logLines chan string) {
-		for range logLines { // discard, so that the reader of the log does not block
+		for range logLines { // discard, so that the goroutine that forwards the log does not block
 		}
 	}(l.logLines)
 	l.count++
--- a/cmd/dunereach/main_test.go
+++ b/cmd/dunereach/main_test.go
@@ -109,11 +109,11 @@
 	operatorPath string // the operators' file; empty: none
 	nameServer   *fake.NameServer
 	servers      []*fake.Engine
-	received     chan fake.Said
-	text         string // contents of the configuration file
+	received     chan fake.Said // messages that reach the servers
+	text         string         // contents of the configuration file
 	cmd          *exec.Cmd
 	logLines     chan string
-	lastRef      int
+	lastRef      int // id of the last request
 
 	descriptorLimit int      // descriptor limit of the router's process; 0: the limit of the test
 	extraEnv        []string // of the router, beside the required variables
--- a/cmd/dunereach/waited_test.go
+++ b/cmd/dunereach/waited_test.go
@@ -42,8 +42,8 @@
 			c.after(w)
 			said := w.receive("fetch")
 			waited := said.At.Sub(from)
-			if reported := sentTimeLimit(said); waited < timeLimitSlack || reported > timeout-waited+timeLimitSlack {
-				t.Errorf("the server received a time limit of %v, the client has waited %v of %v", reported, waited, timeout)
+			if timeLimit := sentTimeLimit(said); waited < timeLimitSlack || timeLimit > timeout-waited+timeLimitSlack {
+				t.Errorf("the server received a time limit of %v, the client has waited %v of %v", timeLimit, waited, timeout)
 			}
 			said.Answer("served", "count=1", "x\t\t\n")
 			w.expectAnswer(client, resultMessage(map[bool]int32{true: 1, false: 2}[c.newConnection], "x\t\t\n"))
