--- a/cmd/dunereach/undelivered_test.go
+++ b/cmd/dunereach/undelivered_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// resume lets the server read again and returns the ids of the complete requests that it receives from then on.
-func (s *stalledServer) resume(t *testing.T) (ids []string) {
+// resumeAndRead lets the server read again and returns the ids of the complete requests that it receives from then on.
+func (s *stalledServer) resumeAndRead(t *testing.T) (ids []string) {
 	t.Helper()
 	close(s.resumed)
 	select {
@@ -157,7 +157,7 @@
 			w.requestWritten(c, "lookup", 30000, overWindow)
 			late := before(w, c)
 			w.drainStalled(server)
-			for _, id := range server.resume(t) {
+			for _, id := range server.resumeAndRead(t) {
 				if id == late {
 					t.Errorf("request %s reached a draining server after the grace", id)
 				}
@@ -174,7 +174,7 @@
 	w.requestWritten(c, "lookup", 30000, 1)
 	c.Leave()
 	w.waitForLog(`"why":"requests undelivered"`)
-	if ids := server.resume(t); len(ids) > 0 {
+	if ids := server.resumeAndRead(t); len(ids) > 0 {
 		t.Errorf("requests %q ran for a client that had left", ids)
 	}
 }
@@ -189,7 +189,7 @@
 	w.waitForLog(fmt.Sprintf(`"request rejected","request":%q`, id))
 	w.cmd.Process.Signal(syscall.SIGTERM)
 	w.waitForExit(0)
-	if ids := server.resume(t); len(ids) > 0 {
+	if ids := server.resumeAndRead(t); len(ids) > 0 {
 		t.Errorf("requests %q ran after the exit of their router", ids)
 	}
 }
