--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -13,13 +13,13 @@
 )
 
 // The fleet that control is measured with. Five of the machines that are set aside have a coordinator with a vote, three of them in
-// one region and two in the other; two machines are spare, as a registry begins with five coordinators at most.
+// one region and two in the other; two machines are spare, as a registry begins with five coordinatorCount at most.
 const (
-	coordinators    = 5
-	controlLease    = 4.0 // seconds, as by default
-	routersAProcess = 200
-	controlPatience = 60 * time.Second // for control to be whole again
-	plannedTasks    = 1                // the fleet's plan, which is always wanted
+	coordinatorCount  = 5
+	controlLease      = 4.0 // seconds, as by default
+	routersPerProcess = 200
+	recoveryTimeout   = 60 * time.Second // for control to be whole again
+	planTasks         = 1                // the fleet's plan, which is always wanted
 )
 
 // ControlPart is one of the measurements of control, which can be run alone.
@@ -77,20 +77,20 @@
 
 // newControlFleet has coordinators and no routers yet.
 func newControlFleet(routers int) (*controlFleet, error) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	keep := filepath.Join(filepath.Dir(self), "dunekeep")
-	if _, err := os.Stat(keep); err != nil {
+	dunekeepPath := filepath.Join(filepath.Dir(executable), "dunekeep")
+	if _, err := os.Stat(dunekeepPath); err != nil {
 		return nil, fmt.Errorf("dunekeep is not beside this program: `make build` first")
 	}
 	folder, err := os.MkdirTemp("", "dunehollow")
 	if err != nil {
 		return nil, err
 	}
-	fleet, err := hollow.New(hollow.Options{Keep: keep, Worker: self, WorkerArgs: []string{"hollow"}, Folder: folder,
-		Coordinators: coordinators, Routers: routers, PerWorker: min(routersAProcess, (routers+1)/2), Zones: targetZones(),
+	fleet, err := hollow.New(hollow.Options{Keep: dunekeepPath, Worker: executable, WorkerArgs: []string{"hollow"}, Folder: folder,
+		Coordinators: coordinatorCount, Routers: routers, PerWorker: min(routersPerProcess, (routers+1)/2), Zones: targetZones(),
 		Databases: TargetDatabases, Lease: controlLease})
 	if err != nil {
 		os.RemoveAll(folder)
@@ -104,12 +104,12 @@
 	os.RemoveAll(f.folder)
 }
 
-// load all routers, and wait until the tasks that go with that have owners.
-func (f *controlFleet) load(d hollow.Demand) error {
+// loadAndAwaitTasks all routers, and wait until the tasks that go with that have owners.
+func (f *controlFleet) loadAndAwaitTasks(d hollow.Demand) error {
 	if err := f.Load(d); err != nil {
 		return err
 	}
-	return f.AwaitTasks(plannedTasks+d.Cold, controlPatience)
+	return f.AwaitTasks(planTasks+d.Cold, recoveryTimeout)
 }
 
 // takePeak since the last call.
@@ -128,11 +128,11 @@
 	if err := f.Mark(); err != nil {
 		return hollow.Recovery{}, err
 	}
-	began := boottime.Now()
+	start := boottime.Now()
 	if _, err := f.StartRouters(numbers(from+1, to)); err != nil {
 		return hollow.Recovery{}, err
 	}
-	r, err := f.recover(began, plannedTasks)
+	r, err := f.awaitRecovery(start, planTasks)
 	progress("%d routers: the last session was open after %.1f s, control whole after %.1f s", to, r.Confirmed, r.Settled)
 	return r, err
 }
@@ -142,39 +142,39 @@
 	fmt.Fprintf(os.Stderr, "%s "+format+"\n", append([]any{time.Now().Format(time.TimeOnly)}, values...)...)
 }
 
-// recover waits until control is whole again for all routers that run.
-func (f *controlFleet) recover(since float64, tasks int) (hollow.Recovery, error) {
-	r, err := f.Recover(since, f.Live(), tasks, controlPatience)
+// awaitRecovery waits until control is whole again for all routers that run.
+func (f *controlFleet) awaitRecovery(since float64, tasks int) (hollow.Recovery, error) {
+	r, err := f.Recover(since, f.Live(), tasks, recoveryTimeout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, f.Logs())
 	}
 	return r, err
 }
 
-func numbers(from, to int) (all []int) {
+func numbers(from, to int) (list []int) {
 	for n := from; n <= to; n++ {
-		all = append(all, n)
+		list = append(list, n)
 	}
-	return all
+	return list
 }
 
-// window is what was used a second while some time passed.
-type window struct {
-	leaderCore, followerCore        float64
-	leaderMB, followerMB            float64
-	leaderBytes, followerBytes      float64 // in and out, by read and write calls
-	leaderDisk, followerDisk        float64 // bytes written
-	leaderDescriptors               float64
-	routerCore, routerMB            float64            // each
-	routerRequests, routerBytes     float64            // each, on connections, with headers
-	requestsByPath, bodyBytesByPath map[string]float64 // each router
-	shares                          float64            // of routers by cold databases that may use a granted part
-	grants, relinquished, late      float64            // a second, of all routers: dealt out, laid down, and come after their life
-	load                            float64            // of the machine, all processes that want a core, over the last minute
+// controlUsage is what was used a second while some time passed.
+type controlUsage struct {
+	leaderCore, followerCore         float64
+	leaderMB, followerMB             float64
+	leaderBytes, followerBytes       float64 // in and out, by read and write calls
+	leaderDisk, followerDisk         float64 // bytes written
+	leaderDescriptors                float64
+	routerCore, routerMB             float64            // each
+	routerRequests, routerBytes      float64            // each, on connections, with headers
+	requestsByPath, bodyBytesByPath  map[string]float64 // each router
+	grantedShares                    float64            // of routers by cold databases that may use a granted part
+	grants, relinquished, lateGrants float64            // a second, of all routers: dealt out, laid down, and come after their life
+	loadAverage                      float64            // of the machine, all processes that want a core, over the last minute
 }
 
 // measure what a fleet of so many routers uses while time passes.
-func (f *controlFleet) measure(routers int, length time.Duration) (w window, err error) {
+func (f *controlFleet) measure(routers int, length time.Duration) (w controlUsage, err error) {
 	report0, err := f.Look()
 	if err != nil {
 		return w, err
@@ -183,40 +183,40 @@
 	if err != nil {
 		return w, err
 	}
-	began := time.Now()
+	start := time.Now()
 	time.Sleep(length) // what is measured is a rate
 	usage1, err := f.Usage()
 	if err != nil {
 		return w, err
 	}
-	took := time.Since(began).Seconds()
+	elapsed := time.Since(start).Seconds()
 	report1, err := f.Look()
 	if err != nil {
 		return w, err
 	}
-	progress("measured %d routers over %.1f s", routers, took)
-	w.coordinators(usage0.Coordinators, usage1.Coordinators, took)
+	progress("measured %d routers over %.1f s", routers, elapsed)
+	w.setCoordinators(usage0.Coordinators, usage1.Coordinators, elapsed)
 	n := float64(routers)
-	w.routerCore = (usage1.Routers.Core - usage0.Routers.Core) / took / n
+	w.routerCore = (usage1.Routers.Core - usage0.Routers.Core) / elapsed / n
 	w.routerMB = usage1.Routers.MemoryMB / n
-	w.routerRequests = float64(report1.Requests-report0.Requests) / took / n
-	w.routerBytes = float64(report1.Bytes-report0.Bytes) / took / n
+	w.routerRequests = float64(report1.Requests-report0.Requests) / elapsed / n
+	w.routerBytes = float64(report1.Bytes-report0.Bytes) / elapsed / n
 	w.requestsByPath, w.bodyBytesByPath = map[string]float64{}, map[string]float64{}
 	for path, traffic := range report1.ByPath {
 		before := report0.ByPath[path]
-		w.requestsByPath[path] = float64(traffic.Requests-before.Requests) / took / n
-		w.bodyBytesByPath[path] = float64(traffic.Bytes-before.Bytes) / took / n
+		w.requestsByPath[path] = float64(traffic.Requests-before.Requests) / elapsed / n
+		w.bodyBytesByPath[path] = float64(traffic.Bytes-before.Bytes) / elapsed / n
 	}
-	w.shares = float64(report1.Shares) / n
-	w.grants = float64(report1.Grants-report0.Grants) / took
-	w.relinquished = float64(report1.Relinquished-report0.Relinquished) / took
-	w.late = float64(report1.Late-report0.Late) / took
-	w.load = machineLoad()
+	w.grantedShares = float64(report1.Shares) / n
+	w.grants = float64(report1.Grants-report0.Grants) / elapsed
+	w.relinquished = float64(report1.Relinquished-report0.Relinquished) / elapsed
+	w.lateGrants = float64(report1.Late-report0.Late) / elapsed
+	w.loadAverage = readLoadAverage()
 	return w, nil
 }
 
-// machineLoad is the mean number of processes that wanted a core over the last minute, NaN where the system does not tell.
-func machineLoad() (load float64) {
+// readLoadAverage is the mean number of processes that wanted a core over the last minute, NaN where the system does not tell.
+func readLoadAverage() (load float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return math.NaN()
@@ -225,17 +225,17 @@
 	return load
 }
 
-// coordinators: the busiest one leads, the others are told by their mean.
-func (w *window) coordinators(before, after []hollow.Usage, took float64) {
-	busiest, most := 0, math.Inf(-1)
+// setCoordinators: the busiest one leads, the others are told by their mean.
+func (w *controlUsage) setCoordinators(before, after []hollow.Usage, elapsed float64) {
+	busiest, mostCore := 0, math.Inf(-1)
 	for n := range after {
-		if used := after[n].Core - before[n].Core; used > most {
-			busiest, most = n, used
+		if used := after[n].Core - before[n].Core; used > mostCore {
+			busiest, mostCore = n, used
 		}
 	}
 	others := float64(len(after) - 1)
 	for n, u := range after {
-		core, bytes, disk := (u.Core-before[n].Core)/took, (u.Transferred-before[n].Transferred)/took, (u.Written-before[n].Written)/took
+		core, bytes, disk := (u.Core-before[n].Core)/elapsed, (u.Transferred-before[n].Transferred)/elapsed, (u.Written-before[n].Written)/elapsed
 		if n == busiest {
 			w.leaderCore, w.leaderBytes, w.leaderDisk = core, bytes, disk
 			w.leaderMB, w.leaderDescriptors = u.MemoryMB, float64(u.Descriptors)
@@ -247,11 +247,11 @@
 }
 
 // whole rows: what the run as a whole was allowed, and what its auditor found.
-func (f *controlFleet) bounds(name string) []measure.Row {
+func (f *controlFleet) limitRows(name string) []measure.Row {
 	f.takePeak()
 	f.Audit.Judge()
-	for _, line := range f.Audit.Wrong {
-		fmt.Fprintln(os.Stderr, line)
+	for _, violation := range f.Audit.Wrong {
+		fmt.Fprintln(os.Stderr, violation)
 	}
 	return []measure.Row{
 		measure.AtMost(name+": memory of all processes, GB", f.peak.MemoryMB/1024, hollow.MostMemoryMB/1024),
--- a/internal/scale/control_faults.go
+++ b/internal/scale/control_faults.go
@@ -13,11 +13,11 @@
 
 // Faults as they are played. The letters of an ordinary day are compressed so that a run stays short.
 const (
-	rackShare      = 0.03
-	regionCut      = 20 * time.Second // minutes in the field
-	rollingRate    = 1.0              // restarts a second; ten times the ordinary day's 890 a day are 0.1
-	rollingLength  = 20               // restarts
-	ordinaryTenths = 890.0 * 10 / 86400
+	rackShare         = 0.03
+	regionCutDuration = 20 * time.Second // minutes in the field
+	rollingRate       = 1.0              // restarts a second; ten times the ordinary day's 890 a day are 0.1
+	rollingRestarts   = 20               // restarts
+	tenfoldDailyRate  = 890.0 * 10 / 86400
 )
 
 // controlFaults plays the failures of the target at the largest size.
@@ -30,45 +30,45 @@
 	if _, err := f.grow(0, routers); err != nil {
 		return nil, err
 	}
-	if err := f.load(faultLoad); err != nil {
+	if err := f.loadAndAwaitTasks(faultDemand); err != nil {
 		return nil, err
 	}
 	var rows []measure.Row
-	for _, play := range []func() ([]measure.Row, error){f.loseMost, f.loseRack, f.loseZone, f.cutRegion, f.rollingRestart} {
-		more, err := play()
+	for _, playStep := range []func() ([]measure.Row, error){f.loseLeaderAndRestartAll, f.loseRack, f.loseZone, f.cutRegion, f.rollingRestart} {
+		stepRows, err := playStep()
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, more...)
+		rows = append(rows, stepRows...)
 	}
-	return append(rows, f.bounds("faults")...), nil
+	return append(rows, f.limitRows("faults")...), nil
 }
 
-// loseMost takes the leader, then all coordinators, then all routers away; controlReturn has the slopes of these.
-func (f *controlFleet) loseMost() (rows []measure.Row, err error) {
-	plays := []func() (fault, error){
+// loseLeaderAndRestartAll takes the leader, then all coordinators, then all routers away; controlReturn has the slopes of these.
+func (f *controlFleet) loseLeaderAndRestartAll() (rows []measure.Row, err error) {
+	steps := []func() (fault, error){
 		func() (fault, error) { return f.loseLeader("leader lost") },
-		func() (fault, error) { return f.loseCoordinators("all coordinators restart") },
+		func() (fault, error) { return f.restartCoordinators("all coordinators restart") },
 		func() (fault, error) { return f.restartRouters("all routers restart at once", numbers(1, f.Live())) },
 	}
-	for _, play := range plays {
-		x, err := play()
+	for _, playStep := range steps {
+		result, err := playStep()
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, x.rows()...)
+		rows = append(rows, result.rows()...)
 	}
 	return rows, nil
 }
 
 // loseRack takes a drawn share of the routers and one coordinator away, and brings them back.
 func (f *controlFleet) loseRack() ([]measure.Row, error) {
-	drawn := rand.New(rand.NewPCG(1, 3))
-	lost := drawn.Perm(f.Live())[:int(rackShare*float64(f.Live()))]
+	random := rand.New(rand.NewPCG(1, 3))
+	lost := random.Perm(f.Live())[:int(rackShare*float64(f.Live()))]
 	for n := range lost {
 		lost[n]++ // routers are numbered from 1
 	}
-	return f.loseAndBringBack("rack lost", lost, []int{drawn.IntN(coordinators)})
+	return f.loseAndRestore("rack lost", lost, []int{random.IntN(coordinatorCount)})
 }
 
 // loseZone takes the zone of the coordinator that leads away, and brings it back.
@@ -84,11 +84,11 @@
 			lost = append(lost, router)
 		}
 	}
-	return f.loseAndBringBack("zone lost, the leader's", lost, []int{leader})
+	return f.loseAndRestore("zone lost, the leader's", lost, []int{leader})
 }
 
-func (f *controlFleet) loseAndBringBack(name string, routers, lost []int) ([]measure.Row, error) {
-	gone, err := f.play(name, func() error {
+func (f *controlFleet) loseAndRestore(name string, routers, lost []int) ([]measure.Row, error) {
+	loss, err := f.playFault(name, func() error {
 		for _, n := range lost {
 			f.KillCoordinator(n)
 		}
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	back, err := f.play(name+", and back", func() error {
+	restoration, err := f.playFault(name+", and back", func() error {
 		for _, n := range lost {
 			if err := f.StartCoordinator(n); err != nil {
 				return err
@@ -107,54 +107,54 @@
 		_, err := f.StartRouters(routers)
 		return err
 	})
-	return append(gone.rows(), back.rows()...), err
+	return append(loss.rows(), restoration.rows()...), err
 }
 
 // cutRegion cuts the region with the minority of coordinators from the other while it has the leader, and heals the links.
 func (f *controlFleet) cutRegion() ([]measure.Row, error) {
 	const region = "south"
-	if err := f.leadFrom(region); err != nil {
+	if err := f.moveLeaderTo(region); err != nil {
 		return nil, err
 	}
-	outside := 0
+	majorityRouters := 0
 	for _, router := range numbers(1, f.Live()) {
 		if f.ZoneOf(router).Region != region {
-			outside++
+			majorityRouters++
 		}
 	}
 	f.takePeak()
 	if err := f.Mark(); err != nil {
 		return nil, err
 	}
-	began := boottime.Now()
-	end := time.Now().Add(regionCut)
+	start := boottime.Now()
+	end := time.Now().Add(regionCutDuration)
 	if err := f.CutRegion(region); err != nil {
 		return nil, err
 	}
-	cut, err := f.Recover(began, outside, faultTasks, controlPatience)
+	cutRecovery, err := f.Recover(start, majorityRouters, faultTasks, recoveryTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("region cut: %w", err)
 	}
-	name := fmt.Sprintf("region cut for %.0f s, the leader with the minority", regionCut.Seconds())
-	rows := fault{name: name + ", the majority", recovery: cut, peak: f.takePeak()}.rows()
+	name := fmt.Sprintf("region cut for %.0f s, the leader with the minority", regionCutDuration.Seconds())
+	rows := fault{name: name + ", the majority", recovery: cutRecovery, peak: f.takePeak()}.rows()
 	// Leases of the minority's routers are over by now: nothing that was under way before the cut counts for them any more.
 	if err := f.Mark(); err != nil {
 		return nil, err
 	}
 	time.Sleep(max(time.Until(end), 2*time.Second))
-	alone, err := f.Look()
+	report, err := f.Look()
 	if err != nil {
 		return nil, err
 	}
-	rows = append(rows, measure.Between(name+", routers confirmed in the rest of it, of the majority's", float64(alone.Confirmed)/float64(outside), 1, 1))
-	healed, err := f.play(name+", healed", f.Heal)
+	rows = append(rows, measure.Between(name+", routers confirmed in the rest of it, of the majority's", float64(report.Confirmed)/float64(majorityRouters), 1, 1))
+	healed, err := f.playFault(name+", healed", f.Heal)
 	return append(rows, healed.rows()...), err
 }
 
-// leadFrom has a coordinator of that region lead.
-func (f *controlFleet) leadFrom(region string) error {
-	const tries = 12
-	for range tries {
+// moveLeaderTo has a coordinator of that region lead.
+func (f *controlFleet) moveLeaderTo(region string) error {
+	const maxElections = 12
+	for range maxElections {
 		if slices.Contains(f.CoordinatorsOf(region), f.Leader()) {
 			return nil
 		}
@@ -162,28 +162,28 @@
 			return err
 		}
 	}
-	return fmt.Errorf("no coordinator of %s led after %d elections", region, tries)
+	return fmt.Errorf("no coordinator of %s led after %d elections", region, maxElections)
 }
 
 // rollingRestart ends routers in order, one after another, and starts each again.
 func (f *controlFleet) rollingRestart() ([]measure.Row, error) {
-	name := fmt.Sprintf("rolling restart, %.0f at %.3g a second", math.Min(rollingLength, float64(f.Live())), rollingRate)
-	x, err := f.play(name, func() error {
+	name := fmt.Sprintf("rolling restart, %.0f at %.3g a second", math.Min(rollingRestarts, float64(f.Live())), rollingRate)
+	result, err := f.playFault(name, func() error {
 		tick := time.NewTicker(time.Duration(float64(time.Second) / rollingRate))
 		defer tick.Stop()
-		for n := range rollingLength {
-			which := []int{1 + n*f.Live()/rollingLength}
-			if _, err := f.StopRouters(which); err != nil {
+		for n := range rollingRestarts {
+			router := []int{1 + n*f.Live()/rollingRestarts}
+			if _, err := f.StopRouters(router); err != nil {
 				return err
 			}
-			if _, err := f.StartRouters(which); err != nil {
+			if _, err := f.StartRouters(router); err != nil {
 				return err
 			}
 			<-tick.C
 		}
 		return nil
 	})
-	rows := append(x.rows(), measure.Figure("rolling restart: times the rate of ten ordinary days in one", rollingRate/ordinaryTenths))
+	rows := append(result.rows(), measure.Figure("rolling restart: times the rate of ten ordinary days in one", rollingRate/tenfoldDailyRate))
 	return rows, err
 }
 
@@ -197,7 +197,7 @@
 	defer f.close()
 	var rows []measure.Row
 	for _, step := range [][2]int{{0, few}, {few, many}} {
-		opened, err := f.grow(step[0], step[1])
+		growth, err := f.grow(step[0], step[1])
 		if err != nil {
 			return nil, err
 		}
@@ -207,13 +207,13 @@
 		}
 		name := fmt.Sprintf("%d routers", step[1])
 		rows = append(rows,
-			measure.AtMost(name+": seconds until the added routers' sessions were open", opened.Confirmed, 15),
+			measure.AtMost(name+": seconds until the added routers' sessions were open", growth.Confirmed, 15),
 			measure.AtMost(name+": leader, core", w.leaderCore, 0.3),
 			measure.AtMost(name+": router, core", w.routerCore, ControlCore),
 			measure.AtMost(name+": router, MB", w.routerMB, ControlMemoryMB),
 			measure.AtMost(name+": router, bytes a second", w.routerBytes, ControlBytes))
 	}
-	if err := f.load(faultLoad); err != nil {
+	if err := f.loadAndAwaitTasks(faultDemand); err != nil {
 		return nil, err
 	}
 	lost, err := f.loseLeader("leader lost, 200 routers")
@@ -221,5 +221,5 @@
 		return nil, err
 	}
 	rows = append(rows, lost.rows()...)
-	return append(rows, f.bounds("short")...), nil
+	return append(rows, f.limitRows("short")...), nil
 }
--- a/internal/scale/control_return.go
+++ b/internal/scale/control_return.go
@@ -8,10 +8,10 @@
 	"dunereach/internal/measure"
 )
 
-// faultLoad is what routers have use for while faults are played: some tasks whose owners act all the time.
-var faultLoad = hollow.Demand{Cold: 2, Reports: true}
+// faultDemand is what routers have use for while faults are played: some tasks whose owners act all the time.
+var faultDemand = hollow.Demand{Cold: 2, Reports: true}
 
-const faultTasks = plannedTasks + 2
+const faultTasks = planTasks + 2
 
 // fault is one event, and how control came back from it.
 type fault struct {
@@ -20,39 +20,39 @@
 	peak     hollow.Peak
 }
 
-// play an event and wait until control is whole again, with all routers that run then.
-func (f *controlFleet) play(name string, event func() error) (fault, error) {
+// playFault an event and wait until control is whole again, with all routers that run then.
+func (f *controlFleet) playFault(name string, event func() error) (fault, error) {
 	f.takePeak()
 	if err := f.Mark(); err != nil {
 		return fault{}, err
 	}
-	began := boottime.Now()
+	start := boottime.Now()
 	if err := event(); err != nil {
 		return fault{}, fmt.Errorf("%s: %w", name, err)
 	}
-	recovery, err := f.recover(began, faultTasks)
+	recovery, err := f.awaitRecovery(start, faultTasks)
 	if err != nil {
 		return fault{}, fmt.Errorf("%s: %w", name, err)
 	}
-	x := fault{name: name, recovery: recovery, peak: f.takePeak()}
-	progress("%s: sessions after %.1f s, whole after %.1f s, %.2f core and %.1f MB/s at most", name, recovery.Confirmed, recovery.Settled, x.peak.Core, x.peak.Bytes/1e6)
-	return x, nil
+	result := fault{name: name, recovery: recovery, peak: f.takePeak()}
+	progress("%s: sessions after %.1f s, whole after %.1f s, %.2f core and %.1f MB/s at most", name, recovery.Confirmed, recovery.Settled, result.peak.Core, result.peak.Bytes/1e6)
+	return result, nil
 }
 
 // rows of one fault.
-func (x fault) rows() []measure.Row {
+func (result fault) rows() []measure.Row {
 	return []measure.Row{
-		measure.Figure(x.name+": seconds until all sessions were confirmed", x.recovery.Confirmed),
-		measure.AtMost(x.name+": seconds until all tasks were owned and no dead session was left", x.recovery.Settled, controlPatience.Seconds()),
-		measure.Figure(x.name+": busiest coordinator, core over a second at most", x.peak.Core),
-		measure.Figure(x.name+": busiest coordinator, MB a second in and out at most", x.peak.Bytes/1e6),
+		measure.Figure(result.name+": seconds until all sessions were confirmed", result.recovery.Confirmed),
+		measure.AtMost(result.name+": seconds until all tasks were owned and no dead session was left", result.recovery.Settled, recoveryTimeout.Seconds()),
+		measure.Figure(result.name+": busiest coordinator, core over a second at most", result.peak.Core),
+		measure.Figure(result.name+": busiest coordinator, MB a second in and out at most", result.peak.Bytes/1e6),
 	}
 }
 
 // loseLeader kills the coordinator that leads and starts it again once control is whole.
 func (f *controlFleet) loseLeader(name string) (fault, error) {
 	leader := -1
-	lost, err := f.play(name, func() error {
+	result, err := f.playFault(name, func() error {
 		if leader = f.Leader(); leader < 0 {
 			return fmt.Errorf("no coordinator leads")
 		}
@@ -60,14 +60,14 @@
 		return nil
 	})
 	if err != nil {
-		return lost, err
+		return result, err
 	}
-	return lost, f.StartCoordinator(leader)
+	return result, f.StartCoordinator(leader)
 }
 
-// loseCoordinators kills all of them and starts them again.
-func (f *controlFleet) loseCoordinators(name string) (fault, error) {
-	return f.play(name, func() error {
+// restartCoordinators kills all of them and starts them again.
+func (f *controlFleet) restartCoordinators(name string) (fault, error) {
+	return f.playFault(name, func() error {
 		for _, n := range f.Coordinators() {
 			f.KillCoordinator(n)
 		}
@@ -81,12 +81,12 @@
 }
 
 // restartRouters crashes these and starts them again.
-func (f *controlFleet) restartRouters(name string, which []int) (fault, error) {
-	return f.play(name, func() error {
-		if _, err := f.CrashRouters(which); err != nil {
+func (f *controlFleet) restartRouters(name string, routers []int) (fault, error) {
+	return f.playFault(name, func() error {
+		if _, err := f.CrashRouters(routers); err != nil {
 			return err
 		}
-		_, err := f.StartRouters(which)
+		_, err := f.StartRouters(routers)
 		return err
 	})
 }
@@ -102,29 +102,29 @@
 	names := []string{"leader lost", "all coordinators restart", "all routers restart at once"}
 	all := make([][]fault, len(names))
 	for k, size := range sizes {
-		if _, err := f.grow(sizeBefore(sizes, k), size); err != nil {
+		if _, err := f.grow(previousSize(sizes, k), size); err != nil {
 			return nil, err
 		}
-		if err := f.load(faultLoad); err != nil {
+		if err := f.loadAndAwaitTasks(faultDemand); err != nil {
 			return nil, err
 		}
-		for n, play := range []func(string) (fault, error){f.loseLeader, f.loseCoordinators,
+		for n, play := range []func(string) (fault, error){f.loseLeader, f.restartCoordinators,
 			func(name string) (fault, error) { return f.restartRouters(name, numbers(1, size)) }} {
-			x, err := play(fmt.Sprintf("%s, %d routers", names[n], size))
+			result, err := play(fmt.Sprintf("%s, %d routers", names[n], size))
 			if err != nil {
 				return nil, err
 			}
-			all[n] = append(all[n], x)
+			all[n] = append(all[n], result)
 		}
 	}
 	var rows []measure.Row
 	for n, name := range names {
 		var xs, ys []float64
-		for k, x := range all[n] {
-			rows = append(rows, x.rows()...)
-			xs, ys = append(xs, float64(sizes[k])), append(ys, x.recovery.Confirmed)
+		for k, result := range all[n] {
+			rows = append(rows, result.rows()...)
+			xs, ys = append(xs, float64(sizes[k])), append(ys, result.recovery.Confirmed)
 		}
 		rows = append(rows, lineThrough(xs, ys).Rows(name+": seconds until all sessions were confirmed", "routers", 1000)...)
 	}
-	return append(rows, f.bounds("return")...), nil
+	return append(rows, f.limitRows("return")...), nil
 }
--- a/internal/scale/control_state.go
+++ b/internal/scale/control_state.go
@@ -12,14 +12,14 @@
 func controlState(int) ([]measure.Row, error) {
 	var routers, tasks, bySession, byTask, encode []float64
 	for _, n := range []int{100, 400, 800, TargetRouters, 2 * TargetRouters} {
-		size, took, err := snapshotOf(n, 0)
+		size, took, err := measureSnapshot(n, 0)
 		if err != nil {
 			return nil, err
 		}
 		routers, bySession, encode = append(routers, float64(n)), append(bySession, size), append(encode, took)
 	}
 	for _, n := range []int{0, 557, 1950, TargetDatabases, 2 * TargetDatabases} { // a zone, a region, all databases, both tasks of each
-		size, _, err := snapshotOf(TargetRouters, n)
+		size, _, err := measureSnapshot(TargetRouters, n)
 		if err != nil {
 			return nil, err
 		}
@@ -35,8 +35,8 @@
 	return append(rows, measure.Figure("state: bound on a snapshot with names and notes at theirs, MB", registry.MaxSnapshot/1e6)), nil
 }
 
-// snapshotOf a registry: its bytes, and the milliseconds that encoding it takes.
-func snapshotOf(sessions, tasks int) (size, milliseconds float64, err error) {
+// measureSnapshot a registry: its bytes, and the milliseconds that encoding it takes.
+func measureSnapshot(sessions, tasks int) (size, milliseconds float64, err error) {
 	r := registry.New()
 	index := uint64(0)
 	apply := func(e registry.Entry) (uint64, error) {
@@ -57,12 +57,12 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		note := fmt.Sprintf(`{"engine":%d,"start":1700000000.5,"well":true}`, n)
-		if _, err := apply(registry.Entry{Kind: registry.Annotation, Task: name, Session: uint64(n%sessions + 1), Fence: fence, Body: []byte(note)}); err != nil {
+		annotation := fmt.Sprintf(`{"engine":%d,"start":1700000000.5,"well":true}`, n)
+		if _, err := apply(registry.Entry{Kind: registry.Annotation, Task: name, Session: uint64(n%sessions + 1), Fence: fence, Body: []byte(annotation)}); err != nil {
 			return 0, 0, err
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	text, err := r.Snapshot()
-	return float64(len(text)), time.Since(began).Seconds() * 1000, err
+	return float64(len(text)), time.Since(start).Seconds() * 1000, err
 }
--- a/internal/scale/control_test.go
+++ b/internal/scale/control_test.go
@@ -25,7 +25,7 @@
 // TestSnapshotOf: a registry's snapshot grows with sessions and with tasks.
 func TestSnapshotOf(t *testing.T) {
 	size := func(sessions, tasks int) float64 {
-		bytes, _, err := snapshotOf(sessions, tasks)
+		bytes, _, err := measureSnapshot(sessions, tasks)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/control_virtual.go
+++ b/internal/scale/control_virtual.go
@@ -16,28 +16,28 @@
 
 // Times of a fleet on virtual time, in seconds.
 const (
-	virtualStep  = 0.01
-	virtualWay   = 0.005 // a request or an answer on its way
-	virtualOpens = 7.0   // sessions are open by then
-	virtualCold  = 12.0  // databases are cold for so long: parts are granted after five
-	virtualHold  = 1.0   // that a heartbeat without news is held, as by a real coordinator
-	agentEvery   = 10    // steps between two ticks of an agent
+	virtualStep     = 0.01
+	virtualLatency  = 0.005 // a request or an answer on its way
+	virtualOpenTime = 7.0   // sessions are open by then
+	virtualColdTime = 12.0  // databases are cold for so long: parts are granted after five
+	virtualHoldTime = 1.0   // that a heartbeat without news is held, as by a real coordinator
+	agentTickSteps  = 10    // steps between two ticks of an agent
 )
 
 // virtualFleet is one coordinator and many agents on virtual time: the packages of the real ones, without sockets, disks and the
 // load of a machine.
 type virtualFleet struct {
-	now         float64
-	steps       int
-	coordinator *coordinator.Coordinator
-	agents      []*agent.Member
-	demands     []agent.Demand   // by agent
-	requests    []virtualRequest // on their way
-	answers     []virtualAnswer
-	open        map[uint64]virtualRequest // by number, at the coordinator
-	number      uint64
-	mostLetters int // in one answer
-	spent       struct{ coordinator, agents time.Duration }
+	now          float64
+	steps        int
+	coordinator  *coordinator.Coordinator
+	agents       []*agent.Member
+	demands      []agent.Demand   // by agent
+	requests     []virtualRequest // on their way
+	answers      []virtualAnswer
+	pending      map[uint64]virtualRequest // by number, at the coordinator
+	lastRequest  uint64
+	mostMessages int // in one answer
+	timeSpent    struct{ coordinator, agents time.Duration }
 }
 
 type virtualRequest struct {
@@ -60,11 +60,11 @@
 		return nil, err
 	}
 	silent := &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
-	c, err := coordinator.New(coordinator.Config{ID: 1, Name: "c1", HoldTime: virtualHold, Logger: silent}, stored, 0)
+	c, err := coordinator.New(coordinator.Config{ID: 1, Name: "c1", HoldTime: virtualHoldTime, Logger: silent}, stored, 0)
 	if err != nil {
 		return nil, err
 	}
-	f := &virtualFleet{coordinator: c, demands: make([]agent.Demand, routers), open: map[uint64]virtualRequest{}}
+	f := &virtualFleet{coordinator: c, demands: make([]agent.Demand, routers), pending: map[uint64]virtualRequest{}}
 	for n := range routers {
 		f.agents = append(f.agents, agent.New(agent.Config{Name: fmt.Sprint("r", n+1), Zone: fmt.Sprint("z", n%TargetZones+1), Incarnation: uint64(n + 1),
 			Seed: uint64(n + 1), CandidateKinds: []string{agent.WarmUpKind}, RouterCount: members, Window: 1}, agent.PersistentState{}))
@@ -75,34 +75,34 @@
 // run until that time.
 func (f *virtualFleet) run(until float64) error {
 	for ; f.now < until; f.now += virtualStep {
-		began := time.Now()
-		if err := f.coordinate(); err != nil {
+		start := time.Now()
+		if err := f.stepCoordinator(); err != nil {
 			return err
 		}
-		f.spent.coordinator += time.Since(began)
-		began = time.Now()
+		f.timeSpent.coordinator += time.Since(start)
+		start = time.Now()
 		f.tickAgents()
-		f.spent.agents += time.Since(began)
+		f.timeSpent.agents += time.Since(start)
 		f.steps++
 	}
 	return nil
 }
 
-// coordinate has the coordinator take what has arrived.
-func (f *virtualFleet) coordinate() error {
+// stepCoordinator has the coordinator take what has arrived.
+func (f *virtualFleet) stepCoordinator() error {
 	f.coordinator.Tick(f.now)
 	arrived := 0
 	for ; arrived < len(f.requests) && f.requests[arrived].at <= f.now; arrived++ {
 		r := f.requests[arrived]
-		f.number++
-		f.open[f.number] = r
+		f.lastRequest++
+		f.pending[f.lastRequest] = r
 		switch {
 		case r.Heartbeat != nil:
-			f.coordinator.Heartbeat(f.now, f.number, r.Heartbeat)
+			f.coordinator.Heartbeat(f.now, f.lastRequest, r.Heartbeat)
 		case r.Messages != nil:
-			f.coordinator.PostMessages(f.now, f.number, r.Messages)
+			f.coordinator.PostMessages(f.now, f.lastRequest, r.Messages)
 		case r.Action != nil:
-			f.coordinator.Perform(f.now, f.number, r.Action)
+			f.coordinator.Perform(f.now, f.lastRequest, r.Action)
 		}
 	}
 	f.requests = f.requests[arrived:]
@@ -112,12 +112,12 @@
 			return nil
 		}
 		for _, a := range out.Responses {
-			r := f.open[a.Request]
-			delete(f.open, a.Request)
-			if view, ok := a.Value.(coordinator.Snapshot); ok {
-				f.mostLetters = max(f.mostLetters, len(view.Messages))
+			r := f.pending[a.Request]
+			delete(f.pending, a.Request)
+			if snapshot, ok := a.Value.(coordinator.Snapshot); ok {
+				f.mostMessages = max(f.mostMessages, len(snapshot.Messages))
 			}
-			f.answers = append(f.answers, virtualAnswer{f.now + virtualWay, r.agent, r.Seq, a})
+			f.answers = append(f.answers, virtualAnswer{f.now + virtualLatency, r.agent, r.Seq, a})
 		}
 		if err := f.coordinator.Done(); err != nil {
 			return err
@@ -134,7 +134,7 @@
 		f.send(a.agent)
 	}
 	f.answers = f.answers[arrived:]
-	for n := f.steps % agentEvery; n < len(f.agents); n += agentEvery {
+	for n := f.steps % agentTickSteps; n < len(f.agents); n += agentTickSteps {
 		f.agents[n].SetDemand(f.now, f.demands[n])
 		f.send(n)
 	}
@@ -142,24 +142,24 @@
 
 func (f *virtualFleet) send(n int) {
 	for _, r := range f.agents[n].Tick(f.now) {
-		f.requests = append(f.requests, virtualRequest{f.now + virtualWay, n, r})
+		f.requests = append(f.requests, virtualRequest{f.now + virtualLatency, n, r})
 	}
 }
 
-// chill has a database be cold from now on for the routers that hold it, each of which would use two equal parts.
-func (f *virtualFleet) chill(database int, holders []int) {
+// addColdDatabase has a database be cold from now on for the routers that hold it, each of which would use two equal parts.
+func (f *virtualFleet) addColdDatabase(database int, holders []int) {
 	for _, n := range holders {
 		f.demands[n].ColdServers = append(f.demands[n].ColdServers, agent.ColdServer{Server: agent.Server{ID: uint32(database + 1), Start: 1}, Need: 2 / float64(len(holders))})
 	}
 }
 
-// parts is the share of parts, of all cold databases at all routers that hold them, that are granted and in use.
-func (f *virtualFleet) parts() float64 {
+// grantedShare is the share of grantedShare, of all cold databases at all routers that hold them, that are granted and in use.
+func (f *virtualFleet) grantedShare() float64 {
 	granted, all := 0, 0
 	for n, m := range f.agents {
 		for _, c := range f.demands[n].ColdServers {
 			all++
-			if part, ok := m.WarmUpShare(f.now, c.ID, c.Start); ok && part > 0 {
+			if share, ok := m.WarmUpShare(f.now, c.ID, c.Start); ok && share > 0 {
 				granted++
 			}
 		}
@@ -167,8 +167,8 @@
 	return float64(granted) / float64(all)
 }
 
-// mostOwned is the most tasks that one router owns.
-func (f *virtualFleet) mostOwned() (most int) {
+// mostTasksOwned is the most tasks that one router owns.
+func (f *virtualFleet) mostTasksOwned() (most int) {
 	for _, s := range f.coordinator.Registry().Sessions() {
 		most = max(most, len(f.coordinator.Registry().TasksOf(s.ID)))
 	}
@@ -184,58 +184,58 @@
 		for n := range holders {
 			holders[n] = all
 		}
-		more, err := playCold(fmt.Sprintf("virtual time: %d routers, %d cold", routers, cold), routers, holders)
+		more, err := runCold(fmt.Sprintf("virtual time: %d routers, %d cold", routers, cold), routers, holders)
 		if err != nil {
 			return nil, err
 		}
 		rows = append(rows, more...)
 	}
 	holders := subsetHolders(routers, TargetDatabases*routers/TargetRouters)
-	returning := len(holders) / TargetZones
-	name := fmt.Sprintf("virtual time: %d routers in subsets of %d, a zone's %d databases cold", routers, virtualSubset, returning)
-	more, err := playCold(name, routers, holders[:returning])
+	zoneDatabases := len(holders) / TargetZones
+	name := fmt.Sprintf("virtual time: %d routers in subsets of %d, a zone's %d databases cold", routers, virtualSubset, zoneDatabases)
+	more, err := runCold(name, routers, holders[:zoneDatabases])
 	return append(rows, more...), err
 }
 
-// mostDecisions is what a coordinator's decisions may take of the one core that its goroutine has.
-const mostDecisions = 0.5
+// maxDecisionCore is what a coordinator's decisions may take of the one core that its goroutine has.
+const maxDecisionCore = 0.5
 
 // virtualSubset is how many databases a router holds where there are subsets.
 const virtualSubset = 32
 
 // subsetHolders are, for each database, the routers that hold it: as many for each, spread over the fleet.
 func subsetHolders(routers, databases int) [][]int {
-	each := routers * virtualSubset / databases
+	holderCount := routers * virtualSubset / databases
 	all := make([][]int, databases)
 	for database := range all {
-		for k := range each {
-			all[database] = append(all[database], (database*each+k*(routers/each+1))%routers)
+		for k := range holderCount {
+			all[database] = append(all[database], (database*holderCount+k*(routers/holderCount+1))%routers)
 		}
 	}
 	return all
 }
 
-// playCold has databases be cold for the routers that hold them; each is shared by as many.
-func playCold(name string, routers int, holders [][]int) ([]measure.Row, error) {
+// runCold has databases be cold for the routers that hold them; each is shared by as many.
+func runCold(name string, routers int, holders [][]int) ([]measure.Row, error) {
 	f, err := newVirtualFleet(routers, len(holders[0]))
 	if err != nil {
 		return nil, err
 	}
-	if err := f.run(virtualOpens); err != nil {
+	if err := f.run(virtualOpenTime); err != nil {
 		return nil, err
 	}
-	for database, who := range holders {
-		f.chill(database, who)
+	for database, routerNumbers := range holders {
+		f.addColdDatabase(database, routerNumbers)
 	}
-	before := f.spent
-	if err := f.run(virtualOpens + virtualCold); err != nil {
+	before := f.timeSpent
+	if err := f.run(virtualOpenTime + virtualColdTime); err != nil {
 		return nil, err
 	}
 	return []measure.Row{
-		measure.AtLeast(name+": granted parts, share", f.parts(), 0.99),
-		measure.Figure(name+": tasks that one router owns at most", float64(f.mostOwned())),
-		measure.Figure(name+": letters in one answer at most", float64(f.mostLetters)),
-		measure.AtMost(name+": coordinator's decisions, core", (f.spent.coordinator-before.coordinator).Seconds()/virtualCold, mostDecisions),
-		measure.Figure(name+": agents' decisions, core of all", (f.spent.agents-before.agents).Seconds()/virtualCold),
+		measure.AtLeast(name+": granted parts, share", f.grantedShare(), 0.99),
+		measure.Figure(name+": tasks that one router owns at most", float64(f.mostTasksOwned())),
+		measure.Figure(name+": letters in one answer at most", float64(f.mostMessages)),
+		measure.AtMost(name+": coordinator's decisions, core", (f.timeSpent.coordinator-before.coordinator).Seconds()/virtualColdTime, maxDecisionCore),
+		measure.Figure(name+": agents' decisions, core of all", (f.timeSpent.agents-before.agents).Seconds()/virtualColdTime),
 	}, nil
 }
--- a/internal/scale/datapath.go
+++ b/internal/scale/datapath.go
@@ -6,10 +6,10 @@
 // process.
 func DataPath(short bool) ([]measure.Row, error) {
 	var rows []measure.Row
-	for _, part := range []func(short bool) ([]measure.Row, error){decisions, moduleMemory, listChanges, listByDNS, listInFile,
+	for _, part := range []func(short bool) ([]measure.Row, error){decisionCosts, moduleMemory, listChanges, listByDNS, configuredListCosts,
 		clientConnections, databaseConnections, requestCost} {
-		some, err := part(short)
-		rows = append(rows, some...)
+		partRows, err := part(short)
+		rows = append(rows, partRows...)
 		if err != nil {
 			return rows, err
 		}
--- a/internal/scale/datapath_clock.go
+++ b/internal/scale/datapath_clock.go
@@ -17,32 +17,32 @@
 	return time.Duration(now.Nano())
 }
 
-// onThread runs work on a thread of its own and gives the processor time of that thread. Other load on the machine stretches
+// measureThreadTime runs work on a thread of its own and gives the processor time of that thread. Other load on the machine stretches
 // the time on the wall and not this one, but for caches and cores that are shared.
-func onThread(work func()) time.Duration {
+func measureThreadTime(work func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	began := threadTime()
+	start := threadTime()
 	work()
-	return threadTime() - began
+	return threadTime() - start
 }
 
-// piece is work that does so many operations.
-type piece struct {
+// workItem is work that does so many operations.
+type workItem struct {
 	operations int
 	work       func()
 }
 
 // medianCosts gives, for each of several pieces of work, the median over rounds of the processor time of one of its operations in
 // microseconds. Each round runs all of them in turn, so that what else the machine does meets all alike.
-func medianCosts(rounds int, pieces []piece) []float64 {
-	costs := make([][]float64, len(pieces))
+func medianCosts(rounds int, items []workItem) []float64 {
+	costs := make([][]float64, len(items))
 	for range rounds {
-		for k, p := range pieces {
-			costs[k] = append(costs[k], onThread(p.work).Seconds()*1e6/float64(p.operations))
+		for k, item := range items {
+			costs[k] = append(costs[k], measureThreadTime(item.work).Seconds()*1e6/float64(item.operations))
 		}
 	}
-	medians := make([]float64, len(pieces))
+	medians := make([]float64, len(items))
 	for k := range costs {
 		slices.Sort(costs[k])
 		medians[k] = costs[k][rounds/2]
--- a/internal/scale/datapath_decision.go
+++ b/internal/scale/datapath_decision.go
@@ -8,28 +8,28 @@
 	"dunereach/waittime"
 )
 
-// deafHost carries out nothing and remembers where the last attempt went.
-type deafHost struct{ database uint32 }
+// discardingHost carries out nothing and remembers where the last attempt went.
+type discardingHost struct{ database uint32 }
 
-func (h *deafHost) Send(_, database uint32, _, _ float64)                     { h.database = database }
-func (*deafHost) Withdraw(uint32, int)                                        {}
-func (*deafHost) Reject(uint32, float64)                                      {}
-func (*deafHost) Fail(uint32)                                                 {}
-func (*deafHost) Cancel(uint32, int)                                          {}
-func (*deafHost) Probe(uint32)                                                {}
-func (*deafHost) Priority(uint32, int, float64)                               {}
-func (*deafHost) Wake(float64, uint64)                                        {}
-func (*deafHost) SendToPeer(int, []byte)                                      {}
-func (*deafHost) Watch(bool)                                                  {}
-func (*deafHost) Log(string)                                                  {}
-func (*deafHost) ReportEstimate(uint32, waittime.TimeKind, waittime.Estimate) {}
+func (h *discardingHost) Send(_, database uint32, _, _ float64)                     { h.database = database }
+func (*discardingHost) Withdraw(uint32, int)                                        {}
+func (*discardingHost) Reject(uint32, float64)                                      {}
+func (*discardingHost) Fail(uint32)                                                 {}
+func (*discardingHost) Cancel(uint32, int)                                          {}
+func (*discardingHost) Probe(uint32)                                                {}
+func (*discardingHost) Priority(uint32, int, float64)                               {}
+func (*discardingHost) Wake(float64, uint64)                                        {}
+func (*discardingHost) SendToPeer(int, []byte)                                      {}
+func (*discardingHost) Watch(bool)                                                  {}
+func (*discardingHost) Log(string)                                                  {}
+func (*discardingHost) ReportEstimate(uint32, waittime.TimeKind, waittime.Estimate) {}
 
-// decider is the module of one router with a pool of databases that all stand ready, and requests that come one after another.
-type decider struct {
-	module *admission.Controller
-	host   deafHost
-	now    float64
-	last   uint32
+// controllerDriver is the module of one router with a pool of databases that all stand ready, and requests that come one after another.
+type controllerDriver struct {
+	controller *admission.Controller
+	host       discardingHost
+	now        float64
+	lastID     uint32
 	// request is the one that comes again and again, with another ID each time.
 	request admission.Request
 }
@@ -50,33 +50,33 @@
 	return list
 }
 
-func newDecider(settings admission.Settings, databases int) *decider {
-	d := &decider{request: admission.Request{TimeLeft: 4, Cost: 0.001}}
-	d.module = admission.New(settings, 0, &d.host)
-	d.module.UpdateServers(0, admission.Full, readyList(databases))
+func newControllerDriver(settings admission.Settings, databases int) *controllerDriver {
+	d := &controllerDriver{request: admission.Request{TimeLeft: 4, Cost: 0.001}}
+	d.controller = admission.New(settings, 0, &d.host)
+	d.controller.UpdateServers(0, admission.Full, readyList(databases))
 	d.upkeep(2 * upkeepRate) // histograms are read from the second second on
-	d.decide(200)
+	d.handleRequests(200)
 	d.upkeep(2 * upkeepRate)
 	return d
 }
 
-// decide takes requests one after another: each comes, is attempted and is answered, one in a millisecond.
-func (d *decider) decide(requests int) {
+// handleRequests takes requests one after another: each comes, is attempted and is answered, one in a millisecond.
+func (d *controllerDriver) handleRequests(requests int) {
 	for range requests {
 		d.now += 0.001
-		d.last++
-		d.request.ID = d.last
-		d.module.Request(d.now, d.request)
-		d.module.Outcome(d.now+0.0005, admission.Outcome{ID: d.last, Server: d.host.database, End: admission.Completed,
+		d.lastID++
+		d.request.ID = d.lastID
+		d.controller.Request(d.now, d.request)
+		d.controller.Outcome(d.now+0.0005, admission.Outcome{ID: d.lastID, Server: d.host.database, End: admission.Completed,
 			Latency: 0.0005, Work: d.request.Cost, Final: true})
 	}
 }
 
 // upkeep runs the module's regular work, which it asks to be woken for.
-func (d *decider) upkeep(times int) {
-	for range times {
+func (d *controllerDriver) upkeep(count int) {
+	for range count {
 		d.now += 1.0 / upkeepRate
-		d.module.Woken(d.now, 0)
+		d.controller.Woken(d.now, 0)
 	}
 }
 
@@ -94,35 +94,35 @@
 // statementsPerRouter is how many statements a second a router has at the target.
 const statementsPerRouter = float64(TargetStatements) / TargetRouters
 
-// decisions are the processor time and the allocations of a decision, and of a second of upkeep, by databases in one pool.
-func decisions(short bool) ([]measure.Row, error) {
-	rounds, walks := 9, 400_000
+// decisionCosts are the processor time and the allocations of a decision, and of a second of upkeep, by databases in one pool.
+func decisionCosts(short bool) ([]measure.Row, error) {
+	rounds, databaseVisits := 9, 400_000
 	if short {
-		rounds, walks = 5, 100_000
+		rounds, databaseVisits = 5, 100_000
 	}
 	sizes := decisionSizes(short)
-	var deciding, keeping []piece
+	var requestItems, upkeepItems []workItem
 	allocations := 0.0
 	for _, databases := range sizes {
-		d := newDecider(routerSettings(), databases)
-		requests := max(walks/databases, 20)
-		deciding = append(deciding, piece{requests, func() { d.decide(requests) }})
-		keeping = append(keeping, piece{10 * requests, func() { d.upkeep(10 * requests) }})
-		allocations = max(allocations, testing.AllocsPerRun(3, func() { d.decide(requests) })/float64(requests))
+		d := newControllerDriver(routerSettings(), databases)
+		requests := max(databaseVisits/databases, 20)
+		requestItems = append(requestItems, workItem{requests, func() { d.handleRequests(requests) }})
+		upkeepItems = append(upkeepItems, workItem{10 * requests, func() { d.upkeep(10 * requests) }})
+		allocations = max(allocations, testing.AllocsPerRun(3, func() { d.handleRequests(requests) })/float64(requests))
 		d.upkeep(2 * upkeepRate)
 	}
-	rows, decision, err := slopeRows("decision, us, by databases in the pool", sizes, medianCosts(rounds, deciding))
+	rows, decisionFit, err := slopeRows("decision, us, by databases in the pool", sizes, medianCosts(rounds, requestItems))
 	if err != nil {
 		return nil, err
 	}
-	kept, upkeep, err := slopeRows("upkeep, us a run, by databases in the pool", sizes, medianCosts(rounds, keeping))
+	upkeepRows, upkeep, err := slopeRows("upkeep, us a run, by databases in the pool", sizes, medianCosts(rounds, upkeepItems))
 	if err != nil {
 		return nil, err
 	}
-	rows = append(rows, kept...)
+	rows = append(rows, upkeepRows...)
 	return append(rows,
 		measure.AtMost("allocations of a decision, most of all sizes", allocations, 0),
-		measure.Figure("decisions over all databases of the target, core", decision.At(TargetDatabases)*1e-6*statementsPerRouter),
-		measure.Figure("decisions over 64 databases, core", decision.At(64)*1e-6*statementsPerRouter),
+		measure.Figure("decisions over all databases of the target, core", decisionFit.At(TargetDatabases)*1e-6*statementsPerRouter),
+		measure.Figure("decisions over 64 databases, core", decisionFit.At(64)*1e-6*statementsPerRouter),
 		measure.Figure("upkeep over all databases of the target, core", upkeep.At(TargetDatabases)*1e-6*upkeepRate)), nil
 }
--- a/internal/scale/datapath_list.go
+++ b/internal/scale/datapath_list.go
@@ -10,8 +10,8 @@
 	"dunereach/internal/measure"
 )
 
-// mostAnswer is the longest answer of the name server in bytes, and mostRead what a router reads of one.
-const mostAnswer, mostRead = 8000, 9000
+// maxAnswerBytes is the longest answer of the name server in bytes, and maxAnswerRead what a router reads of one.
+const maxAnswerBytes, maxAnswerRead = 8000, 9000
 
 // listLines are so many databases as an answer of the name server has them, with names of that length.
 func listLines(databases, nameLength int) []string {
@@ -28,7 +28,7 @@
 func answerFits(databases, nameLength int) bool {
 	const anyID, anySerial = 1, 7
 	answer := fake.Reply(anyID, anySerial, discovery.ServiceName, listLines(databases, nameLength)...)
-	if len(answer) > mostAnswer {
+	if len(answer) > maxAnswerBytes {
 		return false
 	}
 	list, err := dns.Parse(answer, discovery.ServiceName)
@@ -43,8 +43,8 @@
 	return true
 }
 
-// mostListed is the most databases that one answer of the name server can list, with names of that length.
-func mostListed(nameLength int) int {
+// maxListed is the most databases that one answer of the name server can list, with names of that length.
+func maxListed(nameLength int) int {
 	most := 0
 	for answerFits(most+1, nameLength) {
 		most++
@@ -56,10 +56,10 @@
 func listByDNS(bool) ([]measure.Row, error) {
 	var rows []measure.Row
 	for _, nameLength := range []int{5, 12, 36} { // short, as in the examples; a host's name; a UUID
-		most := mostListed(nameLength)
+		most := maxListed(nameLength)
 		rows = append(rows,
-			measure.Figure(fmt.Sprintf("databases in one answer of %d bytes, names of %d letters", mostAnswer, nameLength), float64(most)),
-			measure.Figure(fmt.Sprintf("bytes a database in an answer, names of %d letters", nameLength), mostAnswer/float64(most)))
+			measure.Figure(fmt.Sprintf("databases in one answer of %d bytes, names of %d letters", maxAnswerBytes, nameLength), float64(most)),
+			measure.Figure(fmt.Sprintf("bytes a database in an answer, names of %d letters", nameLength), maxAnswerBytes/float64(most)))
 	}
 	return rows, nil
 }
--- a/internal/scale/datapath_load.go
+++ b/internal/scale/datapath_load.go
@@ -11,18 +11,18 @@
 	"dunereach/internal/fake"
 )
 
-// answerAfter has the stand-ins of databases answer each request after a pause, until the context ends.
-func (r *routerProcess) answerAfter(ctx context.Context, pause time.Duration) {
+// answerAfterPause has the stand-ins of databases answer each request after a pause, until the context ends.
+func (r *routerProcess) answerAfterPause(ctx context.Context, pause time.Duration) {
 	for {
 		select {
-		case said := <-r.heard:
-			if said.Words[0] != "fetch" {
+		case message := <-r.received:
+			if message.Words[0] != "fetch" {
 				continue
 			}
 			if pause == 0 {
-				answer(said)
+				answerFetch(message)
 			} else {
-				time.AfterFunc(pause, func() { answer(said) })
+				time.AfterFunc(pause, func() { answerFetch(message) })
 			}
 		case <-ctx.Done():
 			return
@@ -32,15 +32,15 @@
 
 // answerTogether has them answer nothing before so many requests have come or the time is over, and then all, also what comes
 // later. It gives how many had come.
-func (r *routerProcess) answerTogether(ctx context.Context, requests int, limit time.Duration) (came int) {
+func (r *routerProcess) answerTogether(ctx context.Context, requests int, limit time.Duration) (arrived int) {
 	var held []fake.Said
 	timeout := time.After(limit)
 gathering:
 	for len(held) < requests {
 		select {
-		case said := <-r.heard:
-			if said.Words[0] == "fetch" {
-				held = append(held, said)
+		case message := <-r.received:
+			if message.Words[0] == "fetch" {
+				held = append(held, message)
 			}
 		case <-timeout:
 			break gathering
@@ -48,26 +48,26 @@
 			break gathering
 		}
 	}
-	for _, said := range held {
-		answer(said)
+	for _, message := range held {
+		answerFetch(message)
 	}
-	go r.answerAfter(ctx, 0)
+	go r.answerAfterPause(ctx, 0)
 	return len(held)
 }
 
-func answer(said fake.Said) { said.Answer("served", "count=1,ticks=5", "a\tb\tc\n") }
+func answerFetch(message fake.Said) { message.Answer("served", "count=1,ticks=5", "a\tb\tc\n") }
 
-// callID numbers the calls of all clients: a router takes no two with one id.
-var callID atomic.Uint64
+// lastRequestID numbers the calls of all clients: a router takes no two with one id.
+var lastRequestID atomic.Uint64
 
-// ask sends one request and does not wait for its answer.
-func ask(client *fake.Client) {
+// sendRequest sends one request and does not wait for its answer.
+func sendRequest(client *fake.Client) {
 	client.Call("select name, price from catalogue.goods where shelf = 17 and stock > 0 order by price", "service", "lookup",
-		"project", "acme", "allow", "20000", "effort", "20", "ref", fmt.Sprintf("%016x", callID.Add(1)))
+		"project", "acme", "allow", "20000", "effort", "20", "ref", fmt.Sprintf("%016x", lastRequestID.Add(1)))
 }
 
-// completed tells whether an answer brings a result.
-func completed(answer string) bool { return strings.Contains(answer, "call{ 0={") }
+// isCompleted tells whether an answer brings a result.
+func isCompleted(answer string) bool { return strings.Contains(answer, "call{ 0={") }
 
 // openClients opens so many connections, on each of which the router has answered a health check.
 func (r *routerProcess) openClients(count int) ([]*fake.Client, error) {
@@ -75,7 +75,7 @@
 	clients := make([]*fake.Client, count)
 	var unanswered atomic.Int64
 	inParallel(dialers, count, func(k int) {
-		clients[k] = fake.NewClient(r.desk, r.addr)
+		clients[k] = fake.NewClient(r.fakes, r.addr)
 		if !clients[k].Health() {
 			unanswered.Add(1)
 		}
@@ -100,41 +100,41 @@
 	group.Wait()
 }
 
-// askEach has each client ask once and wait, and gives how many got a result.
-func askEach(clients []*fake.Client) int {
-	const askers = 16
-	var good atomic.Int64
-	inParallel(askers, len(clients), func(k int) {
-		ask(clients[k])
-		if completed(clients[k].Next()) {
-			good.Add(1)
+// requestOnEach has each client ask once and wait, and gives how many got a result.
+func requestOnEach(clients []*fake.Client) int {
+	const senders = 16
+	var completedCount atomic.Int64
+	inParallel(senders, len(clients), func(k int) {
+		sendRequest(clients[k])
+		if isCompleted(clients[k].Next()) {
+			completedCount.Add(1)
 		}
 	})
-	return int(good.Load())
+	return int(completedCount.Load())
 }
 
-// paced has the clients ask so many requests a second in all for a time, each one after another, and counts the results.
-func paced(clients []*fake.Client, rate float64, length time.Duration) (completedCount int) {
+// sendAtRate has the clients ask so many requests a second in all for a time, each one after another, and counts the results.
+func sendAtRate(clients []*fake.Client, rate float64, length time.Duration) (completedCount int) {
 	if rate == 0 {
 		time.Sleep(length)
 		return 0
 	}
 	gap := time.Duration(float64(len(clients)) / rate * float64(time.Second))
 	began := time.Now()
-	var good atomic.Int64
+	var completedRequests atomic.Int64
 	var group sync.WaitGroup
 	for k, client := range clients {
 		group.Go(func() {
 			next := began.Add(gap * time.Duration(k) / time.Duration(len(clients)))
 			for ; next.Before(began.Add(length)); next = next.Add(gap) {
 				time.Sleep(time.Until(next))
-				ask(client)
-				if completed(client.Next()) {
-					good.Add(1)
+				sendRequest(client)
+				if isCompleted(client.Next()) {
+					completedRequests.Add(1)
 				}
 			}
 		})
 	}
 	group.Wait()
-	return int(good.Load())
+	return int(completedRequests.Load())
 }
--- a/internal/scale/datapath_module.go
+++ b/internal/scale/datapath_module.go
@@ -12,15 +12,15 @@
 	"dunereach/internal/transport"
 )
 
-// heapOf is the live heap that what is made holds, in bytes, over so many of them.
-func heapOf(count int, build func() any) float64 {
-	held := make([]any, 0, count)
+// heapPerInstance is the live heap that what is made holds, in bytes, over so many of them.
+func heapPerInstance(count int, build func() any) float64 {
+	instances := make([]any, 0, count)
 	before := liveHeap()
 	for range count {
-		held = append(held, build())
+		instances = append(instances, build())
 	}
 	after := liveHeap()
-	runtime.KeepAlive(held)
+	runtime.KeepAlive(instances)
 	return (float64(after) - float64(before)) / float64(count)
 }
 
@@ -38,7 +38,7 @@
 	costs := make([]float64, len(sizes))
 	for k, size := range sizes {
 		count := max(2000/size, 2) // small ones are made often: the heap is counted in pages
-		costs[k] = heapOf(count, func() any { return build(size) }) / bytesPerKB
+		costs[k] = heapPerInstance(count, func() any { return build(size) }) / bytesPerKB
 	}
 	return slopeRows(name, sizes, costs)
 }
@@ -55,28 +55,28 @@
 		return func(size int) any {
 			settings := routerSettings()
 			settings.Routers = routers
-			return newDecider(settings, size)
+			return newControllerDriver(settings, size)
 		}
 	}
 	var rows []measure.Row
-	var atTarget Fit
+	var targetFit Fit
 	for _, routers := range []int{1, 300, TargetRouters} {
 		name := fmt.Sprintf("module's heap, KB, by databases, %d routers in the settings", routers)
 		some, fit, err := heapSlope(name, databases, withRouters(routers))
 		if err != nil {
 			return nil, err
 		}
-		rows, atTarget = append(rows, some...), fit
+		rows, targetFit = append(rows, some...), fit
 	}
 	rows = append(rows,
-		measure.Figure("module's heap at the target, whole pool, MB", atTarget.At(TargetDatabases)/1000),
-		measure.Figure("module's heap at the target, subset of 64, MB", atTarget.At(64)/1000))
+		measure.Figure("module's heap at the target, whole pool, MB", targetFit.At(TargetDatabases)/1000),
+		measure.Figure("module's heap at the target, subset of 64, MB", targetFit.At(64)/1000))
 	some, _, err := heapSlope("module's heap, KB, by classes", classes, func(size int) any {
 		settings := routerSettings()
 		for len(settings.Profiles) < size {
 			settings.Profiles = append(settings.Profiles, settings.Profiles[0])
 		}
-		return newDecider(settings, 8)
+		return newControllerDriver(settings, 8)
 	})
 	if err != nil {
 		return nil, err
@@ -88,69 +88,69 @@
 		for k := range settings.Tenants {
 			settings.Tenants[k].QuotaPerS = 1000
 		}
-		return newDecider(settings, 8)
+		return newControllerDriver(settings, 8)
 	})
 	return append(rows, some...), err
 }
 
-// nobody owns a pool of connections that carries nothing.
-type nobody struct{}
+// discardingOwner owns a pool of connections that carries nothing.
+type discardingOwner struct{}
 
-func (nobody) AttemptEnded(*backends.Attempt, admission.End)                        {}
-func (nobody) AttemptProgressed(*backends.Attempt, admission.ProgressKind, float64) {}
-func (nobody) ConnLost(uint32, transport.Ending)                                    {}
-func noLine(netip.AddrPort, transport.Sink) backends.Connection                     { return nil }
+func (discardingOwner) AttemptEnded(*backends.Attempt, admission.End)                        {}
+func (discardingOwner) AttemptProgressed(*backends.Attempt, admission.ProgressKind, float64) {}
+func (discardingOwner) ConnLost(uint32, transport.Ending)                                    {}
+func noConnection(netip.AddrPort, transport.Sink) backends.Connection                        { return nil }
 
-// listTaker is what the router's owner goroutine runs when a list comes: the follower, the connections' pool, the module.
-type listTaker struct {
-	follower *discovery.Follower
-	pool     *backends.Pool
-	decider  *decider
-	revision uint32
-	alone    bool // the follower alone takes lists
+// listApplier is what the router's owner goroutine runs when a list comes: the follower, the connections' pool, the module.
+type listApplier struct {
+	follower         *discovery.Follower
+	pool             *backends.Pool
+	controllerDriver *controllerDriver
+	revision         uint32
+	followerOnly     bool // the follower alone takes lists
 }
 
-func newListTaker(databases int) (*listTaker, error) {
-	taker := &listTaker{follower: discovery.New([]string{"east"}, []string{"std"}),
-		pool:    backends.New(nobody{}, backends.Limits{StreamsPerConn: 100, MaxConns: 5000, IdleTimeout: 30, StallTimeout: 0.25}, noLine),
-		decider: &decider{}}
+func newListApplier(databases int) (*listApplier, error) {
+	applier := &listApplier{follower: discovery.New([]string{"east"}, []string{"std"}),
+		pool:             backends.New(discardingOwner{}, backends.Limits{StreamsPerConn: 100, MaxConns: 5000, IdleTimeout: 30, StallTimeout: 0.25}, noConnection),
+		controllerDriver: &controllerDriver{}}
 	settings := routerSettings()
-	taker.decider.module = admission.New(settings, 0, &taker.decider.host)
-	return taker, taker.take(databases, 0)
+	applier.controllerDriver.controller = admission.New(settings, 0, &applier.controllerDriver.host)
+	return applier, applier.apply(databases, 0)
 }
 
-// take has a whole list come whose first so many databases have new names, so that as many old ones are gone.
-func (l *listTaker) take(databases, changed int) error {
+// apply has a whole list come whose first so many databases have new names, so that as many old ones are gone.
+func (l *listApplier) apply(databases, changed int) error {
 	l.revision++
-	known := wholeList(l.revision, databases, func(k int) string {
+	list := fullList(l.revision, databases, func(k int) string {
 		if k < changed {
 			return fmt.Sprintf("db-%d-%d", k, l.revision)
 		}
 		return fmt.Sprintf("db-%d", k)
 	})
-	if _, err := l.follower.ApplyConfig(known); err != nil {
+	if _, err := l.follower.ApplyConfig(list); err != nil {
 		return err
 	}
-	if l.alone {
+	if l.followerOnly {
 		return nil
 	}
 	l.pool.UpdateServers(l.follower.List(), l.follower.Addr)
-	l.decider.module.UpdateServers(l.decider.now, admission.Full, l.follower.List())
+	l.controllerDriver.controller.UpdateServers(l.controllerDriver.now, admission.Full, l.follower.List())
 	return nil
 }
 
-// wholeList is an event of the list, as a configuration has it, with all databases at addresses of their own.
-func wholeList(revision uint32, databases int, name func(k int) string) discovery.ConfiguredList {
-	notice := discovery.Event{Rev: revision}
-	notice.Pool = &struct {
+// fullList is an event of the list, as a configuration has it, with all databases at addresses of their own.
+func fullList(revision uint32, databases int, name func(k int) string) discovery.ConfiguredList {
+	event := discovery.Event{Rev: revision}
+	event.Pool = &struct {
 		All     bool               `json:"all"`
 		Targets []discovery.Target `json:"targets"`
 	}{All: true}
 	for k := range databases {
-		notice.Pool.Targets = append(notice.Pool.Targets, discovery.Target{UID: name(k),
+		event.Pool.Targets = append(event.Pool.Targets, discovery.Target{UID: name(k),
 			Endpoint: fmt.Sprintf("127.1.%d.%d:4100", k/250, 1+k%250), Zone: "east", Kind: "std", State: "ready", Weight: 8})
 	}
-	return discovery.ConfiguredList{Rev: revision, Notices: []discovery.Event{notice}}
+	return discovery.ConfiguredList{Rev: revision, Notices: []discovery.Event{event}}
 }
 
 // listChanges is how long the owner's goroutine is busy with a whole list of which one, a tenth or half of the databases are new.
@@ -162,33 +162,33 @@
 	}
 	var rows []measure.Row
 	for _, change := range []struct {
-		name  string
-		of    func(databases int) int
-		alone bool
+		name         string
+		changedCount func(databases int) int
+		followerOnly bool
 	}{{"one", func(int) int { return 1 }, false}, {"a tenth", func(n int) int { return n / 10 }, false},
 		{"half", func(n int) int { return n / 2 }, false}, {"one, the list's follower alone,", func(int) int { return 1 }, true}} {
-		var pieces []piece
-		var failed error
+		var items []workItem
+		var applyErr error
 		for _, databases := range sizes {
-			taker, err := newListTaker(databases)
+			applier, err := newListApplier(databases)
 			if err != nil {
 				return nil, err
 			}
-			taker.alone = change.alone
-			pieces = append(pieces, piece{1, func() {
-				if err := taker.take(databases, change.of(databases)); err != nil {
-					failed = err
+			applier.followerOnly = change.followerOnly
+			items = append(items, workItem{1, func() {
+				if err := applier.apply(databases, change.changedCount(databases)); err != nil {
+					applyErr = err
 				}
 			}})
 		}
-		costs := medianCosts(rounds, pieces)
-		if failed != nil {
-			return nil, failed
+		costs := medianCosts(rounds, items)
+		if applyErr != nil {
+			return nil, applyErr
 		}
 		for k := range costs {
 			costs[k] /= 1000 // ms
 		}
-		some, err := squareRows(fmt.Sprintf("owner busy with a list of which %s is new, ms", change.name), sizes, costs)
+		some, err := quadraticRows(fmt.Sprintf("owner busy with a list of which %s is new, ms", change.name), sizes, costs)
 		if err != nil {
 			return nil, err
 		}
@@ -197,8 +197,8 @@
 	return rows, nil
 }
 
-// squareRows are costs by size and a line over the square of the size, where each database is compared with each.
-func squareRows(name string, sizes []int, costs []float64) ([]measure.Row, error) {
+// quadraticRows are costs by size and a line over the square of the size, where each database is compared with each.
+func quadraticRows(name string, sizes []int, costs []float64) ([]measure.Row, error) {
 	var rows []measure.Row
 	var points []Point
 	for k, size := range sizes {
--- a/internal/scale/datapath_process.go
+++ b/internal/scale/datapath_process.go
@@ -20,44 +20,44 @@
 
 // routerProcess is the real router as a process, with stand-ins on loopback for the databases and the name server.
 type routerProcess struct {
-	desk    *fake.Desk
-	folder  string
-	config  string // path
-	addr    string
-	options routerOptions
-	names   *fake.NameServer
-	heard   chan fake.Said
-	command *exec.Cmd
-	ended   chan error
-	log     chan string // lines
-	started time.Time
+	fakes      *fake.Desk
+	folder     string
+	config     string // path
+	addr       string
+	options    routerOptions
+	nameServer *fake.NameServer
+	received   chan fake.Said
+	command    *exec.Cmd
+	exited     chan error
+	log        chan string // lines
+	started    time.Time
 }
 
 // routerOptions are what a router is started with.
 type routerOptions struct {
-	databases   int // in the list
-	descriptors int
-	revision    uint32 // of the list, 0: 1
-	renamed     int    // databases of the list with new names
-	sharers     int    // routers that share the databases, as the settings say, 0: 1
+	databases        int // in the list
+	descriptors      int
+	revision         uint32 // of the list, 0: 1
+	renamedDatabases int    // databases of the list with new names
+	sharingRouters   int    // routers that share the databases, as the settings say, 0: 1
 }
 
 const (
-	// standIns is how many stand-ins of databases listen. A longer list names each at several places.
-	standIns = 16
+	// fakeDatabases is how many stand-ins of databases listen. A longer list names each at several places.
+	fakeDatabases = 16
 	// routerDescriptors is the bound on a router's descriptors where it is not what is measured.
 	routerDescriptors = 16384
-	// patience is how long a router may take to start and to take over a configuration.
-	patience = 20 * time.Second
+	// routerTimeout is how long a router may take to start and to take over a configuration.
+	routerTimeout = 20 * time.Second
 )
 
 // routerProgram is where the router's binary stands: in bin/ below the working directory, or beside this program.
 func routerProgram() (string, error) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	for _, path := range []string{"bin/dunereach", filepath.Join(filepath.Dir(self), "dunereach")} {
+	for _, path := range []string{"bin/dunereach", filepath.Join(filepath.Dir(executable), "dunereach")} {
 		if _, err := os.Stat(path); err == nil {
 			return filepath.Abs(path)
 		}
@@ -75,21 +75,21 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &routerProcess{desk: &fake.Desk{}, folder: folder, config: filepath.Join(folder, "config.json"), options: options,
-		heard: make(chan fake.Said, 4096), ended: make(chan error, 1), log: make(chan string, 4096),
+	r := &routerProcess{fakes: &fake.Desk{}, folder: folder, config: filepath.Join(folder, "config.json"), options: options,
+		received: make(chan fake.Said, 4096), exited: make(chan error, 1), log: make(chan string, 4096),
 		addr: fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))}
-	r.names = fake.NewNameServer(r.desk, discovery.ServiceName)
-	r.names.Set(1) // the list that the configuration has
-	r.desk.Cleanup(func() { os.RemoveAll(folder) })
+	r.nameServer = fake.NewNameServer(r.fakes, discovery.ServiceName)
+	r.nameServer.Set(1) // the list that the configuration has
+	r.fakes.Cleanup(func() { os.RemoveAll(folder) })
 	var endpoints []string
-	for range standIns {
-		endpoints = append(endpoints, fake.NewEngine(r.desk, r.heard).Addr)
+	for range fakeDatabases {
+		endpoints = append(endpoints, fake.NewEngine(r.fakes, r.received).Addr)
 	}
 	if err = r.configure(options, endpoints); err == nil {
 		err = r.spawn(program)
 	}
 	if err != nil {
-		r.desk.End()
+		r.fakes.End()
 		return nil, err
 	}
 	if _, err := r.awaitLog("serving"); err != nil {
@@ -113,7 +113,7 @@
 	go func() {
 		err := r.command.Wait()
 		input.Close()
-		r.ended <- err
+		r.exited <- err
 	}()
 	return nil
 }
@@ -131,27 +131,27 @@
 
 // awaitLog waits for a line with that text.
 func (r *routerProcess) awaitLog(text string) (string, error) {
-	last, timeout := "", time.After(patience)
+	last, timeout := "", time.After(routerTimeout)
 	for {
 		select {
-		case line, more := <-r.log:
-			if !more {
+		case line, open := <-r.log:
+			if !open {
 				return "", fmt.Errorf("the router ended before it said %q: %s", text, last)
 			}
 			if last = line; strings.Contains(line, text) {
 				return line, nil
 			}
 		case <-timeout:
-			return "", fmt.Errorf("the router did not say %q in %v, but last %q", text, patience, last)
+			return "", fmt.Errorf("the router did not say %q in %v, but last %q", text, routerTimeout, last)
 		}
 	}
 }
 
 // stop ends it at once, and what was begun for it: nothing is measured of its end.
 func (r *routerProcess) stop() {
-	defer r.desk.End()
+	defer r.fakes.End()
 	r.command.Process.Kill()
-	<-r.ended
+	<-r.exited
 }
 
 // configure writes its configuration.
@@ -160,18 +160,18 @@
 	targets := make([]map[string]any, options.databases)
 	for k := range targets {
 		name := fmt.Sprintf("db-%d", k)
-		if k < options.renamed {
+		if k < options.renamedDatabases {
 			name = fmt.Sprintf("db-%d-%d", k, revision)
 		}
 		targets[k] = map[string]any{"uid": name, "endpoint": endpoints[k%len(endpoints)], "az": "east", "model": "std", "pod_group": 0,
 			"state": "ready", "capacity_hint": 8, "boot_ms": 0}
 	}
 	text, err := json.Marshal(map[string]any{
-		"name": "scale", "listen": r.addr, "seed": "8c1f30d27a5be964", "nameserver": r.names.Addr,
+		"name": "scale", "listen": r.addr, "seed": "8c1f30d27a5be964", "nameserver": r.nameServer.Addr,
 		"limits": map[string]any{"cores": 1, "memory_mb": 1024, "sockets": options.descriptors},
 		"known": map[string]any{"rev": revision, "notices": []any{map[string]any{"rev": revision,
 			"pool": map[string]any{"rev": revision, "all": true, "targets": targets}}}},
-		"settings": json.RawMessage(fmt.Sprintf(processSettings, max(options.sharers, 1)))})
+		"settings": json.RawMessage(fmt.Sprintf(processSettings, max(options.sharingRouters, 1)))})
 	if err != nil {
 		return err
 	}
@@ -192,8 +192,8 @@
 	Descriptors float64
 }
 
-// used reads what the process uses now.
-func (r *routerProcess) used() (usage, error) {
+// readUsage reads what the process uses now.
+func (r *routerProcess) readUsage() (usage, error) {
 	folder := filepath.Join("/proc", strconv.Itoa(r.command.Process.Pid))
 	u := usage{}
 	threads, err := filepath.Glob(filepath.Join(folder, "task/*/schedstat"))
--- a/internal/scale/datapath_process_test.go
+++ b/internal/scale/datapath_process_test.go
@@ -29,8 +29,8 @@
 	defer r.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go r.answerAfter(ctx, 0)
-	before, err := r.used()
+	go r.answerAfterPause(ctx, 0)
+	before, err := r.readUsage()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,23 +39,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if good := askEach(clients); good != connections {
-		t.Errorf("%d of %d requests were completed", good, connections)
+	if completed := requestOnEach(clients); completed != connections {
+		t.Errorf("%d of %d requests were completed", completed, connections)
 	}
-	if good := paced(clients, 200, 300*time.Millisecond); good < 55 || good > 65 {
-		t.Errorf("200 requests a second for 0.3 s: %d were completed", good)
+	if completed := sendAtRate(clients, 200, 300*time.Millisecond); completed < 55 || completed > 65 {
+		t.Errorf("200 requests a second for 0.3 s: %d were completed", completed)
 	}
-	after, err := r.used()
+	after, err := r.readUsage()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if opened := after.Descriptors - before.Descriptors; opened < connections+1 || opened > 2*connections+standIns {
+	if opened := after.Descriptors - before.Descriptors; opened < connections+1 || opened > 2*connections+fakeDatabases {
 		t.Errorf("%v more descriptors for %d clients", opened, connections)
 	}
 	if after.Processor <= before.Processor || after.ResidentKB < 1000 {
 		t.Errorf("use before %+v, after %+v", before, after)
 	}
-	if took, err := r.renew(1); err != nil || took <= 0 {
+	if took, err := r.reload(1); err != nil || took <= 0 {
 		t.Errorf("a configuration read anew: %v, %v", took, err)
 	}
 }
@@ -64,7 +64,7 @@
 func TestRequestsAtOnceReachEachDatabase(t *testing.T) {
 	const databases = 60
 	buildRouter(t)
-	if _, came, err := reachAll(databases, 1024, patience); err != nil || came != databases {
+	if _, came, err := requestEachDatabase(databases, 1024, routerTimeout); err != nil || came != databases {
 		t.Errorf("%d of %d requests reached a database: %v", came, databases, err)
 	}
 }
--- a/internal/scale/datapath_sockets.go
+++ b/internal/scale/datapath_sockets.go
@@ -15,8 +15,8 @@
 
 // connectionCost is what a router uses with so many client connections.
 type connectionCost struct {
-	idle, asked         usage // after a health check on each, and after a request on each
-	idleCore, completed float64
+	afterHealthChecks, afterRequests usage // after a health check on each, and after a request on each
+	idleCore, completed              float64
 }
 
 // clientConnections are a router's memory, descriptors and processor time by its client connections.
@@ -25,22 +25,22 @@
 	if short {
 		sizes = []int{100, 300, 600, 1000}
 	}
-	var idle, asked, descriptors, idleCores []float64
-	unserved := 0.0
+	var afterHealthChecks, afterRequests, descriptors, idleCores []float64
+	mostUncompleted := 0.0
 	for _, size := range sizes {
-		cost, err := costOfConnections(size)
+		cost, err := measureConnections(size)
 		if err != nil {
 			return nil, fmt.Errorf("%d client connections: %w", size, err)
 		}
-		idle, asked = append(idle, cost.idle.ResidentKB), append(asked, cost.asked.ResidentKB)
-		descriptors, idleCores = append(descriptors, cost.idle.Descriptors), append(idleCores, cost.idleCore*1000)
-		unserved = max(unserved, float64(size)-cost.completed)
+		afterHealthChecks, afterRequests = append(afterHealthChecks, cost.afterHealthChecks.ResidentKB), append(afterRequests, cost.afterRequests.ResidentKB)
+		descriptors, idleCores = append(descriptors, cost.afterHealthChecks.Descriptors), append(idleCores, cost.idleCore*1000)
+		mostUncompleted = max(mostUncompleted, float64(size)-cost.completed)
 	}
-	rows, idleFit, err := slopeRows("resident KB, by idle client connections", sizes, idle)
+	rows, idleFit, err := slopeRows("resident KB, by idle client connections", sizes, afterHealthChecks)
 	if err != nil {
 		return nil, err
 	}
-	some, askedFit, err := slopeRows("resident KB, by client connections with a request each", sizes, asked)
+	some, askedFit, err := slopeRows("resident KB, by client connections with a request each", sizes, afterRequests)
 	if err != nil {
 		return nil, err
 	}
@@ -55,19 +55,19 @@
 		return nil, err
 	}
 	rows = append(rows, some...)
-	third := clientsPerRouter * 3 / 2
+	clientsAfterLoss := clientsPerRouter * 3 / 2
 	return append(rows,
-		measure.AtMost("requests on connections that brought no result, most of all sizes", unserved, 0),
+		measure.AtMost("requests on connections that brought no result, most of all sizes", mostUncompleted, 0),
 		measure.Between("descriptors a client connection", descriptorFit.Slope, 0.98, 1.02),
 		measure.Figure("resident MB at the target's 2,313 client connections, idle", idleFit.At(clientsPerRouter)/1000),
 		measure.Figure("resident MB at the target's 2,313 client connections, with a request each", askedFit.At(clientsPerRouter)/1000),
-		measure.Figure("resident MB with a third of the routers lost (3,469), with a request each", askedFit.At(third)/1000),
-		measure.Figure("descriptors that the settings must allow for those (clients get half)", 2*third)), nil
+		measure.Figure("resident MB with a third of the routers lost (3,469), with a request each", askedFit.At(clientsAfterLoss)/1000),
+		measure.Figure("descriptors that the settings must allow for those (clients get half)", 2*clientsAfterLoss)), nil
 }
 
-// costOfConnections starts a router, opens connections and has each ask once.
-func costOfConnections(size int) (cost connectionCost, err error) {
-	const databases, moment = 8, 500 * time.Millisecond
+// measureConnections starts a router, opens connections and has each ask once.
+func measureConnections(size int) (cost connectionCost, err error) {
+	const databases, idleInterval = 8, 500 * time.Millisecond
 	r, err := startRouter(routerOptions{databases: databases, descriptors: routerDescriptors})
 	if err != nil {
 		return cost, err
@@ -75,22 +75,22 @@
 	defer r.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go r.answerAfter(ctx, 0)
+	go r.answerAfterPause(ctx, 0)
 	clients, err := r.openClients(size)
 	if err != nil {
 		return cost, err
 	}
-	if cost.idle, err = r.used(); err != nil {
+	if cost.afterHealthChecks, err = r.readUsage(); err != nil {
 		return cost, err
 	}
-	time.Sleep(moment)
-	later, err := r.used()
+	time.Sleep(idleInterval)
+	later, err := r.readUsage()
 	if err != nil {
 		return cost, err
 	}
-	cost.idleCore = (later.Processor - cost.idle.Processor).Seconds() / moment.Seconds()
-	cost.completed = float64(askEach(clients))
-	cost.asked, err = r.used()
+	cost.idleCore = (later.Processor - cost.afterHealthChecks.Processor).Seconds() / idleInterval.Seconds()
+	cost.completed = float64(requestOnEach(clients))
+	cost.afterRequests, err = r.readUsage()
 	return cost, err
 }
 
@@ -103,12 +103,12 @@
 	}
 	var resident, descriptors []float64
 	for _, size := range sizes {
-		u, came, err := reachAll(size, routerDescriptors, patience)
+		u, reached, err := requestEachDatabase(size, routerDescriptors, routerTimeout)
 		if err != nil {
 			return nil, fmt.Errorf("%d databases: %w", size, err)
 		}
-		if came < size {
-			return nil, fmt.Errorf("%d of %d requests reached a database", came, size)
+		if reached < size {
+			return nil, fmt.Errorf("%d of %d requests reached a database", reached, size)
 		}
 		resident, descriptors = append(resident, u.ResidentKB), append(descriptors, u.Descriptors)
 	}
@@ -121,20 +121,20 @@
 		return nil, err
 	}
 	rows = append(rows, some...)
-	const few = 1024             // descriptors, the usual limit of a process
+	const fewDescriptors = 1024  // descriptors, the usual limit of a process
 	const wait = 5 * time.Second // those that reach none are not waited for any longer
-	most := sizes[len(sizes)-1]
-	_, came, err := reachAll(most, few, wait)
+	largest := sizes[len(sizes)-1]
+	_, reached, err := requestEachDatabase(largest, fewDescriptors, wait)
 	if err != nil {
 		return nil, err
 	}
-	return append(rows, measure.Figure(fmt.Sprintf("of %d requests at once for %d databases, those that reach one with %d descriptors", most, most, few),
-		float64(came))), nil
+	return append(rows, measure.Figure(fmt.Sprintf("of %d requests at once for %d databases, those that reach one with %d descriptors", largest, largest, fewDescriptors),
+		float64(reached))), nil
 }
 
-// reachAll starts a router and has as many requests out at once as there are databases, for so long at the most. It gives what the
+// requestEachDatabase starts a router and has as many requests out at once as there are databases, for so long at the most. It gives what the
 // router uses then, and how many reached a database.
-func reachAll(databases, descriptors int, wait time.Duration) (u usage, came int, err error) {
+func requestEachDatabase(databases, descriptors int, wait time.Duration) (u usage, reached int, err error) {
 	const perConnection = 25 // of 32 calls that may be open on one
 	r, err := startRouter(routerOptions{databases: databases, descriptors: descriptors})
 	if err != nil {
@@ -148,38 +148,38 @@
 		return u, 0, err
 	}
 	for k := range databases {
-		ask(clients[k/perConnection])
+		sendRequest(clients[k/perConnection])
 	}
-	came = r.answerTogether(ctx, databases, wait)
-	u, err = r.used()
-	return u, came, err
+	reached = r.answerTogether(ctx, databases, wait)
+	u, err = r.readUsage()
+	return u, reached, err
 }
 
-// listInFile is a router's start and memory by the databases in its configuration, with the target's routers in the settings, and
+// configuredListCosts is a router's start and memory by the databases in its configuration, with the target's routers in the settings, and
 // the time until a signal to read it again, with one new database, has been acted on.
-func listInFile(short bool) ([]measure.Row, error) {
+func configuredListCosts(short bool) ([]measure.Row, error) {
 	sizes := []int{8, 72, 500, 2000, TargetDatabases}
 	if short {
 		sizes = []int{8, 72, 500, TargetDatabases}
 	}
-	var resident, started, processor, renewed []float64
+	var resident, started, processorTimes, reloadTimes []float64
 	for _, size := range sizes {
-		r, err := startRouter(routerOptions{databases: size, descriptors: routerDescriptors, sharers: TargetRouters})
+		r, err := startRouter(routerOptions{databases: size, descriptors: routerDescriptors, sharingRouters: TargetRouters})
 		if err != nil {
 			return nil, err
 		}
 		up := time.Since(r.started)
-		u, err := r.used()
-		took := time.Duration(0)
+		u, err := r.readUsage()
+		reloadTime := time.Duration(0)
 		if err == nil {
-			took, err = r.renew(1)
+			reloadTime, err = r.reload(1)
 		}
 		r.stop()
 		if err != nil {
 			return nil, fmt.Errorf("%d databases: %w", size, err)
 		}
 		resident, started = append(resident, u.ResidentKB), append(started, up.Seconds()*1000)
-		processor, renewed = append(processor, u.Processor.Seconds()*1000), append(renewed, took.Seconds()*1000)
+		processorTimes, reloadTimes = append(processorTimes, u.Processor.Seconds()*1000), append(reloadTimes, reloadTime.Seconds()*1000)
 	}
 	rows, residentFit, err := slopeRows("resident KB, by databases in the list", sizes, resident)
 	if err != nil {
@@ -188,9 +188,9 @@
 	for _, series := range []struct {
 		name  string
 		costs []float64
-	}{{"ms of processor time until it serves, by databases in the list", processor}, {"ms until it serves, by databases in the list", started},
-		{"ms from a signal to a new list in force, by databases in the list", renewed}} {
-		some, err := squareRows(series.name, sizes, series.costs)
+	}{{"ms of processor time until it serves, by databases in the list", processorTimes}, {"ms until it serves, by databases in the list", started},
+		{"ms from a signal to a new list in force, by databases in the list", reloadTimes}} {
+		some, err := quadraticRows(series.name, sizes, series.costs)
 		if err != nil {
 			return nil, err
 		}
@@ -200,26 +200,26 @@
 	return append(rows,
 		measure.Figure("resident MB at rest with all databases of the target", residentFit.At(TargetDatabases)/1000),
 		measure.Figure("resident MB at rest with 64 databases", residentFit.At(64)/1000),
-		measure.AtMost("ms from a signal to a new list in force, one process, whole pool", renewed[len(renewed)-1], inForce)), nil
+		measure.AtMost("ms from a signal to a new list in force, one process, whole pool", reloadTimes[len(reloadTimes)-1], inForce)), nil
 }
 
-// renew writes a configuration in which so many databases are new, signals, and waits until the router says that it has it.
-func (r *routerProcess) renew(renamed int) (time.Duration, error) {
+// reload writes a configuration in which so many databases are new, signals, and waits until the router says that it has it.
+func (r *routerProcess) reload(renamedDatabases int) (time.Duration, error) {
 	options := r.options
-	options.revision, options.renamed = 2, renamed
+	options.revision, options.renamedDatabases = 2, renamedDatabases
 	if err := r.configure(options, []string{"127.0.0.1:4100"}); err != nil {
 		return 0, err
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := r.command.Process.Signal(syscall.SIGHUP); err != nil {
 		return 0, err
 	}
 	_, err := r.awaitLog("new configuration")
-	return time.Since(began), err
+	return time.Since(start), err
 }
 
-// errServed is returned where a router completes fewer requests than it was asked.
-var errServed = errors.New("requests were not completed")
+// errNoneCompleted is returned where a router completes fewer requests than it was asked.
+var errNoneCompleted = errors.New("requests were not completed")
 
 // requestCost is the processor time of a router for a request, from client to database and back, by the requests a second. Each
 // pool is shared by as many routers as a subset of that size would be.
@@ -231,11 +231,11 @@
 	var rows []measure.Row
 	var costs []float64
 	for _, pool := range pools {
-		some, perSecond, err := requestCostOver(pool, rates, window)
+		some, costFit, err := requestCostAtPool(pool, rates, window)
 		if err != nil {
 			return rows, fmt.Errorf("requests over %d databases: %w", pool, err)
 		}
-		rows, costs = append(rows, some...), append(costs, perSecond.Slope*1e6)
+		rows, costs = append(rows, some...), append(costs, costFit.Slope*1e6)
 	}
 	if len(pools) < 3 {
 		return rows, nil
@@ -244,58 +244,58 @@
 	return append(rows, some...), err
 }
 
-// requestCostOver measures one pool at each rate and fits processor time over the requests that were completed in a second.
-func requestCostOver(pool int, rates []int, window time.Duration) ([]measure.Row, Fit, error) {
-	const clientCount, atDatabase, warmUp = 64, 20 * time.Millisecond, 500 * time.Millisecond
-	r, err := startRouter(routerOptions{databases: pool, descriptors: routerDescriptors, sharers: max(pool*TargetRouters/TargetDatabases, 1)})
+// requestCostAtPool measures one pool at each rate and fits processor time over the requests that were completed in a second.
+func requestCostAtPool(pool int, rates []int, window time.Duration) ([]measure.Row, Fit, error) {
+	const clientCount, databaseDelay, warmUp = 64, 20 * time.Millisecond, 500 * time.Millisecond
+	r, err := startRouter(routerOptions{databases: pool, descriptors: routerDescriptors, sharingRouters: max(pool*TargetRouters/TargetDatabases, 1)})
 	if err != nil {
 		return nil, Fit{}, err
 	}
 	defer r.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go r.answerAfter(ctx, atDatabase)
+	go r.answerAfterPause(ctx, databaseDelay)
 	clients, err := r.openClients(clientCount)
 	if err != nil {
 		return nil, Fit{}, err
 	}
-	paced(clients, statementsPerRouter, warmUp)
+	sendAtRate(clients, statementsPerRouter, warmUp)
 	var points []Point
 	var rows []measure.Row
-	least := 1.0
+	leastCompleted := 1.0
 	for _, rate := range rates {
-		before, err := r.used()
+		before, err := r.readUsage()
 		if err != nil {
 			return nil, Fit{}, err
 		}
-		began := time.Now()
-		done := paced(clients, float64(rate), window)
-		took := time.Since(began).Seconds()
-		after, err := r.used()
+		start := time.Now()
+		completedRequests := sendAtRate(clients, float64(rate), window)
+		elapsed := time.Since(start).Seconds()
+		after, err := r.readUsage()
 		if err != nil {
 			return nil, Fit{}, err
 		}
 		if rate > 0 {
-			least = min(least, float64(done)/(float64(rate)*window.Seconds()))
-			if done == 0 {
-				return nil, Fit{}, errServed
+			leastCompleted = min(leastCompleted, float64(completedRequests)/(float64(rate)*window.Seconds()))
+			if completedRequests == 0 {
+				return nil, Fit{}, errNoneCompleted
 			}
 		}
-		core := (after.Processor - before.Processor).Seconds() / took
-		points = append(points, Point{float64(done) / took, core})
+		core := (after.Processor - before.Processor).Seconds() / elapsed
+		points = append(points, Point{float64(completedRequests) / elapsed, core})
 		rows = append(rows, measure.Figure(fmt.Sprintf("core over %d databases, asked for %d requests a second", pool, rate), core))
 	}
 	fit, err := FitLine(points)
 	if err != nil {
 		return nil, Fit{}, err
 	}
-	u, err := r.used()
+	u, err := r.readUsage()
 	name := fmt.Sprintf("over %d databases: ", pool)
 	return append(rows,
 		measure.Figure(name+"us of processor time a request, slope", fit.Slope*1e6),
 		measure.Figure(name+"us of processor time a request, slope's standard error", fit.SlopeError*1e6),
 		measure.Figure(name+"core with no request, intercept", fit.Intercept),
 		measure.Figure(name+"core at the target's 750 requests a second", fit.At(statementsPerRouter)),
-		measure.Figure(name+"share completed of what was asked, least", least),
+		measure.Figure(name+"share completed of what was asked, least", leastCompleted),
 		measure.Figure(name+"descriptors in the end, with 64 clients", u.Descriptors)), fit, err
 }
--- a/internal/scale/datapath_test.go
+++ b/internal/scale/datapath_test.go
@@ -9,7 +9,7 @@
 // The list by DNS ends where the answer passes its bound: one more database does not fit, and the target's are far beyond.
 func TestListByDNSEnds(t *testing.T) {
 	for _, length := range []int{5, 12, 36} {
-		most := mostListed(length)
+		most := maxListed(length)
 		if !answerFits(most, length) || answerFits(most+1, length) {
 			t.Errorf("names of %d letters: %d databases are not the most that fit", length, most)
 		}
@@ -22,12 +22,12 @@
 // What is timed as a decision is one: each request is attempted once, at a database of the pool, and none is refused.
 func TestDeciderAttemptsEachRequest(t *testing.T) {
 	const databases, requests = 72, 500
-	d := newDecider(routerSettings(), databases)
+	d := newControllerDriver(routerSettings(), databases)
 	for range requests {
 		d.host.database = 0
-		d.decide(1)
+		d.handleRequests(1)
 		if at := d.host.database; at < 1 || at > databases {
-			t.Fatalf("request %d went to %d", d.last, at)
+			t.Fatalf("request %d went to %d", d.lastID, at)
 		}
 	}
 }
@@ -35,20 +35,20 @@
 // A list that is taken reaches the module, also where half of it is new.
 func TestListTakerChangesTheModulesList(t *testing.T) {
 	const databases = 100
-	taker, err := newListTaker(databases)
+	applier, err := newListApplier(databases)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := taker.follower.List()[0].Server
-	if err := taker.take(databases, databases/2); err != nil {
+	removed := applier.follower.List()[0].Server
+	if err := applier.apply(databases, databases/2); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, listed := taker.decider.module.Health(gone); listed {
+	if _, _, _, listed := applier.controllerDriver.controller.Health(removed); listed {
 		t.Error("a database that is not listed any more counts as ready")
 	}
 	listed := 0
-	for _, entry := range taker.follower.List() {
-		if _, _, _, ok := taker.decider.module.Health(entry.Server); ok && entry.State == admission.Ready {
+	for _, entry := range applier.follower.List() {
+		if _, _, _, ok := applier.controllerDriver.controller.Health(entry.Server); ok && entry.State == admission.Ready {
 			listed++
 		}
 	}
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -31,11 +31,11 @@
 
 // FitLine fits a straight line to points, each weighted alike. Points that are not finite are an error.
 func FitLine(points []Point) (Fit, error) {
-	equal := make([]float64, len(points))
-	for k := range equal {
-		equal[k] = 1
+	equalWeights := make([]float64, len(points))
+	for k := range equalWeights {
+		equalWeights[k] = 1
 	}
-	return fitWeighted(points, equal)
+	return fitWeighted(points, equalWeights)
 }
 
 // FitRelative fits a straight line whose errors are taken as a share of the cost. It suits costs that span decades, where a
@@ -76,12 +76,12 @@
 	}
 	fit := Fit{Slope: products / squares, Points: len(points)}
 	fit.Intercept = meanCost - fit.Slope*meanSize
-	rest := 0.0
+	squaredResiduals := 0.0
 	for k, point := range points {
-		off := point.Cost - fit.At(point.Size)
-		rest += weights[k] / total * count * off * off
+		residual := point.Cost - fit.At(point.Size)
+		squaredResiduals += weights[k] / total * count * residual * residual
 	}
-	fit.Residual = math.Sqrt(rest / (count - 2))
+	fit.Residual = math.Sqrt(squaredResiduals / (count - 2))
 	fit.SlopeError = fit.Residual / math.Sqrt(squares)
 	fit.InterceptError = fit.Residual * math.Sqrt(1/count+meanSize*meanSize/squares)
 	bySize := func(a, b Point) int { return int(math.Copysign(1, a.Size-b.Size)) }
--- a/internal/scale/fit_rows.go
+++ b/internal/scale/fit_rows.go
@@ -26,10 +26,10 @@
 }
 
 // Rows print a fit: the slope by so many of the unit of size, its standard error, and the intercept.
-func (f Fit) Rows(name, unit string, per float64) []measure.Row {
+func (f Fit) Rows(name, unit string, unitsPerStep float64) []measure.Row {
 	return []measure.Row{
-		measure.Figure(fmt.Sprintf("%s: slope, each %.0f %s (%.0f to %.0f measured)", name, per, unit, f.From, f.To), f.Slope*per),
-		measure.Figure(name+": standard error of the slope", f.SlopeError*per),
+		measure.Figure(fmt.Sprintf("%s: slope, each %.0f %s (%.0f to %.0f measured)", name, unitsPerStep, unit, f.From, f.To), f.Slope*unitsPerStep),
+		measure.Figure(name+": standard error of the slope", f.SlopeError*unitsPerStep),
 		measure.Figure(name+": intercept", f.Intercept),
 	}
 }
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-func near(t *testing.T, what string, got, want float64) {
+func checkNear(t *testing.T, quantity string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*max(1, math.Abs(want)) {
-		t.Errorf("%s is %v, not %v", what, got, want)
+		t.Errorf("%s is %v, not %v", quantity, got, want)
 	}
 }
 
@@ -19,9 +19,9 @@
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		near(t, name+" slope", fit.Slope, 2)
-		near(t, name+" intercept", fit.Intercept, 3)
-		near(t, name+" cost at 1,000", fit.At(1000), 2003)
+		checkNear(t, name+" slope", fit.Slope, 2)
+		checkNear(t, name+" intercept", fit.Intercept, 3)
+		checkNear(t, name+" cost at 1,000", fit.At(1000), 2003)
 		if fit.SlopeError > 1e-9 || fit.InterceptError > 1e-6 || fit.From != 8 || fit.To != 3900 || fit.Points != 4 {
 			t.Errorf("%s: %+v", name, fit)
 		}
@@ -34,11 +34,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	near(t, "slope", fit.Slope, 0.7)
-	near(t, "intercept", fit.Intercept, 2)
-	near(t, "residual", fit.Residual, math.Sqrt(2.3/2))
-	near(t, "slope's error", fit.SlopeError, math.Sqrt(2.3/2/5))
-	near(t, "intercept's error", fit.InterceptError, math.Sqrt(2.3/2*(0.25+6.25/5)))
+	checkNear(t, "slope", fit.Slope, 0.7)
+	checkNear(t, "intercept", fit.Intercept, 2)
+	checkNear(t, "residual", fit.Residual, math.Sqrt(2.3/2))
+	checkNear(t, "slope's error", fit.SlopeError, math.Sqrt(2.3/2/5))
+	checkNear(t, "intercept's error", fit.InterceptError, math.Sqrt(2.3/2*(0.25+6.25/5)))
 }
 
 // A point ten per cent off at the largest size must not decide the intercept of a relative fit.
--- a/internal/scale/primary.go
+++ b/internal/scale/primary.go
@@ -29,11 +29,11 @@
 	var rows []measure.Row
 	for _, cold := range []bool{false, true} {
 		for _, routers := range fleets[cold] {
-			played, err := playPrimary(program, primaryOptions{routers: routers, cold: cold})
+			result, err := runPrimaryChange(program, primaryOptions{routers: routers, cold: cold})
 			if err != nil {
 				return rows, fmt.Errorf("%d routers: %w", routers, err)
 			}
-			rows = append(rows, played.rows(routers, cold)...)
+			rows = append(rows, result.rows(routers, cold)...)
 		}
 	}
 	return rows, nil
@@ -41,12 +41,12 @@
 
 // primaryResult is what came of one change, over all router processes. Times are in seconds.
 type primaryResult struct {
-	gap       float64 // from the last attempt at the old process to the first answer of the new one, slowest router
-	told      float64 // from the name server's news to the first attempt at the new process, slowest router
-	late      int     // attempts at the dead process by routers that had begun to use the new one
-	unserved  int     // routers without an answer of the new process by the end
-	rejected  int     // requests rejected or failed while their router had no answer of the new process
-	completed int     // requests completed in all
+	gap             float64 // from the last attempt at the old process to the first answer of the new one, slowest router
+	newsDelay       float64 // from the name server's news to the first attempt at the new process, slowest router
+	lateAttempts    int     // attempts at the dead process by routers that had begun to use the new one
+	unservedRouters int     // routers without an answer of the new process by the end
+	rejected        int     // requests rejected or failed while their router had no answer of the new process
+	completed       int     // requests completed in all
 }
 
 func (r primaryResult) rows(routers int, cold bool) []measure.Row {
@@ -57,9 +57,9 @@
 	name := fmt.Sprintf("primary changes to a %s process, %d routers in the settings: ", state, routers)
 	return []measure.Row{
 		measure.AtMost(name+"old's last attempt to new's first answer, slowest of 8, s", r.gap, primaryBound),
-		measure.Figure(name+"news to first attempt, slowest of 8, s", r.told),
-		measure.AtMost(name+"attempts at the dead process after one at the new", float64(r.late), 0),
-		measure.AtMost(name+"routers of 8 never served", float64(r.unserved), 0),
+		measure.Figure(name+"news to first attempt, slowest of 8, s", r.newsDelay),
+		measure.AtMost(name+"attempts at the dead process after one at the new", float64(r.lateAttempts), 0),
+		measure.AtMost(name+"routers of 8 never served", float64(r.unservedRouters), 0),
 		measure.Figure(name+"requests rejected or failed meanwhile", float64(r.rejected)),
 	}
 }
--- a/internal/scale/primary_play.go
+++ b/internal/scale/primary_play.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	primaryElection = 500 * time.Millisecond // between the old process's death and the name server's news, as played
-	primaryPatience = 25 * time.Second       // a router without an answer of the new process by then is not served
-	primaryPause    = 50 * time.Millisecond  // of a client between two requests
-	primaryWarmUp   = 15000                  // milliseconds, of the settings
+	electionDelay  = 500 * time.Millisecond // between the old process's death and the name server's news, as played
+	primaryTimeout = 25 * time.Second       // a router without an answer of the new process by then is not served
+	clientPause    = 50 * time.Millisecond  // of a client between two requests
+	warmUpMillis   = 15000                  // milliseconds, of the settings
 )
 
 // primaryOptions say which change is played.
@@ -29,52 +29,52 @@
 	cold    bool // the new process has just started; else it has run for long, as a replica that is promoted
 }
 
-// primaryPlay is one change under way.
-type primaryPlay struct {
-	desk  *fake.Desk
-	names *fake.NameServer
-	stop  chan struct{}
-	done  sync.WaitGroup
+// primaryChange is one change under way.
+type primaryChange struct {
+	fakes      *fake.Desk
+	nameServer *fake.NameServer
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
-	mu       sync.Mutex
-	died     time.Time // of the old process, zero: not yet
-	news     time.Time
-	routers  [primaryProcesses]primaryRouter
-	late     int
-	rejected int
-	served   int
+	mu                sync.Mutex
+	oldExited         time.Time // of the old process, zero: not yet
+	announced         time.Time
+	routers           [primaryProcesses]primaryRouter
+	lateAttempts      int
+	rejected          int
+	completedRequests int
 }
 
 // primaryRouter is what one router did.
 type primaryRouter struct {
-	lastOld, firstNew, answered time.Time
+	lastOldAttempt, firstNewAttempt, firstNewAnswer time.Time
 }
 
-// playPrimary starts routers before one database, changes the process behind its name, and waits until all are served again.
-func playPrimary(program string, options primaryOptions) (primaryResult, error) {
+// runPrimaryChange starts routers before one database, changes the process behind its name, and waits until all are served again.
+func runPrimaryChange(program string, options primaryOptions) (primaryResult, error) {
 	folder, err := os.MkdirTemp("", "dunereach-primary")
 	if err != nil {
 		return primaryResult{}, err
 	}
-	p := &primaryPlay{desk: &fake.Desk{}, stop: make(chan struct{})}
-	defer p.desk.End()
-	p.desk.Cleanup(func() { os.RemoveAll(folder) })
-	p.names = fake.NewNameServer(p.desk, discovery.ServiceName)
-	oldHeard, newHeard := make(chan fake.Said, 1024), make(chan fake.Said, 1024)
-	old := fake.NewEngine(p.desk, oldHeard)
-	p.list(1, 0, old.Addr)
-	p.done.Go(func() { p.serveOld(oldHeard) })
-	p.done.Go(func() { p.serveNew(newHeard) })
-	defer p.done.Wait()
+	p := &primaryChange{fakes: &fake.Desk{}, stop: make(chan struct{})}
+	defer p.fakes.End()
+	p.fakes.Cleanup(func() { os.RemoveAll(folder) })
+	p.nameServer = fake.NewNameServer(p.fakes, discovery.ServiceName)
+	oldReceived, newReceived := make(chan fake.Said, 1024), make(chan fake.Said, 1024)
+	old := fake.NewEngine(p.fakes, oldReceived)
+	p.announce(1, 0, old.Addr)
+	p.goroutines.Go(func() { p.serveOld(oldReceived) })
+	p.goroutines.Go(func() { p.serveNew(newReceived) })
+	defer p.goroutines.Wait()
 	defer close(p.stop)
 	for n := range primaryProcesses {
 		addr, err := p.startRouter(program, folder, n, options, old.Addr)
 		if err != nil {
 			return primaryResult{}, err
 		}
-		p.done.Go(func() { p.client(n, addr) })
+		p.goroutines.Go(func() { p.client(n, addr) })
 	}
-	if err := p.await(func(r *primaryRouter) bool { return !r.lastOld.IsZero() }); err != nil {
+	if err := p.awaitRouters(func(r *primaryRouter) bool { return !r.lastOldAttempt.IsZero() }); err != nil {
 		return primaryResult{}, fmt.Errorf("before the change: %w", err)
 	}
 	started := int64(0)
@@ -82,51 +82,51 @@
 		started = time.Now().UnixMilli()
 	}
 	p.kill(old)
-	time.Sleep(primaryElection)
-	replacement := fake.NewEngine(p.desk, newHeard)
+	time.Sleep(electionDelay)
+	replacement := fake.NewEngine(p.fakes, newReceived)
 	p.mu.Lock()
-	p.news = time.Now()
+	p.announced = time.Now()
 	p.mu.Unlock()
-	p.list(2, started, replacement.Addr)
-	p.await(func(r *primaryRouter) bool { return !r.answered.IsZero() }) //nolint:errcheck // who is not served by then is counted
+	p.announce(2, started, replacement.Addr)
+	p.awaitRouters(func(r *primaryRouter) bool { return !r.firstNewAnswer.IsZero() }) //nolint:errcheck // who is not served by then is counted
 	return p.result(), nil
 }
 
-// list tells the name server where the database is, and when its process started, in milliseconds since 1970 (0: long ago).
-func (p *primaryPlay) list(revision uint32, started int64, addr string) {
-	p.names.Set(revision, fmt.Sprintf("e-1.hall 0 10 std 0 %d %s", started, addr))
+// announce tells the name server where the database is, and when its process started, in milliseconds since 1970 (0: long ago).
+func (p *primaryChange) announce(revision uint32, started int64, addr string) {
+	p.nameServer.Set(revision, fmt.Sprintf("e-1.hall 0 10 std 0 %d %s", started, addr))
 }
 
 // kill ends the old process: its listener at once, each connection as it is next heard from.
-func (p *primaryPlay) kill(old *fake.Engine) {
+func (p *primaryChange) kill(old *fake.Engine) {
 	old.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.died = time.Now()
+	p.oldExited = time.Now()
 }
 
 // serveOld answers until the process dies, and resets what is said to it after that.
-func (p *primaryPlay) serveOld(heard <-chan fake.Said) {
+func (p *primaryChange) serveOld(received <-chan fake.Said) {
 	for {
 		select {
-		case said := <-heard:
-			if said.Words[0] != "fetch" {
+		case message := <-received:
+			if message.Words[0] != "fetch" {
 				continue
 			}
-			router := routerOf(said.Body)
+			router := routerOf(message.Body)
 			p.mu.Lock()
-			dead := !p.died.IsZero()
-			if !dead {
-				p.routers[router].lastOld = time.Now()
-			} else if !p.routers[router].firstNew.IsZero() {
-				p.late++
+			exited := !p.oldExited.IsZero()
+			if !exited {
+				p.routers[router].lastOldAttempt = time.Now()
+			} else if !p.routers[router].firstNewAttempt.IsZero() {
+				p.lateAttempts++
 			}
 			p.mu.Unlock()
-			if dead {
-				said.Die()
+			if exited {
+				message.Die()
 				continue
 			}
-			said.Answer("served", "count=1,ticks=5", "x\t\t\n")
+			message.Answer("served", "count=1,ticks=5", "x\t\t\n")
 		case <-p.stop:
 			return
 		}
@@ -134,20 +134,20 @@
 }
 
 // serveNew answers for the new process.
-func (p *primaryPlay) serveNew(heard <-chan fake.Said) {
+func (p *primaryChange) serveNew(received <-chan fake.Said) {
 	for {
 		select {
-		case said := <-heard:
-			if said.Words[0] != "fetch" {
+		case message := <-received:
+			if message.Words[0] != "fetch" {
 				continue
 			}
-			router := routerOf(said.Body)
+			router := routerOf(message.Body)
 			p.mu.Lock()
-			if r := &p.routers[router]; r.firstNew.IsZero() {
-				r.firstNew = time.Now()
+			if r := &p.routers[router]; r.firstNewAttempt.IsZero() {
+				r.firstNewAttempt = time.Now()
 			}
 			p.mu.Unlock()
-			said.Answer("served", "count=1,ticks=5", "y\t\t\n")
+			message.Answer("served", "count=1,ticks=5", "y\t\t\n")
 		case <-p.stop:
 			return
 		}
@@ -166,7 +166,7 @@
 }
 
 // startRouter starts one router process and gives its address. The process ends with the play.
-func (p *primaryPlay) startRouter(program, folder string, number int, options primaryOptions, database string) (string, error) {
+func (p *primaryChange) startRouter(program, folder string, number int, options primaryOptions, database string) (string, error) {
 	addr := fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 	config := filepath.Join(folder, fmt.Sprintf("config-%d.json", number))
 	text := fmt.Sprintf(`{"seed":"%016x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"nameserver":"%s",
@@ -177,7 +177,7 @@
 		"FamilyInfo":{"CpuOfKind":[64],"RanksHeeded":true},"Realms":[{"Name":"acme","QuotaPerS":1000}],
 		"Limits":{"ConnIdle":30000,"ConnectTimeout":250,"MaxStreams":100,"MaxRetryAfter":500,"OpenCap":1000,"RetryAfter":true,"SendCap":6},
 		"Obligations":{"ColdFrom":0.35,"DrainGrace":250,"Fall":1000,"FallMultiple":2,"WarmUp":%d}}}`,
-		rand.Uint64(), p.names.Addr, database, options.routers, number*options.routers/primaryProcesses, primaryWarmUp)
+		rand.Uint64(), p.nameServer.Addr, database, options.routers, number*options.routers/primaryProcesses, warmUpMillis)
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return "", err
 	}
@@ -186,7 +186,7 @@
 	if err := command.Start(); err != nil {
 		return "", err
 	}
-	p.desk.Cleanup(func() {
+	p.fakes.Cleanup(func() {
 		command.Process.Signal(syscall.SIGKILL) //nolint:errcheck // it may have ended by itself
 		command.Wait()                          //nolint:errcheck // by the signal
 	})
@@ -194,55 +194,55 @@
 }
 
 // client asks one router, one request after another, until the play ends.
-func (p *primaryPlay) client(number int, addr string) {
+func (p *primaryChange) client(number int, addr string) {
 	defer func() { _ = recover() }() // a stand-in that can't connect panics: its router then counts as not served
-	client := fake.NewClient(p.desk, addr)
+	client := fake.NewClient(p.fakes, addr)
 	for sequence := 0; ; sequence++ {
 		select {
 		case <-p.stop:
 			return
-		case <-time.After(primaryPause):
+		case <-time.After(clientPause):
 		}
 		client.Call(fmt.Sprintf("/* router=%d request=%d */", number, sequence), "service", "lookup", "project", "acme",
 			"allow", "2000", "ref", fmt.Sprintf("%04x%012x", number, sequence))
-		p.count(number, client.Next())
+		p.recordAnswer(number, client.Next())
 	}
 }
 
-// count takes an answer in.
-func (p *primaryPlay) count(number int, answer string) {
+// recordAnswer takes an answer in.
+func (p *primaryChange) recordAnswer(number int, answer string) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	router := &p.routers[number]
 	switch {
 	case strings.Contains(answer, "y\\t") || strings.Contains(answer, "y\t"):
-		p.served++
-		if router.answered.IsZero() {
-			router.answered = now
+		p.completedRequests++
+		if router.firstNewAnswer.IsZero() {
+			router.firstNewAnswer = now
 		}
 	case strings.Contains(answer, "x\\t") || strings.Contains(answer, "x\t"):
-		p.served++
-	case !p.died.IsZero() && router.answered.IsZero():
+		p.completedRequests++
+	case !p.oldExited.IsZero() && router.firstNewAnswer.IsZero():
 		p.rejected++
 	}
 }
 
-// await waits until all routers have come so far.
-func (p *primaryPlay) await(reached func(*primaryRouter) bool) error {
-	for end := time.Now().Add(primaryPatience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if p.all(reached) {
+// awaitRouters waits until all routers have come so far.
+func (p *primaryChange) awaitRouters(condition func(*primaryRouter) bool) error {
+	for end := time.Now().Add(primaryTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if p.allRouters(condition) {
 			return nil
 		}
 	}
-	return fmt.Errorf("some routers have not come so far in %v", primaryPatience)
+	return fmt.Errorf("some routers have not come so far in %v", primaryTimeout)
 }
 
-func (p *primaryPlay) all(reached func(*primaryRouter) bool) bool {
+func (p *primaryChange) allRouters(condition func(*primaryRouter) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for n := range p.routers {
-		if !reached(&p.routers[n]) {
+		if !condition(&p.routers[n]) {
 			return false
 		}
 	}
@@ -250,22 +250,22 @@
 }
 
 // result sums up what all routers did.
-func (p *primaryPlay) result() primaryResult {
+func (p *primaryChange) result() primaryResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	result := primaryResult{late: p.late, rejected: p.rejected, completed: p.served}
+	result := primaryResult{lateAttempts: p.lateAttempts, rejected: p.rejected, completed: p.completedRequests}
 	end := time.Now()
 	for _, router := range p.routers {
-		answered, first := router.answered, router.firstNew
-		if answered.IsZero() {
-			result.unserved++
-			answered = end
+		firstNewAnswer, first := router.firstNewAnswer, router.firstNewAttempt
+		if firstNewAnswer.IsZero() {
+			result.unservedRouters++
+			firstNewAnswer = end
 		}
 		if first.IsZero() {
 			first = end
 		}
-		result.gap = max(result.gap, answered.Sub(router.lastOld).Seconds())
-		result.told = max(result.told, first.Sub(p.news).Seconds())
+		result.gap = max(result.gap, firstNewAnswer.Sub(router.lastOldAttempt).Seconds())
+		result.newsDelay = max(result.newsDelay, first.Sub(p.announced).Seconds())
 	}
 	return result
 }
--- a/internal/scale/primary_test.go
+++ b/internal/scale/primary_test.go
@@ -9,16 +9,16 @@
 // changePrimary plays one change over real router processes, which `make build` or .ci/run have built.
 func changePrimary(t *testing.T, options primaryOptions) primaryResult {
 	t.Helper()
-	result, err := playPrimary(builtRouter(t), options)
+	result, err := runPrimaryChange(buildRouterBinary(t), options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%+v", result)
-	if result.late > 0 {
-		t.Errorf("%d attempts at the dead process after one at the new", result.late)
+	if result.lateAttempts > 0 {
+		t.Errorf("%d attempts at the dead process after one at the new", result.lateAttempts)
 	}
-	if result.unserved > 0 || result.gap > primaryBound {
-		t.Errorf("%.2f s until the slowest router was served, %d never; wanted within %v s", result.gap, result.unserved, primaryBound)
+	if result.unservedRouters > 0 || result.gap > primaryBound {
+		t.Errorf("%.2f s until the slowest router was served, %d never; wanted within %v s", result.gap, result.unservedRouters, primaryBound)
 	}
 	return result
 }
@@ -38,8 +38,8 @@
 	changePrimary(t, primaryOptions{routers: TargetRouters, cold: true})
 }
 
-// builtRouter builds the router into a folder of the test's own.
-func builtRouter(t *testing.T) string {
+// buildRouterBinary builds the router into a folder of the test's own.
+func buildRouterBinary(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
 	if output, err := exec.Command("go", "build", "-buildvcs=false", "-o", folder, "../../cmd/dunereach").CombinedOutput(); err != nil {
--- a/internal/scale/service_test.go
+++ b/internal/scale/service_test.go
@@ -9,18 +9,18 @@
 	again := roundSubsets(routers, databases, size, 1)
 	holders := make([]int, databases)
 	for router := range held {
-		has := 0
-		for database, yes := range held[router] {
-			if yes != again[router][database] {
+		heldCount := 0
+		for database, holds := range held[router] {
+			if holds != again[router][database] {
 				t.Fatalf("router %d: two choices with one seed differ", router)
 			}
-			if yes {
-				has++
+			if holds {
+				heldCount++
 				holders[database]++
 			}
 		}
-		if has != size {
-			t.Errorf("router %d holds %d", router, has)
+		if heldCount != size {
+			t.Errorf("router %d holds %d", router, heldCount)
 		}
 	}
 	for database, n := range holders { // 26 whole rounds, and one router of the next
@@ -32,7 +32,7 @@
 
 // What is asked for is what the load says, and a calm day under a light load serves nearly all of it.
 func TestPlayServesALightLoad(t *testing.T) {
-	p := play{Seed: 3, Subset: 16, Load: 0.3, Seconds: 1}
+	p := poolRun{Seed: 3, Subset: 16, Load: 0.3, Seconds: 1}
 	work := 0.0
 	for _, stream := range p.streams() {
 		work += stream.Peak * stream.Work
@@ -51,9 +51,9 @@
 
 // A size that serves less than the whole pool must show as a loss, and the bound must fail.
 func TestServiceRowsShowALoss(t *testing.T) {
-	form := serviceForm{days: []day{{0.8, calm}, {0.6, zoneLost}}, sizes: []int{chosenSubset}, seeds: []uint64{1, 2}}
-	runs := []served{{Share: 1}, {Share: 1}, {Share: 1}, {Share: 1}, {Share: 0.9}, {Share: 0.9}, {Share: 0.9}, {Share: 0.8}}
-	rows := serviceRows(form, runs, served{})
+	plan := servicePlan{scenarios: []scenario{{0.8, undisturbed}, {0.6, zoneLost}}, sizes: []int{chosenSubset}, seeds: []uint64{1, 2}}
+	runs := []serviceResult{{Share: 1}, {Share: 1}, {Share: 1}, {Share: 1}, {Share: 0.9}, {Share: 0.9}, {Share: 0.9}, {Share: 0.8}}
+	rows := serviceRows(plan, runs, serviceResult{})
 	last := rows[len(rows)-1]
 	if last.Holds() || last.Value < 0.055 || last.Value > 0.056 {
 		t.Errorf("a loss of 0.85 against 0.9 is shown as %+v", last)
--- a/internal/scale/subset.go
+++ b/internal/scale/subset.go
@@ -18,15 +18,15 @@
 // virtual time.
 func Subset(short bool) (rows []measure.Row, err error) {
 	sizes := []int{16, 32, 64, 128, 256}
-	gone := 8 // databases that go, one after the other
+	removals := 8 // databases that go, one after the other
 	if short {
-		sizes, gone = []int{32, 64}, 2
+		sizes, removals = []int{32, 64}, 2
 	}
 	for _, part := range []func() ([]measure.Row, error){
 		func() ([]measure.Row, error) { return spreadRows(sizes) },
-		func() ([]measure.Row, error) { return churnRows(sizes, gone) },
+		func() ([]measure.Row, error) { return churnRows(sizes, removals) },
 		zoneLostRows,
-		closingRows,
+		narrowingRows,
 		func() ([]measure.Row, error) { return costRows(short) },
 		func() ([]measure.Row, error) { return decisionRows(sizes) },
 	} {
@@ -37,28 +37,28 @@
 		rows = append(rows, more...)
 	}
 	if !short {
-		rows = append(rows, optionRows(subsetSize)...)
+		rows = append(rows, methodRows(subsetSize)...)
 	}
 	return rows, nil
 }
 
 // What the rows are for unless they say otherwise.
 const (
-	subsetSize   = 64 // that bounds hold from
-	subsetRoom   = 0.5
-	subsetWidest = 4
-	regionZones  = 4 // of the first region; the second has the rest
+	subsetSize     = 64 // that bounds hold from
+	subsetSlack    = 0.5
+	maxSubsetWidth = 4
+	regionZones    = 4 // of the first region; the second has the rest
 )
 
-// fleetOf is a pool with its routers, each with its options, numbered zone by zone.
-type fleetOf struct {
+// subsetFleet is a pool with its routers, each with its options, numbered zone by zone.
+type subsetFleet struct {
 	databases []subset.Database
 	routers   []subset.Router
 	size      int
 }
 
-func newFleet(routers, databases, size int) *fleetOf {
-	f := &fleetOf{size: size}
+func newSubsetFleet(routers, databases, size int) *subsetFleet {
+	f := &subsetFleet{size: size}
 	regionOf := func(zone int) int {
 		if zone < regionZones {
 			return 0
@@ -77,8 +77,8 @@
 	return f
 }
 
-func (f *fleetOf) options(r *subset.Router) *subset.Options {
-	o := &subset.Options{Size: f.size, SizeSlack: subsetRoom, MaxWidth: subsetWidest, OwnZoneShare: 0.5, OwnRegionShare: 0.2, ZoneWeightShare: 1.0 / TargetZones,
+func (f *subsetFleet) options(r *subset.Router) *subset.Options {
+	o := &subset.Options{Size: f.size, SizeSlack: subsetSlack, MaxWidth: maxSubsetWidth, OwnZoneShare: 0.5, OwnRegionShare: 0.2, ZoneWeightShare: 1.0 / TargetZones,
 		RegionWeightShare: float64(regionZones) / TargetZones}
 	if r.Region == 1 {
 		o.RegionWeightShare = 1 - o.RegionWeightShare
@@ -89,13 +89,13 @@
 			region = append(region, z)
 		}
 	}
-	shape := subset.PoolLayout{Zones: TargetZones, Kinds: 2}
-	o.Requirements = shape.Requirements(r.Zone, region, 2)
+	layout := subset.PoolLayout{Zones: TargetZones, Kinds: 2}
+	o.Requirements = layout.Requirements(r.Zone, region, 2)
 	return o
 }
 
 // rankings of all routers over a list, by what sizes were planned for; nil: for this list.
-func (f *fleetOf) rankings(databases []subset.Database, planned []float64) (all []*subset.Ranking, err error) {
+func (f *subsetFleet) rankings(databases []subset.Database, planned []float64) (list []*subset.Ranking, err error) {
 	pool := subset.NewPool(databases)
 	for k := range f.routers {
 		r := f.routers[k]
@@ -113,21 +113,21 @@
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, ranking)
+		list = append(list, ranking)
 	}
-	return all, nil
+	return list, nil
 }
 
-// plannedOf is what sizes are evened out by.
-func plannedOf(rankings []*subset.Ranking) (all []float64) {
+// plannedWeights is what sizes are evened out by.
+func plannedWeights(rankings []*subset.Ranking) (all []float64) {
 	for _, r := range rankings {
 		all = append(all, r.EffectiveWeight())
 	}
 	return all
 }
 
-// namesOf are the databases of each router at a width.
-func namesOf(databases []subset.Database, rankings []*subset.Ranking, width int) [][]string {
+// selectedNames are the databases of each router at a width.
+func selectedNames(databases []subset.Database, rankings []*subset.Ranking, width int) [][]string {
 	all := make([][]string, len(rankings))
 	for r, ranking := range rankings {
 		for _, m := range ranking.Select(width).Members {
@@ -140,20 +140,20 @@
 // spreadRows tell how evenly databases are held, and how many connections that makes.
 func spreadRows(sizes []int) (rows []measure.Row, err error) {
 	for _, size := range sizes {
-		f := newFleet(TargetRouters, TargetDatabases, size)
+		f := newSubsetFleet(TargetRouters, TargetDatabases, size)
 		rankings, err := f.rankings(f.databases, nil)
 		if err != nil {
 			return nil, err
 		}
-		for _, width := range []int{1, subsetWidest} {
-			subsets := namesOf(f.databases, rankings, width)
-			most, mean := heldBy(subsets)
+		for _, width := range []int{1, maxSubsetWidth} {
+			subsets := selectedNames(f.databases, rankings, width)
+			most, mean := routersPerDatabase(subsets)
 			label := fmt.Sprintf("size %d, width %d: ", size, width)
 			ratio := measure.Figure(label+"most to mean routers a database", float64(most)/mean)
 			if size >= subsetSize {
 				ratio = measure.AtMost(ratio.Name, ratio.Value, subset.MaxUnevenness)
 			}
-			budget := subset.ConnectionBudget(TargetRouters, int(float64(size*width)*(1+subsetRoom)), 1.0/TargetDatabases)
+			budget := subset.ConnectionBudget(TargetRouters, int(float64(size*width)*(1+subsetSlack)), 1.0/TargetDatabases)
 			rows = append(rows, ratio,
 				measure.AtMost(label+"routers of the most held database, by the budget", float64(most), float64(budget)),
 				measure.Figure(label+"mean places of a router", mean*TargetDatabases/TargetRouters),
@@ -164,81 +164,81 @@
 }
 
 // churnRows tell what moves when a database goes; one that comes is the same the other way round.
-func churnRows(sizes []int, times int) (rows []measure.Row, err error) {
+func churnRows(sizes []int, removals int) (rows []measure.Row, err error) {
 	for _, size := range sizes {
-		f := newFleet(TargetRouters, TargetDatabases, size)
+		f := newSubsetFleet(TargetRouters, TargetDatabases, size)
 		rankings, err := f.rankings(f.databases, nil)
 		if err != nil {
 			return nil, err
 		}
-		before, planned := namesOf(f.databases, rankings, 1), plannedOf(rankings)
-		worst := moved{}
-		for n := range times {
-			gone := (n*977 + 5) % TargetDatabases
-			fewer := slices.Delete(slices.Clone(f.databases), gone, gone+1)
-			later, err := f.rankings(fewer, planned)
+		before, planned := selectedNames(f.databases, rankings, 1), plannedWeights(rankings)
+		worst := placeChanges{}
+		for n := range removals {
+			removed := (n*977 + 5) % TargetDatabases
+			remaining := slices.Delete(slices.Clone(f.databases), removed, removed+1)
+			laterRankings, err := f.rankings(remaining, planned)
 			if err != nil {
 				return nil, err
 			}
-			m := moves(before, namesOf(fewer, later, 1), f.databases[gone].Name)
-			worst.most, worst.others = max(worst.most, m.most), worst.others+m.others
+			changes := countChanges(before, selectedNames(remaining, laterRankings, 1), f.databases[removed].Name)
+			worst.most, worst.otherSubsets = max(worst.most, changes.most), worst.otherSubsets+changes.otherSubsets
 		}
 		label := fmt.Sprintf("size %d, a database goes or comes: ", size)
 		rows = append(rows, measure.AtMost(label+"most places moved in a subset that held it", float64(worst.most), 2),
-			measure.AtMost(label+"other subsets that moved", float64(worst.others), 0))
+			measure.AtMost(label+"other subsets that moved", float64(worst.otherSubsets), 0))
 	}
 	return rows, nil
 }
 
 // zoneLostRows tell what a router has left when its zone is lost, before the list says so and after.
 func zoneLostRows() (rows []measure.Row, err error) {
-	f := newFleet(TargetRouters, TargetDatabases, subsetSize)
+	f := newSubsetFleet(TargetRouters, TargetDatabases, subsetSize)
 	rankings, err := f.rankings(f.databases, nil)
 	if err != nil {
 		return nil, err
 	}
-	least, leastRegion, near, places := math.MaxInt, math.MaxInt, 0, 0
+	fewestOutsideZone, fewestOutsideRegion, inOwnZone, places := math.MaxInt, math.MaxInt, 0, 0
 	for k, ranking := range rankings {
-		r, outside, abroad := &f.routers[k], 0, 0
+		r, outsideZone, outsideRegion := &f.routers[k], 0, 0
 		for _, m := range ranking.Select(1).Members {
 			d := &f.databases[m.Index]
 			places++
 			if d.Zone != r.Zone {
-				outside++
+				outsideZone++
 			} else {
-				near++
+				inOwnZone++
 			}
 			if d.Region != r.Region {
-				abroad++
+				outsideRegion++
 			}
 		}
-		least, leastRegion = min(least, outside), min(leastRegion, abroad)
+		fewestOutsideZone, fewestOutsideRegion = min(fewestOutsideZone, outsideZone), min(fewestOutsideRegion, outsideRegion)
 	}
-	rest := slices.DeleteFunc(slices.Clone(f.databases), func(d subset.Database) bool { return d.Zone == 0 })
-	later, err := f.rankings(rest, nil)
+	remaining := slices.DeleteFunc(slices.Clone(f.databases), func(d subset.Database) bool { return d.Zone == 0 })
+	laterRankings, err := f.rankings(remaining, nil)
 	if err != nil {
 		return nil, err
 	}
-	subsets := namesOf(rest, later, 1)
-	fewest := math.MaxInt
+	subsets := selectedNames(remaining, laterRankings, 1)
+	smallestSubset := math.MaxInt
 	for _, own := range subsets {
-		fewest = min(fewest, len(own))
+		smallestSubset = min(smallestSubset, len(own))
 	}
-	most, mean := heldBy(subsets)
-	mean *= float64(TargetDatabases) / float64(len(rest))
+	most, mean := routersPerDatabase(subsets)
+	mean *= float64(TargetDatabases) / float64(len(remaining))
 	return []measure.Row{
-		measure.Figure("size 64: part of the places that is near", float64(near)/float64(places)),
-		measure.AtLeast("size 64, its zone lost: fewest databases left to a router", float64(least), 8),
-		measure.AtLeast("size 64, its region lost: fewest databases left to a router", float64(leastRegion), 2),
-		measure.AtLeast("size 64, a zone off the list: fewest places of a router", float64(fewest), subsetSize),
+		measure.Figure("size 64: part of the places that is near", float64(inOwnZone)/float64(places)),
+		measure.AtLeast("size 64, its zone lost: fewest databases left to a router", float64(fewestOutsideZone), 8),
+		measure.AtLeast("size 64, its region lost: fewest databases left to a router", float64(fewestOutsideRegion), 2),
+		measure.AtLeast("size 64, a zone off the list: fewest places of a router", float64(smallestSubset), subsetSize),
 		// Routers of the lost zone spread over the others: nothing of their own is near.
 		measure.Figure("size 64, a zone off the list: most to mean routers a database", float64(most)/mean),
 	}, nil
 }
 
-// closingRows play the fleet narrowing at once from its widest and count what one database sees closed in a second.
-func closingRows() ([]measure.Row, error) {
-	f := newFleet(TargetRouters, TargetDatabases, subsetSize)
+// narrowingRows play the fleet narrowing at once from its widest and count what one database sees closed in a second.
+func narrowingRows() ([]measure.Row, error) {
+	f := newSubsetFleet(TargetRouters, TargetDatabases, subsetSize)
 	rankings, err := f.rankings(f.databases, nil)
 	if err != nil {
 		return nil, err
@@ -247,22 +247,22 @@
 	most, last := 0, 0.0
 	for k, ranking := range rankings {
 		name := f.routers[k].Name
-		var leaving subset.DepartureQueue
-		began := subset.NarrowDelay * subset.Jitter(name) / 2 // past the common time of calm
-		wide, narrow := ranking.Select(subsetWidest), ranking.Select(subsetWidest/2)
-		stays := map[int]bool{}
+		var departures subset.DepartureQueue
+		start := subset.NarrowDelay * subset.Jitter(name) / 2 // past the common time of calm
+		wide, narrow := ranking.Select(maxSubsetWidth), ranking.Select(maxSubsetWidth/2)
+		kept := map[int]bool{}
 		for _, m := range narrow.Members {
-			stays[m.Index] = true
+			kept[m.Index] = true
 		}
-		var left []string
+		var released []string
 		for _, m := range wide.Members {
-			if !stays[m.Index] {
-				left = append(left, f.databases[m.Index].Name)
+			if !kept[m.Index] {
+				released = append(released, f.databases[m.Index].Name)
 			}
 		}
-		leaving.Add(began, name, left)
-		for now := began; leaving.Len() > 0; now += 0.5 {
-			for _, database := range leaving.TakeDue(now) {
+		departures.Add(start, name, released)
+		for now := start; departures.Len() > 0; now += 0.5 {
+			for _, database := range departures.TakeDue(now) {
 				if closed[database] == nil {
 					closed[database] = map[int]int{}
 				}
@@ -272,9 +272,9 @@
 		}
 	}
 	// The mean of what goes is the room's and the size's at two widths, some forty seconds long.
-	const mostASecond = 16
+	const maxPerSecond = 16
 	return []measure.Row{
-		measure.AtMost("all routers narrow from width 4 at once: most routers that leave one database in a second", float64(most), mostASecond),
+		measure.AtMost("all routers narrow from width 4 at once: most routers that leave one database in a second", float64(most), maxPerSecond),
 		measure.Figure("all routers narrow from width 4 at once: seconds until the last has left", last),
 	}, nil
 }
@@ -289,12 +289,12 @@
 	}
 	var counts, times, bytes []float64
 	for _, databases := range []int{500, 1000, 2000, TargetDatabases} {
-		f := newFleet(TargetRouters, databases, subsetSize)
+		f := newSubsetFleet(TargetRouters, databases, subsetSize)
 		r := f.routers[0]
 		o := f.options(&r)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		began := threadTime()
+		start := threadTime()
 		for range rounds {
 			pool := subset.NewPool(f.databases)
 			ranking, err := pool.Rank(o, r)
@@ -303,10 +303,10 @@
 			}
 			ranking.Select(1)
 		}
-		took := threadTime() - began
+		elapsed := threadTime() - start
 		runtime.ReadMemStats(&after)
 		counts = append(counts, float64(databases))
-		times = append(times, took.Seconds()*1e6/float64(rounds))
+		times = append(times, elapsed.Seconds()*1e6/float64(rounds))
 		bytes = append(bytes, float64(after.TotalAlloc-before.TotalAlloc)/float64(rounds))
 		rows = append(rows, measure.Figure(fmt.Sprintf("to choose from %d databases, us of processor time", databases), times[len(times)-1]),
 			measure.Figure(fmt.Sprintf("to choose from %d databases, KB allocated", databases), bytes[len(bytes)-1]/1000))
@@ -326,58 +326,58 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for _, size := range sizes {
-		times := decisionTimes(newSubsetDecider(size, 1), newSubsetDecider(size, float64(size)/TargetDatabases))
+		times := decisionTimes(newSubsetDriver(size, 1), newSubsetDriver(size, float64(size)/TargetDatabases))
 		rows = append(rows, measure.Figure(fmt.Sprintf("a decision in a pool of %d, us", size), times[0]),
 			measure.AtMost(fmt.Sprintf("a decision with %d of %d, by that in a pool of %d", size, TargetDatabases, size), times[1]/times[0], 1.3))
 	}
-	whole := decisionTimes(newSubsetDecider(TargetDatabases, 1))
+	whole := decisionTimes(newSubsetDriver(TargetDatabases, 1))
 	return append(rows, measure.Figure(fmt.Sprintf("a decision with all of %d, us", TargetDatabases), whole[0])), nil
 }
 
-// subsetDecider is a module with the time that it has been told.
-type subsetDecider struct {
-	host *deafHost
-	m    *admission.Controller
-	now  float64
+// subsetDriver is a module with the time that it has been told.
+type subsetDriver struct {
+	host       *discardingHost
+	controller *admission.Controller
+	now        float64
 }
 
-func newSubsetDecider(held int, part float64) *subsetDecider {
-	d := &subsetDecider{host: &deafHost{}}
-	d.m = admission.New(admission.Settings{Seed: 1, Routers: TargetRouters, Tick: 0.005, MaxSends: 4, KindCores: []float64{8},
+func newSubsetDriver(databases int, coverage float64) *subsetDriver {
+	d := &subsetDriver{host: &discardingHost{}}
+	d.controller = admission.New(admission.Settings{Seed: 1, Routers: TargetRouters, Tick: 0.005, MaxSends: 4, KindCores: []float64{8},
 		Profiles: []admission.Profile{{Target: 1, Benefit: 1, Threads: 1}}, ColdFrom: 0.35, WarmUp: 10, FallMultiple: 2, FallWindow: 1}, 0, d.host)
 	var list []admission.Entry
-	for k := range held {
+	for k := range databases {
 		list = append(list, admission.Entry{Server: uint32(k + 1), State: admission.Ready})
 	}
-	d.m.UpdateServers(0, admission.Full, list)
-	d.m.SetCoverage(admission.Coverage{Part: part})
+	d.controller.UpdateServers(0, admission.Full, list)
+	d.controller.SetCoverage(admission.Coverage{Part: coverage})
 	return d
 }
 
-// play has requests come in, go out and be answered.
-func (d *subsetDecider) play(requests int) {
+// handleRequests has requests come in, go out and be answered.
+func (d *subsetDriver) handleRequests(requests int) {
 	for k := range requests {
 		d.now += 0.001
 		id := uint32(d.now*1000) + 1
-		d.m.Request(d.now, admission.Request{ID: id, Cost: 0.1, TimeLeft: 4})
-		d.m.Outcome(d.now+0.0005, admission.Outcome{ID: id, Server: d.host.database, End: admission.Completed, Latency: 0.0005, Work: 0.1, Final: true})
+		d.controller.Request(d.now, admission.Request{ID: id, Cost: 0.1, TimeLeft: 4})
+		d.controller.Outcome(d.now+0.0005, admission.Outcome{ID: id, Server: d.host.database, End: admission.Completed, Latency: 0.0005, Work: 0.1, Final: true})
 		if k%5 == 0 {
-			d.m.Woken(d.now, 0)
+			d.controller.Woken(d.now, 0)
 		}
 	}
 }
 
 // decisionTimes are the least of some rounds, in microseconds a request. The rounds take turns, so that other load on the machine
 // meets all alike.
-func decisionTimes(all ...*subsetDecider) []float64 {
+func decisionTimes(all ...*subsetDriver) []float64 {
 	const rounds, requests = 15, 400
-	least := slices.Repeat([]float64{math.Inf(1)}, len(all))
+	leastTimes := slices.Repeat([]float64{math.Inf(1)}, len(all))
 	for range rounds {
 		for k, d := range all {
-			began := threadTime()
-			d.play(requests)
-			least[k] = min(least[k], (threadTime()-began).Seconds()*1e6/requests)
+			start := threadTime()
+			d.handleRequests(requests)
+			leastTimes[k] = min(leastTimes[k], (threadTime()-start).Seconds()*1e6/requests)
 		}
 	}
-	return least
+	return leastTimes
 }
--- a/internal/scale/subset_options.go
+++ b/internal/scale/subset_options.go
@@ -16,30 +16,30 @@
 // This file measures the published ways to choose a subset beside the one that fleet/subset has: how even they are, what they move,
 // and what they cost. docs/design/subset.md has the table.
 
-// option is one way. It gives the databases of each router, by their names.
-type option struct {
+// subsetMethod is one way. It gives the databases of each router, by their names.
+type subsetMethod struct {
 	name   string
 	choose func(routers int, databases []string, size int) [][]string
 }
 
-var options = []option{
-	{"random by list", alone(randomByList)},
-	{"rounds by list", alone(roundsByList)},
+var subsetMethods = []subsetMethod{
+	{"random by list", independent(randomByList)},
+	{"rounds by list", independent(roundsByList)},
 	{"rounds over slots", roundsOverSlots},
-	{"aperture by list", alone(apertureByList)},
-	{"ring", ring},
-	{"rendezvous", alone(rendezvous)},
+	{"aperture by list", independent(apertureByList)},
+	{"ring", consistentHashRing},
+	{"rendezvous", independent(rendezvous)},
 	{"rendezvous, bounded loads", boundedLoads},
-	{"this, equal sizes", ours(0)},
-	{"this, room 0.5", ours(0.5)},
+	{"this, equal sizes", fleetSubset(0)},
+	{"this, room 0.5", fleetSubset(0.5)},
 }
 
-// alone is a way in which each router chooses without regard to the others' choices.
-func alone(one func(router, routers int, databases []string, size int) []string) func(int, []string, int) [][]string {
+// independent is a way in which each router chooses without regard to the others' choices.
+func independent(chooseOne func(router, routers int, databases []string, size int) []string) func(int, []string, int) [][]string {
 	return func(routers int, databases []string, size int) [][]string {
 		all := make([][]string, routers)
 		for r := range all {
-			all[r] = one(r, routers, databases, size)
+			all[r] = chooseOne(r, routers, databases, size)
 		}
 		return all
 	}
@@ -47,22 +47,22 @@
 
 // randomByList draws from the list by a seed of the router's own.
 func randomByList(router, _ int, databases []string, size int) []string {
-	mixed := shuffled(databases, uint64(router))
-	return mixed[:size]
+	order := shuffled(databases, uint64(router))
+	return order[:size]
 }
 
 func shuffled(list []string, seed uint64) []string {
-	mixed := slices.Clone(list)
-	rand.New(rand.NewPCG(seed, 1)).Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-	return mixed
+	order := slices.Clone(list)
+	rand.New(rand.NewPCG(seed, 1)).Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
+	return order
 }
 
 // roundsByList deals a list shuffled anew for each round to the round's routers (Site Reliability Engineering, chapter 20).
 func roundsByList(router, _ int, databases []string, size int) []string {
-	each := len(databases) / size
-	mixed := shuffled(databases, uint64(router/each))
-	from := router % each * size
-	return mixed[from : from+size]
+	routersPerRound := len(databases) / size
+	order := shuffled(databases, uint64(router/routersPerRound))
+	start := router % routersPerRound * size
+	return order[start : start+size]
 }
 
 // slotCount of the table that names are put into: some more than there are databases.
@@ -90,8 +90,8 @@
 		}
 		for j := range size {
 			slot := order[(r*size+j)%slotCount]
-			for try := 0; slots[slot] == "" || slices.Contains(all[r], slots[slot]); try++ {
-				slot = int(hashName(fmt.Sprint(slot, r, j, try), 3) % slotCount)
+			for attempt := 0; slots[slot] == "" || slices.Contains(all[r], slots[slot]); attempt++ {
+				slot = int(hashName(fmt.Sprint(slot, r, j, attempt), 3) % slotCount)
 			}
 			all[r] = append(all[r], slots[slot])
 		}
@@ -100,22 +100,22 @@
 }
 
 // apertureByList gives routers at even distances on a ring the databases of an arc of it (Finagle's deterministic aperture).
-func apertureByList(router, routers int, databases []string, size int) (own []string) {
-	from := router * len(databases) / routers
+func apertureByList(router, routers int, databases []string, size int) (chosen []string) {
+	start := router * len(databases) / routers
 	for j := range size {
-		own = append(own, databases[(from+j)%len(databases)])
+		chosen = append(chosen, databases[(start+j)%len(databases)])
 	}
-	return own
+	return chosen
 }
 
-// ring is consistent hashing: the next databases clockwise by the hash of their names, from an even place of the router.
-func ring(routers int, databases []string, size int) [][]string {
+// consistentHashRing is consistent hashing: the next databases clockwise by the hash of their names, from an even place of the router.
+func consistentHashRing(routers int, databases []string, size int) [][]string {
 	byHash := slices.Clone(databases)
 	slices.SortFunc(byHash, func(a, b string) int { return cmp.Compare(hashName(a, 0), hashName(b, 0)) })
 	all := make([][]string, routers)
 	for r := range all {
-		_, place := math.Modf(float64(r) * math.Phi)
-		from, _ := slices.BinarySearchFunc(byHash, uint64(place*math.MaxUint64), func(name string, at uint64) int { return cmp.Compare(hashName(name, 0), at) })
+		_, position := math.Modf(float64(r) * math.Phi)
+		from, _ := slices.BinarySearchFunc(byHash, uint64(position*math.MaxUint64), func(name string, at uint64) int { return cmp.Compare(hashName(name, 0), at) })
 		for j := range size {
 			all[r] = append(all[r], byHash[(from+j)%len(byHash)])
 		}
@@ -125,10 +125,10 @@
 
 // rendezvous is highest random weight hashing.
 func rendezvous(router, _ int, databases []string, size int) []string {
-	return ranked(router, databases)[:size]
+	return rankByHash(router, databases)[:size]
 }
 
-func ranked(router int, databases []string) []string {
+func rankByHash(router int, databases []string) []string {
 	type scored struct {
 		score uint64
 		name  string
@@ -152,7 +152,7 @@
 	loads := make(map[string]int, len(databases))
 	all := make([][]string, routers)
 	for r := range all {
-		for _, name := range ranked(r, databases) {
+		for _, name := range rankByHash(r, databases) {
 			if len(all[r]) == size {
 				break
 			}
@@ -165,15 +165,15 @@
 	return all
 }
 
-// ours is fleet/subset without zones, with some room.
-func ours(room float64) func(int, []string, int) [][]string {
+// fleetSubset is fleet/subset without zones, with some room.
+func fleetSubset(sizeSlack float64) func(int, []string, int) [][]string {
 	return func(routers int, names []string, size int) [][]string {
 		databases := make([]subset.Database, len(names))
 		for k, name := range names {
 			databases[k] = subset.Database{Name: name, Weight: 1}
 		}
 		pool := subset.NewPool(databases)
-		o := subset.Options{Size: size, SizeSlack: room}
+		o := subset.Options{Size: size, SizeSlack: sizeSlack}
 		all := make([][]string, routers)
 		for r := range all {
 			ranking, err := pool.Rank(&o, subset.Router{Number: r, Zone: -1, Region: -1, PlannedWeight: TargetDatabases})
@@ -197,35 +197,35 @@
 	return x ^ x>>31
 }
 
-// optionRows compares the ways at the designed size.
-func optionRows(size int) (rows []measure.Row) {
+// methodRows compares the ways at the designed size.
+func methodRows(size int) (rows []measure.Row) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	names := make([]string, TargetDatabases)
 	for k := range names {
 		names[k] = fmt.Sprintf("db-%d.example", k)
 	}
-	gone := TargetDatabases / 3
-	fewer := slices.Delete(slices.Clone(names), gone, gone+1)
-	for _, o := range options {
+	removedIndex := TargetDatabases / 3
+	remaining := slices.Delete(slices.Clone(names), removedIndex, removedIndex+1)
+	for _, o := range subsetMethods {
 		began := threadTime()
-		before := o.choose(TargetRouters, names, size)
-		took := threadTime() - began
-		databaseGone := moves(before, o.choose(TargetRouters, fewer, size), names[gone])
-		routerGone := moves(before, o.choose(TargetRouters-1, names, size), "")
-		most, mean := heldBy(before)
+		initial := o.choose(TargetRouters, names, size)
+		elapsed := threadTime() - began
+		databaseRemoved := countChanges(initial, o.choose(TargetRouters, remaining, size), names[removedIndex])
+		routerRemoved := countChanges(initial, o.choose(TargetRouters-1, names, size), "")
+		most, mean := routersPerDatabase(initial)
 		label := fmt.Sprintf("size %d, %s: ", size, o.name)
 		rows = append(rows,
 			measure.Figure(label+"most to mean routers a database", float64(most)/mean),
-			measure.Figure(label+"a database goes, most places moved in a subset that held it", float64(databaseGone.most)),
-			measure.Figure(label+"a database goes, other subsets that move", float64(databaseGone.others)),
-			measure.Figure(label+"a router goes, subsets of others that move", float64(routerGone.others)),
-			measure.Figure(label+"to choose, us a router", took.Seconds()*1e6/TargetRouters))
+			measure.Figure(label+"a database goes, most places moved in a subset that held it", float64(databaseRemoved.most)),
+			measure.Figure(label+"a database goes, other subsets that move", float64(databaseRemoved.otherSubsets)),
+			measure.Figure(label+"a router goes, subsets of others that move", float64(routerRemoved.otherSubsets)),
+			measure.Figure(label+"to choose, us a router", elapsed.Seconds()*1e6/TargetRouters))
 	}
 	return rows
 }
 
-func heldBy(subsets [][]string) (most int, mean float64) {
+func routersPerDatabase(subsets [][]string) (most int, mean float64) {
 	loads, total := map[string]int{}, 0
 	for _, own := range subsets {
 		for _, name := range own {
@@ -237,35 +237,35 @@
 	return most, float64(total) / TargetDatabases
 }
 
-// moved is what a change did: most places in a subset that held what went, and how many others moved at all.
-type moved struct{ most, others int }
+// placeChanges is what a change did: most places in a subset that held what went, and how many others placeChanges at all.
+type placeChanges struct{ most, otherSubsets int }
 
-func moves(before, after [][]string, gone string) (m moved) {
+func countChanges(before, after [][]string, removedName string) (m placeChanges) {
 	for r := range after {
 		if slices.Equal(before[r], after[r]) {
 			continue
 		}
-		was, is := map[string]bool{}, map[string]bool{}
+		heldBefore, heldAfter := map[string]bool{}, map[string]bool{}
 		for _, name := range before[r] {
-			was[name] = true
+			heldBefore[name] = true
 		}
-		entered := 0
+		added := 0
 		for _, name := range after[r] {
-			if is[name] = true; !was[name] {
-				entered++
+			if heldAfter[name] = true; !heldBefore[name] {
+				added++
 			}
 		}
-		left := 0
+		removed := 0
 		for _, name := range before[r] {
-			if !is[name] {
-				left++
+			if !heldAfter[name] {
+				removed++
 			}
 		}
-		switch places := max(entered, left); {
-		case was[gone]:
-			m.most = max(m.most, places)
-		case places > 0:
-			m.others++
+		switch moved := max(added, removed); {
+		case heldBefore[removedName]:
+			m.most = max(m.most, moved)
+		case moved > 0:
+			m.otherSubsets++
 		}
 	}
 	return m
