--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -12,23 +12,23 @@
 	"dunereach/internal/measure"
 )
 
-// The fleet that control is measured with. Five of the machines that are set aside have a coordinator with a vote, three of them in
-// one region and two in the other; two machines are spare, as a registry begins with five coordinatorCount at most.
+// The fleet for which the cost of control is measured. 5 of the CoordinatorMachines run a voting coordinator, 3 of them in one region
+// and 2 in the other. The other 2 are spares, as an initial registry has at most 5 coordinators.
 const (
 	coordinatorCount  = 5
-	controlLease      = 4.0 // seconds, as by default
+	controlLease      = 4.0 // seconds, the default
 	routersPerProcess = 200
-	recoveryTimeout   = 60 * time.Second // for control to be whole again
-	planTasks         = 1                // the fleet's plan, which is always wanted
+	recoveryTimeout   = 60 * time.Second // for control to recover
+	planTasks         = 1                // the fleet's plan, which is always requested
 )
 
-// ControlPart is one of the measurements of control, which can be run alone.
+// ControlPart is one group of control measurements that can be run alone.
 type ControlPart struct {
 	Name, About string
-	Run         func(routers int) ([]measure.Row, error) // at up to so many routers
+	Run         func(routers int) ([]measure.Row, error) // with at most that many routers
 }
 
-// ControlParts are all of them, in the order in which they are printed.
+// ControlParts are all groups, in the order in which they are printed.
 var ControlParts = []ControlPart{
 	{"state", "Size of the registry's snapshot by sessions and tasks", controlState},
 	{"idle", "What sessions cost while nothing is cold, with and without reports on zones", controlIdle},
@@ -54,12 +54,12 @@
 	return all, nil
 }
 
-// controlSizes are the routers at which slopes are measured: for 1,600 these are 100, 400, 800 and 1,600.
+// controlSizes returns the router counts at which slopes are measured: 100, 400, 800 and 1,600 for most = 1,600.
 func controlSizes(most int) []int { return []int{most / 16, most / 4, most / 2, most} }
 
 func lastOf(sizes []int) int { return sizes[len(sizes)-1] }
 
-// targetZones are the zones of the target, which belong to the two regions in turn.
+// targetZones returns the zones of the target. They alternate between the two regions.
 func targetZones() (zones []hollow.Zone) {
 	regions := [TargetRegions]string{"north", "south"}
 	for n := range TargetZones {
@@ -68,14 +68,14 @@
 	return zones
 }
 
-// controlFleet is a fleet that is measured, with its folder.
+// controlFleet is a fleet under measurement, with its temporary directory.
 type controlFleet struct {
 	*hollow.Fleet
 	folder string
-	peak   hollow.Peak // of the whole run
+	peak   hollow.Peak // over the whole run
 }
 
-// newControlFleet has coordinators and no routers yet.
+// newControlFleet starts a fleet of coordinators, for up to the given number of routers. No router runs yet.
 func newControlFleet(routers int) (*controlFleet, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -104,7 +104,7 @@
 	os.RemoveAll(f.folder)
 }
 
-// loadAndAwaitTasks all routers, and wait until the tasks that go with that have owners.
+// loadAndAwaitTasks sets the demand of all routers and waits until the resulting tasks have owners.
 func (f *controlFleet) loadAndAwaitTasks(d hollow.Demand) error {
 	if err := f.Load(d); err != nil {
 		return err
@@ -112,10 +112,10 @@
 	return f.AwaitTasks(planTasks+d.Cold, recoveryTimeout)
 }
 
-// takePeak since the last call.
+// takePeak returns the peak usage since the last call.
 func (f *controlFleet) takePeak() hollow.Peak {
 	p := f.TakePeak()
-	for p.Processes == 0 { // shorter than from one look at the processes to the next
+	for p.Processes == 0 { // less time has passed than between two samples of the processes
 		time.Sleep(100 * time.Millisecond)
 		p = f.TakePeak()
 	}
@@ -123,7 +123,7 @@
 	return p
 }
 
-// grow to so many routers, and tell how long that took.
+// grow starts routers until the given number runs, and returns how long that took.
 func (f *controlFleet) grow(from, to int) (hollow.Recovery, error) {
 	if err := f.Mark(); err != nil {
 		return hollow.Recovery{}, err
@@ -137,12 +137,12 @@
 	return r, err
 }
 
-// progress tells whoever waits how far a run has come.
+// progress reports the progress of a run on standard error.
 func progress(format string, values ...any) {
 	fmt.Fprintf(os.Stderr, "%s "+format+"\n", append([]any{time.Now().Format(time.TimeOnly)}, values...)...)
 }
 
-// awaitRecovery waits until control is whole again for all routers that run.
+// awaitRecovery waits until control has recovered for all routers that run.
 func (f *controlFleet) awaitRecovery(since float64, tasks int) (hollow.Recovery, error) {
 	r, err := f.Recover(since, f.Live(), tasks, recoveryTimeout)
 	if err != nil {
@@ -158,22 +158,22 @@
 	return list
 }
 
-// controlUsage is what was used a second while some time passed.
+// controlUsage is the usage over a measurement interval; rates are per second.
 type controlUsage struct {
 	leaderCore, followerCore         float64
 	leaderMB, followerMB             float64
 	leaderBytes, followerBytes       float64 // in and out, by read and write calls
 	leaderDisk, followerDisk         float64 // bytes written
 	leaderDescriptors                float64
-	routerCore, routerMB             float64            // each
-	routerRequests, routerBytes      float64            // each, on connections, with headers
-	requestsByPath, bodyBytesByPath  map[string]float64 // each router
-	grantedShares                    float64            // of routers by cold databases that may use a granted part
-	grants, relinquished, lateGrants float64            // a second, of all routers: dealt out, laid down, and come after their life
-	loadAverage                      float64            // of the machine, all processes that want a core, over the last minute
+	routerCore, routerMB             float64            // per router
+	routerRequests, routerBytes      float64            // per router, on connections, including headers
+	requestsByPath, bodyBytesByPath  map[string]float64 // per router
+	grantedShares                    float64            // cold databases of which a router may use a granted share, mean over the routers
+	grants, relinquished, lateGrants float64            // per second, all routers: grants made, shares relinquished, and grants that arrived after they had expired
+	loadAverage                      float64            // of the machine: runnable processes, mean over the last minute
 }
 
-// measure what a fleet of so many routers uses while time passes.
+// measure returns what a fleet of the given number of routers uses over the given time.
 func (f *controlFleet) measure(routers int, length time.Duration) (w controlUsage, err error) {
 	report0, err := f.Look()
 	if err != nil {
@@ -184,7 +184,7 @@
 		return w, err
 	}
 	start := time.Now()
-	time.Sleep(length) // what is measured is a rate
+	time.Sleep(length) // the usage is a rate over this interval
 	usage1, err := f.Usage()
 	if err != nil {
 		return w, err
@@ -215,7 +215,7 @@
 	return w, nil
 }
 
-// readLoadAverage is the mean number of processes that wanted a core over the last minute, NaN where the system does not tell.
+// readLoadAverage returns the mean number of runnable processes over the last minute, or NaN where the system does not report it.
 func readLoadAverage() (load float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -225,7 +225,7 @@
 	return load
 }
 
-// setCoordinators: the busiest one leads, the others are told by their mean.
+// setCoordinators takes the busiest coordinator as the leader and sets the values of the followers to the mean of the others.
 func (w *controlUsage) setCoordinators(before, after []hollow.Usage, elapsed float64) {
 	busiest, mostCore := 0, math.Inf(-1)
 	for n := range after {
@@ -246,7 +246,7 @@
 	}
 }
 
-// whole rows: what the run as a whole was allowed, and what its auditor found.
+// limitRows returns the resource limits of the whole run and the findings of its auditor.
 func (f *controlFleet) limitRows(name string) []measure.Row {
 	f.takePeak()
 	f.Audit.Judge()
--- a/internal/scale/control_cold.go
+++ b/internal/scale/control_cold.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	coldSettleTime  = 4 * time.Second // the parts that are to be granted have been laid down by then
+	coldSettleTime  = 4 * time.Second // by then the shares that are to be granted have been relinquished
 	coldMeasureTime = 3 * time.Second // six rounds of each owner
 )
 
-// coldCounts are the cold databases at each size.
+// coldCounts are the numbers of cold databases measured at each size.
 var coldCounts = []int{0, 1, 4, 8}
 
-// controlCold measures what each cold database costs at growing sizes.
+// controlCold measures the cost of each cold database at growing sizes.
 func controlCold(routers int) ([]measure.Row, error) {
 	sizes := controlSizes(routers)
 	f, err := newControlFleet(routers)
@@ -24,12 +24,13 @@
 		return nil, err
 	}
 	defer f.close()
-	windows := make([][]controlUsage, len(sizes)) // by size and count
+	windows := make([][]controlUsage, len(sizes)) // by size and by number of cold databases
 	for k, size := range sizes {
 		if err := f.Load(hollow.Demand{}); err != nil {
 			return nil, err
 		}
-		// All end and begin anew: owners that end are missed sooner than tasks that nobody wants any more are released.
+		// All routers are restarted, because the coordinators detect crashed owners sooner than they release tasks that no router requests
+		// any more.
 		if _, err := f.CrashRouters(numbers(1, previousSize(sizes, k))); err != nil {
 			return nil, err
 		}
@@ -53,7 +54,7 @@
 	return append(coldRows(sizes, windows), f.limitRows("cold")...), nil
 }
 
-// coldRows are, for each figure, the slope by cold databases at each size, and the fit of those slopes by size.
+// coldRows returns, for each quantity, the slope per cold database at each size and the fit of those slopes over the size.
 func coldRows(sizes []int, all [][]controlUsage) (rows []measure.Row) {
 	fit := func(quantity string, bound float64, metric func(controlUsage) float64) {
 		var xs, ys []float64
--- a/internal/scale/control_faults.go
+++ b/internal/scale/control_faults.go
@@ -11,16 +11,16 @@
 	"dunereach/internal/measure"
 )
 
-// Faults as they are played. The letters of an ordinary day are compressed so that a run stays short.
+// Parameters of the faults. Durations of real incidents are compressed to keep a run short.
 const (
 	rackShare         = 0.03
-	regionCutDuration = 20 * time.Second // minutes in the field
-	rollingRate       = 1.0              // restarts a second; ten times the ordinary day's 890 a day are 0.1
-	rollingRestarts   = 20               // restarts
+	regionCutDuration = 20 * time.Second // minutes in production
+	rollingRate       = 1.0              // restarts a second; ten times the 890 restarts of an ordinary day would be 0.1 a second
+	rollingRestarts   = 20               // number of restarts
 	tenfoldDailyRate  = 890.0 * 10 / 86400
 )
 
-// controlFaults plays the failures of the target at the largest size.
+// controlFaults injects the failures of the target at the largest size.
 func controlFaults(routers int) ([]measure.Row, error) {
 	f, err := newControlFleet(routers)
 	if err != nil {
@@ -44,7 +44,8 @@
 	return append(rows, f.limitRows("faults")...), nil
 }
 
-// loseLeaderAndRestartAll takes the leader, then all coordinators, then all routers away; controlReturn has the slopes of these.
+// loseLeaderAndRestartAll kills the leader, then restarts all coordinators, then all routers. controlReturn measures the slopes of
+// these faults.
 func (f *controlFleet) loseLeaderAndRestartAll() (rows []measure.Row, err error) {
 	steps := []func() (fault, error){
 		func() (fault, error) { return f.loseLeader("leader lost") },
@@ -61,7 +62,7 @@
 	return rows, nil
 }
 
-// loseRack takes a drawn share of the routers and one coordinator away, and brings them back.
+// loseRack stops a random share of the routers and one coordinator, and starts them again.
 func (f *controlFleet) loseRack() ([]measure.Row, error) {
 	random := rand.New(rand.NewPCG(1, 3))
 	lost := random.Perm(f.Live())[:int(rackShare*float64(f.Live()))]
@@ -71,7 +72,7 @@
 	return f.loseAndRestore("rack lost", lost, []int{random.IntN(coordinatorCount)})
 }
 
-// loseZone takes the zone of the coordinator that leads away, and brings it back.
+// loseZone stops the zone of the leading coordinator, and starts it again.
 func (f *controlFleet) loseZone() ([]measure.Row, error) {
 	leader := f.Leader()
 	if leader < 0 {
@@ -110,7 +111,7 @@
 	return append(loss.rows(), restoration.rows()...), err
 }
 
-// cutRegion cuts the region with the minority of coordinators from the other while it has the leader, and heals the links.
+// cutRegion cuts the region that has the minority of the coordinators off while it has the leader, and then heals the links.
 func (f *controlFleet) cutRegion() ([]measure.Row, error) {
 	const region = "south"
 	if err := f.moveLeaderTo(region); err != nil {
@@ -137,7 +138,7 @@
 	}
 	name := fmt.Sprintf("region cut for %.0f s, the leader with the minority", regionCutDuration.Seconds())
 	rows := fault{name: name + ", the majority", recovery: cutRecovery, peak: f.takePeak()}.rows()
-	// Leases of the minority's routers are over by now: nothing that was under way before the cut counts for them any more.
+	// The leases of the minority's routers have expired by now: requests that were in flight before the cut no longer confirm them.
 	if err := f.Mark(); err != nil {
 		return nil, err
 	}
@@ -151,7 +152,7 @@
 	return append(rows, healed.rows()...), err
 }
 
-// moveLeaderTo has a coordinator of that region lead.
+// moveLeaderTo kills leaders until a coordinator of the given region leads.
 func (f *controlFleet) moveLeaderTo(region string) error {
 	const maxElections = 12
 	for range maxElections {
@@ -165,7 +166,7 @@
 	return fmt.Errorf("no coordinator of %s led after %d elections", region, maxElections)
 }
 
-// rollingRestart ends routers in order, one after another, and starts each again.
+// rollingRestart restarts routers one after another, in order.
 func (f *controlFleet) rollingRestart() ([]measure.Row, error) {
 	name := fmt.Sprintf("rolling restart, %.0f at %.3g a second", math.Min(rollingRestarts, float64(f.Live())), rollingRate)
 	result, err := f.playFault(name, func() error {
@@ -187,7 +188,7 @@
 	return rows, err
 }
 
-// controlShort is the form for CI: slopes from two sizes have no error and are not told; one leader is lost.
+// controlShort is the form for CI. It prints no slopes, as slopes from two sizes have no standard error, and loses one leader.
 func controlShort() ([]measure.Row, error) {
 	const few, many = 100, 200
 	f, err := newControlFleet(many)
--- a/internal/scale/control_idle.go
+++ b/internal/scale/control_idle.go
@@ -11,16 +11,16 @@
 	"dunereach/internal/measure"
 )
 
-// noBound is a bound that is noBound.
+// noBound as an upper bound means that a value has no bound.
 var noBound = math.NaN()
 
 const (
-	idleSettleTime  = 2 * time.Second // connections and rounds of the load before have gone
-	idleMeasureTime = 6 * time.Second // some six heartbeats of each session
+	idleSettleTime  = 2 * time.Second // by then connections and rounds of the previous load have ended
+	idleMeasureTime = 6 * time.Second // about six heartbeats of each session
 )
 
-// controlIdle measures sessions with nothing cold at growing sizes, first their heartbeats alone, then with each router's report on
-// zones to the plan's owner once a second.
+// controlIdle measures sessions without cold databases at growing sizes: first their heartbeats alone, then with each router's zone
+// report to the owner of the plan once a second.
 func controlIdle(routers int) ([]measure.Row, error) {
 	sizes := controlSizes(routers)
 	f, err := newControlFleet(routers)
@@ -63,7 +63,7 @@
 	return append(rows, f.limitRows("idle")...), nil
 }
 
-// previousSize the one with that index, 0: none.
+// previousSize returns the size before the one with the given index, 0 for the first.
 func previousSize(sizes []int, k int) int {
 	if k == 0 {
 		return 0
@@ -71,7 +71,7 @@
 	return sizes[k-1]
 }
 
-// usageRows are the fits of what was used, by number of routers.
+// usageRows returns the fits of the usage over the number of routers.
 func usageRows(name string, sizes []int, all []controlUsage) (rows []measure.Row) {
 	line := func(metric func(k int, w controlUsage) float64) Fit {
 		var xs, ys []float64
@@ -88,7 +88,7 @@
 		rows = append(rows, line(func(_ int, w controlUsage) float64 { return metric(w) }).Rows(name+": "+quantity, "routers", routersPerStep)...)
 		atLargest(quantity, metric(largest), bound)
 	}
-	// What perRouter router uses is fitted as the sum of all: the intercept is what the processes use without routers.
+	// The usage of the routers is fitted as their sum: the intercept is what the processes use without routers.
 	perRouter := func(quantity string, bound float64, metric func(controlUsage) float64) {
 		rows = append(rows, line(func(k int, w controlUsage) float64 { return metric(w) * float64(sizes[k]) }).Rows(name+": router, "+quantity, "router", 1)...)
 		atLargest("router, "+quantity, metric(largest), bound)
@@ -108,7 +108,7 @@
 	return rows
 }
 
-// pathRows are requests and bytes of bodies by kind, at the largest size.
+// pathRows returns the requests and the bytes of bodies by path, at the largest size.
 func pathRows(name string, all []controlUsage) (rows []measure.Row) {
 	w := all[len(all)-1]
 	var paths []string
--- a/internal/scale/control_return.go
+++ b/internal/scale/control_return.go
@@ -8,19 +8,19 @@
 	"dunereach/internal/measure"
 )
 
-// faultDemand is what routers have use for while faults are played: some tasks whose owners act all the time.
+// faultDemand is the demand of the routers during faults: a few tasks whose owners act all the time.
 var faultDemand = hollow.Demand{Cold: 2, Reports: true}
 
 const faultTasks = planTasks + 2
 
-// fault is one event, and how control came back from it.
+// fault is one injected fault and the recovery from it.
 type fault struct {
 	name     string
 	recovery hollow.Recovery
 	peak     hollow.Peak
 }
 
-// playFault an event and wait until control is whole again, with all routers that run then.
+// playFault injects a fault and waits until control has recovered for all routers that run then.
 func (f *controlFleet) playFault(name string, event func() error) (fault, error) {
 	f.takePeak()
 	if err := f.Mark(); err != nil {
@@ -39,7 +39,7 @@
 	return result, nil
 }
 
-// rows of one fault.
+// rows returns the results of one fault.
 func (result fault) rows() []measure.Row {
 	return []measure.Row{
 		measure.Figure(result.name+": seconds until all sessions were confirmed", result.recovery.Confirmed),
@@ -49,7 +49,7 @@
 	}
 }
 
-// loseLeader kills the coordinator that leads and starts it again once control is whole.
+// loseLeader kills the leading coordinator and starts it again after control has recovered.
 func (f *controlFleet) loseLeader(name string) (fault, error) {
 	leader := -1
 	result, err := f.playFault(name, func() error {
@@ -65,7 +65,7 @@
 	return result, f.StartCoordinator(leader)
 }
 
-// restartCoordinators kills all of them and starts them again.
+// restartCoordinators kills all coordinators and starts them again.
 func (f *controlFleet) restartCoordinators(name string) (fault, error) {
 	return f.playFault(name, func() error {
 		for _, n := range f.Coordinators() {
@@ -80,7 +80,7 @@
 	})
 }
 
-// restartRouters crashes these and starts them again.
+// restartRouters crashes the given routers and starts them again.
 func (f *controlFleet) restartRouters(name string, routers []int) (fault, error) {
 	return f.playFault(name, func() error {
 		if _, err := f.CrashRouters(routers); err != nil {
@@ -91,7 +91,7 @@
 	})
 }
 
-// controlReturn measures how long sessions take to be open again, at growing sizes.
+// controlReturn measures how long it takes until all sessions are open again, at growing sizes.
 func controlReturn(routers int) ([]measure.Row, error) {
 	sizes := controlSizes(routers)
 	f, err := newControlFleet(routers)
--- a/internal/scale/control_state.go
+++ b/internal/scale/control_state.go
@@ -8,7 +8,7 @@
 	"dunereach/internal/measure"
 )
 
-// controlState measures the snapshot of a registry with sessions of so many routers, and with tasks of so many databases.
+// controlState measures the size of a registry's snapshot by the number of sessions, and by the number of tasks.
 func controlState(int) ([]measure.Row, error) {
 	var routers, tasks, bySession, byTask, encode []float64
 	for _, n := range []int{100, 400, 800, TargetRouters, 2 * TargetRouters} {
@@ -18,7 +18,7 @@
 		}
 		routers, bySession, encode = append(routers, float64(n)), append(bySession, size), append(encode, took)
 	}
-	for _, n := range []int{0, 557, 1950, TargetDatabases, 2 * TargetDatabases} { // a zone, a region, all databases, both tasks of each
+	for _, n := range []int{0, 557, 1950, TargetDatabases, 2 * TargetDatabases} { // none, a zone, a region, all databases, both tasks of each
 		size, _, err := measureSnapshot(TargetRouters, n)
 		if err != nil {
 			return nil, err
@@ -35,7 +35,7 @@
 	return append(rows, measure.Figure("state: bound on a snapshot with names and notes at theirs, MB", registry.MaxSnapshot/1e6)), nil
 }
 
-// measureSnapshot a registry: its bytes, and the milliseconds that encoding it takes.
+// measureSnapshot returns the size in bytes of a registry's snapshot, and the time in milliseconds that encoding it takes.
 func measureSnapshot(sessions, tasks int) (size, milliseconds float64, err error) {
 	r := registry.New()
 	index := uint64(0)
--- a/internal/scale/control_test.go
+++ b/internal/scale/control_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestVirtualFleet: in a fleet that counts as large every cold database's parts are granted to all, and tasks have owners of their own.
+// TestVirtualFleet checks that, in a fleet of the size class "large", all shares of every cold database are granted, and that no router
+// owns two tasks.
 func TestVirtualFleet(t *testing.T) {
 	const routers = 320
 	rows, err := controlVirtual(routers)
@@ -22,7 +23,7 @@
 	}
 }
 
-// TestSnapshotOf: a registry's snapshot grows with sessions and with tasks.
+// TestSnapshotOf checks that a registry's snapshot grows with sessions and with tasks.
 func TestSnapshotOf(t *testing.T) {
 	size := func(sessions, tasks int) float64 {
 		bytes, _, err := measureSnapshot(sessions, tasks)
--- a/internal/scale/control_virtual.go
+++ b/internal/scale/control_virtual.go
@@ -17,31 +17,31 @@
 // Times of a fleet on virtual time, in seconds.
 const (
 	virtualStep     = 0.01
-	virtualLatency  = 0.005 // a request or an answer on its way
-	virtualOpenTime = 7.0   // sessions are open by then
-	virtualColdTime = 12.0  // databases are cold for so long: parts are granted after five
-	virtualHoldTime = 1.0   // that a heartbeat without news is held, as by a real coordinator
+	virtualLatency  = 0.005 // of a request or a response in transit
+	virtualOpenTime = 7.0   // by then all sessions are open
+	virtualColdTime = 12.0  // databases are cold for this long; shares are granted after five seconds
+	virtualHoldTime = 1.0   // for which a heartbeat without news is held, as by a real coordinator
 	agentTickSteps  = 10    // steps between two ticks of an agent
 )
 
-// virtualFleet is one coordinator and many agents on virtual time: the packages of the real ones, without sockets, disks and the
-// load of a machine.
+// virtualFleet is one coordinator and many agents on virtual time. It runs the same packages as real processes, but without sockets,
+// disks and the load of a machine.
 type virtualFleet struct {
 	now          float64
 	steps        int
 	coordinator  *coordinator.Coordinator
 	agents       []*agent.Member
 	demands      []agent.Demand   // by agent
-	requests     []virtualRequest // on their way
+	requests     []virtualRequest // in transit
 	answers      []virtualAnswer
-	pending      map[uint64]virtualRequest // by number, at the coordinator
+	pending      map[uint64]virtualRequest // at the coordinator, by request number
 	lastRequest  uint64
-	mostMessages int // in one answer
+	mostMessages int // most peer messages in one response
 	timeSpent    struct{ coordinator, agents time.Duration }
 }
 
 type virtualRequest struct {
-	at    float64 // when it arrives
+	at    float64 // arrival time
 	agent int
 	agent.Request
 }
@@ -53,7 +53,7 @@
 	coordinator.Response
 }
 
-// newVirtualFleet of so many routers, each cold database of which is shared by so many members.
+// newVirtualFleet returns a fleet with the given number of routers. Each cold database is shared by the given number of members.
 func newVirtualFleet(routers, members int) (*virtualFleet, error) {
 	stored, err := coordinator.InitialState([]registry.Coordinator{{ID: 1, Name: "c1", Addr: "127.0.0.1:1"}}, controlLease, 0.05)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return f, nil
 }
 
-// run until that time.
+// run advances the fleet to the given time.
 func (f *virtualFleet) run(until float64) error {
 	for ; f.now < until; f.now += virtualStep {
 		start := time.Now()
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// stepCoordinator has the coordinator take what has arrived.
+// stepCoordinator delivers the requests that have arrived to the coordinator and sends its responses.
 func (f *virtualFleet) stepCoordinator() error {
 	f.coordinator.Tick(f.now)
 	arrived := 0
@@ -125,7 +125,7 @@
 	}
 }
 
-// tickAgents has agents take the answers that have arrived, and a tenth of them tick.
+// tickAgents delivers the responses that have arrived to the agents and ticks a tenth of the agents.
 func (f *virtualFleet) tickAgents() {
 	arrived := 0
 	for ; arrived < len(f.answers) && f.answers[arrived].at <= f.now; arrived++ {
@@ -146,14 +146,14 @@
 	}
 }
 
-// addColdDatabase has a database be cold from now on for the routers that hold it, each of which would use two equal parts.
+// addColdDatabase makes a database cold from now on for the routers that hold it. Each of them needs twice an equal share.
 func (f *virtualFleet) addColdDatabase(database int, holders []int) {
 	for _, n := range holders {
 		f.demands[n].ColdServers = append(f.demands[n].ColdServers, agent.ColdServer{Server: agent.Server{ID: uint32(database + 1), Start: 1}, Need: 2 / float64(len(holders))})
 	}
 }
 
-// grantedShare is the share of grantedShare, of all cold databases at all routers that hold them, that are granted and in use.
+// grantedShare returns the fraction of granted shares in use, among all pairs of a cold database and a router that holds it.
 func (f *virtualFleet) grantedShare() float64 {
 	granted, all := 0, 0
 	for n, m := range f.agents {
@@ -167,7 +167,7 @@
 	return float64(granted) / float64(all)
 }
 
-// mostTasksOwned is the most tasks that one router owns.
+// mostTasksOwned returns the largest number of tasks that one router owns.
 func (f *virtualFleet) mostTasksOwned() (most int) {
 	for _, s := range f.coordinator.Registry().Sessions() {
 		most = max(most, len(f.coordinator.Registry().TasksOf(s.ID)))
@@ -175,8 +175,8 @@
 	return most
 }
 
-// controlVirtual carries cold databases on where the machine ends: some at all routers, and a zone's that return at once where each
-// router holds a subset.
+// controlVirtual measures more cold databases than one machine can run with real processes: some that all routers hold, and those of a
+// zone that return at the same time, where each router holds a subset.
 func controlVirtual(routers int) (rows []measure.Row, err error) {
 	all := numbers(0, routers-1)
 	for _, cold := range coldCounts[1:] {
@@ -197,13 +197,13 @@
 	return append(rows, more...), err
 }
 
-// maxDecisionCore is what a coordinator's decisions may take of the one core that its goroutine has.
+// maxDecisionCore is the bound on the coordinator's decisions, as a share of the one core that its goroutine can use.
 const maxDecisionCore = 0.5
 
-// virtualSubset is how many databases a router holds where there are subsets.
+// virtualSubset is the number of databases that a router holds where subsets are used.
 const virtualSubset = 32
 
-// subsetHolders are, for each database, the routers that hold it: as many for each, spread over the fleet.
+// subsetHolders returns, for each database, the routers that hold it: the same number for each, spread over the fleet.
 func subsetHolders(routers, databases int) [][]int {
 	holderCount := routers * virtualSubset / databases
 	all := make([][]int, databases)
@@ -215,7 +215,7 @@
 	return all
 }
 
-// runCold has databases be cold for the routers that hold them; each is shared by as many.
+// runCold makes databases cold for the routers that hold them. Each database must have the same number of holders.
 func runCold(name string, routers int, holders [][]int) ([]measure.Row, error) {
 	f, err := newVirtualFleet(routers, len(holders[0]))
 	if err != nil {
--- a/internal/scale/datapath.go
+++ b/internal/scale/datapath.go
@@ -2,7 +2,7 @@
 
 import "dunereach/internal/measure"
 
-// DataPath measures one router's data path: decisions, memory, the list of databases, connections, and requests through the real
+// DataPath measures the data path of one router: decisions, memory, the list of databases, connections, and requests through a real
 // process.
 func DataPath(short bool) ([]measure.Row, error) {
 	var rows []measure.Row
--- a/internal/scale/datapath_clock.go
+++ b/internal/scale/datapath_clock.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// threadTime is the processor time that the calling thread has used. Unlike getrusage(2) it is not rounded to the kernel's tick.
+// threadTime returns the processor time that the calling thread has used. Unlike getrusage(2) it is not rounded to the kernel's tick.
 func threadTime() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &now); err != nil {
@@ -17,8 +17,8 @@
 	return time.Duration(now.Nano())
 }
 
-// measureThreadTime runs work on a thread of its own and gives the processor time of that thread. Other load on the machine stretches
-// the time on the wall and not this one, but for caches and cores that are shared.
+// measureThreadTime runs work on a locked thread and returns the processor time of that thread. Unlike wall-clock time it is not
+// stretched by other load on the machine, except through shared caches and cores.
 func measureThreadTime(work func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -27,14 +27,14 @@
 	return threadTime() - start
 }
 
-// workItem is work that does so many operations.
+// workItem is work that consists of the given number of operations.
 type workItem struct {
 	operations int
 	work       func()
 }
 
-// medianCosts gives, for each of several pieces of work, the median over rounds of the processor time of one of its operations in
-// microseconds. Each round runs all of them in turn, so that what else the machine does meets all alike.
+// medianCosts returns, for each item, the median over rounds of the processor time per operation, in microseconds. Each round runs all
+// items in turn, so that other load on the machine affects all of them alike.
 func medianCosts(rounds int, items []workItem) []float64 {
 	costs := make([][]float64, len(items))
 	for range rounds {
--- a/internal/scale/datapath_decision.go
+++ b/internal/scale/datapath_decision.go
@@ -8,7 +8,7 @@
 	"dunereach/waittime"
 )
 
-// discardingHost carries out nothing and remembers where the last attempt went.
+// discardingHost discards all actions of a controller, except that it records the database of the last attempt.
 type discardingHost struct{ database uint32 }
 
 func (h *discardingHost) Send(_, database uint32, _, _ float64)                     { h.database = database }
@@ -24,24 +24,24 @@
 func (*discardingHost) Log(string)                                                  {}
 func (*discardingHost) ReportEstimate(uint32, waittime.TimeKind, waittime.Estimate) {}
 
-// controllerDriver is the module of one router with a pool of databases that all stand ready, and requests that come one after another.
+// controllerDriver drives the controller of one router, with a pool of databases that are all ready and one request after another.
 type controllerDriver struct {
 	controller *admission.Controller
 	host       discardingHost
 	now        float64
 	lastID     uint32
-	// request is the one that comes again and again, with another ID each time.
+	// request is the request that is repeated, with a new ID each time.
 	request admission.Request
 }
 
-// routerSettings are a module's settings at the size that the fleet is designed for, with one profile and no tenants.
+// routerSettings returns a controller's settings at the size that the fleet is designed for, with one profile and no tenants.
 func routerSettings() admission.Settings {
 	return admission.Settings{Seed: 1, Routers: TargetRouters, Tick: 0.005, KindCores: []float64{8}, MaxSends: 4,
 		ColdFrom: 0.35, WarmUp: 15, FallMultiple: 2, FallWindow: 1,
 		Profiles: []admission.Profile{{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1}}}
 }
 
-// readyList is a list of so many databases, all long past their start.
+// readyList returns a list of databases that are all ready and started long ago.
 func readyList(databases int) []admission.Entry {
 	list := make([]admission.Entry, databases)
 	for k := range list {
@@ -60,7 +60,7 @@
 	return d
 }
 
-// handleRequests takes requests one after another: each comes, is attempted and is answered, one in a millisecond.
+// handleRequests runs requests one after another, one per millisecond. Each is taken, attempted and completed.
 func (d *controllerDriver) handleRequests(requests int) {
 	for range requests {
 		d.now += 0.001
@@ -72,7 +72,7 @@
 	}
 }
 
-// upkeep runs the module's regular work, which it asks to be woken for.
+// upkeep runs the controller's periodic work, for which it requests a wake-up.
 func (d *controllerDriver) upkeep(count int) {
 	for range count {
 		d.now += 1.0 / upkeepRate
@@ -80,10 +80,10 @@
 	}
 }
 
-// upkeepRate is how often in a second the module asks to be woken for its regular work.
+// upkeepRate is how many times a second the controller requests a wake-up for its periodic work.
 const upkeepRate = 20
 
-// decisionSizes are the pools that a decision is measured over.
+// decisionSizes returns the pool sizes at which the cost of a decision is measured.
 func decisionSizes(short bool) []int {
 	if short {
 		return []int{8, 72, 500, TargetDatabases}
@@ -91,10 +91,11 @@
 	return []int{8, 32, 72, 128, 256, 500, 1000, 2000, TargetDatabases}
 }
 
-// statementsPerRouter is how many statements a second a router has at the target.
+// statementsPerRouter is the number of statements a second per router at the target.
 const statementsPerRouter = float64(TargetStatements) / TargetRouters
 
-// decisionCosts are the processor time and the allocations of a decision, and of a second of upkeep, by databases in one pool.
+// decisionCosts measures the processor time and the allocations of a decision, and the processor time of upkeep, by the number of
+// databases in one pool.
 func decisionCosts(short bool) ([]measure.Row, error) {
 	rounds, databaseVisits := 9, 400_000
 	if short {
--- a/internal/scale/datapath_list.go
+++ b/internal/scale/datapath_list.go
@@ -10,10 +10,10 @@
 	"dunereach/internal/measure"
 )
 
-// maxAnswerBytes is the longest answer of the name server in bytes, and maxAnswerRead what a router reads of one.
+// maxAnswerBytes is the size of the longest answer of the name server, and maxAnswerRead the number of bytes that a router reads of one.
 const maxAnswerBytes, maxAnswerRead = 8000, 9000
 
-// listLines are so many databases as an answer of the name server has them, with names of that length.
+// listLines returns the lines of the given number of databases in an answer of the name server, with names of the given length.
 func listLines(databases, nameLength int) []string {
 	lines := make([]string, databases)
 	for k := range lines {
@@ -24,7 +24,7 @@
 	return lines
 }
 
-// answerFits tells whether the answer that lists so many databases keeps to the bound and is read back whole.
+// answerFits reports whether the answer that lists the given number of databases stays within maxAnswerBytes and parses completely.
 func answerFits(databases, nameLength int) bool {
 	const anyID, anySerial = 1, 7
 	answer := fake.Reply(anyID, anySerial, discovery.ServiceName, listLines(databases, nameLength)...)
@@ -43,7 +43,7 @@
 	return true
 }
 
-// maxListed is the most databases that one answer of the name server can list, with names of that length.
+// maxListed returns the largest number of databases that one answer of the name server can list, with names of the given length.
 func maxListed(nameLength int) int {
 	most := 0
 	for answerFits(most+1, nameLength) {
@@ -52,10 +52,10 @@
 	return most
 }
 
-// listByDNS is how many databases fit one answer, by the length of their names, and how much of the target's list that is.
+// listByDNS measures how many databases fit into one answer, by the length of their names.
 func listByDNS(bool) ([]measure.Row, error) {
 	var rows []measure.Row
-	for _, nameLength := range []int{5, 12, 36} { // short, as in the examples; a host's name; a UUID
+	for _, nameLength := range []int{5, 12, 36} { // short, as in the examples; a host name; a UUID
 		most := maxListed(nameLength)
 		rows = append(rows,
 			measure.Figure(fmt.Sprintf("databases in one answer of %d bytes, names of %d letters", maxAnswerBytes, nameLength), float64(most)),
--- a/internal/scale/datapath_load.go
+++ b/internal/scale/datapath_load.go
@@ -11,7 +11,7 @@
 	"dunereach/internal/fake"
 )
 
-// answerAfterPause has the stand-ins of databases answer each request after a pause, until the context ends.
+// answerAfterPause lets the fake databases answer each request after a pause, until the context ends.
 func (r *routerProcess) answerAfterPause(ctx context.Context, pause time.Duration) {
 	for {
 		select {
@@ -30,8 +30,8 @@
 	}
 }
 
-// answerTogether has them answer nothing before so many requests have come or the time is over, and then all, also what comes
-// later. It gives how many had come.
+// answerTogether holds the answers of the fake databases until the given number of requests has arrived or the time limit has passed.
+// It then answers all of them, and later requests at once. It returns how many had arrived.
 func (r *routerProcess) answerTogether(ctx context.Context, requests int, limit time.Duration) (arrived int) {
 	var held []fake.Said
 	timeout := time.After(limit)
@@ -57,19 +57,20 @@
 
 func answerFetch(message fake.Said) { message.Answer("served", "count=1,ticks=5", "a\tb\tc\n") }
 
-// lastRequestID numbers the calls of all clients: a router takes no two with one id.
+// lastRequestID is the last ID given to a request. The IDs are unique over all clients, as a router rejects a request whose ID it has
+// seen before.
 var lastRequestID atomic.Uint64
 
-// sendRequest sends one request and does not wait for its answer.
+// sendRequest sends one request and does not wait for its response.
 func sendRequest(client *fake.Client) {
 	client.Call("select name, price from catalogue.goods where shelf = 17 and stock > 0 order by price", "service", "lookup",
 		"project", "acme", "allow", "20000", "effort", "20", "ref", fmt.Sprintf("%016x", lastRequestID.Add(1)))
 }
 
-// isCompleted tells whether an answer brings a result.
+// isCompleted reports whether a response carries a result.
 func isCompleted(answer string) bool { return strings.Contains(answer, "call{ 0={") }
 
-// openClients opens so many connections, on each of which the router has answered a health check.
+// openClients opens the given number of connections. On each the router has answered a health check.
 func (r *routerProcess) openClients(count int) ([]*fake.Client, error) {
 	const dialers = 16
 	clients := make([]*fake.Client, count)
@@ -86,7 +87,7 @@
 	return clients, nil
 }
 
-// inParallel calls work for 0 to count-1 from some goroutines.
+// inParallel calls work for 0 to count-1 from the given number of goroutines.
 func inParallel(goroutines, count int, work func(k int)) {
 	var next atomic.Int64
 	var group sync.WaitGroup
@@ -100,7 +101,7 @@
 	group.Wait()
 }
 
-// requestOnEach has each client ask once and wait, and gives how many got a result.
+// requestOnEach sends one request on each client's connection, waits for the responses, and returns how many requests were completed.
 func requestOnEach(clients []*fake.Client) int {
 	const senders = 16
 	var completedCount atomic.Int64
@@ -113,7 +114,8 @@
 	return int(completedCount.Load())
 }
 
-// sendAtRate has the clients ask so many requests a second in all for a time, each one after another, and counts the results.
+// sendAtRate sends requests from the clients at a total rate per second for the given time, and returns how many were completed. Each
+// client waits for a response before its next request.
 func sendAtRate(clients []*fake.Client, rate float64, length time.Duration) (completedCount int) {
 	if rate == 0 {
 		time.Sleep(length)
--- a/internal/scale/datapath_module.go
+++ b/internal/scale/datapath_module.go
@@ -12,7 +12,7 @@
 	"dunereach/internal/transport"
 )
 
-// heapPerInstance is the live heap that what is made holds, in bytes, over so many of them.
+// heapPerInstance builds count instances and returns the live heap per instance, in bytes.
 func heapPerInstance(count int, build func() any) float64 {
 	instances := make([]any, 0, count)
 	before := liveHeap()
@@ -27,23 +27,24 @@
 func liveHeap() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what finalizers freed by the first goes with the second
+	runtime.GC() // collects what finalizers released in the first collection
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
 
-// heapSlope measures the module's heap over sizes, in KB, and fits a line.
+// heapSlope measures the controller's heap over sizes, in KB, and fits a line.
 func heapSlope(name string, sizes []int, build func(size int) any) ([]measure.Row, Fit, error) {
 	const bytesPerKB = 1000
 	costs := make([]float64, len(sizes))
 	for k, size := range sizes {
-		count := max(2000/size, 2) // small ones are made often: the heap is counted in pages
+		count := max(2000/size, 2) // small ones are built more often, as the heap is counted in pages
 		costs[k] = heapPerInstance(count, func() any { return build(size) }) / bytesPerKB
 	}
 	return slopeRows(name, sizes, costs)
 }
 
-// moduleMemory is the heap of the module by databases, with the target's routers and with today's, by classes and by tenants.
+// moduleMemory measures the controller's heap by databases, with the routers of the target and of smaller fleets in the settings, by
+// profiles and by tenants.
 func moduleMemory(short bool) ([]measure.Row, error) {
 	databases := []int{8, 72, 500, 2000, TargetDatabases}
 	classes := []int{4, 16, 64, 256}
@@ -93,7 +94,7 @@
 	return append(rows, some...), err
 }
 
-// discardingOwner owns a pool of connections that carries nothing.
+// discardingOwner owns a connection pool that carries no requests.
 type discardingOwner struct{}
 
 func (discardingOwner) AttemptEnded(*backends.Attempt, admission.End)                        {}
@@ -101,13 +102,13 @@
 func (discardingOwner) ConnLost(uint32, transport.Ending)                                    {}
 func noConnection(netip.AddrPort, transport.Sink) backends.Connection                        { return nil }
 
-// listApplier is what the router's owner goroutine runs when a list comes: the follower, the connections' pool, the module.
+// listApplier runs what the router's owner goroutine runs when a list arrives: the follower, the connection pool and the controller.
 type listApplier struct {
 	follower         *discovery.Follower
 	pool             *backends.Pool
 	controllerDriver *controllerDriver
 	revision         uint32
-	followerOnly     bool // the follower alone takes lists
+	followerOnly     bool // lists are applied to the follower only
 }
 
 func newListApplier(databases int) (*listApplier, error) {
@@ -119,7 +120,7 @@
 	return applier, applier.apply(databases, 0)
 }
 
-// apply has a whole list come whose first so many databases have new names, so that as many old ones are gone.
+// apply applies a complete list. The first changed databases have new names, so as many old databases are removed.
 func (l *listApplier) apply(databases, changed int) error {
 	l.revision++
 	list := fullList(l.revision, databases, func(k int) string {
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// fullList is an event of the list, as a configuration has it, with all databases at addresses of their own.
+// fullList returns a complete list as a configuration has it. Each database has its own address.
 func fullList(revision uint32, databases int, name func(k int) string) discovery.ConfiguredList {
 	event := discovery.Event{Rev: revision}
 	event.Pool = &struct {
@@ -153,7 +154,7 @@
 	return discovery.ConfiguredList{Rev: revision, Notices: []discovery.Event{event}}
 }
 
-// listChanges is how long the owner's goroutine is busy with a whole list of which one, a tenth or half of the databases are new.
+// listChanges measures how long a complete list occupies the owner goroutine, with one, a tenth or half of the databases new.
 func listChanges(short bool) ([]measure.Row, error) {
 	sizes := []int{72, 250, 1000, 2000, TargetDatabases}
 	rounds := 5
@@ -197,7 +198,7 @@
 	return rows, nil
 }
 
-// quadraticRows are costs by size and a line over the square of the size, where each database is compared with each.
+// quadraticRows returns the costs by size and a fit over the square of the size, for work that compares each database with each other.
 func quadraticRows(name string, sizes []int, costs []float64) ([]measure.Row, error) {
 	var rows []measure.Row
 	var points []Point
--- a/internal/scale/datapath_process.go
+++ b/internal/scale/datapath_process.go
@@ -18,7 +18,7 @@
 	"dunereach/internal/fake"
 )
 
-// routerProcess is the real router as a process, with stand-ins on loopback for the databases and the name server.
+// routerProcess is a real router process, with fakes on loopback for the databases and the name server.
 type routerProcess struct {
 	fakes      *fake.Desk
 	folder     string
@@ -33,25 +33,25 @@
 	started    time.Time
 }
 
-// routerOptions are what a router is started with.
+// routerOptions are the options with which a router is started.
 type routerOptions struct {
 	databases        int // in the list
 	descriptors      int
-	revision         uint32 // of the list, 0: 1
+	revision         uint32 // of the list; 0 means 1
 	renamedDatabases int    // databases of the list with new names
-	sharingRouters   int    // routers that share the databases, as the settings say, 0: 1
+	sharingRouters   int    // routers that share the databases, in the settings; 0 means 1
 }
 
 const (
-	// fakeDatabases is how many stand-ins of databases listen. A longer list names each at several places.
+	// fakeDatabases is the number of fake databases that listen. A longer list uses the address of each several times.
 	fakeDatabases = 16
-	// routerDescriptors is the bound on a router's descriptors where it is not what is measured.
+	// routerDescriptors is the limit on a router's descriptors where the limit is not what is measured.
 	routerDescriptors = 16384
-	// routerTimeout is how long a router may take to start and to take over a configuration.
+	// routerTimeout is the time limit for a router to start and to apply a configuration.
 	routerTimeout = 20 * time.Second
 )
 
-// routerProgram is where the router's binary stands: in bin/ below the working directory, or beside this program.
+// routerProgram returns the path of the router's binary: in bin/ below the working directory, or in the directory of this program.
 func routerProgram() (string, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -65,7 +65,7 @@
 	return "", errors.New("no bin/dunereach: `make build` makes it")
 }
 
-// startRouter starts one and waits until it says that it serves.
+// startRouter starts a router and waits until it logs that it serves.
 func startRouter(options routerOptions) (*routerProcess, error) {
 	program, err := routerProgram()
 	if err != nil {
@@ -79,7 +79,7 @@
 		received: make(chan fake.Said, 4096), exited: make(chan error, 1), log: make(chan string, 4096),
 		addr: fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))}
 	r.nameServer = fake.NewNameServer(r.fakes, discovery.ServiceName)
-	r.nameServer.Set(1) // the list that the configuration has
+	r.nameServer.Set(1) // the revision of the list in the configuration
 	r.fakes.Cleanup(func() { os.RemoveAll(folder) })
 	var endpoints []string
 	for range fakeDatabases {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// readLog hands lines on. Those that nobody waits for are dropped once the channel is full.
+// readLog passes log lines on. Lines that nothing waits for are dropped when the channel is full.
 func (r *routerProcess) readLog(output io.Reader) {
 	defer close(r.log)
 	for lines := bufio.NewScanner(output); lines.Scan(); {
@@ -129,7 +129,7 @@
 	}
 }
 
-// awaitLog waits for a line with that text.
+// awaitLog waits for a log line that contains the given text.
 func (r *routerProcess) awaitLog(text string) (string, error) {
 	last, timeout := "", time.After(routerTimeout)
 	for {
@@ -147,14 +147,14 @@
 	}
 }
 
-// stop ends it at once, and what was begun for it: nothing is measured of its end.
+// stop kills the process and closes its fakes. No shutdown is measured.
 func (r *routerProcess) stop() {
 	defer r.fakes.End()
 	r.command.Process.Kill()
 	<-r.exited
 }
 
-// configure writes its configuration.
+// configure writes the router's configuration.
 func (r *routerProcess) configure(options routerOptions, endpoints []string) error {
 	revision := max(options.revision, 1)
 	targets := make([]map[string]any, options.databases)
@@ -178,21 +178,21 @@
 	return os.WriteFile(r.config, text, 0o600)
 }
 
-// processSettings are the settings, but for the routers that share the databases.
+// processSettings are the settings. The number of routers that share the databases is a parameter.
 const processSettings = `{"Balancers":%d,"Tick":5,"Dcs":["east"],"Kinds":["std"],"Discovery":"push","OverShareWorth":1,
 	"Classes":[{"Name":"lookup","Aim":5000,"Deadline":20000,"Effect":"safe","Worth":1}],
 	"FamilyInfo":{"CpuOfKind":[8],"RanksHeeded":true},"Realms":[{"Name":"acme","QuotaPerS":1000000}],
 	"Limits":{"ConnIdle":30000,"ConnectTimeout":5000,"MaxStreams":100,"MaxRetryAfter":500,"OpenCap":100000,"RetryAfter":true,"SendCap":4},
 	"Obligations":{"ColdFrom":0.35,"DrainGrace":250,"Fall":1000,"FallMultiple":2,"WarmUp":15000}}`
 
-// usage is what the kernel counts of a process.
+// usage is the kernel's accounting of a process.
 type usage struct {
-	Processor   time.Duration // user and system, all threads that live
+	Processor   time.Duration // user and system, all live threads
 	ResidentKB  float64
 	Descriptors float64
 }
 
-// readUsage reads what the process uses now.
+// readUsage returns the current usage of the process.
 func (r *routerProcess) readUsage() (usage, error) {
 	folder := filepath.Join("/proc", strconv.Itoa(r.command.Process.Pid))
 	u := usage{}
--- a/internal/scale/datapath_process_test.go
+++ b/internal/scale/datapath_process_test.go
@@ -19,7 +19,8 @@
 	t.Chdir(folder)
 }
 
-// A real router serves what the rig asks, its use is read from the kernel, and a list read anew is in force once renew returns.
+// A real router completes the requests of the load generator, its usage is read from the kernel, and a reloaded list is in force when
+// reload returns.
 func TestRouterProcess(t *testing.T) {
 	buildRouter(t)
 	r, err := startRouter(routerOptions{databases: 40, descriptors: 1024})
@@ -60,7 +61,7 @@
 	}
 }
 
-// As many requests at once as there are databases reach one each.
+// As many requests at once as there are databases each reach a database.
 func TestRequestsAtOnceReachEachDatabase(t *testing.T) {
 	const databases = 60
 	buildRouter(t)
--- a/internal/scale/datapath_rows.go
+++ b/internal/scale/datapath_rows.go
@@ -6,8 +6,8 @@
 	"dunereach/internal/measure"
 )
 
-// slopeRows are the costs by size, one a row, and the line through them: slope, standard error and intercept. The fit weighs
-// points by share, since the sizes span decades.
+// slopeRows returns the costs by size, one per row, and the line through them: slope, standard error and intercept. The fit weights
+// points by their relative error, since the sizes span decades.
 func slopeRows(name string, sizes []int, costs []float64) ([]measure.Row, Fit, error) {
 	var rows []measure.Row
 	points := make([]Point, len(sizes))
--- a/internal/scale/datapath_sockets.go
+++ b/internal/scale/datapath_sockets.go
@@ -10,16 +10,16 @@
 	"dunereach/internal/measure"
 )
 
-// clientsPerRouter is how many client connections a router has at the target.
+// clientsPerRouter is the number of client connections per router at the target.
 const clientsPerRouter = float64(TargetClientConnections) / TargetRouters
 
-// connectionCost is what a router uses with so many client connections.
+// connectionCost is the usage of a router with a given number of client connections.
 type connectionCost struct {
-	afterHealthChecks, afterRequests usage // after a health check on each, and after a request on each
+	afterHealthChecks, afterRequests usage // after a health check on each connection, and after a request on each
 	idleCore, completed              float64
 }
 
-// clientConnections are a router's memory, descriptors and processor time by its client connections.
+// clientConnections measures a router's memory, descriptors and processor time by the number of its client connections.
 func clientConnections(short bool) ([]measure.Row, error) {
 	sizes := []int{250, 1000, 2313, 4626, 8000}
 	if short {
@@ -65,7 +65,7 @@
 		measure.Figure("descriptors that the settings must allow for those (clients get half)", 2*clientsAfterLoss)), nil
 }
 
-// measureConnections starts a router, opens connections and has each ask once.
+// measureConnections starts a router, opens connections and sends one request on each.
 func measureConnections(size int) (cost connectionCost, err error) {
 	const databases, idleInterval = 8, 500 * time.Millisecond
 	r, err := startRouter(routerOptions{databases: databases, descriptors: routerDescriptors})
@@ -94,8 +94,8 @@
 	return cost, err
 }
 
-// databaseConnections are a router's memory and descriptors by the databases that it has a connection to: as many requests are
-// out at once as there are databases. The last row has fewer descriptors than databases.
+// databaseConnections measures a router's memory and descriptors by the number of databases that it is connected to. As many requests
+// are in flight as there are databases. In the last row there are fewer descriptors than databases.
 func databaseConnections(short bool) ([]measure.Row, error) {
 	sizes := []int{64, 250, 1000, 2000}
 	if short {
@@ -121,8 +121,8 @@
 		return nil, err
 	}
 	rows = append(rows, some...)
-	const fewDescriptors = 1024  // descriptors, the usual limit of a process
-	const wait = 5 * time.Second // those that reach none are not waited for any longer
+	const fewDescriptors = 1024  // the usual limit of a process
+	const wait = 5 * time.Second // for requests that reach no database
 	largest := sizes[len(sizes)-1]
 	_, reached, err := requestEachDatabase(largest, fewDescriptors, wait)
 	if err != nil {
@@ -132,10 +132,10 @@
 		float64(reached))), nil
 }
 
-// requestEachDatabase starts a router and has as many requests out at once as there are databases, for so long at the most. It gives what the
-// router uses then, and how many reached a database.
+// requestEachDatabase starts a router and sends as many requests at once as there are databases. After at most the given wait it
+// returns the router's usage and how many requests reached a database.
 func requestEachDatabase(databases, descriptors int, wait time.Duration) (u usage, reached int, err error) {
-	const perConnection = 25 // of 32 calls that may be open on one
+	const perConnection = 25 // of at most 32 open requests per connection
 	r, err := startRouter(routerOptions{databases: databases, descriptors: descriptors})
 	if err != nil {
 		return u, 0, err
@@ -155,8 +155,8 @@
 	return u, reached, err
 }
 
-// configuredListCosts is a router's start and memory by the databases in its configuration, with the target's routers in the settings, and
-// the time until a signal to read it again, with one new database, has been acted on.
+// configuredListCosts measures a router's start and memory by the number of databases in its configuration, with the routers of the
+// target in the settings. It also measures the time from a reload signal until a list with one new database is in force.
 func configuredListCosts(short bool) ([]measure.Row, error) {
 	sizes := []int{8, 72, 500, 2000, TargetDatabases}
 	if short {
@@ -196,14 +196,15 @@
 		}
 		rows = append(rows, some...)
 	}
-	const inForce = 5000 // ms, everywhere
+	const inForce = 5000 // ms, the limit for all routers
 	return append(rows,
 		measure.Figure("resident MB at rest with all databases of the target", residentFit.At(TargetDatabases)/1000),
 		measure.Figure("resident MB at rest with 64 databases", residentFit.At(64)/1000),
 		measure.AtMost("ms from a signal to a new list in force, one process, whole pool", reloadTimes[len(reloadTimes)-1], inForce)), nil
 }
 
-// reload writes a configuration in which so many databases are new, signals, and waits until the router says that it has it.
+// reload writes a configuration with the given number of new databases, sends the signal, and waits until the router logs the new
+// configuration.
 func (r *routerProcess) reload(renamedDatabases int) (time.Duration, error) {
 	options := r.options
 	options.revision, options.renamedDatabases = 2, renamedDatabases
@@ -218,11 +219,11 @@
 	return time.Since(start), err
 }
 
-// errNoneCompleted is returned where a router completes fewer requests than it was asked.
+// errNoneCompleted is returned where a router completes none of the requests sent to it.
 var errNoneCompleted = errors.New("requests were not completed")
 
-// requestCost is the processor time of a router for a request, from client to database and back, by the requests a second. Each
-// pool is shared by as many routers as a subset of that size would be.
+// requestCost measures a router's processor time per request, from client to database and back, over the number of requests a second.
+// Each pool is shared by as many routers as a subset of that size would be.
 func requestCost(short bool) ([]measure.Row, error) {
 	pools, rates, window := []int{8, 64, 500, TargetDatabases}, []int{0, 250, 500, 750, 1000}, 3*time.Second
 	if short {
@@ -244,7 +245,7 @@
 	return append(rows, some...), err
 }
 
-// requestCostAtPool measures one pool at each rate and fits processor time over the requests that were completed in a second.
+// requestCostAtPool measures one pool at each rate and fits the processor time over the completed requests a second.
 func requestCostAtPool(pool int, rates []int, window time.Duration) ([]measure.Row, Fit, error) {
 	const clientCount, databaseDelay, warmUp = 64, 20 * time.Millisecond, 500 * time.Millisecond
 	r, err := startRouter(routerOptions{databases: pool, descriptors: routerDescriptors, sharingRouters: max(pool*TargetRouters/TargetDatabases, 1)})
--- a/internal/scale/datapath_test.go
+++ b/internal/scale/datapath_test.go
@@ -6,7 +6,7 @@
 	"dunereach/admission"
 )
 
-// The list by DNS ends where the answer passes its bound: one more database does not fit, and the target's are far beyond.
+// The list by DNS is limited by the size of an answer: one more database does not fit, and the target has far more.
 func TestListByDNSEnds(t *testing.T) {
 	for _, length := range []int{5, 12, 36} {
 		most := maxListed(length)
@@ -19,7 +19,7 @@
 	}
 }
 
-// What is timed as a decision is one: each request is attempted once, at a database of the pool, and none is refused.
+// The timed decisions are real: each request is attempted at a database of the pool, and none is rejected.
 func TestDeciderAttemptsEachRequest(t *testing.T) {
 	const databases, requests = 72, 500
 	d := newControllerDriver(routerSettings(), databases)
@@ -32,7 +32,7 @@
 	}
 }
 
-// A list that is taken reaches the module, also where half of it is new.
+// A list that is applied reaches the controller, even if half of it is new.
 func TestListTakerChangesTheModulesList(t *testing.T) {
 	const databases = 100
 	applier, err := newListApplier(databases)
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -7,29 +7,29 @@
 	"slices"
 )
 
-// ErrTooFewPoints is returned for a fit of fewer than three points, or of points at a single size: neither says how far off a
-// line is.
+// ErrTooFewPoints is returned for a fit of fewer than three points, or of points at a single size: the error of the line cannot be
+// estimated from them.
 var ErrTooFewPoints = errors.New("a fit needs at least three points at two different sizes")
 
-// Point is one measurement: the cost of something at a size.
+// Point is one measurement: the cost at a size.
 type Point struct {
 	Size, Cost float64
 }
 
-// Fit is a straight line through points by least squares: cost = Intercept + Slope x size.
+// Fit is a straight line fitted to points by least squares: cost = Intercept + Slope x size.
 type Fit struct {
 	Slope, Intercept float64
 	// SlopeError and InterceptError are standard errors: about two thirds of repeated measurements lie within one of them.
 	SlopeError, InterceptError float64
 	// Residual is the standard deviation of the costs about the line.
 	Residual float64
-	// From and To are the smallest and the largest size measured. Outside of them the line is only extended.
+	// From and To are the smallest and the largest size measured. Outside this range the line is extrapolated.
 	From, To float64
-	// Points counts the measurements.
+	// Points is the number of measurements.
 	Points int
 }
 
-// FitLine fits a straight line to points, each weighted alike. Points that are not finite are an error.
+// FitLine fits a straight line to points of equal weight. Points that are not finite are an error.
 func FitLine(points []Point) (Fit, error) {
 	equalWeights := make([]float64, len(points))
 	for k := range equalWeights {
@@ -38,8 +38,8 @@
 	return fitWeighted(points, equalWeights)
 }
 
-// FitRelative fits a straight line whose errors are taken as a share of the cost. It suits costs that span decades, where a
-// plain fit would follow the largest sizes alone. Costs must be over 0.
+// FitRelative fits a straight line by relative errors. It suits costs that span decades, where FitLine would follow only the largest
+// sizes. Costs must be greater than 0.
 func FitRelative(points []Point) (Fit, error) {
 	weights := make([]float64, len(points))
 	for k, point := range points {
@@ -105,10 +105,10 @@
 	return nil
 }
 
-// At is the cost that the line gives at a size.
+// At returns the cost of the line at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// String gives the line, the standard errors of its slope and intercept, and the range of sizes that it was fitted to.
+// String returns the line, the standard errors of its slope and intercept, and the range of sizes that it was fitted to.
 func (f Fit) String() string {
 	return fmt.Sprintf("%.4g (+- %.2g) + %.4g (+- %.2g) x size, %d points from %g to %g",
 		f.Intercept, f.InterceptError, f.Slope, f.SlopeError, f.Points, f.From, f.To)
--- a/internal/scale/fit_rows.go
+++ b/internal/scale/fit_rows.go
@@ -7,8 +7,8 @@
 	"dunereach/internal/measure"
 )
 
-// lineThrough fits a line through values at sizes. Two points, as short forms have them, or points at one size make no fit: the
-// line then goes through the first and the last, and its errors are not a number.
+// lineThrough fits a line through values at sizes. Two points, as in the short forms, or points at one size are too few for a fit: the
+// line then goes through the first and the last point, and its errors are NaN.
 func lineThrough(sizes, values []float64) Fit {
 	points := make([]Point, len(sizes))
 	for k := range sizes {
@@ -25,7 +25,7 @@
 	return line
 }
 
-// Rows print a fit: the slope by so many of the unit of size, its standard error, and the intercept.
+// Rows returns the results of a fit: the slope per unitsPerStep units of size, its standard error, and the intercept.
 func (f Fit) Rows(name, unit string, unitsPerStep float64) []measure.Row {
 	return []measure.Row{
 		measure.Figure(fmt.Sprintf("%s: slope, each %.0f %s (%.0f to %.0f measured)", name, unitsPerStep, unit, f.From, f.To), f.Slope*unitsPerStep),
@@ -34,7 +34,7 @@
 	}
 }
 
-// bounded is a row with that upper bound; NaN: none.
+// bounded returns a row with the given upper bound, or without a bound if it is NaN.
 func bounded(name string, value, bound float64) measure.Row {
 	if math.IsNaN(bound) {
 		return measure.Figure(name, value)
--- a/internal/scale/fit_rows_test.go
+++ b/internal/scale/fit_rows_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestLineThrough: many points are fitted; two give a line without errors.
+// TestLineThrough checks that many points are fitted and that two points give a line without errors.
 func TestLineThrough(t *testing.T) {
-	// Residuals of 1, -1, -1, 1 around y = x at 0, 1, 2, 3: variance 4/2, spread 5.
+	// Residuals of 1, -1, -1, 1 around y = x at 0, 1, 2, 3: variance 4/2, sum of squared deviations of the sizes 5.
 	many := lineThrough([]float64{0, 1, 2, 3}, []float64{1, 0, 1, 4})
 	if math.Abs(many.Slope-1) > 1e-9 || math.Abs(many.SlopeError-math.Sqrt(2.0/5)) > 1e-9 ||
 		math.Abs(many.InterceptError-math.Sqrt(2*(0.25+1.5*1.5/5))) > 1e-9 {
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// The numbers are worked out by hand: sizes 1 to 4, mean 2.5; costs 2, 4, 5, 4, mean 3.75; sums of squares 5, 3.5, rest 2.3.
+// Computed by hand: sizes 1 to 4, mean 2.5; costs 2, 4, 5, 4, mean 3.75; sums of squares and products 5 and 3.5, residual sum 2.3.
 func TestFitStandardErrors(t *testing.T) {
 	fit, err := FitLine([]Point{{1, 2}, {2, 4}, {3, 5}, {4, 4}})
 	if err != nil {
@@ -41,7 +41,7 @@
 	checkNear(t, "intercept's error", fit.InterceptError, math.Sqrt(2.3/2*(0.25+6.25/5)))
 }
 
-// A point ten per cent off at the largest size must not decide the intercept of a relative fit.
+// A point that is 10 % off at the largest size must not determine the intercept of a relative fit.
 func TestRelativeFitKeepsSmallSizes(t *testing.T) {
 	points := []Point{{8, 18}, {72, 82}, {500, 510}, {3900, 3910 * 1.1}}
 	relative, err := FitRelative(points)
--- a/internal/scale/primary.go
+++ b/internal/scale/primary.go
@@ -6,16 +6,15 @@
 	"dunereach/internal/measure"
 )
 
-// A change of primary, as this project reads it: the process behind a database's name dies, its connections with it, and the name
-// server tells of another process at another address under the same name. What happens between, detection and election, is the
-// databases' own part. Routers follow the name.
+// A change of primary: the process behind a database's name exits, its connections are lost, and the name server lists another process
+// at another address under the same name. Detection and election in between are up to the databases. Routers follow the name.
 const (
 	primaryBound     = 7.0 // seconds, from the last attempt at the old process to the first answer of the new one
-	primaryProcesses = 8   // real routers, with a client each
+	primaryProcesses = 8   // real router processes, with one client each
 )
 
-// Primary measures changes of primary over real router processes. What grows with the fleet here is the number of routers that the
-// settings name: a router's share of a cold database goes by it.
+// Primary measures changes of primary with real router processes. Only the number of routers in the settings grows with the fleet here:
+// it determines a router's share of a cold database.
 func Primary(short bool) ([]measure.Row, error) {
 	program, err := routerProgram()
 	if err != nil {
@@ -23,7 +22,7 @@
 	}
 	sizes := []int{primaryProcesses, 100, 400, TargetRouters}
 	fleets := map[bool][]int{false: sizes, true: sizes}
-	if short { // a cold process at the whole size is TestPrimaryColdAtFullSize
+	if short { // TestPrimaryColdAtFullSize covers a cold process at the full size
 		fleets = map[bool][]int{false: {TargetRouters}, true: {100}}
 	}
 	var rows []measure.Row
@@ -39,14 +38,14 @@
 	return rows, nil
 }
 
-// primaryResult is what came of one change, over all router processes. Times are in seconds.
+// primaryResult is the result of one change over all router processes. Times are in seconds.
 type primaryResult struct {
 	gap             float64 // from the last attempt at the old process to the first answer of the new one, slowest router
-	newsDelay       float64 // from the name server's news to the first attempt at the new process, slowest router
-	lateAttempts    int     // attempts at the dead process by routers that had begun to use the new one
-	unservedRouters int     // routers without an answer of the new process by the end
+	newsDelay       float64 // from the name server's update to the first attempt at the new process, slowest router
+	lateAttempts    int     // attempts at the old process after its exit, by routers that had begun to use the new one
+	unservedRouters int     // routers without an answer of the new process at the end
 	rejected        int     // requests rejected or failed while their router had no answer of the new process
-	completed       int     // requests completed in all
+	completed       int     // all completed requests
 }
 
 func (r primaryResult) rows(routers int, cold bool) []measure.Row {
--- a/internal/scale/primary_play.go
+++ b/internal/scale/primary_play.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	electionDelay  = 500 * time.Millisecond // between the old process's death and the name server's news, as played
-	primaryTimeout = 25 * time.Second       // a router without an answer of the new process by then is not served
+	electionDelay  = 500 * time.Millisecond // simulated time between the old process's exit and the name server's update
+	primaryTimeout = 25 * time.Second       // a router without an answer of the new process by then counts as unserved
 	clientPause    = 50 * time.Millisecond  // of a client between two requests
-	warmUpMillis   = 15000                  // milliseconds, of the settings
+	warmUpMillis   = 15000                  // in the settings
 )
 
-// primaryOptions say which change is played.
+// primaryOptions describe the change.
 type primaryOptions struct {
-	routers int  // that the settings name; primaryProcesses of them run
-	cold    bool // the new process has just started; else it has run for long, as a replica that is promoted
+	routers int  // number in the settings; primaryProcesses of them run
+	cold    bool // the new process has just started; otherwise it has run for long, like a replica that is promoted
 }
 
-// primaryChange is one change under way.
+// primaryChange is the state of one change.
 type primaryChange struct {
 	fakes      *fake.Desk
 	nameServer *fake.NameServer
@@ -37,7 +37,7 @@
 	goroutines sync.WaitGroup
 
 	mu                sync.Mutex
-	oldExited         time.Time // of the old process, zero: not yet
+	oldExited         time.Time // zero: still running
 	announced         time.Time
 	routers           [primaryProcesses]primaryRouter
 	lateAttempts      int
@@ -45,12 +45,12 @@
 	completedRequests int
 }
 
-// primaryRouter is what one router did.
+// primaryRouter holds the times at which one router reached the processes.
 type primaryRouter struct {
 	lastOldAttempt, firstNewAttempt, firstNewAnswer time.Time
 }
 
-// runPrimaryChange starts routers before one database, changes the process behind its name, and waits until all are served again.
+// runPrimaryChange starts routers with one database, replaces the process behind its name, and waits until all routers are served again.
 func runPrimaryChange(program string, options primaryOptions) (primaryResult, error) {
 	folder, err := os.MkdirTemp("", "dunereach-primary")
 	if err != nil {
@@ -88,16 +88,16 @@
 	p.announced = time.Now()
 	p.mu.Unlock()
 	p.announce(2, started, replacement.Addr)
-	p.awaitRouters(func(r *primaryRouter) bool { return !r.firstNewAnswer.IsZero() }) //nolint:errcheck // who is not served by then is counted
+	p.awaitRouters(func(r *primaryRouter) bool { return !r.firstNewAnswer.IsZero() }) //nolint:errcheck // routers that are not served by then are counted
 	return p.result(), nil
 }
 
-// announce tells the name server where the database is, and when its process started, in milliseconds since 1970 (0: long ago).
+// announce updates the name server with the address and start time of the database, in milliseconds since 1970 (0: long ago).
 func (p *primaryChange) announce(revision uint32, started int64, addr string) {
 	p.nameServer.Set(revision, fmt.Sprintf("e-1.hall 0 10 std 0 %d %s", started, addr))
 }
 
-// kill ends the old process: its listener at once, each connection as it is next heard from.
+// kill ends the old process: its listener closes at once, each connection at its next message.
 func (p *primaryChange) kill(old *fake.Engine) {
 	old.Close()
 	p.mu.Lock()
@@ -105,7 +105,7 @@
 	p.oldExited = time.Now()
 }
 
-// serveOld answers until the process dies, and resets what is said to it after that.
+// serveOld answers until the old process exits. After that it resets each connection that sends a message.
 func (p *primaryChange) serveOld(received <-chan fake.Said) {
 	for {
 		select {
@@ -154,7 +154,7 @@
 	}
 }
 
-// routerOf reads the number of the router from a statement of a client.
+// routerOf returns the router's number from the statement of a client.
 func routerOf(body string) int {
 	_, rest, _ := strings.Cut(body, "router=")
 	number, _, _ := strings.Cut(rest, " ")
@@ -165,7 +165,7 @@
 	return router
 }
 
-// startRouter starts one router process and gives its address. The process ends with the play.
+// startRouter starts one router process and returns its address. The process is killed at the end of the run.
 func (p *primaryChange) startRouter(program, folder string, number int, options primaryOptions, database string) (string, error) {
 	addr := fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 	config := filepath.Join(folder, fmt.Sprintf("config-%d.json", number))
@@ -187,15 +187,15 @@
 		return "", err
 	}
 	p.fakes.Cleanup(func() {
-		command.Process.Signal(syscall.SIGKILL) //nolint:errcheck // it may have ended by itself
-		command.Wait()                          //nolint:errcheck // by the signal
+		command.Process.Signal(syscall.SIGKILL) //nolint:errcheck // it may have exited already
+		command.Wait()                          //nolint:errcheck // it was killed
 	})
 	return addr, nil
 }
 
-// client asks one router, one request after another, until the play ends.
+// client sends requests to one router, one after another, until the run ends.
 func (p *primaryChange) client(number int, addr string) {
-	defer func() { _ = recover() }() // a stand-in that can't connect panics: its router then counts as not served
+	defer func() { _ = recover() }() // a fake client that can't connect panics; its router then counts as unserved
 	client := fake.NewClient(p.fakes, addr)
 	for sequence := 0; ; sequence++ {
 		select {
@@ -209,7 +209,7 @@
 	}
 }
 
-// recordAnswer takes an answer in.
+// recordAnswer counts an answer and records the time of the first one from the new process.
 func (p *primaryChange) recordAnswer(number int, answer string) {
 	now := time.Now()
 	p.mu.Lock()
@@ -228,7 +228,7 @@
 	}
 }
 
-// awaitRouters waits until all routers have come so far.
+// awaitRouters waits until all routers meet the condition.
 func (p *primaryChange) awaitRouters(condition func(*primaryRouter) bool) error {
 	for end := time.Now().Add(primaryTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if p.allRouters(condition) {
@@ -249,7 +249,7 @@
 	return true
 }
 
-// result sums up what all routers did.
+// result summarizes the change over all routers.
 func (p *primaryChange) result() primaryResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scale/primary_test.go
+++ b/internal/scale/primary_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// changePrimary plays one change over real router processes, which `make build` or .ci/run have built.
+// changePrimary runs one change with real router processes, which the test builds.
 func changePrimary(t *testing.T, options primaryOptions) primaryResult {
 	t.Helper()
 	result, err := runPrimaryChange(buildRouterBinary(t), options)
@@ -23,22 +23,23 @@
 	return result
 }
 
-// TestPrimaryWarm: a promoted replica is used within the bound whatever the size of the fleet.
+// TestPrimaryWarm checks that a promoted replica is used within the bound in the largest fleet.
 func TestPrimaryWarm(t *testing.T) {
 	changePrimary(t, primaryOptions{routers: TargetRouters})
 }
 
-// TestPrimaryCold: so is a process that has just started, in a fleet of a hundred routers.
+// TestPrimaryCold checks the same for a process that has just started, in a fleet of 100 routers.
 func TestPrimaryCold(t *testing.T) {
 	changePrimary(t, primaryOptions{routers: 100, cold: true})
 }
 
-// TestPrimaryColdAtFullSize guards against routers that do not use a database before it is warm, as there are more of them than turns.
+// TestPrimaryColdAtFullSize guards against routers that do not use a database before it is warm, as there are more routers than slots
+// in its warm-up.
 func TestPrimaryColdAtFullSize(t *testing.T) {
 	changePrimary(t, primaryOptions{routers: TargetRouters, cold: true})
 }
 
-// buildRouterBinary builds the router into a folder of the test's own.
+// buildRouterBinary builds the router into a temporary directory and returns its path.
 func buildRouterBinary(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -1,5 +1,5 @@
 // Package scale measures how cost grows with the size of a fleet: slopes of processor time, memory, messages and disk, and
-// failures played at the size that the fleet is designed for. docs/CAPACITY.md is worked out from its rows.
+// failures at the size that the fleet is designed for. docs/CAPACITY.md is computed from its results.
 package scale
 
 import (
@@ -18,7 +18,7 @@
 	TargetRegions           = 2
 )
 
-// What control may cost a router, and how many machines are set aside for it.
+// Limits on the cost of control per router, and the number of machines reserved for control.
 const (
 	ControlCore         = 0.025 // of one core
 	ControlMemoryMB     = 128
@@ -29,7 +29,7 @@
 // Part is one group of measurements that can be run alone.
 type Part struct {
 	Name, About string
-	// Run measures. Short is the form that CI runs: smaller sizes, under half a minute.
+	// Run measures. Short is the form for CI: smaller sizes, under half a minute.
 	Run func(short bool) ([]measure.Row, error)
 }
 
@@ -42,7 +42,7 @@
 	{"subset", "Subsets of the databases: spread, churn, cost, and what they do to service", Subset},
 }
 
-// Find gives the part of that name.
+// Find returns the part with the given name.
 func Find(name string) (Part, error) {
 	for _, part := range Parts {
 		if part.Name == name {
--- a/internal/scale/service.go
+++ b/internal/scale/service.go
@@ -8,23 +8,23 @@
 	"dunereach/emulator/engine"
 )
 
-// The pool that subsets are played on, on virtual time. Routers stand to databases as at the target, 1,600 to 3,900, so that a
-// subset of a size is held by as many routers a database.
+// The pool for the measurements of subsets on virtual time. The ratio of routers to databases is that of the target, 1,600 to 3,900, so
+// that a subset of a given size results in as many routers per database.
 const (
 	poolDatabases = 256
 	poolRouters   = (poolDatabases*TargetRouters + TargetDatabases - 1) / TargetDatabases
 	poolZones     = 4
-	poolCores     = 4.0 // of each database
-	wholePool     = 0   // in place of a subset's size
+	poolCores     = 4.0 // per database
+	wholePool     = 0   // as the size of a subset: all databases
 )
 
-// The kinds of requests: a lookup, and a report on two threads that is worth ten lookups.
+// The profiles of requests: a lookup, and a report on two threads that has ten times the benefit of a lookup.
 const (
 	lookupProfile = iota
 	reportProfile
 )
 
-// requestMix is what clients ask for, as shares of the work.
+// requestMix is the mix of requests of the clients.
 var requestMix = []cluster.Stream{
 	{Name: "lookup", Profile: lookupProfile, Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3},
 	{Name: "report", Profile: reportProfile, Work: 1, CV: 1, Deadline: 15, Scatter: 0.3},
@@ -32,14 +32,14 @@
 
 const lookupShare = 0.6 // of the work
 
-// disturbance is what befalls the pool or its clients in a run.
+// disturbance is what disturbs the pool or its clients in a run.
 type disturbance uint8
 
 const (
 	undisturbed   disturbance = iota
-	hotKeys                   // a tenth of the requests has one of three keys, and a key's requests all come to one router
-	slowDatabases             // one database of twenty works at a third of its pace
-	zoneLost                  // a zone's databases refuse connections, and no list says so
+	hotKeys                   // a tenth of the requests has one of three keys, and all requests of a key go to one router
+	slowDatabases             // one of 20 databases runs at a third of its speed
+	zoneLost                  // the databases of a zone refuse connections, and no list reports it
 )
 
 func (t disturbance) String() string {
@@ -49,20 +49,20 @@
 // poolRun is one run of the pool.
 type poolRun struct {
 	Seed        uint64
-	Subset      int     // databases that each router is told of, wholePool: all
-	Load        float64 // work asked for, over the cores of the pool
+	Subset      int     // databases in the list of each router; wholePool: all
+	Load        float64 // requested work, divided by the cores of the pool
 	Disturbance disturbance
-	Naive       bool    // modules count all routers as sharers of each database, though only some hold it
-	Seconds     float64 // that are measured
+	Naive       bool    // controllers count all routers as sharers of each database, although only some hold it
+	Seconds     float64 // measured time
 }
 
-// warmUpSeconds pass before anything is measured: histograms fill, and troubles have begun.
+// warmUpSeconds pass before the measurement: histograms fill, and disturbances begin.
 const warmUpSeconds = 6.0
 
-// disturbanceStart is when a trouble begins.
+// disturbanceStart is when a disturbance begins, in seconds.
 const disturbanceStart = 2.0
 
-// settings of the run.
+// settings returns the settings of the run.
 func (p poolRun) settings() cluster.Settings {
 	s := cluster.Settings{Seed: p.Seed, Routers: poolRouters, Length: warmUpSeconds + p.Seconds + drainSeconds,
 		Zones: []string{"z1", "z2", "z3", "z4"}, Kinds: []string{"std"},
@@ -87,7 +87,7 @@
 	return s
 }
 
-// drainSeconds is how long a request of the last measured moment may still run, in seconds.
+// drainSeconds is how long a request that arrives at the end of the measurement may still run.
 const drainSeconds = 5.0
 
 func (p poolRun) streams() []cluster.Stream {
@@ -142,8 +142,8 @@
 }
 
 // roundSubsets gives each router a subset of the databases by rounds: all databases are shuffled, with another order in each
-// round, and routers take the next so many of the round's order (deterministic subsetting, Beyer and others, Site Reliability
-// Engineering, chapter 20). It stands here for any balanced and stable choice.
+// round, and each router takes the next part of the round's order (deterministic subsetting, Beyer and others, Site Reliability
+// Engineering, chapter 20). It represents any balanced and stable selection.
 func roundSubsets(routers, databases, size int, seed uint64) [][]bool {
 	held := make([][]bool, routers)
 	routersPerRound := max(databases/size, 1)
--- a/internal/scale/service_measure.go
+++ b/internal/scale/service_measure.go
@@ -12,15 +12,15 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// serviceResult is how the requests of a run fared.
+// serviceResult summarizes the requests of a run.
 type serviceResult struct {
-	Share            float64 // of the benefit asked for that was answered within its latency target
-	WaitP50          float64 // seconds before the first attempt, of the requests attempted
+	Share            float64 // of the requested benefit, completed within its latency target
+	WaitP50          float64 // seconds before the first attempt, of attempted requests
 	WaitP90, WaitP99 float64
-	AnswerP99        float64 // seconds until the answer, of the requests answered
+	AnswerP99        float64 // seconds until the response, of completed requests
 }
 
-// run plays it and measures the requests that came while it was measured.
+// run executes the run and summarizes the requests that arrived after the warm-up.
 func (p poolRun) run() (serviceResult, error) {
 	settings := p.settings()
 	result, err := cluster.Run(settings)
@@ -56,7 +56,7 @@
 		AnswerP99: quantile(answers, 0.99)}, nil
 }
 
-// scenario is a load with what befalls it.
+// scenario is a load with a disturbance.
 type scenario struct {
 	load        float64
 	disturbance disturbance
@@ -64,7 +64,7 @@
 
 func (d scenario) String() string { return fmt.Sprintf("load %.4g, %v", d.load, d.disturbance) }
 
-// servicePlan is which runs are made.
+// servicePlan lists the runs of a measurement.
 type servicePlan struct {
 	scenarios []scenario
 	sizes     []int // without the whole pool
@@ -86,11 +86,11 @@
 	chosenSubset = 64
 	// maxServiceLoss is the share of the whole pool's service that a subset of that size may lose.
 	maxServiceLoss = 0.01
-	// parallelRuns is how many runs are played side by side.
+	// parallelRuns is the number of runs at a time.
 	parallelRuns = 4
 )
 
-// Service plays a pool on virtual time with each router told of all databases or of a subset, and compares what is served.
+// Service runs a pool on virtual time whose routers hold all databases or a subset each, and compares the service.
 func Service(short bool) ([]measure.Row, error) {
 	plan := servicePlanFor(short)
 	sizes := append([]int{wholePool}, plan.sizes...)
@@ -111,7 +111,7 @@
 	return serviceRows(plan, results[:len(results)-1], results[len(results)-1]), nil
 }
 
-// runAll plays runs side by side and gives their results in order.
+// runAll executes runs in parallel and returns their results in order.
 func runAll(runs []poolRun) ([]serviceResult, error) {
 	results := make([]serviceResult, len(runs))
 	var group errgroup.Group
@@ -125,7 +125,7 @@
 	return results, group.Wait()
 }
 
-// serviceRows prints each day and size, averaged over the seeds, and the most that each size loses on any day.
+// serviceRows returns the results of each scenario and size, averaged over the seeds, and the largest loss of each size in any scenario.
 func serviceRows(plan servicePlan, results []serviceResult, naive serviceResult) []measure.Row {
 	var rows []measure.Row
 	worst := map[int]float64{}
@@ -161,7 +161,7 @@
 	return rows
 }
 
-// meanResult averages runs.
+// meanResult returns the mean of results.
 func meanResult(runs []serviceResult) (mean serviceResult) {
 	n := float64(len(runs))
 	for _, s := range runs {
--- a/internal/scale/service_test.go
+++ b/internal/scale/service_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Every router holds exactly as many as it should, the databases of a round are held once each, and equal seeds choose alike.
+// Every router holds exactly the given number of databases, the databases of a round are held once each, and equal seeds give equal
+// subsets.
 func TestRoundSubsetsAreBalanced(t *testing.T) {
 	const routers, databases, size = 105, 256, 64
 	held := roundSubsets(routers, databases, size, 1)
@@ -23,14 +24,14 @@
 			t.Errorf("router %d holds %d", router, heldCount)
 		}
 	}
-	for database, n := range holders { // 26 whole rounds, and one router of the next
+	for database, n := range holders { // 26 full rounds, and one router of the next
 		if n < 26 || n > 27 {
 			t.Errorf("database %d is held by %d", database, n)
 		}
 	}
 }
 
-// What is asked for is what the load says, and a calm day under a light load serves nearly all of it.
+// The requested work corresponds to the load, and a light load without disturbance is served nearly completely.
 func TestPlayServesALightLoad(t *testing.T) {
 	p := poolRun{Seed: 3, Subset: 16, Load: 0.3, Seconds: 1}
 	work := 0.0
--- a/internal/scale/subset.go
+++ b/internal/scale/subset.go
@@ -13,12 +13,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Subset measures what a bounded subset of the databases costs and changes at the designed size: how evenly databases are held, what
-// moves when one goes, what it takes to choose, and a decision with it. All of it is worked out by the packages that routers run, on
-// virtual time.
+// Subset measures the cost and the effects of a bounded subset of the databases at the designed size: how evenly databases are held,
+// what changes when one is removed, the cost of the selection, and the cost of a decision. All of it runs the routers' own packages,
+// on virtual time.
 func Subset(short bool) (rows []measure.Row, err error) {
 	sizes := []int{16, 32, 64, 128, 256}
-	removals := 8 // databases that go, one after the other
+	removals := 8 // databases that are removed, each from the complete list
 	if short {
 		sizes, removals = []int{32, 64}, 2
 	}
@@ -42,15 +42,15 @@
 	return rows, nil
 }
 
-// What the rows are for unless they say otherwise.
+// Parameters of the measurements unless their names say otherwise.
 const (
-	subsetSize     = 64 // that bounds hold from
+	subsetSize     = 64 // the smallest size for which bounds hold
 	subsetSlack    = 0.5
 	maxSubsetWidth = 4
-	regionZones    = 4 // of the first region; the second has the rest
+	regionZones    = 4 // zones of the first region; the second has the rest
 )
 
-// subsetFleet is a pool with its routers, each with its options, numbered zone by zone.
+// subsetFleet is a pool with its routers, which are numbered zone by zone.
 type subsetFleet struct {
 	databases []subset.Database
 	routers   []subset.Router
@@ -94,7 +94,7 @@
 	return o
 }
 
-// rankings of all routers over a list, by what sizes were planned for; nil: for this list.
+// rankings returns the rankings of all routers over a list. If planned is nil, the planned weights are those of this list.
 func (f *subsetFleet) rankings(databases []subset.Database, planned []float64) (list []*subset.Ranking, err error) {
 	pool := subset.NewPool(databases)
 	for k := range f.routers {
@@ -118,7 +118,7 @@
 	return list, nil
 }
 
-// plannedWeights is what sizes are evened out by.
+// plannedWeights returns the weights by which the sizes of subsets are adjusted.
 func plannedWeights(rankings []*subset.Ranking) (all []float64) {
 	for _, r := range rankings {
 		all = append(all, r.EffectiveWeight())
@@ -126,7 +126,7 @@
 	return all
 }
 
-// selectedNames are the databases of each router at a width.
+// selectedNames returns the names of the databases that each router holds at a width.
 func selectedNames(databases []subset.Database, rankings []*subset.Ranking, width int) [][]string {
 	all := make([][]string, len(rankings))
 	for r, ranking := range rankings {
@@ -137,7 +137,7 @@
 	return all
 }
 
-// spreadRows tell how evenly databases are held, and how many connections that makes.
+// spreadRows measures how evenly databases are held, and the number of connections.
 func spreadRows(sizes []int) (rows []measure.Row, err error) {
 	for _, size := range sizes {
 		f := newSubsetFleet(TargetRouters, TargetDatabases, size)
@@ -163,7 +163,7 @@
 	return append(rows, measure.Figure("without subsets: router to database links of the fleet, thousands", TargetRouters*TargetDatabases/1000)), nil
 }
 
-// churnRows tell what moves when a database goes; one that comes is the same the other way round.
+// churnRows measures the changes when a database is removed. Adding one is the same in reverse.
 func churnRows(sizes []int, removals int) (rows []measure.Row, err error) {
 	for _, size := range sizes {
 		f := newSubsetFleet(TargetRouters, TargetDatabases, size)
@@ -190,7 +190,7 @@
 	return rows, nil
 }
 
-// zoneLostRows tell what a router has left when its zone is lost, before the list says so and after.
+// zoneLostRows measures what a router has left when its zone is lost, before and after the list reports it.
 func zoneLostRows() (rows []measure.Row, err error) {
 	f := newSubsetFleet(TargetRouters, TargetDatabases, subsetSize)
 	rankings, err := f.rankings(f.databases, nil)
@@ -231,12 +231,12 @@
 		measure.AtLeast("size 64, its zone lost: fewest databases left to a router", float64(fewestOutsideZone), 8),
 		measure.AtLeast("size 64, its region lost: fewest databases left to a router", float64(fewestOutsideRegion), 2),
 		measure.AtLeast("size 64, a zone off the list: fewest places of a router", float64(smallestSubset), subsetSize),
-		// Routers of the lost zone spread over the others: nothing of their own is near.
+		// Routers of the lost zone spread over the other zones, as there are no databases in their own zone.
 		measure.Figure("size 64, a zone off the list: most to mean routers a database", float64(most)/mean),
 	}, nil
 }
 
-// narrowingRows play the fleet narrowing at once from its widest and count what one database sees closed in a second.
+// narrowingRows lets all routers narrow from the maximum width at once and counts the connections that one database loses in a second.
 func narrowingRows() ([]measure.Row, error) {
 	f := newSubsetFleet(TargetRouters, TargetDatabases, subsetSize)
 	rankings, err := f.rankings(f.databases, nil)
@@ -248,7 +248,7 @@
 	for k, ranking := range rankings {
 		name := f.routers[k].Name
 		var departures subset.DepartureQueue
-		start := subset.NarrowDelay * subset.Jitter(name) / 2 // past the common time of calm
+		start := subset.NarrowDelay * subset.Jitter(name) / 2 // after the NarrowDelay that all routers have in common
 		wide, narrow := ranking.Select(maxSubsetWidth), ranking.Select(maxSubsetWidth/2)
 		kept := map[int]bool{}
 		for _, m := range narrow.Members {
@@ -271,7 +271,7 @@
 			}
 		}
 	}
-	// The mean of what goes is the room's and the size's at two widths, some forty seconds long.
+	// The mean rate follows from the size and slack at the two widths, with departures spread over about forty seconds.
 	const maxPerSecond = 16
 	return []measure.Row{
 		measure.AtMost("all routers narrow from width 4 at once: most routers that leave one database in a second", float64(most), maxPerSecond),
@@ -279,7 +279,7 @@
 	}, nil
 }
 
-// costRows are the processor time and memory of choosing, by the databases of the list.
+// costRows measures the processor time and memory of a selection by the number of databases in the list.
 func costRows(short bool) (rows []measure.Row, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -320,8 +320,8 @@
 		measure.Figure("fit of the bytes: part of the variance", stat.RSquared(counts, bytes, nil, offset, slopeBytes))), nil
 }
 
-// decisionRows compare a decision of a router that holds a subset of 3,900 databases with one whose pool has the subset's size, and
-// with one that holds them all.
+// decisionRows compares a decision of a router that holds a subset of 3,900 databases with one of a router whose pool has the size of
+// the subset, and with one of a router that holds them all.
 func decisionRows(sizes []int) (rows []measure.Row, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -334,7 +334,7 @@
 	return append(rows, measure.Figure(fmt.Sprintf("a decision with all of %d, us", TargetDatabases), whole[0])), nil
 }
 
-// subsetDriver is a module with the time that it has been told.
+// subsetDriver drives a controller that holds a subset, and keeps its clock.
 type subsetDriver struct {
 	host       *discardingHost
 	controller *admission.Controller
@@ -354,7 +354,7 @@
 	return d
 }
 
-// handleRequests has requests come in, go out and be answered.
+// handleRequests runs requests one after another: each is taken, attempted and completed.
 func (d *subsetDriver) handleRequests(requests int) {
 	for k := range requests {
 		d.now += 0.001
@@ -367,8 +367,8 @@
 	}
 }
 
-// decisionTimes are the least of some rounds, in microseconds a request. The rounds take turns, so that other load on the machine
-// meets all alike.
+// decisionTimes returns the minimum over rounds, in microseconds per request. Rounds of the drivers alternate, so that other load on
+// the machine affects all of them alike.
 func decisionTimes(all ...*subsetDriver) []float64 {
 	const rounds, requests = 15, 400
 	leastTimes := slices.Repeat([]float64{math.Inf(1)}, len(all))
--- a/internal/scale/subset_options.go
+++ b/internal/scale/subset_options.go
@@ -13,10 +13,10 @@
 	"dunereach/internal/measure"
 )
 
-// This file measures the published ways to choose a subset beside the one that fleet/subset has: how even they are, what they move,
-// and what they cost. docs/design/subset.md has the table.
+// This file compares published methods of selecting subsets with that of fleet/subset: how even they are, what they change, and what
+// they cost. docs/design/subset.md has the table.
 
-// subsetMethod is one way. It gives the databases of each router, by their names.
+// subsetMethod is one method. It returns the databases of each router by name.
 type subsetMethod struct {
 	name   string
 	choose func(routers int, databases []string, size int) [][]string
@@ -34,7 +34,7 @@
 	{"this, room 0.5", fleetSubset(0.5)},
 }
 
-// independent is a way in which each router chooses without regard to the others' choices.
+// independent is a method in which each router chooses regardless of the choices of the others.
 func independent(chooseOne func(router, routers int, databases []string, size int) []string) func(int, []string, int) [][]string {
 	return func(routers int, databases []string, size int) [][]string {
 		all := make([][]string, routers)
@@ -45,7 +45,7 @@
 	}
 }
 
-// randomByList draws from the list by a seed of the router's own.
+// randomByList draws from the list with a seed of the router.
 func randomByList(router, _ int, databases []string, size int) []string {
 	order := shuffled(databases, uint64(router))
 	return order[:size]
@@ -57,7 +57,7 @@
 	return order
 }
 
-// roundsByList deals a list shuffled anew for each round to the round's routers (Site Reliability Engineering, chapter 20).
+// roundsByList divides a list, shuffled anew for each round, among the round's routers (Site Reliability Engineering, chapter 20).
 func roundsByList(router, _ int, databases []string, size int) []string {
 	routersPerRound := len(databases) / size
 	order := shuffled(databases, uint64(router/routersPerRound))
@@ -65,11 +65,11 @@
 	return order[start : start+size]
 }
 
-// slotCount of the table that names are put into: some more than there are databases.
+// slotCount is the size of the table into which names are hashed, a little more than there are databases.
 const slotCount = 4096
 
-// roundsOverSlots deals slots of a fixed number in rounds. A name sits in the slot of its hash or the next free one; a place whose
-// slot is empty goes to an occupied slot drawn by slot, router and try.
+// roundsOverSlots distributes a fixed number of slots in rounds. A name occupies the slot of its hash or the next free one. If the slot
+// is empty or its database already chosen, an occupied slot is drawn by hashing the slot, router, position and attempt.
 func roundsOverSlots(routers int, databases []string, size int) [][]string {
 	slots := make([]string, slotCount)
 	byHash := slices.Clone(databases)
@@ -99,7 +99,7 @@
 	return all
 }
 
-// apertureByList gives routers at even distances on a ring the databases of an arc of it (Finagle's deterministic aperture).
+// apertureByList places routers at equal distances on a ring and gives each the databases on an arc (Finagle's deterministic aperture).
 func apertureByList(router, routers int, databases []string, size int) (chosen []string) {
 	start := router * len(databases) / routers
 	for j := range size {
@@ -108,7 +108,8 @@
 	return chosen
 }
 
-// consistentHashRing is consistent hashing: the next databases clockwise by the hash of their names, from an even place of the router.
+// consistentHashRing is consistent hashing: the next databases clockwise by the hash of their names, from an evenly spread position of
+// the router.
 func consistentHashRing(routers int, databases []string, size int) [][]string {
 	byHash := slices.Clone(databases)
 	slices.SortFunc(byHash, func(a, b string) int { return cmp.Compare(hashName(a, 0), hashName(b, 0)) })
@@ -145,8 +146,8 @@
 	return names
 }
 
-// boundedLoads is rendezvous hashing where a database that has its bound of routers is passed over: each router has to know what all
-// before it chose.
+// boundedLoads is rendezvous hashing that skips a database whose number of routers has reached the bound. Each router has to know the
+// choices of all routers before it.
 func boundedLoads(routers int, databases []string, size int) [][]string {
 	bound := int(subset.MaxUnevenness * float64(routers*size) / float64(len(databases)))
 	loads := make(map[string]int, len(databases))
@@ -165,7 +166,7 @@
 	return all
 }
 
-// fleetSubset is fleet/subset without zones, with some room.
+// fleetSubset is the method of fleet/subset without zones, with the given slack.
 func fleetSubset(sizeSlack float64) func(int, []string, int) [][]string {
 	return func(routers int, names []string, size int) [][]string {
 		databases := make([]subset.Database, len(names))
@@ -178,7 +179,7 @@
 		for r := range all {
 			ranking, err := pool.Rank(&o, subset.Router{Number: r, Zone: -1, Region: -1, PlannedWeight: TargetDatabases})
 			if err != nil {
-				panic(err) // the options are right here
+				panic(err) // the options are valid
 			}
 			for _, m := range ranking.Select(1).Members {
 				all[r] = append(all[r], names[m.Index])
@@ -197,7 +198,7 @@
 	return x ^ x>>31
 }
 
-// methodRows compares the ways at the designed size.
+// methodRows compares the methods at the designed size.
 func methodRows(size int) (rows []measure.Row) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -237,7 +238,8 @@
 	return most, float64(total) / TargetDatabases
 }
 
-// placeChanges is what a change did: most places in a subset that held what went, and how many others placeChanges at all.
+// placeChanges are the effects of a change: the most places changed in a subset that held the removed database, and the number of other
+// subsets that changed at all.
 type placeChanges struct{ most, otherSubsets int }
 
 func countChanges(before, after [][]string, removedName string) (m placeChanges) {
