--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -31,11 +31,11 @@
 // ControlParts are all groups, in the order in which they are printed.
 var ControlParts = []ControlPart{
 	{"state", "Size of the registry's snapshot by sessions and tasks", controlState},
-	{"idle", "What sessions cost while nothing is cold, with and without reports on zones", controlIdle},
-	{"cold", "What cold databases cost", controlCold},
+	{"idle", "Cost of sessions without cold databases, with and without zone reports", controlIdle},
+	{"cold", "Cost of cold databases", controlCold},
 	{"virtual", "Cold databases on virtual time, with the same packages", controlVirtual},
-	{"return", "How long sessions take to be open again", controlReturn},
-	{"faults", "A rack, a zone, a region's links, a rolling restart", controlFaults},
+	{"return", "Time until all sessions are open again", controlReturn},
+	{"faults", "Loss of a rack and a zone, a cut of a region's links, a rolling restart", controlFaults},
 }
 
 // Control measures coordinators and hollow routers over real sockets.
@@ -83,7 +83,7 @@
 	}
 	dunekeepPath := filepath.Join(filepath.Dir(executable), "dunekeep")
 	if _, err := os.Stat(dunekeepPath); err != nil {
-		return nil, fmt.Errorf("dunekeep is not beside this program: `make build` first")
+		return nil, fmt.Errorf("dunekeep is not in the directory of this program: run `make build` first")
 	}
 	folder, err := os.MkdirTemp("", "dunehollow")
 	if err != nil {
@@ -133,7 +133,7 @@
 		return hollow.Recovery{}, err
 	}
 	r, err := f.awaitRecovery(start, planTasks)
-	progress("%d routers: the last session was open after %.1f s, control whole after %.1f s", to, r.Confirmed, r.Settled)
+	progress("%d routers: the last session was open after %.1f s, control had recovered after %.1f s", to, r.Confirmed, r.Settled)
 	return r, err
 }
 
@@ -256,7 +256,7 @@
 	return []measure.Row{
 		measure.AtMost(name+": memory of all processes, GB", f.peak.MemoryMB/1024, hollow.MostMemoryMB/1024),
 		measure.AtMost(name+": processes", float64(f.peak.Processes), hollow.MostProcesses),
-		measure.Figure(name+": acts of owners that were judged", float64(f.Audit.Acts)),
+		measure.Figure(name+": audited acts of owners", float64(f.Audit.Acts)),
 		measure.AtMost(name+": stale decisions", float64(f.Audit.Stale), 0),
 	}
 }
--- a/internal/scale/control_cold.go
+++ b/internal/scale/control_cold.go
@@ -66,7 +66,7 @@
 			}
 			line := lineThrough(counts, values)
 			rows = append(rows, measure.Figure(fmt.Sprintf("cold: %s: %d routers, each cold database", quantity, size), line.Slope),
-				measure.Figure(fmt.Sprintf("cold: %s: %d routers, standard error of that", quantity, size), line.SlopeError))
+				measure.Figure(fmt.Sprintf("cold: %s: %d routers, each cold database, standard error", quantity, size), line.SlopeError))
 			xs, ys = append(xs, float64(size)), append(ys, line.Slope)
 		}
 		rows = append(rows, lineThrough(xs, ys).Rows("cold: "+quantity+", each cold database", "routers", 1000)...)
@@ -77,10 +77,10 @@
 	fit("router, core", ControlCore, func(w controlUsage) float64 { return w.routerCore })
 	fit("router, MB", ControlMemoryMB, func(w controlUsage) float64 { return w.routerMB })
 	fit("router, bytes a second", ControlBytes, func(w controlUsage) float64 { return w.routerBytes })
-	fit("router, granted parts", noBound, func(w controlUsage) float64 { return w.grantedShares })
+	fit("router, granted shares", noBound, func(w controlUsage) float64 { return w.grantedShares })
 	fit("grants a second", noBound, func(w controlUsage) float64 { return w.grants })
-	fit("parts laid down a second", noBound, func(w controlUsage) float64 { return w.relinquished })
-	fit("grants that came late a second", noBound, func(w controlUsage) float64 { return w.lateGrants })
-	fit("load of the machine", noBound, func(w controlUsage) float64 { return w.loadAverage })
+	fit("shares relinquished a second", noBound, func(w controlUsage) float64 { return w.relinquished })
+	fit("late grants a second", noBound, func(w controlUsage) float64 { return w.lateGrants })
+	fit("load average of the machine", noBound, func(w controlUsage) float64 { return w.loadAverage })
 	return rows
 }
--- a/internal/scale/control_faults.go
+++ b/internal/scale/control_faults.go
@@ -76,7 +76,7 @@
 func (f *controlFleet) loseZone() ([]measure.Row, error) {
 	leader := f.Leader()
 	if leader < 0 {
-		return nil, fmt.Errorf("no coordinator leads")
+		return nil, fmt.Errorf("there is no leading coordinator")
 	}
 	zone := targetZones()[leader%TargetZones]
 	var lost []int
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	restoration, err := f.playFault(name+", and back", func() error {
+	restoration, err := f.playFault(name+", and restored", func() error {
 		for _, n := range lost {
 			if err := f.StartCoordinator(n); err != nil {
 				return err
@@ -138,7 +138,7 @@
 	}
 	name := fmt.Sprintf("region cut for %.0f s, the leader with the minority", regionCutDuration.Seconds())
 	rows := fault{name: name + ", the majority", recovery: cutRecovery, peak: f.takePeak()}.rows()
-	// The leases of the minority's routers have expired by now: requests that were in flight before the cut no longer confirm them.
+	// The leases of the minority's routers have expired by now: nothing that was in flight before the cut counts as a confirmation.
 	if err := f.Mark(); err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rows = append(rows, measure.Between(name+", routers confirmed in the rest of it, of the majority's", float64(report.Confirmed)/float64(majorityRouters), 1, 1))
+	rows = append(rows, measure.Between(name+", routers confirmed during the rest of the cut, fraction of the majority's", float64(report.Confirmed)/float64(majorityRouters), 1, 1))
 	healed, err := f.playFault(name+", healed", f.Heal)
 	return append(rows, healed.rows()...), err
 }
@@ -159,7 +159,7 @@
 		if slices.Contains(f.CoordinatorsOf(region), f.Leader()) {
 			return nil
 		}
-		if _, err := f.loseLeader("leader moved"); err != nil {
+		if _, err := f.loseLeader("leader killed to move the leadership"); err != nil {
 			return err
 		}
 	}
@@ -184,7 +184,7 @@
 		}
 		return nil
 	})
-	rows := append(result.rows(), measure.Figure("rolling restart: times the rate of ten ordinary days in one", rollingRate/tenfoldDailyRate))
+	rows := append(result.rows(), measure.Figure("rolling restart: multiple of the rate of ten ordinary days in one", rollingRate/tenfoldDailyRate))
 	return rows, err
 }
 
--- a/internal/scale/control_idle.go
+++ b/internal/scale/control_idle.go
@@ -59,7 +59,7 @@
 	rows := append(usageRows("heartbeats", sizes, heartbeats), pathRows("heartbeats", heartbeats)...)
 	rows = append(rows, usageRows("with reports", sizes, reports)...)
 	rows = append(rows, pathRows("with reports", reports)...)
-	rows = append(rows, measure.AtLeast("databases in the list of each router", float64(lastReport.Listed)/float64(routers), TargetDatabases))
+	rows = append(rows, measure.AtLeast("databases listed at each router", float64(lastReport.Listed)/float64(routers), TargetDatabases))
 	return append(rows, f.limitRows("idle")...), nil
 }
 
@@ -73,7 +73,7 @@
 
 // usageRows returns the fits of the usage over the number of routers.
 func usageRows(name string, sizes []int, all []controlUsage) (rows []measure.Row) {
-	line := func(metric func(k int, w controlUsage) float64) Fit {
+	fitOf := func(metric func(k int, w controlUsage) float64) Fit {
 		var xs, ys []float64
 		for k, w := range all {
 			xs, ys = append(xs, float64(sizes[k])), append(ys, metric(k, w))
@@ -85,12 +85,12 @@
 	}
 	largest := all[len(all)-1]
 	fit := func(quantity string, routersPerStep, bound float64, metric func(controlUsage) float64) {
-		rows = append(rows, line(func(_ int, w controlUsage) float64 { return metric(w) }).Rows(name+": "+quantity, "routers", routersPerStep)...)
+		rows = append(rows, fitOf(func(_ int, w controlUsage) float64 { return metric(w) }).Rows(name+": "+quantity, "routers", routersPerStep)...)
 		atLargest(quantity, metric(largest), bound)
 	}
 	// The usage of the routers is fitted as their sum: the intercept is what the processes use without routers.
 	perRouter := func(quantity string, bound float64, metric func(controlUsage) float64) {
-		rows = append(rows, line(func(k int, w controlUsage) float64 { return metric(w) * float64(sizes[k]) }).Rows(name+": router, "+quantity, "router", 1)...)
+		rows = append(rows, fitOf(func(k int, w controlUsage) float64 { return metric(w) * float64(sizes[k]) }).Rows(name+": router, "+quantity, "router", 1)...)
 		atLargest("router, "+quantity, metric(largest), bound)
 	}
 	fit("leader, core", 1000, 1, func(w controlUsage) float64 { return w.leaderCore })
--- a/internal/scale/control_return.go
+++ b/internal/scale/control_return.go
@@ -35,7 +35,7 @@
 		return fault{}, fmt.Errorf("%s: %w", name, err)
 	}
 	result := fault{name: name, recovery: recovery, peak: f.takePeak()}
-	progress("%s: sessions after %.1f s, whole after %.1f s, %.2f core and %.1f MB/s at most", name, recovery.Confirmed, recovery.Settled, result.peak.Core, result.peak.Bytes/1e6)
+	progress("%s: sessions confirmed after %.1f s, recovered after %.1f s, at most %.2f core and %.1f MB/s", name, recovery.Confirmed, recovery.Settled, result.peak.Core, result.peak.Bytes/1e6)
 	return result, nil
 }
 
@@ -43,7 +43,7 @@
 func (result fault) rows() []measure.Row {
 	return []measure.Row{
 		measure.Figure(result.name+": seconds until all sessions were confirmed", result.recovery.Confirmed),
-		measure.AtMost(result.name+": seconds until all tasks were owned and no dead session was left", result.recovery.Settled, recoveryTimeout.Seconds()),
+		measure.AtMost(result.name+": seconds until all tasks were owned and no session of a stopped router was left", result.recovery.Settled, recoveryTimeout.Seconds()),
 		measure.Figure(result.name+": busiest coordinator, core over a second at most", result.peak.Core),
 		measure.Figure(result.name+": busiest coordinator, MB a second in and out at most", result.peak.Bytes/1e6),
 	}
@@ -54,7 +54,7 @@
 	leader := -1
 	result, err := f.playFault(name, func() error {
 		if leader = f.Leader(); leader < 0 {
-			return fmt.Errorf("no coordinator leads")
+			return fmt.Errorf("there is no leading coordinator")
 		}
 		f.KillCoordinator(leader)
 		return nil
--- a/internal/scale/control_state.go
+++ b/internal/scale/control_state.go
@@ -32,7 +32,7 @@
 	owned := lineThrough(tasks, byTask)
 	rows = append(rows, owned.Rows("state: snapshot of 1,600 sessions, bytes", "tasks", 1)...)
 	rows = append(rows, measure.AtMost("state: snapshot of 1,600 sessions and 7,800 tasks, bytes", byTask[len(byTask)-1], registry.MaxSnapshot))
-	return append(rows, measure.Figure("state: bound on a snapshot with names and notes at theirs, MB", registry.MaxSnapshot/1e6)), nil
+	return append(rows, measure.Figure("state: bound on a snapshot with names and annotations of maximum length, MB", registry.MaxSnapshot/1e6)), nil
 }
 
 // measureSnapshot returns the size in bytes of a registry's snapshot, and the time in milliseconds that encoding it takes.
--- a/internal/scale/control_test.go
+++ b/internal/scale/control_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestVirtualFleet checks that, in a fleet of the size class "large", all shares of every cold database are granted, and that no router
-// owns two tasks.
+// TestVirtualFleet checks that all shares of every cold database are granted and that no router owns two tasks, in a fleet that the
+// coordinator treats as large.
 func TestVirtualFleet(t *testing.T) {
 	const routers = 320
 	rows, err := controlVirtual(routers)
--- a/internal/scale/control_virtual.go
+++ b/internal/scale/control_virtual.go
@@ -184,17 +184,17 @@
 		for n := range holders {
 			holders[n] = all
 		}
-		more, err := runCold(fmt.Sprintf("virtual time: %d routers, %d cold", routers, cold), routers, holders)
+		moreRows, err := runCold(fmt.Sprintf("virtual time: %d routers, %d cold", routers, cold), routers, holders)
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, more...)
+		rows = append(rows, moreRows...)
 	}
 	holders := subsetHolders(routers, TargetDatabases*routers/TargetRouters)
 	zoneDatabases := len(holders) / TargetZones
 	name := fmt.Sprintf("virtual time: %d routers in subsets of %d, a zone's %d databases cold", routers, virtualSubset, zoneDatabases)
-	more, err := runCold(name, routers, holders[:zoneDatabases])
-	return append(rows, more...), err
+	moreRows, err := runCold(name, routers, holders[:zoneDatabases])
+	return append(rows, moreRows...), err
 }
 
 // maxDecisionCore is the bound on the coordinator's decisions, as a share of the one core that its goroutine can use.
@@ -232,7 +232,7 @@
 		return nil, err
 	}
 	return []measure.Row{
-		measure.AtLeast(name+": granted parts, share", f.grantedShare(), 0.99),
+		measure.AtLeast(name+": granted shares, fraction", f.grantedShare(), 0.99),
 		measure.Figure(name+": tasks that one router owns at most", float64(f.mostTasksOwned())),
 		measure.Figure(name+": letters in one answer at most", float64(f.mostMessages)),
 		measure.AtMost(name+": coordinator's decisions, core", (f.timeSpent.coordinator-before.coordinator).Seconds()/virtualColdTime, maxDecisionCore),
--- a/internal/scale/datapath_load.go
+++ b/internal/scale/datapath_load.go
@@ -57,8 +57,8 @@
 
 func answerFetch(message fake.Said) { message.Answer("served", "count=1,ticks=5", "a\tb\tc\n") }
 
-// lastRequestID is the last ID given to a request. The IDs are unique over all clients, as a router rejects a request whose ID it has
-// seen before.
+// lastRequestID is the last ID given to a request. IDs are unique over all clients, as a router does not accept two requests with the
+// same ID.
 var lastRequestID atomic.Uint64
 
 // sendRequest sends one request and does not wait for its response.
@@ -82,7 +82,7 @@
 		}
 	})
 	if n := unanswered.Load(); n > 0 {
-		return nil, fmt.Errorf("%d of %d connections had no answer to a health check", n, count)
+		return nil, fmt.Errorf("%d of %d connections got no response to a health check", n, count)
 	}
 	return clients, nil
 }
--- a/internal/scale/datapath_module.go
+++ b/internal/scale/datapath_module.go
@@ -62,17 +62,17 @@
 	var rows []measure.Row
 	var targetFit Fit
 	for _, routers := range []int{1, 300, TargetRouters} {
-		name := fmt.Sprintf("module's heap, KB, by databases, %d routers in the settings", routers)
-		some, fit, err := heapSlope(name, databases, withRouters(routers))
+		name := fmt.Sprintf("controller's heap, KB, by databases, %d routers in the settings", routers)
+		moreRows, fit, err := heapSlope(name, databases, withRouters(routers))
 		if err != nil {
 			return nil, err
 		}
-		rows, targetFit = append(rows, some...), fit
+		rows, targetFit = append(rows, moreRows...), fit
 	}
 	rows = append(rows,
-		measure.Figure("module's heap at the target, whole pool, MB", targetFit.At(TargetDatabases)/1000),
-		measure.Figure("module's heap at the target, subset of 64, MB", targetFit.At(64)/1000))
-	some, _, err := heapSlope("module's heap, KB, by classes", classes, func(size int) any {
+		measure.Figure("controller's heap at the target, whole pool, MB", targetFit.At(TargetDatabases)/1000),
+		measure.Figure("controller's heap at the target, subset of 64, MB", targetFit.At(64)/1000))
+	moreRows, _, err := heapSlope("controller's heap, KB, by profiles", classes, func(size int) any {
 		settings := routerSettings()
 		for len(settings.Profiles) < size {
 			settings.Profiles = append(settings.Profiles, settings.Profiles[0])
@@ -82,8 +82,8 @@
 	if err != nil {
 		return nil, err
 	}
-	rows = append(rows, some...)
-	some, _, err = heapSlope("module's heap, KB, by tenants", tenants, func(size int) any {
+	rows = append(rows, moreRows...)
+	moreRows, _, err = heapSlope("controller's heap, KB, by tenants", tenants, func(size int) any {
 		settings := routerSettings()
 		settings.Tenants = make([]admission.Tenant, size)
 		for k := range settings.Tenants {
@@ -91,7 +91,7 @@
 		}
 		return newControllerDriver(settings, 8)
 	})
-	return append(rows, some...), err
+	return append(rows, moreRows...), err
 }
 
 // discardingOwner owns a connection pool that carries no requests.
@@ -189,11 +189,11 @@
 		for k := range costs {
 			costs[k] /= 1000 // ms
 		}
-		some, err := quadraticRows(fmt.Sprintf("owner busy with a list of which %s is new, ms", change.name), sizes, costs)
+		changeRows, err := quadraticRows(fmt.Sprintf("owner goroutine busy with a list of which %s is new, ms", change.name), sizes, costs)
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, some...)
+		rows = append(rows, changeRows...)
 	}
 	return rows, nil
 }
--- a/internal/scale/datapath_process.go
+++ b/internal/scale/datapath_process.go
@@ -62,7 +62,7 @@
 			return filepath.Abs(path)
 		}
 	}
-	return "", errors.New("no bin/dunereach: `make build` makes it")
+	return "", errors.New("no bin/dunereach: run `make build` first")
 }
 
 // startRouter starts a router and waits until it logs that it serves.
@@ -136,13 +136,13 @@
 		select {
 		case line, open := <-r.log:
 			if !open {
-				return "", fmt.Errorf("the router ended before it said %q: %s", text, last)
+				return "", fmt.Errorf("the router exited before it logged %q; its last line: %s", text, last)
 			}
 			if last = line; strings.Contains(line, text) {
 				return line, nil
 			}
 		case <-timeout:
-			return "", fmt.Errorf("the router did not say %q in %v, but last %q", text, routerTimeout, last)
+			return "", fmt.Errorf("the router did not log %q within %v; its last line: %q", text, routerTimeout, last)
 		}
 	}
 }
--- a/internal/scale/datapath_process_test.go
+++ b/internal/scale/datapath_process_test.go
@@ -54,10 +54,10 @@
 		t.Errorf("%v more descriptors for %d clients", opened, connections)
 	}
 	if after.Processor <= before.Processor || after.ResidentKB < 1000 {
-		t.Errorf("use before %+v, after %+v", before, after)
+		t.Errorf("usage before %+v, after %+v", before, after)
 	}
 	if took, err := r.reload(1); err != nil || took <= 0 {
-		t.Errorf("a configuration read anew: %v, %v", took, err)
+		t.Errorf("reload of the configuration: %v, %v", took, err)
 	}
 }
 
--- a/internal/scale/datapath_sockets.go
+++ b/internal/scale/datapath_sockets.go
@@ -40,29 +40,29 @@
 	if err != nil {
 		return nil, err
 	}
-	some, askedFit, err := slopeRows("resident KB, by client connections with a request each", sizes, afterRequests)
+	moreRows, requestFit, err := slopeRows("resident KB, by client connections with a request each", sizes, afterRequests)
 	if err != nil {
 		return nil, err
 	}
-	rows = append(rows, some...)
-	some, descriptorFit, err := slopeRows("descriptors, by client connections", sizes, descriptors)
+	rows = append(rows, moreRows...)
+	moreRows, descriptorFit, err := slopeRows("descriptors, by client connections", sizes, descriptors)
 	if err != nil {
 		return nil, err
 	}
-	rows = append(rows, some...)
-	some, _, err = slopeRows("thousandths of a core, by idle client connections", sizes, idleCores)
+	rows = append(rows, moreRows...)
+	moreRows, _, err = slopeRows("thousandths of a core, by idle client connections", sizes, idleCores)
 	if err != nil {
 		return nil, err
 	}
-	rows = append(rows, some...)
+	rows = append(rows, moreRows...)
 	clientsAfterLoss := clientsPerRouter * 3 / 2
 	return append(rows,
-		measure.AtMost("requests on connections that brought no result, most of all sizes", mostUncompleted, 0),
+		measure.AtMost("requests on connections that were not completed, most of all sizes", mostUncompleted, 0),
 		measure.Between("descriptors a client connection", descriptorFit.Slope, 0.98, 1.02),
 		measure.Figure("resident MB at the target's 2,313 client connections, idle", idleFit.At(clientsPerRouter)/1000),
-		measure.Figure("resident MB at the target's 2,313 client connections, with a request each", askedFit.At(clientsPerRouter)/1000),
-		measure.Figure("resident MB with a third of the routers lost (3,469), with a request each", askedFit.At(clientsAfterLoss)/1000),
-		measure.Figure("descriptors that the settings must allow for those (clients get half)", 2*clientsAfterLoss)), nil
+		measure.Figure("resident MB at the target's 2,313 client connections, with a request each", requestFit.At(clientsPerRouter)/1000),
+		measure.Figure("resident MB with a third of the routers lost (3,469), with a request each", requestFit.At(clientsAfterLoss)/1000),
+		measure.Figure("descriptors that the settings must allow for these (clients get half)", 2*clientsAfterLoss)), nil
 }
 
 // measureConnections starts a router, opens connections and sends one request on each.
@@ -116,11 +116,11 @@
 	if err != nil {
 		return nil, err
 	}
-	some, _, err := slopeRows("descriptors, by databases connected to", sizes, descriptors)
+	moreRows, _, err := slopeRows("descriptors, by databases connected to", sizes, descriptors)
 	if err != nil {
 		return nil, err
 	}
-	rows = append(rows, some...)
+	rows = append(rows, moreRows...)
 	const fewDescriptors = 1024  // the usual limit of a process
 	const wait = 5 * time.Second // for requests that reach no database
 	largest := sizes[len(sizes)-1]
@@ -168,7 +168,7 @@
 		if err != nil {
 			return nil, err
 		}
-		up := time.Since(r.started)
+		startTime := time.Since(r.started)
 		u, err := r.readUsage()
 		reloadTime := time.Duration(0)
 		if err == nil {
@@ -178,7 +178,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%d databases: %w", size, err)
 		}
-		resident, started = append(resident, u.ResidentKB), append(started, up.Seconds()*1000)
+		resident, started = append(resident, u.ResidentKB), append(started, startTime.Seconds()*1000)
 		processorTimes, reloadTimes = append(processorTimes, u.Processor.Seconds()*1000), append(reloadTimes, reloadTime.Seconds()*1000)
 	}
 	rows, residentFit, err := slopeRows("resident KB, by databases in the list", sizes, resident)
@@ -190,17 +190,17 @@
 		costs []float64
 	}{{"ms of processor time until it serves, by databases in the list", processorTimes}, {"ms until it serves, by databases in the list", started},
 		{"ms from a signal to a new list in force, by databases in the list", reloadTimes}} {
-		some, err := quadraticRows(series.name, sizes, series.costs)
+		seriesRows, err := quadraticRows(series.name, sizes, series.costs)
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, some...)
+		rows = append(rows, seriesRows...)
 	}
-	const inForce = 5000 // ms, the limit for all routers
+	const maxReloadMillis = 5000 // ms, the limit for all routers
 	return append(rows,
 		measure.Figure("resident MB at rest with all databases of the target", residentFit.At(TargetDatabases)/1000),
 		measure.Figure("resident MB at rest with 64 databases", residentFit.At(64)/1000),
-		measure.AtMost("ms from a signal to a new list in force, one process, whole pool", reloadTimes[len(reloadTimes)-1], inForce)), nil
+		measure.AtMost("ms from a signal to a new list in force, one process, whole pool", reloadTimes[len(reloadTimes)-1], maxReloadMillis)), nil
 }
 
 // reload writes a configuration with the given number of new databases, sends the signal, and waits until the router logs the new
@@ -220,7 +220,7 @@
 }
 
 // errNoneCompleted is returned where a router completes none of the requests sent to it.
-var errNoneCompleted = errors.New("requests were not completed")
+var errNoneCompleted = errors.New("no requests were completed")
 
 // requestCost measures a router's processor time per request, from client to database and back, over the number of requests a second.
 // Each pool is shared by as many routers as a subset of that size would be.
@@ -232,17 +232,17 @@
 	var rows []measure.Row
 	var costs []float64
 	for _, pool := range pools {
-		some, costFit, err := requestCostAtPool(pool, rates, window)
+		moreRows, costFit, err := requestCostAtPool(pool, rates, window)
 		if err != nil {
 			return rows, fmt.Errorf("requests over %d databases: %w", pool, err)
 		}
-		rows, costs = append(rows, some...), append(costs, costFit.Slope*1e6)
+		rows, costs = append(rows, moreRows...), append(costs, costFit.Slope*1e6)
 	}
 	if len(pools) < 3 {
 		return rows, nil
 	}
-	some, _, err := slopeRows("us of processor time a request, by databases", pools, costs)
-	return append(rows, some...), err
+	moreRows, _, err := slopeRows("us of processor time a request, by databases", pools, costs)
+	return append(rows, moreRows...), err
 }
 
 // requestCostAtPool measures one pool at each rate and fits the processor time over the completed requests a second.
@@ -284,7 +284,7 @@
 		}
 		core := (after.Processor - before.Processor).Seconds() / elapsed
 		points = append(points, Point{float64(completedRequests) / elapsed, core})
-		rows = append(rows, measure.Figure(fmt.Sprintf("core over %d databases, asked for %d requests a second", pool, rate), core))
+		rows = append(rows, measure.Figure(fmt.Sprintf("core over %d databases, sent %d requests a second", pool, rate), core))
 	}
 	fit, err := FitLine(points)
 	if err != nil {
@@ -297,6 +297,6 @@
 		measure.Figure(name+"us of processor time a request, slope's standard error", fit.SlopeError*1e6),
 		measure.Figure(name+"core with no request, intercept", fit.Intercept),
 		measure.Figure(name+"core at the target's 750 requests a second", fit.At(statementsPerRouter)),
-		measure.Figure(name+"share completed of what was asked, least", leastCompleted),
+		measure.Figure(name+"smallest share of requests completed", leastCompleted),
 		measure.Figure(name+"descriptors in the end, with 64 clients", u.Descriptors)), fit, err
 }
--- a/internal/scale/datapath_test.go
+++ b/internal/scale/datapath_test.go
@@ -11,7 +11,7 @@
 	for _, length := range []int{5, 12, 36} {
 		most := maxListed(length)
 		if !answerFits(most, length) || answerFits(most+1, length) {
-			t.Errorf("names of %d letters: %d databases are not the most that fit", length, most)
+			t.Errorf("names of %d letters: %d databases are not the largest number that fits", length, most)
 		}
 		if most < 50 || most > 90 {
 			t.Errorf("names of %d letters: %d databases in one answer", length, most)
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if _, _, _, listed := applier.controllerDriver.controller.Health(removed); listed {
-		t.Error("a database that is not listed any more counts as ready")
+		t.Error("a database that was removed from the list still counts as ready")
 	}
 	listed := 0
 	for _, entry := range applier.follower.List() {
@@ -53,6 +53,6 @@
 		}
 	}
 	if listed != databases {
-		t.Errorf("the module knows %d of %d databases", listed, databases)
+		t.Errorf("the controller has %d of %d databases", listed, databases)
 	}
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -44,7 +44,7 @@
 	weights := make([]float64, len(points))
 	for k, point := range points {
 		if !(point.Cost > 0) {
-			return Fit{}, fmt.Errorf("point %d: a cost of %v cannot be weighed by its share", k, point.Cost)
+			return Fit{}, fmt.Errorf("point %d: the cost of a relative fit must be greater than 0, not %v", k, point.Cost)
 		}
 		weights[k] = 1 / (point.Cost * point.Cost)
 	}
--- a/internal/scale/fit_rows_test.go
+++ b/internal/scale/fit_rows_test.go
@@ -11,7 +11,7 @@
 	many := lineThrough([]float64{0, 1, 2, 3}, []float64{1, 0, 1, 4})
 	if math.Abs(many.Slope-1) > 1e-9 || math.Abs(many.SlopeError-math.Sqrt(2.0/5)) > 1e-9 ||
 		math.Abs(many.InterceptError-math.Sqrt(2*(0.25+1.5*1.5/5))) > 1e-9 {
-		t.Errorf("a worked example: %+v", many)
+		t.Errorf("example computed by hand: %+v", many)
 	}
 	if many.From != 0 || many.To != 3 || many.Points != 4 || math.Abs(many.At(10)-10) > 1e-9 {
 		t.Errorf("range and value: %+v", many)
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -9,7 +9,7 @@
 func checkNear(t *testing.T, quantity string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*max(1, math.Abs(want)) {
-		t.Errorf("%s is %v, not %v", quantity, got, want)
+		t.Errorf("%s: got %v, want %v", quantity, got, want)
 	}
 }
 
@@ -28,7 +28,8 @@
 	}
 }
 
-// Computed by hand: sizes 1 to 4, mean 2.5; costs 2, 4, 5, 4, mean 3.75; sums of squares and products 5 and 3.5, residual sum 2.3.
+// Computed by hand: sizes 1 to 4, mean 2.5; costs 2, 4, 5, 4, mean 3.75; sums of squares and of products 5 and 3.5, residual sum of
+// squares 2.3.
 func TestFitStandardErrors(t *testing.T) {
 	fit, err := FitLine([]Point{{1, 2}, {2, 4}, {3, 5}, {4, 4}})
 	if err != nil {
@@ -67,9 +68,9 @@
 		}
 	}
 	if _, err := FitLine([]Point{{1, 1}, {2, math.NaN()}, {3, 3}}); err == nil {
-		t.Error("a cost that is not a number was taken")
+		t.Error("FitLine accepted a cost that is NaN")
 	}
 	if _, err := FitRelative([]Point{{1, 1}, {2, 0}, {3, 3}}); err == nil {
-		t.Error("a relative fit took a cost of 0")
+		t.Error("FitRelative accepted a cost of 0")
 	}
 }
--- a/internal/scale/primary.go
+++ b/internal/scale/primary.go
@@ -56,8 +56,8 @@
 	name := fmt.Sprintf("primary changes to a %s process, %d routers in the settings: ", state, routers)
 	return []measure.Row{
 		measure.AtMost(name+"old's last attempt to new's first answer, slowest of 8, s", r.gap, primaryBound),
-		measure.Figure(name+"news to first attempt, slowest of 8, s", r.newsDelay),
-		measure.AtMost(name+"attempts at the dead process after one at the new", float64(r.lateAttempts), 0),
+		measure.Figure(name+"name server's update to first attempt, slowest of 8, s", r.newsDelay),
+		measure.AtMost(name+"attempts at the old process after one at the new", float64(r.lateAttempts), 0),
 		measure.AtMost(name+"routers of 8 never served", float64(r.unservedRouters), 0),
 		measure.Figure(name+"requests rejected or failed meanwhile", float64(r.rejected)),
 	}
--- a/internal/scale/primary_play.go
+++ b/internal/scale/primary_change.go
@@ -235,7 +235,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("some routers have not come so far in %v", primaryTimeout)
+	return fmt.Errorf("some routers did not meet the condition within %v", primaryTimeout)
 }
 
 func (p *primaryChange) allRouters(condition func(*primaryRouter) bool) bool {
--- a/internal/scale/primary_test.go
+++ b/internal/scale/primary_test.go
@@ -15,10 +15,10 @@
 	}
 	t.Logf("%+v", result)
 	if result.lateAttempts > 0 {
-		t.Errorf("%d attempts at the dead process after one at the new", result.lateAttempts)
+		t.Errorf("%d attempts at the old process after one at the new", result.lateAttempts)
 	}
 	if result.unservedRouters > 0 || result.gap > primaryBound {
-		t.Errorf("%.2f s until the slowest router was served, %d never; wanted within %v s", result.gap, result.unservedRouters, primaryBound)
+		t.Errorf("%.2f s until the slowest router was served, %d never served; want within %v s", result.gap, result.unservedRouters, primaryBound)
 	}
 	return result
 }
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -36,10 +36,10 @@
 // Parts are all groups, in the order in which they are printed.
 var Parts = []Part{
 	{"datapath", "Decisions, memory, connections and configuration of one router, by size", DataPath},
-	{"service", "What a subset of the databases does to waits and to service, on virtual time", Service},
-	{"primary", "Changes of primary: how soon routers have the new process's answers", Primary},
+	{"service", "Effect of subsets of the databases on waits and service, on virtual time", Service},
+	{"primary", "Changes of primary: time until routers get responses from the new process", Primary},
 	{"control", "Coordinators and hollow routers over real sockets, by size and under faults", Control},
-	{"subset", "Subsets of the databases: spread, churn, cost, and what they do to service", Subset},
+	{"subset", "Subsets of the databases: spread, churn, cost, and decisions", Subset},
 }
 
 // Find returns the part with the given name.
--- a/internal/scale/service_measure.go
+++ b/internal/scale/service_measure.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if totalBenefit == 0 || len(waits) == 0 || len(answers) == 0 {
-		return serviceResult{}, fmt.Errorf("%+v: nothing was asked or answered", p)
+		return serviceResult{}, fmt.Errorf("%+v: no requests arrived, were attempted or were completed", p)
 	}
 	slices.Sort(waits)
 	slices.Sort(answers)
@@ -148,10 +148,10 @@
 				measure.Figure(name+": answer p99, s", s.AnswerP99))
 		}
 	}
-	rows = append(rows, measure.Figure(fmt.Sprintf("load 0.95, subset %d, modules count all %d routers as sharers: share of benefit served",
+	rows = append(rows, measure.Figure(fmt.Sprintf("load 0.95, subset %d, controllers count all %d routers as sharers: share of benefit served",
 		chosenSubset, poolRouters), naive.Share))
 	for _, size := range plan.sizes {
-		name := fmt.Sprintf("subset %d: most that it loses of the whole pool's service on any day", size)
+		name := fmt.Sprintf("subset %d: largest loss of the whole pool's service in any scenario", size)
 		if size == chosenSubset {
 			rows = append(rows, measure.AtMost(name, worst[size], maxServiceLoss))
 		} else {
--- a/internal/scale/service_test.go
+++ b/internal/scale/service_test.go
@@ -13,7 +13,7 @@
 		heldCount := 0
 		for database, holds := range held[router] {
 			if holds != again[router][database] {
-				t.Fatalf("router %d: two choices with one seed differ", router)
+				t.Fatalf("router %d: two subsets with the same seed differ", router)
 			}
 			if holds {
 				heldCount++
@@ -39,14 +39,14 @@
 		work += stream.Peak * stream.Work
 	}
 	if want := 0.3 * poolDatabases * poolCores; work < 0.999*want || work > 1.001*want {
-		t.Errorf("streams ask for %v cores of work, the load is %v", work, want)
+		t.Errorf("the streams request %v cores of work, the load is %v", work, want)
 	}
 	s, err := p.run()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Share < 0.97 || s.WaitP90 > 0.01 {
-		t.Errorf("a light load is served like this: %+v", s)
+		t.Errorf("service under a light load: %+v", s)
 	}
 }
 
@@ -57,6 +57,6 @@
 	rows := serviceRows(plan, runs, serviceResult{})
 	last := rows[len(rows)-1]
 	if last.Holds() || last.Value < 0.055 || last.Value > 0.056 {
-		t.Errorf("a loss of 0.85 against 0.9 is shown as %+v", last)
+		t.Errorf("a loss of 0.85 against 0.9 is reported as %+v", last)
 	}
 }
--- a/internal/scale/subset.go
+++ b/internal/scale/subset.go
@@ -30,11 +30,11 @@
 		func() ([]measure.Row, error) { return costRows(short) },
 		func() ([]measure.Row, error) { return decisionRows(sizes) },
 	} {
-		more, err := part()
+		partRows, err := part()
 		if err != nil {
 			return rows, err
 		}
-		rows = append(rows, more...)
+		rows = append(rows, partRows...)
 	}
 	if !short {
 		rows = append(rows, methodRows(subsetSize)...)
@@ -183,9 +183,9 @@
 			changes := countChanges(before, selectedNames(remaining, laterRankings, 1), f.databases[removed].Name)
 			worst.most, worst.otherSubsets = max(worst.most, changes.most), worst.otherSubsets+changes.otherSubsets
 		}
-		label := fmt.Sprintf("size %d, a database goes or comes: ", size)
-		rows = append(rows, measure.AtMost(label+"most places moved in a subset that held it", float64(worst.most), 2),
-			measure.AtMost(label+"other subsets that moved", float64(worst.otherSubsets), 0))
+		label := fmt.Sprintf("size %d, a database removed or added: ", size)
+		rows = append(rows, measure.AtMost(label+"most places changed in a subset that held it", float64(worst.most), 2),
+			measure.AtMost(label+"other subsets that changed", float64(worst.otherSubsets), 0))
 	}
 	return rows, nil
 }
@@ -227,12 +227,12 @@
 	most, mean := routersPerDatabase(subsets)
 	mean *= float64(TargetDatabases) / float64(len(remaining))
 	return []measure.Row{
-		measure.Figure("size 64: part of the places that is near", float64(inOwnZone)/float64(places)),
+		measure.Figure("size 64: fraction of places in the own zone", float64(inOwnZone)/float64(places)),
 		measure.AtLeast("size 64, its zone lost: fewest databases left to a router", float64(fewestOutsideZone), 8),
 		measure.AtLeast("size 64, its region lost: fewest databases left to a router", float64(fewestOutsideRegion), 2),
-		measure.AtLeast("size 64, a zone off the list: fewest places of a router", float64(smallestSubset), subsetSize),
+		measure.AtLeast("size 64, a zone removed from the list: fewest places of a router", float64(smallestSubset), subsetSize),
 		// Routers of the lost zone spread over the other zones, as there are no databases in their own zone.
-		measure.Figure("size 64, a zone off the list: most to mean routers a database", float64(most)/mean),
+		measure.Figure("size 64, a zone removed from the list: most to mean routers a database", float64(most)/mean),
 	}, nil
 }
 
@@ -308,16 +308,16 @@
 		counts = append(counts, float64(databases))
 		times = append(times, elapsed.Seconds()*1e6/float64(rounds))
 		bytes = append(bytes, float64(after.TotalAlloc-before.TotalAlloc)/float64(rounds))
-		rows = append(rows, measure.Figure(fmt.Sprintf("to choose from %d databases, us of processor time", databases), times[len(times)-1]),
-			measure.Figure(fmt.Sprintf("to choose from %d databases, KB allocated", databases), bytes[len(bytes)-1]/1000))
+		rows = append(rows, measure.Figure(fmt.Sprintf("selection from %d databases, us of processor time", databases), times[len(times)-1]),
+			measure.Figure(fmt.Sprintf("selection from %d databases, KB allocated", databases), bytes[len(bytes)-1]/1000))
 	}
 	_, slope := stat.LinearRegression(counts, times, nil, false)
 	offset, slopeBytes := stat.LinearRegression(counts, bytes, nil, false)
 	return append(rows,
-		measure.AtMost("to choose from the target's databases, us", times[len(times)-1], 20_000),
+		measure.AtMost("selection from the target's databases, us", times[len(times)-1], 20_000),
 		measure.Figure("slope: us a database of the list", slope),
 		measure.Figure("slope: bytes allocated a database of the list", slopeBytes),
-		measure.Figure("fit of the bytes: part of the variance", stat.RSquared(counts, bytes, nil, offset, slopeBytes))), nil
+		measure.Figure("fit of the bytes: R squared", stat.RSquared(counts, bytes, nil, offset, slopeBytes))), nil
 }
 
 // decisionRows compares a decision of a router that holds a subset of 3,900 databases with one of a router whose pool has the size of
--- a/internal/scale/subset_options.go
+++ b/internal/scale/subset_methods.go
@@ -218,10 +218,10 @@
 		label := fmt.Sprintf("size %d, %s: ", size, o.name)
 		rows = append(rows,
 			measure.Figure(label+"most to mean routers a database", float64(most)/mean),
-			measure.Figure(label+"a database goes, most places moved in a subset that held it", float64(databaseRemoved.most)),
-			measure.Figure(label+"a database goes, other subsets that move", float64(databaseRemoved.otherSubsets)),
-			measure.Figure(label+"a router goes, subsets of others that move", float64(routerRemoved.otherSubsets)),
-			measure.Figure(label+"to choose, us a router", elapsed.Seconds()*1e6/TargetRouters))
+			measure.Figure(label+"a database removed, most places changed in a subset that held it", float64(databaseRemoved.most)),
+			measure.Figure(label+"a database removed, other subsets that changed", float64(databaseRemoved.otherSubsets)),
+			measure.Figure(label+"a router removed, subsets of others that changed", float64(routerRemoved.otherSubsets)),
+			measure.Figure(label+"selection, us a router", elapsed.Seconds()*1e6/TargetRouters))
 	}
 	return rows
 }
