--- a/internal/scale/control_return.go
+++ b/internal/scale/control_return.go
@@ -100,7 +100,7 @@
 	}
 	defer f.close()
 	names := []string{"leader lost", "all coordinators restart", "all routers restart at once"}
-	all := make([][]fault, len(names))
+	faults := make([][]fault, len(names))
 	for k, size := range sizes {
 		if _, err := f.grow(previousSize(sizes, k), size); err != nil {
 			return nil, err
@@ -114,13 +114,13 @@
 			if err != nil {
 				return nil, err
 			}
-			all[n] = append(all[n], result)
+			faults[n] = append(faults[n], result)
 		}
 	}
 	var rows []measure.Row
 	for n, name := range names {
 		var xs, ys []float64
-		for k, result := range all[n] {
+		for k, result := range faults[n] {
 			rows = append(rows, result.rows()...)
 			xs, ys = append(xs, float64(sizes[k])), append(ys, result.recovery.Confirmed)
 		}
--- a/internal/scale/control_state.go
+++ b/internal/scale/control_state.go
@@ -12,11 +12,11 @@
 func controlState(int) ([]measure.Row, error) {
 	var routers, tasks, bySession, byTask, encode []float64
 	for _, n := range []int{100, 400, 800, TargetRouters, 2 * TargetRouters} {
-		size, took, err := measureSnapshot(n, 0)
+		size, encodeTime, err := measureSnapshot(n, 0)
 		if err != nil {
 			return nil, err
 		}
-		routers, bySession, encode = append(routers, float64(n)), append(bySession, size), append(encode, took)
+		routers, bySession, encode = append(routers, float64(n)), append(bySession, size), append(encode, encodeTime)
 	}
 	for _, n := range []int{0, 557, 1950, TargetDatabases, 2 * TargetDatabases} { // none, a zone, a region, all databases, both tasks of each
 		size, _, err := measureSnapshot(TargetRouters, n)
--- a/internal/scale/control_virtual.go
+++ b/internal/scale/control_virtual.go
@@ -155,16 +155,16 @@
 
 // grantedShare returns the fraction of granted shares in use, among all pairs of a cold database and a router that holds it.
 func (f *virtualFleet) grantedShare() float64 {
-	granted, all := 0, 0
+	granted, total := 0, 0
 	for n, m := range f.agents {
 		for _, c := range f.demands[n].ColdServers {
-			all++
+			total++
 			if share, ok := m.WarmUpShare(f.now, c.ID, c.Start); ok && share > 0 {
 				granted++
 			}
 		}
 	}
-	return float64(granted) / float64(all)
+	return float64(granted) / float64(total)
 }
 
 // mostTasksOwned returns the largest number of tasks that one router owns.
@@ -178,11 +178,11 @@
 // controlVirtual measures more cold databases than one machine can run with real processes: some that all routers hold, and those of a
 // zone that return at the same time, where each router holds a subset.
 func controlVirtual(routers int) (rows []measure.Row, err error) {
-	all := numbers(0, routers-1)
+	allRouters := numbers(0, routers-1)
 	for _, cold := range coldCounts[1:] {
 		holders := make([][]int, cold)
 		for n := range holders {
-			holders[n] = all
+			holders[n] = allRouters
 		}
 		moreRows, err := runCold(fmt.Sprintf("virtual time: %d routers, %d cold", routers, cold), routers, holders)
 		if err != nil {
@@ -206,13 +206,13 @@
 // subsetHolders returns, for each database, the routers that hold it: the same number for each, spread over the fleet.
 func subsetHolders(routers, databases int) [][]int {
 	holderCount := routers * virtualSubset / databases
-	all := make([][]int, databases)
-	for database := range all {
+	holders := make([][]int, databases)
+	for database := range holders {
 		for k := range holderCount {
-			all[database] = append(all[database], (database*holderCount+k*(routers/holderCount+1))%routers)
+			holders[database] = append(holders[database], (database*holderCount+k*(routers/holderCount+1))%routers)
 		}
 	}
-	return all
+	return holders
 }
 
 // runCold makes databases cold for the routers that hold them. Each database must have the same number of holders.
--- a/internal/scale/datapath_list.go
+++ b/internal/scale/datapath_list.go
@@ -56,10 +56,10 @@
 func listByDNS(bool) ([]measure.Row, error) {
 	var rows []measure.Row
 	for _, nameLength := range []int{5, 12, 36} { // short, as in the examples; a host name; a UUID
-		most := maxListed(nameLength)
+		maxDatabases := maxListed(nameLength)
 		rows = append(rows,
-			measure.Figure(fmt.Sprintf("databases in one answer of %d bytes, names of %d letters", maxAnswerBytes, nameLength), float64(most)),
-			measure.Figure(fmt.Sprintf("bytes a database in an answer, names of %d letters", nameLength), maxAnswerBytes/float64(most)))
+			measure.Figure(fmt.Sprintf("databases in one answer of %d bytes, names of %d letters", maxAnswerBytes, nameLength), float64(maxDatabases)),
+			measure.Figure(fmt.Sprintf("bytes a database in an answer, names of %d letters", nameLength), maxAnswerBytes/float64(maxDatabases)))
 	}
 	return rows, nil
 }
--- a/internal/scale/datapath_load.go
+++ b/internal/scale/datapath_load.go
@@ -122,13 +122,13 @@
 		return 0
 	}
 	gap := time.Duration(float64(len(clients)) / rate * float64(time.Second))
-	began := time.Now()
+	start := time.Now()
 	var completedRequests atomic.Int64
 	var group sync.WaitGroup
 	for k, client := range clients {
 		group.Go(func() {
-			next := began.Add(gap * time.Duration(k) / time.Duration(len(clients)))
-			for ; next.Before(began.Add(length)); next = next.Add(gap) {
+			next := start.Add(gap * time.Duration(k) / time.Duration(len(clients)))
+			for ; next.Before(start.Add(length)); next = next.Add(gap) {
 				time.Sleep(time.Until(next))
 				sendRequest(client)
 				if isCompleted(client.Next()) {
--- a/internal/scale/datapath_process_test.go
+++ b/internal/scale/datapath_process_test.go
@@ -56,8 +56,8 @@
 	if after.Processor <= before.Processor || after.ResidentKB < 1000 {
 		t.Errorf("usage before %+v, after %+v", before, after)
 	}
-	if took, err := r.reload(1); err != nil || took <= 0 {
-		t.Errorf("reload of the configuration: %v, %v", took, err)
+	if reloadTime, err := r.reload(1); err != nil || reloadTime <= 0 {
+		t.Errorf("reload of the configuration: %v, %v", reloadTime, err)
 	}
 }
 
@@ -65,7 +65,7 @@
 func TestRequestsAtOnceReachEachDatabase(t *testing.T) {
 	const databases = 60
 	buildRouter(t)
-	if _, came, err := requestEachDatabase(databases, 1024, routerTimeout); err != nil || came != databases {
-		t.Errorf("%d of %d requests reached a database: %v", came, databases, err)
+	if _, reached, err := requestEachDatabase(databases, 1024, routerTimeout); err != nil || reached != databases {
+		t.Errorf("%d of %d requests reached a database: %v", reached, databases, err)
 	}
 }
--- a/internal/scale/datapath_test.go
+++ b/internal/scale/datapath_test.go
@@ -9,12 +9,12 @@
 // The list by DNS is limited by the size of an answer: one more database does not fit, and the target has far more.
 func TestListByDNSEnds(t *testing.T) {
 	for _, length := range []int{5, 12, 36} {
-		most := maxListed(length)
-		if !answerFits(most, length) || answerFits(most+1, length) {
-			t.Errorf("names of %d letters: %d databases are not the largest number that fits", length, most)
+		maxDatabases := maxListed(length)
+		if !answerFits(maxDatabases, length) || answerFits(maxDatabases+1, length) {
+			t.Errorf("names of %d letters: %d databases are not the largest number that fits", length, maxDatabases)
 		}
-		if most < 50 || most > 90 {
-			t.Errorf("names of %d letters: %d databases in one answer", length, most)
+		if maxDatabases < 50 || maxDatabases > 90 {
+			t.Errorf("names of %d letters: %d databases in one answer", length, maxDatabases)
 		}
 	}
 }
--- a/internal/scale/subset.go
+++ b/internal/scale/subset.go
@@ -128,13 +128,13 @@
 
 // selectedNames returns the names of the databases that each router holds at a width.
 func selectedNames(databases []subset.Database, rankings []*subset.Ranking, width int) [][]string {
-	all := make([][]string, len(rankings))
+	names := make([][]string, len(rankings))
 	for r, ranking := range rankings {
 		for _, m := range ranking.Select(width).Members {
-			all[r] = append(all[r], databases[m.Index].Name)
+			names[r] = append(names[r], databases[m.Index].Name)
 		}
 	}
-	return all
+	return names
 }
 
 // spreadRows measures how evenly databases are held, and the number of connections.
--- a/internal/scale/subset_methods.go
+++ b/internal/scale/subset_methods.go
@@ -37,11 +37,11 @@
 // independent is a method in which each router chooses regardless of the choices of the others.
 func independent(chooseOne func(router, routers int, databases []string, size int) []string) func(int, []string, int) [][]string {
 	return func(routers int, databases []string, size int) [][]string {
-		all := make([][]string, routers)
-		for r := range all {
-			all[r] = chooseOne(r, routers, databases, size)
+		subsets := make([][]string, routers)
+		for r := range subsets {
+			subsets[r] = chooseOne(r, routers, databases, size)
 		}
-		return all
+		return subsets
 	}
 }
 
@@ -81,22 +81,22 @@
 		}
 		slots[at] = name
 	}
-	all := make([][]string, routers)
+	subsets := make([][]string, routers)
 	var order []int
-	for r := range all {
+	for r := range subsets {
 		round := r * size / slotCount
 		if r == 0 || round != (r-1)*size/slotCount {
 			order = rand.New(rand.NewPCG(uint64(round), 2)).Perm(slotCount)
 		}
 		for j := range size {
 			slot := order[(r*size+j)%slotCount]
-			for attempt := 0; slots[slot] == "" || slices.Contains(all[r], slots[slot]); attempt++ {
+			for attempt := 0; slots[slot] == "" || slices.Contains(subsets[r], slots[slot]); attempt++ {
 				slot = int(hashName(fmt.Sprint(slot, r, j, attempt), 3) % slotCount)
 			}
-			all[r] = append(all[r], slots[slot])
+			subsets[r] = append(subsets[r], slots[slot])
 		}
 	}
-	return all
+	return subsets
 }
 
 // apertureByList places routers at equal distances on a ring and gives each the databases on an arc (Finagle's deterministic aperture).
@@ -113,15 +113,15 @@
 func consistentHashRing(routers int, databases []string, size int) [][]string {
 	byHash := slices.Clone(databases)
 	slices.SortFunc(byHash, func(a, b string) int { return cmp.Compare(hashName(a, 0), hashName(b, 0)) })
-	all := make([][]string, routers)
-	for r := range all {
+	subsets := make([][]string, routers)
+	for r := range subsets {
 		_, position := math.Modf(float64(r) * math.Phi)
 		from, _ := slices.BinarySearchFunc(byHash, uint64(position*math.MaxUint64), func(name string, at uint64) int { return cmp.Compare(hashName(name, 0), at) })
 		for j := range size {
-			all[r] = append(all[r], byHash[(from+j)%len(byHash)])
+			subsets[r] = append(subsets[r], byHash[(from+j)%len(byHash)])
 		}
 	}
-	return all
+	return subsets
 }
 
 // rendezvous is highest random weight hashing.
@@ -134,14 +134,14 @@
 		score uint64
 		name  string
 	}
-	all := make([]scored, len(databases))
+	scores := make([]scored, len(databases))
 	for k, name := range databases {
-		all[k] = scored{hashName(name, uint64(router)+1), name}
+		scores[k] = scored{hashName(name, uint64(router)+1), name}
 	}
-	slices.SortFunc(all, func(a, b scored) int { return cmp.Compare(a.score, b.score) })
-	names := make([]string, len(all))
-	for k := range all {
-		names[k] = all[k].name
+	slices.SortFunc(scores, func(a, b scored) int { return cmp.Compare(a.score, b.score) })
+	names := make([]string, len(scores))
+	for k := range scores {
+		names[k] = scores[k].name
 	}
 	return names
 }
@@ -151,19 +151,19 @@
 func boundedLoads(routers int, databases []string, size int) [][]string {
 	bound := int(subset.MaxUnevenness * float64(routers*size) / float64(len(databases)))
 	loads := make(map[string]int, len(databases))
-	all := make([][]string, routers)
-	for r := range all {
+	subsets := make([][]string, routers)
+	for r := range subsets {
 		for _, name := range rankByHash(r, databases) {
-			if len(all[r]) == size {
+			if len(subsets[r]) == size {
 				break
 			}
 			if loads[name] < bound {
 				loads[name]++
-				all[r] = append(all[r], name)
+				subsets[r] = append(subsets[r], name)
 			}
 		}
 	}
-	return all
+	return subsets
 }
 
 // fleetSubset is the method of fleet/subset without zones, with the given slack.
@@ -175,17 +175,17 @@
 		}
 		pool := subset.NewPool(databases)
 		o := subset.Options{Size: size, SizeSlack: sizeSlack}
-		all := make([][]string, routers)
-		for r := range all {
+		subsets := make([][]string, routers)
+		for r := range subsets {
 			ranking, err := pool.Rank(&o, subset.Router{Number: r, Zone: -1, Region: -1, PlannedWeight: TargetDatabases})
 			if err != nil {
 				panic(err) // the options are valid
 			}
 			for _, m := range ranking.Select(1).Members {
-				all[r] = append(all[r], names[m.Index])
+				subsets[r] = append(subsets[r], names[m.Index])
 			}
 		}
-		return all
+		return subsets
 	}
 }
 
@@ -209,9 +209,9 @@
 	removedIndex := TargetDatabases / 3
 	remaining := slices.Delete(slices.Clone(names), removedIndex, removedIndex+1)
 	for _, o := range subsetMethods {
-		began := threadTime()
+		start := threadTime()
 		initial := o.choose(TargetRouters, names, size)
-		elapsed := threadTime() - began
+		elapsed := threadTime() - start
 		databaseRemoved := countChanges(initial, o.choose(TargetRouters, remaining, size), names[removedIndex])
 		routerRemoved := countChanges(initial, o.choose(TargetRouters-1, names, size), "")
 		most, mean := routersPerDatabase(initial)
