--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -12,30 +12,30 @@
 	"dunereach/internal/measure"
 )
 
-// The fleet that control is measured with. Five of the machines that are set aside have a coordinator with a vote, three of them in
-// one region and two in the other; two machines are spare, as a registry begins with five coordinators at most.
+// The fleet for which the cost of control is measured. 5 of the CoordinatorMachines run a voting coordinator, 3 of them in one region
+// and 2 in the other. The other 2 are spares, as an initial registry has at most 5 coordinators.
 const (
-	coordinators    = 5
-	controlLease    = 4.0 // seconds, as by default
-	routersAProcess = 200
-	controlPatience = 60 * time.Second // for control to be whole again
-	plannedTasks    = 1                // the fleet's plan, which is always wanted
+	coordinatorCount  = 5
+	controlLease      = 4.0 // seconds, the default
+	routersPerProcess = 200
+	recoveryTimeout   = 60 * time.Second // for control to recover
+	planTasks         = 1                // the fleet's plan, which is always requested
 )
 
-// ControlPart is one of the measurements of control, which can be run alone.
+// ControlPart is one group of control measurements that can be run alone.
 type ControlPart struct {
 	Name, About string
-	Run         func(routers int) ([]measure.Row, error) // at up to so many routers
+	Run         func(routers int) ([]measure.Row, error) // with at most that many routers
 }
 
-// ControlParts are all of them, in the order in which they are printed.
+// ControlParts are all groups, in the order in which they are printed.
 var ControlParts = []ControlPart{
 	{"state", "Size of the registry's snapshot by sessions and tasks", controlState},
-	{"idle", "What sessions cost while nothing is cold, with and without reports on zones", controlIdle},
-	{"cold", "What cold databases cost", controlCold},
+	{"idle", "Cost of sessions without cold databases, with and without zone reports", controlIdle},
+	{"cold", "Cost of cold databases", controlCold},
 	{"virtual", "Cold databases on virtual time, with the same packages", controlVirtual},
-	{"return", "How long sessions take to be open again", controlReturn},
-	{"faults", "A rack, a zone, a region's links, a rolling restart", controlFaults},
+	{"return", "Time until all sessions are open again", controlReturn},
+	{"faults", "Loss of a rack and a zone, a cut of a region's links, a rolling restart", controlFaults},
 }
 
 // Control measures coordinators and hollow routers over real sockets.
@@ -54,12 +54,12 @@
 	return all, nil
 }
 
-// controlSizes are the routers at which slopes are measured: for 1,600 these are 100, 400, 800 and 1,600.
+// controlSizes returns the router counts at which slopes are measured: 100, 400, 800 and 1,600 for most = 1,600.
 func controlSizes(most int) []int { return []int{most / 16, most / 4, most / 2, most} }
 
 func lastOf(sizes []int) int { return sizes[len(sizes)-1] }
 
-// targetZones are the zones of the target, which belong to the two regions in turn.
+// targetZones returns the zones of the target. They alternate between the two regions.
 func targetZones() (zones []hollow.Zone) {
 	regions := [TargetRegions]string{"north", "south"}
 	for n := range TargetZones {
@@ -68,29 +68,29 @@
 	return zones
 }
 
-// controlFleet is a fleet that is measured, with its folder.
+// controlFleet is a fleet under measurement, with its temporary directory.
 type controlFleet struct {
 	*hollow.Fleet
 	folder string
-	peak   hollow.Peak // of the whole run
+	peak   hollow.Peak // over the whole run
 }
 
-// newControlFleet has coordinators and no routers yet.
+// newControlFleet starts a fleet of coordinators, for up to the given number of routers. No router runs yet.
 func newControlFleet(routers int) (*controlFleet, error) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	keep := filepath.Join(filepath.Dir(self), "dunekeep")
-	if _, err := os.Stat(keep); err != nil {
-		return nil, fmt.Errorf("dunekeep is not beside this program: `make build` first")
+	dunekeepPath := filepath.Join(filepath.Dir(executable), "dunekeep")
+	if _, err := os.Stat(dunekeepPath); err != nil {
+		return nil, fmt.Errorf("dunekeep is not in the directory of this program: run `make build` first")
 	}
 	folder, err := os.MkdirTemp("", "dunehollow")
 	if err != nil {
 		return nil, err
 	}
-	fleet, err := hollow.New(hollow.Options{Keep: keep, Worker: self, WorkerArgs: []string{"hollow"}, Folder: folder,
-		Coordinators: coordinators, Routers: routers, PerWorker: min(routersAProcess, (routers+1)/2), Zones: targetZones(),
+	fleet, err := hollow.New(hollow.Options{Keep: dunekeepPath, Worker: executable, WorkerArgs: []string{"hollow"}, Folder: folder,
+		Coordinators: coordinatorCount, Routers: routers, PerWorker: min(routersPerProcess, (routers+1)/2), Zones: targetZones(),
 		Databases: TargetDatabases, Lease: controlLease})
 	if err != nil {
 		os.RemoveAll(folder)
@@ -104,18 +104,18 @@
 	os.RemoveAll(f.folder)
 }
 
-// load all routers, and wait until the tasks that go with that have owners.
-func (f *controlFleet) load(d hollow.Demand) error {
+// loadAndAwaitTasks sets the demand of all routers and waits until the resulting tasks have owners.
+func (f *controlFleet) loadAndAwaitTasks(d hollow.Demand) error {
 	if err := f.Load(d); err != nil {
 		return err
 	}
-	return f.AwaitTasks(plannedTasks+d.Cold, controlPatience)
+	return f.AwaitTasks(planTasks+d.Cold, recoveryTimeout)
 }
 
-// takePeak since the last call.
+// takePeak returns the peak usage since the last call.
 func (f *controlFleet) takePeak() hollow.Peak {
 	p := f.TakePeak()
-	for p.Processes == 0 { // shorter than from one look at the processes to the next
+	for p.Processes == 0 { // less time has passed than between two samples of the processes
 		time.Sleep(100 * time.Millisecond)
 		p = f.TakePeak()
 	}
@@ -123,58 +123,58 @@
 	return p
 }
 
-// grow to so many routers, and tell how long that took.
+// grow starts routers until the given number runs, and returns how long that took.
 func (f *controlFleet) grow(from, to int) (hollow.Recovery, error) {
 	if err := f.Mark(); err != nil {
 		return hollow.Recovery{}, err
 	}
-	began := boottime.Now()
+	start := boottime.Now()
 	if _, err := f.StartRouters(numbers(from+1, to)); err != nil {
 		return hollow.Recovery{}, err
 	}
-	r, err := f.recover(began, plannedTasks)
-	progress("%d routers: the last session was open after %.1f s, control whole after %.1f s", to, r.Confirmed, r.Settled)
+	r, err := f.awaitRecovery(start, planTasks)
+	progress("%d routers: the last session was open after %.1f s, control had recovered after %.1f s", to, r.Confirmed, r.Settled)
 	return r, err
 }
 
-// progress tells whoever waits how far a run has come.
+// progress reports the progress of a run on standard error.
 func progress(format string, values ...any) {
 	fmt.Fprintf(os.Stderr, "%s "+format+"\n", append([]any{time.Now().Format(time.TimeOnly)}, values...)...)
 }
 
-// recover waits until control is whole again for all routers that run.
-func (f *controlFleet) recover(since float64, tasks int) (hollow.Recovery, error) {
-	r, err := f.Recover(since, f.Live(), tasks, controlPatience)
+// awaitRecovery waits until control has recovered for all routers that run.
+func (f *controlFleet) awaitRecovery(since float64, tasks int) (hollow.Recovery, error) {
+	r, err := f.Recover(since, f.Live(), tasks, recoveryTimeout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, f.Logs())
 	}
 	return r, err
 }
 
-func numbers(from, to int) (all []int) {
+func numbers(from, to int) (list []int) {
 	for n := from; n <= to; n++ {
-		all = append(all, n)
+		list = append(list, n)
 	}
-	return all
+	return list
 }
 
-// window is what was used a second while some time passed.
-type window struct {
-	leaderCore, followerCore        float64
-	leaderMB, followerMB            float64
-	leaderBytes, followerBytes      float64 // in and out, by read and write calls
-	leaderDisk, followerDisk        float64 // bytes written
-	leaderDescriptors               float64
-	routerCore, routerMB            float64            // each
-	routerRequests, routerBytes     float64            // each, on connections, with headers
-	requestsByPath, bodyBytesByPath map[string]float64 // each router
-	shares                          float64            // of routers by cold databases that may use a granted part
-	grants, relinquished, late      float64            // a second, of all routers: dealt out, laid down, and come after their life
-	load                            float64            // of the machine, all processes that want a core, over the last minute
+// controlUsage is the usage over a measurement interval; rates are per second.
+type controlUsage struct {
+	leaderCore, followerCore         float64
+	leaderMB, followerMB             float64
+	leaderBytes, followerBytes       float64 // in and out, by read and write calls
+	leaderDisk, followerDisk         float64 // bytes written
+	leaderDescriptors                float64
+	routerCore, routerMB             float64            // per router
+	routerRequests, routerBytes      float64            // per router, on connections, including headers
+	requestsByPath, bodyBytesByPath  map[string]float64 // per router
+	grantedShares                    float64            // cold databases of which a router may use a granted share, mean over the routers
+	grants, relinquished, lateGrants float64            // per second, all routers: grants made, shares relinquished, and grants that arrived after they had expired
+	loadAverage                      float64            // of the machine: runnable processes, mean over the last minute
 }
 
-// measure what a fleet of so many routers uses while time passes.
-func (f *controlFleet) measure(routers int, length time.Duration) (w window, err error) {
+// measure returns what a fleet of the given number of routers uses over the given time.
+func (f *controlFleet) measure(routers int, length time.Duration) (w controlUsage, err error) {
 	report0, err := f.Look()
 	if err != nil {
 		return w, err
@@ -183,40 +183,40 @@
 	if err != nil {
 		return w, err
 	}
-	began := time.Now()
-	time.Sleep(length) // what is measured is a rate
+	start := time.Now()
+	time.Sleep(length) // the usage is a rate over this interval
 	usage1, err := f.Usage()
 	if err != nil {
 		return w, err
 	}
-	took := time.Since(began).Seconds()
+	elapsed := time.Since(start).Seconds()
 	report1, err := f.Look()
 	if err != nil {
 		return w, err
 	}
-	progress("measured %d routers over %.1f s", routers, took)
-	w.coordinators(usage0.Coordinators, usage1.Coordinators, took)
+	progress("measured %d routers over %.1f s", routers, elapsed)
+	w.setCoordinators(usage0.Coordinators, usage1.Coordinators, elapsed)
 	n := float64(routers)
-	w.routerCore = (usage1.Routers.Core - usage0.Routers.Core) / took / n
+	w.routerCore = (usage1.Routers.Core - usage0.Routers.Core) / elapsed / n
 	w.routerMB = usage1.Routers.MemoryMB / n
-	w.routerRequests = float64(report1.Requests-report0.Requests) / took / n
-	w.routerBytes = float64(report1.Bytes-report0.Bytes) / took / n
+	w.routerRequests = float64(report1.Requests-report0.Requests) / elapsed / n
+	w.routerBytes = float64(report1.Bytes-report0.Bytes) / elapsed / n
 	w.requestsByPath, w.bodyBytesByPath = map[string]float64{}, map[string]float64{}
 	for path, traffic := range report1.ByPath {
 		before := report0.ByPath[path]
-		w.requestsByPath[path] = float64(traffic.Requests-before.Requests) / took / n
-		w.bodyBytesByPath[path] = float64(traffic.Bytes-before.Bytes) / took / n
+		w.requestsByPath[path] = float64(traffic.Requests-before.Requests) / elapsed / n
+		w.bodyBytesByPath[path] = float64(traffic.Bytes-before.Bytes) / elapsed / n
 	}
-	w.shares = float64(report1.Shares) / n
-	w.grants = float64(report1.Grants-report0.Grants) / took
-	w.relinquished = float64(report1.Relinquished-report0.Relinquished) / took
-	w.late = float64(report1.Late-report0.Late) / took
-	w.load = machineLoad()
+	w.grantedShares = float64(report1.Shares) / n
+	w.grants = float64(report1.Grants-report0.Grants) / elapsed
+	w.relinquished = float64(report1.Relinquished-report0.Relinquished) / elapsed
+	w.lateGrants = float64(report1.Late-report0.Late) / elapsed
+	w.loadAverage = readLoadAverage()
 	return w, nil
 }
 
-// machineLoad is the mean number of processes that wanted a core over the last minute, NaN where the system does not tell.
-func machineLoad() (load float64) {
+// readLoadAverage returns the mean number of runnable processes over the last minute, or NaN where the system does not report it.
+func readLoadAverage() (load float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return math.NaN()
@@ -225,17 +225,17 @@
 	return load
 }
 
-// coordinators: the busiest one leads, the others are told by their mean.
-func (w *window) coordinators(before, after []hollow.Usage, took float64) {
-	busiest, most := 0, math.Inf(-1)
+// setCoordinators takes the busiest coordinator as the leader and sets the values of the followers to the mean of the others.
+func (w *controlUsage) setCoordinators(before, after []hollow.Usage, elapsed float64) {
+	busiest, mostCore := 0, math.Inf(-1)
 	for n := range after {
-		if used := after[n].Core - before[n].Core; used > most {
-			busiest, most = n, used
+		if used := after[n].Core - before[n].Core; used > mostCore {
+			busiest, mostCore = n, used
 		}
 	}
 	others := float64(len(after) - 1)
 	for n, u := range after {
-		core, bytes, disk := (u.Core-before[n].Core)/took, (u.Transferred-before[n].Transferred)/took, (u.Written-before[n].Written)/took
+		core, bytes, disk := (u.Core-before[n].Core)/elapsed, (u.Transferred-before[n].Transferred)/elapsed, (u.Written-before[n].Written)/elapsed
 		if n == busiest {
 			w.leaderCore, w.leaderBytes, w.leaderDisk = core, bytes, disk
 			w.leaderMB, w.leaderDescriptors = u.MemoryMB, float64(u.Descriptors)
@@ -246,17 +246,17 @@
 	}
 }
 
-// whole rows: what the run as a whole was allowed, and what its auditor found.
-func (f *controlFleet) bounds(name string) []measure.Row {
+// limitRows returns the resource limits of the whole run and the findings of its auditor.
+func (f *controlFleet) limitRows(name string) []measure.Row {
 	f.takePeak()
 	f.Audit.Judge()
-	for _, line := range f.Audit.Wrong {
-		fmt.Fprintln(os.Stderr, line)
+	for _, violation := range f.Audit.Wrong {
+		fmt.Fprintln(os.Stderr, violation)
 	}
 	return []measure.Row{
 		measure.AtMost(name+": memory of all processes, GB", f.peak.MemoryMB/1024, hollow.MostMemoryMB/1024),
 		measure.AtMost(name+": processes", float64(f.peak.Processes), hollow.MostProcesses),
-		measure.Figure(name+": acts of owners that were judged", float64(f.Audit.Acts)),
+		measure.Figure(name+": audited acts of owners", float64(f.Audit.Acts)),
 		measure.AtMost(name+": stale decisions", float64(f.Audit.Stale), 0),
 	}
 }
--- a/internal/scale/control_state.go
+++ b/internal/scale/control_state.go
@@ -8,18 +8,18 @@
 	"dunereach/internal/measure"
 )
 
-// controlState measures the snapshot of a registry with sessions of so many routers, and with tasks of so many databases.
+// controlState measures the size of a registry's snapshot by the number of sessions, and by the number of tasks.
 func controlState(int) ([]measure.Row, error) {
 	var routers, tasks, bySession, byTask, encode []float64
 	for _, n := range []int{100, 400, 800, TargetRouters, 2 * TargetRouters} {
-		size, took, err := snapshotOf(n, 0)
+		size, encodeTime, err := measureSnapshot(n, 0)
 		if err != nil {
 			return nil, err
 		}
-		routers, bySession, encode = append(routers, float64(n)), append(bySession, size), append(encode, took)
+		routers, bySession, encode = append(routers, float64(n)), append(bySession, size), append(encode, encodeTime)
 	}
-	for _, n := range []int{0, 557, 1950, TargetDatabases, 2 * TargetDatabases} { // a zone, a region, all databases, both tasks of each
-		size, _, err := snapshotOf(TargetRouters, n)
+	for _, n := range []int{0, 557, 1950, TargetDatabases, 2 * TargetDatabases} { // none, a zone, a region, all databases, both tasks of each
+		size, _, err := measureSnapshot(TargetRouters, n)
 		if err != nil {
 			return nil, err
 		}
@@ -32,11 +32,11 @@
 	owned := lineThrough(tasks, byTask)
 	rows = append(rows, owned.Rows("state: snapshot of 1,600 sessions, bytes", "tasks", 1)...)
 	rows = append(rows, measure.AtMost("state: snapshot of 1,600 sessions and 7,800 tasks, bytes", byTask[len(byTask)-1], registry.MaxSnapshot))
-	return append(rows, measure.Figure("state: bound on a snapshot with names and notes at theirs, MB", registry.MaxSnapshot/1e6)), nil
+	return append(rows, measure.Figure("state: bound on a snapshot with names and annotations of maximum length, MB", registry.MaxSnapshot/1e6)), nil
 }
 
-// snapshotOf a registry: its bytes, and the milliseconds that encoding it takes.
-func snapshotOf(sessions, tasks int) (size, milliseconds float64, err error) {
+// measureSnapshot returns the size in bytes of a registry's snapshot, and the time in milliseconds that encoding it takes.
+func measureSnapshot(sessions, tasks int) (size, milliseconds float64, err error) {
 	r := registry.New()
 	index := uint64(0)
 	apply := func(e registry.Entry) (uint64, error) {
@@ -57,12 +57,12 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		note := fmt.Sprintf(`{"engine":%d,"start":1700000000.5,"well":true}`, n)
-		if _, err := apply(registry.Entry{Kind: registry.Annotation, Task: name, Session: uint64(n%sessions + 1), Fence: fence, Body: []byte(note)}); err != nil {
+		annotation := fmt.Sprintf(`{"engine":%d,"start":1700000000.5,"well":true}`, n)
+		if _, err := apply(registry.Entry{Kind: registry.Annotation, Task: name, Session: uint64(n%sessions + 1), Fence: fence, Body: []byte(annotation)}); err != nil {
 			return 0, 0, err
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	text, err := r.Snapshot()
-	return float64(len(text)), time.Since(began).Seconds() * 1000, err
+	return float64(len(text)), time.Since(start).Seconds() * 1000, err
 }
--- a/internal/scale/control_test.go
+++ b/internal/scale/control_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestVirtualFleet: in a fleet that counts as large every cold database's parts are granted to all, and tasks have owners of their own.
+// TestVirtualFleet checks that all shares of every cold database are granted and that no router owns two tasks, in a fleet that the
+// coordinator treats as large.
 func TestVirtualFleet(t *testing.T) {
 	const routers = 320
 	rows, err := controlVirtual(routers)
@@ -22,10 +23,10 @@
 	}
 }
 
-// TestSnapshotOf: a registry's snapshot grows with sessions and with tasks.
+// TestSnapshotOf checks that a registry's snapshot grows with sessions and with tasks.
 func TestSnapshotOf(t *testing.T) {
 	size := func(sessions, tasks int) float64 {
-		bytes, _, err := snapshotOf(sessions, tasks)
+		bytes, _, err := measureSnapshot(sessions, tasks)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/datapath.go
+++ b/internal/scale/datapath.go
@@ -2,14 +2,14 @@
 
 import "dunereach/internal/measure"
 
-// DataPath measures one router's data path: decisions, memory, the list of databases, connections, and requests through the real
+// DataPath measures the data path of one router: decisions, memory, the list of databases, connections, and requests through a real
 // process.
 func DataPath(short bool) ([]measure.Row, error) {
 	var rows []measure.Row
-	for _, part := range []func(short bool) ([]measure.Row, error){decisions, moduleMemory, listChanges, listByDNS, listInFile,
+	for _, part := range []func(short bool) ([]measure.Row, error){decisionCosts, moduleMemory, listChanges, listByDNS, configuredListCosts,
 		clientConnections, databaseConnections, requestCost} {
-		some, err := part(short)
-		rows = append(rows, some...)
+		partRows, err := part(short)
+		rows = append(rows, partRows...)
 		if err != nil {
 			return rows, err
 		}
--- a/internal/scale/datapath_process.go
+++ b/internal/scale/datapath_process.go
@@ -18,54 +18,54 @@
 	"dunereach/internal/fake"
 )
 
-// routerProcess is the real router as a process, with stand-ins on loopback for the databases and the name server.
+// routerProcess is a real router process, with fakes on loopback for the databases and the name server.
 type routerProcess struct {
-	desk    *fake.Desk
-	folder  string
-	config  string // path
-	addr    string
-	options routerOptions
-	names   *fake.NameServer
-	heard   chan fake.Said
-	command *exec.Cmd
-	ended   chan error
-	log     chan string // lines
-	started time.Time
+	fakes      *fake.Desk
+	folder     string
+	config     string // path
+	addr       string
+	options    routerOptions
+	nameServer *fake.NameServer
+	received   chan fake.Said
+	command    *exec.Cmd
+	exited     chan error
+	log        chan string // lines
+	started    time.Time
 }
 
-// routerOptions are what a router is started with.
+// routerOptions are the options with which a router is started.
 type routerOptions struct {
-	databases   int // in the list
-	descriptors int
-	revision    uint32 // of the list, 0: 1
-	renamed     int    // databases of the list with new names
-	sharers     int    // routers that share the databases, as the settings say, 0: 1
+	databases        int // in the list
+	descriptors      int
+	revision         uint32 // of the list; 0 means 1
+	renamedDatabases int    // databases of the list with new names
+	sharingRouters   int    // routers that share the databases, in the settings; 0 means 1
 }
 
 const (
-	// standIns is how many stand-ins of databases listen. A longer list names each at several places.
-	standIns = 16
-	// routerDescriptors is the bound on a router's descriptors where it is not what is measured.
+	// fakeDatabases is the number of fake databases that listen. A longer list uses the address of each several times.
+	fakeDatabases = 16
+	// routerDescriptors is the limit on a router's descriptors where the limit is not what is measured.
 	routerDescriptors = 16384
-	// patience is how long a router may take to start and to take over a configuration.
-	patience = 20 * time.Second
+	// routerTimeout is the time limit for a router to start and to apply a configuration.
+	routerTimeout = 20 * time.Second
 )
 
-// routerProgram is where the router's binary stands: in bin/ below the working directory, or beside this program.
+// routerProgram returns the path of the router's binary: in bin/ below the working directory, or in the directory of this program.
 func routerProgram() (string, error) {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	for _, path := range []string{"bin/dunereach", filepath.Join(filepath.Dir(self), "dunereach")} {
+	for _, path := range []string{"bin/dunereach", filepath.Join(filepath.Dir(executable), "dunereach")} {
 		if _, err := os.Stat(path); err == nil {
 			return filepath.Abs(path)
 		}
 	}
-	return "", errors.New("no bin/dunereach: `make build` makes it")
+	return "", errors.New("no bin/dunereach: run `make build` first")
 }
 
-// startRouter starts one and waits until it says that it serves.
+// startRouter starts a router and waits until it logs that it serves.
 func startRouter(options routerOptions) (*routerProcess, error) {
 	program, err := routerProgram()
 	if err != nil {
@@ -75,21 +75,21 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &routerProcess{desk: &fake.Desk{}, folder: folder, config: filepath.Join(folder, "config.json"), options: options,
-		heard: make(chan fake.Said, 4096), ended: make(chan error, 1), log: make(chan string, 4096),
+	r := &routerProcess{fakes: &fake.Desk{}, folder: folder, config: filepath.Join(folder, "config.json"), options: options,
+		received: make(chan fake.Said, 4096), exited: make(chan error, 1), log: make(chan string, 4096),
 		addr: fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))}
-	r.names = fake.NewNameServer(r.desk, discovery.ServiceName)
-	r.names.Set(1) // the list that the configuration has
-	r.desk.Cleanup(func() { os.RemoveAll(folder) })
+	r.nameServer = fake.NewNameServer(r.fakes, discovery.ServiceName)
+	r.nameServer.Set(1) // the revision of the list in the configuration
+	r.fakes.Cleanup(func() { os.RemoveAll(folder) })
 	var endpoints []string
-	for range standIns {
-		endpoints = append(endpoints, fake.NewEngine(r.desk, r.heard).Addr)
+	for range fakeDatabases {
+		endpoints = append(endpoints, fake.NewEngine(r.fakes, r.received).Addr)
 	}
 	if err = r.configure(options, endpoints); err == nil {
 		err = r.spawn(program)
 	}
 	if err != nil {
-		r.desk.End()
+		r.fakes.End()
 		return nil, err
 	}
 	if _, err := r.awaitLog("serving"); err != nil {
@@ -113,12 +113,12 @@
 	go func() {
 		err := r.command.Wait()
 		input.Close()
-		r.ended <- err
+		r.exited <- err
 	}()
 	return nil
 }
 
-// readLog hands lines on. Those that nobody waits for are dropped once the channel is full.
+// readLog passes log lines on. Lines that nothing waits for are dropped when the channel is full.
 func (r *routerProcess) readLog(output io.Reader) {
 	defer close(r.log)
 	for lines := bufio.NewScanner(output); lines.Scan(); {
@@ -129,71 +129,71 @@
 	}
 }
 
-// awaitLog waits for a line with that text.
+// awaitLog waits for a log line that contains the given text.
 func (r *routerProcess) awaitLog(text string) (string, error) {
-	last, timeout := "", time.After(patience)
+	last, timeout := "", time.After(routerTimeout)
 	for {
 		select {
-		case line, more := <-r.log:
-			if !more {
-				return "", fmt.Errorf("the router ended before it said %q: %s", text, last)
+		case line, open := <-r.log:
+			if !open {
+				return "", fmt.Errorf("the router exited before it logged %q; its last line: %s", text, last)
 			}
 			if last = line; strings.Contains(line, text) {
 				return line, nil
 			}
 		case <-timeout:
-			return "", fmt.Errorf("the router did not say %q in %v, but last %q", text, patience, last)
+			return "", fmt.Errorf("the router did not log %q within %v; its last line: %q", text, routerTimeout, last)
 		}
 	}
 }
 
-// stop ends it at once, and what was begun for it: nothing is measured of its end.
+// stop kills the process and closes its fakes. No shutdown is measured.
 func (r *routerProcess) stop() {
-	defer r.desk.End()
+	defer r.fakes.End()
 	r.command.Process.Kill()
-	<-r.ended
+	<-r.exited
 }
 
-// configure writes its configuration.
+// configure writes the router's configuration.
 func (r *routerProcess) configure(options routerOptions, endpoints []string) error {
 	revision := max(options.revision, 1)
 	targets := make([]map[string]any, options.databases)
 	for k := range targets {
 		name := fmt.Sprintf("db-%d", k)
-		if k < options.renamed {
+		if k < options.renamedDatabases {
 			name = fmt.Sprintf("db-%d-%d", k, revision)
 		}
 		targets[k] = map[string]any{"uid": name, "endpoint": endpoints[k%len(endpoints)], "az": "east", "model": "std", "pod_group": 0,
 			"state": "ready", "capacity_hint": 8, "boot_ms": 0}
 	}
 	text, err := json.Marshal(map[string]any{
-		"name": "scale", "listen": r.addr, "seed": "8c1f30d27a5be964", "nameserver": r.names.Addr,
+		"name": "scale", "listen": r.addr, "seed": "8c1f30d27a5be964", "nameserver": r.nameServer.Addr,
 		"limits": map[string]any{"cores": 1, "memory_mb": 1024, "sockets": options.descriptors},
 		"known": map[string]any{"rev": revision, "notices": []any{map[string]any{"rev": revision,
 			"pool": map[string]any{"rev": revision, "all": true, "targets": targets}}}},
-		"settings": json.RawMessage(fmt.Sprintf(processSettings, max(options.sharers, 1)))})
+		"settings": json.RawMessage(fmt.Sprintf(processSettings, max(options.sharingRouters, 1)))})
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(r.config, text, 0o600)
 }
 
-// processSettings are the settings, but for the routers that share the databases.
+// processSettings are the settings. The number of routers that share the databases is a parameter.
 const processSettings = `{"Balancers":%d,"Tick":5,"Dcs":["east"],"Kinds":["std"],"Discovery":"push","OverShareWorth":1,
 	"Classes":[{"Name":"lookup","Aim":5000,"Deadline":20000,"Effect":"safe","Worth":1}],
 	"FamilyInfo":{"CpuOfKind":[8],"RanksHeeded":true},"Realms":[{"Name":"acme","QuotaPerS":1000000}],
 	"Limits":{"ConnIdle":30000,"ConnectTimeout":5000,"MaxStreams":100,"MaxRetryAfter":500,"OpenCap":100000,"RetryAfter":true,"SendCap":4},
 	"Obligations":{"ColdFrom":0.35,"DrainGrace":250,"Fall":1000,"FallMultiple":2,"WarmUp":15000}}`
 
-// usage is what the kernel counts of a process.
+// usage is the kernel's accounting of a process.
 type usage struct {
-	Processor   time.Duration // user and system, all threads that live
+	Processor   time.Duration // user and system, all live threads
 	ResidentKB  float64
 	Descriptors float64
 }
 
-// used reads what the process uses now.
-func (r *routerProcess) used() (usage, error) {
+// readUsage returns the current usage of the process.
+func (r *routerProcess) readUsage() (usage, error) {
 	folder := filepath.Join("/proc", strconv.Itoa(r.command.Process.Pid))
 	u := usage{}
 	threads, err := filepath.Glob(filepath.Join(folder, "task/*/schedstat"))
--- a/internal/scale/datapath_process_test.go
+++ b/internal/scale/datapath_process_test.go
@@ -19,7 +19,8 @@
 	t.Chdir(folder)
 }
 
-// A real router serves what the rig asks, its use is read from the kernel, and a list read anew is in force once renew returns.
+// A real router completes the requests of the load generator, its usage is read from the kernel, and a reloaded list is in force when
+// reload returns.
 func TestRouterProcess(t *testing.T) {
 	buildRouter(t)
 	r, err := startRouter(routerOptions{databases: 40, descriptors: 1024})
@@ -29,8 +30,8 @@
 	defer r.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go r.answerAfter(ctx, 0)
-	before, err := r.used()
+	go r.answerAfterPause(ctx, 0)
+	before, err := r.readUsage()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,32 +40,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if good := askEach(clients); good != connections {
-		t.Errorf("%d of %d requests were completed", good, connections)
+	if completed := requestOnEach(clients); completed != connections {
+		t.Errorf("%d of %d requests were completed", completed, connections)
 	}
-	if good := paced(clients, 200, 300*time.Millisecond); good < 55 || good > 65 {
-		t.Errorf("200 requests a second for 0.3 s: %d were completed", good)
+	if completed := sendAtRate(clients, 200, 300*time.Millisecond); completed < 55 || completed > 65 {
+		t.Errorf("200 requests a second for 0.3 s: %d were completed", completed)
 	}
-	after, err := r.used()
+	after, err := r.readUsage()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if opened := after.Descriptors - before.Descriptors; opened < connections+1 || opened > 2*connections+standIns {
+	if opened := after.Descriptors - before.Descriptors; opened < connections+1 || opened > 2*connections+fakeDatabases {
 		t.Errorf("%v more descriptors for %d clients", opened, connections)
 	}
 	if after.Processor <= before.Processor || after.ResidentKB < 1000 {
-		t.Errorf("use before %+v, after %+v", before, after)
+		t.Errorf("usage before %+v, after %+v", before, after)
 	}
-	if took, err := r.renew(1); err != nil || took <= 0 {
-		t.Errorf("a configuration read anew: %v, %v", took, err)
+	if reloadTime, err := r.reload(1); err != nil || reloadTime <= 0 {
+		t.Errorf("reload of the configuration: %v, %v", reloadTime, err)
 	}
 }
 
-// As many requests at once as there are databases reach one each.
+// As many requests at once as there are databases each reach a database.
 func TestRequestsAtOnceReachEachDatabase(t *testing.T) {
 	const databases = 60
 	buildRouter(t)
-	if _, came, err := reachAll(databases, 1024, patience); err != nil || came != databases {
-		t.Errorf("%d of %d requests reached a database: %v", came, databases, err)
+	if _, reached, err := requestEachDatabase(databases, 1024, routerTimeout); err != nil || reached != databases {
+		t.Errorf("%d of %d requests reached a database: %v", reached, databases, err)
 	}
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -7,44 +7,44 @@
 	"slices"
 )
 
-// ErrTooFewPoints is returned for a fit of fewer than three points, or of points at a single size: neither says how far off a
-// line is.
+// ErrTooFewPoints is returned for a fit of fewer than three points, or of points at a single size: the error of the line cannot be
+// estimated from them.
 var ErrTooFewPoints = errors.New("a fit needs at least three points at two different sizes")
 
-// Point is one measurement: the cost of something at a size.
+// Point is one measurement: the cost at a size.
 type Point struct {
 	Size, Cost float64
 }
 
-// Fit is a straight line through points by least squares: cost = Intercept + Slope x size.
+// Fit is a straight line fitted to points by least squares: cost = Intercept + Slope x size.
 type Fit struct {
 	Slope, Intercept float64
 	// SlopeError and InterceptError are standard errors: about two thirds of repeated measurements lie within one of them.
 	SlopeError, InterceptError float64
 	// Residual is the standard deviation of the costs about the line.
 	Residual float64
-	// From and To are the smallest and the largest size measured. Outside of them the line is only extended.
+	// From and To are the smallest and the largest size measured. Outside this range the line is extrapolated.
 	From, To float64
-	// Points counts the measurements.
+	// Points is the number of measurements.
 	Points int
 }
 
-// FitLine fits a straight line to points, each weighted alike. Points that are not finite are an error.
+// FitLine fits a straight line to points of equal weight. Points that are not finite are an error.
 func FitLine(points []Point) (Fit, error) {
-	equal := make([]float64, len(points))
-	for k := range equal {
-		equal[k] = 1
+	equalWeights := make([]float64, len(points))
+	for k := range equalWeights {
+		equalWeights[k] = 1
 	}
-	return fitWeighted(points, equal)
+	return fitWeighted(points, equalWeights)
 }
 
-// FitRelative fits a straight line whose errors are taken as a share of the cost. It suits costs that span decades, where a
-// plain fit would follow the largest sizes alone. Costs must be over 0.
+// FitRelative fits a straight line by relative errors. It suits costs that span decades, where FitLine would follow only the largest
+// sizes. Costs must be greater than 0.
 func FitRelative(points []Point) (Fit, error) {
 	weights := make([]float64, len(points))
 	for k, point := range points {
 		if !(point.Cost > 0) {
-			return Fit{}, fmt.Errorf("point %d: a cost of %v cannot be weighed by its share", k, point.Cost)
+			return Fit{}, fmt.Errorf("point %d: the cost of a relative fit must be greater than 0, not %v", k, point.Cost)
 		}
 		weights[k] = 1 / (point.Cost * point.Cost)
 	}
@@ -76,12 +76,12 @@
 	}
 	fit := Fit{Slope: products / squares, Points: len(points)}
 	fit.Intercept = meanCost - fit.Slope*meanSize
-	rest := 0.0
+	squaredResiduals := 0.0
 	for k, point := range points {
-		off := point.Cost - fit.At(point.Size)
-		rest += weights[k] / total * count * off * off
+		residual := point.Cost - fit.At(point.Size)
+		squaredResiduals += weights[k] / total * count * residual * residual
 	}
-	fit.Residual = math.Sqrt(rest / (count - 2))
+	fit.Residual = math.Sqrt(squaredResiduals / (count - 2))
 	fit.SlopeError = fit.Residual / math.Sqrt(squares)
 	fit.InterceptError = fit.Residual * math.Sqrt(1/count+meanSize*meanSize/squares)
 	bySize := func(a, b Point) int { return int(math.Copysign(1, a.Size-b.Size)) }
@@ -105,10 +105,10 @@
 	return nil
 }
 
-// At is the cost that the line gives at a size.
+// At returns the cost of the line at a size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// String gives the line, the standard errors of its slope and intercept, and the range of sizes that it was fitted to.
+// String returns the line, the standard errors of its slope and intercept, and the range of sizes that it was fitted to.
 func (f Fit) String() string {
 	return fmt.Sprintf("%.4g (+- %.2g) + %.4g (+- %.2g) x size, %d points from %g to %g",
 		f.Intercept, f.InterceptError, f.Slope, f.SlopeError, f.Points, f.From, f.To)
