--- a/internal/hollow/audit.go
+++ b/internal/hollow/audit.go
@@ -23,48 +23,50 @@
 	// Wrong has one line for each of the first stale acts.
 	Wrong []string
 
-	acts    []Act
-	highest map[string]Act    // by task: the newest fence and its first act
-	owner   map[uint64]string // by fence
+	pending      []Act
+	newestAct    map[string]Act    // by task: the newest fence and its first act
+	ownerOfFence map[uint64]string // by fence
 }
 
-// mostWrong bounds the lines that are kept.
-const mostWrong = 20
+// maxViolations bounds the lines that are kept.
+const maxViolations = 20
 
 // NewAuditor has seen nothing.
-func NewAuditor() *Auditor { return &Auditor{highest: map[string]Act{}, owner: map[uint64]string{}} }
+func NewAuditor() *Auditor {
+	return &Auditor{newestAct: map[string]Act{}, ownerOfFence: map[uint64]string{}}
+}
 
 // Add acts, in any order. They are judged by Judge, once all that happened before has been added.
-func (a *Auditor) Add(acts []Act) { a.acts = append(a.acts, acts...) }
+func (a *Auditor) Add(acts []Act) { a.pending = append(a.pending, acts...) }
 
 // Judge what has been added since the last call, in the order in which it happened.
 func (a *Auditor) Judge() {
-	slices.SortStableFunc(a.acts, func(x, y Act) int { return cmp.Compare(x.At, y.At) })
-	for _, act := range a.acts {
+	slices.SortStableFunc(a.pending, func(x, y Act) int { return cmp.Compare(x.At, y.At) })
+	for _, act := range a.pending {
 		a.Acts++
-		a.judge(act)
+		a.check(act)
 	}
-	a.acts = nil
+	a.pending = nil
 }
 
-func (a *Auditor) judge(act Act) {
+func (a *Auditor) check(act Act) {
 	if act.At > act.Until {
-		a.stale(act, "after its lease was over")
+		a.recordStale(act, "after its lease was over")
 	}
-	if newest := a.highest[act.Task]; act.Fence < newest.Fence {
-		a.stale(act, fmt.Sprintf("after %s acted under fence %d", newest.Router, newest.Fence))
+	if newest := a.newestAct[act.Task]; act.Fence < newest.Fence {
+		a.recordStale(act, fmt.Sprintf("after %s acted under fence %d", newest.Router, newest.Fence))
 	} else if act.Fence > newest.Fence {
-		a.highest[act.Task] = act
+		a.newestAct[act.Task] = act
 	}
-	if other, ok := a.owner[act.Fence]; ok && other != act.Router {
-		a.stale(act, "under a fence of "+other)
+	if other, ok := a.ownerOfFence[act.Fence]; ok && other != act.Router {
+		a.recordStale(act, "under a fence of "+other)
 	}
-	a.owner[act.Fence] = act.Router
+	a.ownerOfFence[act.Fence] = act.Router
 }
 
-func (a *Auditor) stale(act Act, why string) {
+func (a *Auditor) recordStale(act Act, reason string) {
 	a.Stale++
-	if len(a.Wrong) < mostWrong {
-		a.Wrong = append(a.Wrong, fmt.Sprintf("%s acts on %s under fence %d at %.3f, %s", act.Router, act.Task, act.Fence, act.At, why))
+	if len(a.Wrong) < maxViolations {
+		a.Wrong = append(a.Wrong, fmt.Sprintf("%s acts on %s under fence %d at %.3f, %s", act.Router, act.Task, act.Fence, act.At, reason))
 	}
 }
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -48,7 +48,7 @@
 	coordinators []*coordinatorProcess
 	workers      []*workerProcess
 	client       *coordserver.Client
-	live         map[int]bool // routers that run
+	running      map[int]bool // routers that run
 	sampler      *sampler
 }
 
@@ -70,7 +70,7 @@
 
 // New fleet: its coordinators lead, and no router runs yet.
 func New(o Options) (*Fleet, error) {
-	f := &Fleet{Audit: NewAuditor(), options: o, starter: newStarter(), live: map[int]bool{}}
+	f := &Fleet{Audit: NewAuditor(), options: o, starter: newStarter(), running: map[int]bool{}}
 	if err := f.build(); err != nil {
 		f.Close()
 		return nil, err
@@ -102,11 +102,11 @@
 	}
 	f.sampler = newSampler(f)
 	setup := &Setup{Coordinators: published, Route: route, Routers: f.options.Routers, Zones: f.options.Zones, Databases: f.options.Databases}
-	if _, err := f.all(Command{Action: Configure, Setup: setup}); err != nil {
+	if _, err := f.sendAll(Command{Action: Configure, Setup: setup}); err != nil {
 		return err
 	}
-	const patience = 20 * time.Second // all coordinators of a new registry have to meet
-	return f.await(patience, "a coordinator leads", func() (bool, error) { return f.Leader() >= 0, nil })
+	const timeout = 20 * time.Second // all coordinators of a new registry have to meet
+	return f.await(timeout, "a coordinator leads", func() (bool, error) { return f.Leader() >= 0, nil })
 }
 
 func (f *Fleet) initCoordinators() error {
@@ -166,13 +166,13 @@
 
 // Leader is the number of the coordinator that leads, -1: none says so.
 func (f *Fleet) Leader() int {
-	const patience = 2 * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	const timeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	leader, led := -1, 0.0
+	leader, leadingFor := -1, 0.0
 	for n, status := range f.statuses(ctx) {
-		if status != nil && status.LeaderFor > 0 && (leader < 0 || status.LeaderFor < led) { // of two that say so the newer one
-			leader, led = n, status.LeaderFor
+		if status != nil && status.LeaderFor > 0 && (leader < 0 || status.LeaderFor < leadingFor) { // of two that say so the newer one
+			leader, leadingFor = n, status.LeaderFor
 		}
 	}
 	return leader
@@ -188,19 +188,19 @@
 
 // Registry as the coordinators agree on it now.
 func (f *Fleet) Registry() (p coordserver.Picture, err error) {
-	const patience = 3 * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	const timeout = 3 * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	err = f.client.Call(ctx, "/v1/record", nil, &p)
 	return p, err
 }
 
-// all workers do a command; their reports are added, and acts go to the auditor.
-func (f *Fleet) all(c Command) (Report, error) {
-	return f.each(func(int) Command { return c })
+// sendAll workers do a command; their reports are added, and acts go to the auditor.
+func (f *Fleet) sendAll(c Command) (Report, error) {
+	return f.sendEach(func(int) Command { return c })
 }
 
-func (f *Fleet) each(command func(worker int) Command) (sum Report, err error) {
+func (f *Fleet) sendEach(command func(worker int) Command) (sum Report, err error) {
 	var group errgroup.Group
 	reports := make([]Report, len(f.workers))
 	for n, w := range f.workers {
@@ -225,44 +225,50 @@
 	return sum, f.sampler.err()
 }
 
-// routers in a command go to the workers that have them.
-func (f *Fleet) routers(action Action, numbers []int, runs bool) (Report, error) {
-	by := make([][]int, len(f.workers))
+// commandRouters in a command go to the workers that have them.
+func (f *Fleet) commandRouters(action Action, numbers []int, running bool) (Report, error) {
+	byWorker := make([][]int, len(f.workers))
 	for _, number := range numbers {
-		k := (number - 1) / f.options.PerWorker
-		by[k] = append(by[k], number)
-		if runs {
-			f.live[number] = true
+		worker := (number - 1) / f.options.PerWorker
+		byWorker[worker] = append(byWorker[worker], number)
+		if running {
+			f.running[number] = true
 		} else {
-			delete(f.live, number)
+			delete(f.running, number)
 		}
 	}
-	return f.each(func(k int) Command { return Command{Action: action, Routers: by[k]} })
+	return f.sendEach(func(k int) Command { return Command{Action: action, Routers: byWorker[k]} })
 }
 
 // StartRouters starts new processes of these numbers.
-func (f *Fleet) StartRouters(numbers []int) (Report, error) { return f.routers(Start, numbers, true) }
+func (f *Fleet) StartRouters(numbers []int) (Report, error) {
+	return f.commandRouters(Start, numbers, true)
+}
 
 // CrashRouters ends these without a word.
-func (f *Fleet) CrashRouters(numbers []int) (Report, error) { return f.routers(Crash, numbers, false) }
+func (f *Fleet) CrashRouters(numbers []int) (Report, error) {
+	return f.commandRouters(Crash, numbers, false)
+}
 
 // StopRouters ends these in order.
-func (f *Fleet) StopRouters(numbers []int) (Report, error) { return f.routers(Stop, numbers, false) }
+func (f *Fleet) StopRouters(numbers []int) (Report, error) {
+	return f.commandRouters(Stop, numbers, false)
+}
 
 // Load is what all routers have use for from now on.
 func (f *Fleet) Load(d Demand) error {
-	_, err := f.all(Command{Action: Load, Demand: &d})
+	_, err := f.sendAll(Command{Action: Load, Demand: &d})
 	return err
 }
 
 // Mark has confirmations count from now on.
 func (f *Fleet) Mark() error {
-	_, err := f.all(Command{Action: Mark})
+	_, err := f.sendAll(Command{Action: Mark})
 	return err
 }
 
 // Look at all routers.
-func (f *Fleet) Look() (Report, error) { return f.all(Command{Action: Look}) }
+func (f *Fleet) Look() (Report, error) { return f.sendAll(Command{Action: Look}) }
 
 // KillCoordinator ends that one as by a loss of power.
 func (f *Fleet) KillCoordinator(n int) {
@@ -329,7 +335,7 @@
 				far = append(far, c.published)
 			}
 		}
-		if _, err := f.all(Command{Action: Cut, Region: zone.Region, Addresses: far}); err != nil {
+		if _, err := f.sendAll(Command{Action: Cut, Region: zone.Region, Addresses: far}); err != nil {
 			return err
 		}
 	}
@@ -341,7 +347,7 @@
 	for _, c := range f.coordinators {
 		c.relay.heal()
 	}
-	_, err := f.all(Command{Action: Heal})
+	_, err := f.sendAll(Command{Action: Heal})
 	return err
 }
 
@@ -354,21 +360,21 @@
 	return all.String()
 }
 
-var errLate = errors.New("it took too long")
+var errTimeout = errors.New("it took too long")
 
-const lookEvery = 200 * time.Millisecond
+const pollInterval = 200 * time.Millisecond
 
 // await asks until it is so.
-func (f *Fleet) await(patience time.Duration, what string, is func() (bool, error)) error {
-	for end := time.Now().Add(patience); ; {
-		good, err := is()
-		if good || err != nil {
+func (f *Fleet) await(timeout time.Duration, goal string, condition func() (bool, error)) error {
+	for end := time.Now().Add(timeout); ; {
+		done, err := condition()
+		if done || err != nil {
 			return err
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s: %w: %v", what, errLate, patience)
+			return fmt.Errorf("%s: %w: %v", goal, errTimeout, timeout)
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -381,10 +387,10 @@
 
 // Recover waits until control is whole again: the sessions of so many routers are confirmed since the mark, the registry has theirs
 // alone, and so many tasks are owned.
-func (f *Fleet) Recover(since float64, routers, tasks int, patience time.Duration) (r Recovery, err error) {
+func (f *Fleet) Recover(since float64, routers, tasks int, timeout time.Duration) (r Recovery, err error) {
 	confirmed := false
-	var picture coordserver.Picture
-	err = f.await(patience, "control is whole again", func() (bool, error) {
+	var registry coordserver.Picture
+	err = f.await(timeout, "control is whole again", func() (bool, error) {
 		if !confirmed {
 			report, err := f.Look()
 			if err != nil {
@@ -400,21 +406,21 @@
 		if err != nil {
 			return false, nil // no coordinator answers yet
 		}
-		picture = p
+		registry = p
 		r.Settled = boottime.Now() - since
 		return len(p.Sessions) == routers && len(p.Owners) >= tasks, nil
 	})
 	if err != nil {
 		err = fmt.Errorf("%w; %d of %d routers confirmed, %d sessions, %d of %d tasks owned", err, r.Report.Confirmed, routers,
-			len(picture.Sessions), len(picture.Owners), tasks)
+			len(registry.Sessions), len(registry.Owners), tasks)
 	}
 	return r, err
 }
 
 // AwaitTasks waits until just so many tasks are owned.
-func (f *Fleet) AwaitTasks(tasks int, patience time.Duration) error {
+func (f *Fleet) AwaitTasks(tasks int, timeout time.Duration) error {
 	owned := 0
-	err := f.await(patience, "tasks are owned", func() (bool, error) {
+	err := f.await(timeout, "tasks are owned", func() (bool, error) {
 		p, err := f.Registry()
 		owned = len(p.Owners)
 		return err == nil && owned == tasks, nil
@@ -426,7 +432,7 @@
 }
 
 // Live is how many routers run.
-func (f *Fleet) Live() int { return len(f.live) }
+func (f *Fleet) Live() int { return len(f.running) }
 
 // FolderBytes is the size of a coordinator's file.
 func (f *Fleet) FolderBytes(n int) (sum float64) {
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 )
 
-// coordinatorFor runs one coordinator in this process and gives its address.
-func coordinatorFor(t *testing.T) string {
+// startTestCoordinator runs one coordinator in this process and gives its address.
+func startTestCoordinator(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,8 +40,8 @@
 	return address
 }
 
-// served is a worker behind the same lines of text that a process of its own would read and write.
-func served(t *testing.T, coordinator string, routers int) func(Command) Report {
+// startTestWorker is a worker behind the same lines of text that a process of its own would read and write.
+func startTestWorker(t *testing.T, coordinator string, routers int) func(Command) Report {
 	t.Helper()
 	commands, in := io.Pipe()
 	out, reports := io.Pipe()
@@ -67,43 +67,43 @@
 	return do
 }
 
-func until(t *testing.T, do func(Command) Report, what string, is func(Report) bool) Report {
+func waitForReport(t *testing.T, do func(Command) Report, goal string, condition func(Report) bool) Report {
 	t.Helper()
-	const patience = 20 * time.Second
+	const timeout = 20 * time.Second
 	var report Report
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if report = do(Command{Action: Look}); is(report) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if report = do(Command{Action: Look}); condition(report) {
 			return report
 		}
 	}
-	t.Fatalf("%s: %+v", what, report)
+	t.Fatalf("%s: %+v", goal, report)
 	return report
 }
 
 // TestRouters: sessions open, a cold database gets an owner whose acts are told once, crashed routers come again under new
 // sessions, and a cut link keeps its routers from being confirmed until it is healed.
 func TestRouters(t *testing.T) {
-	address := coordinatorFor(t)
-	do := served(t, address, 4)
+	address := startTestCoordinator(t)
+	do := startTestWorker(t, address, 4)
 	do(Command{Action: Start, Routers: []int{1, 2, 3, 4}})
-	report := until(t, do, "all sessions are open", func(r Report) bool { return r.Open == 4 })
+	report := waitForReport(t, do, "all sessions are open", func(r Report) bool { return r.Open == 4 })
 	if report.Live != 4 || report.Listed != 4*30 {
 		t.Errorf("%d routers run, with %d databases in all lists", report.Live, report.Listed)
 	}
 	do(Command{Action: Load, Demand: &Demand{Cold: 1}})
 	audit := NewAuditor()
-	until(t, do, "an owner acts", func(r Report) bool {
+	waitForReport(t, do, "an owner acts", func(r Report) bool {
 		audit.Add(r.Acts)
-		return r.Held >= 1 && len(audit.acts) > 2
+		return r.Held >= 1 && len(audit.pending) > 2
 	})
-	until(t, do, "parts are granted", func(r Report) bool {
+	waitForReport(t, do, "parts are granted", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Shares == 4
 	})
 	do(Command{Action: Crash, Routers: []int{1, 2}})
 	do(Command{Action: Mark})
 	do(Command{Action: Start, Routers: []int{1, 2}})
-	until(t, do, "crashed routers are back", func(r Report) bool {
+	waitForReport(t, do, "crashed routers are back", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Confirmed == 4
 	})
@@ -113,12 +113,12 @@
 	if cut := do(Command{Action: Mark}); cut.Live != 4 {
 		t.Errorf("%d routers run", cut.Live)
 	}
-	until(t, do, "the other region goes on", func(r Report) bool {
+	waitForReport(t, do, "the other region goes on", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Confirmed == 2
 	})
 	do(Command{Action: Heal})
-	until(t, do, "all are confirmed again", func(r Report) bool {
+	waitForReport(t, do, "all are confirmed again", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Confirmed == 4
 	})
@@ -149,7 +149,7 @@
 	if _, err := w.Do(Command{Action: Load}); err == nil {
 		t.Error("a load without a demand is taken")
 	}
-	many := make([]int, mostRouters+1)
+	many := make([]int, maxRouters+1)
 	for n := range many {
 		many[n] = n + 1
 	}
@@ -166,10 +166,10 @@
 func TestAuditor(t *testing.T) {
 	good := []Act{{"t", "a", 1, 10, 12}, {"t", "a", 1, 11, 13}, {"t", "b", 2, 14, 16}, {"u", "a", 3, 14, 16}}
 	for _, c := range []struct {
-		name  string
-		acts  []Act
-		stale int
-		why   string
+		name   string
+		acts   []Act
+		stale  int
+		reason string
 	}{
 		{"in order", good, 0, ""},
 		{"as they arrive, not as they happened", []Act{good[2], good[0], good[1]}, 0, ""},
@@ -180,14 +180,14 @@
 		a := NewAuditor()
 		a.Add(c.acts)
 		a.Judge()
-		if a.Stale != c.stale || a.Acts != len(c.acts) || c.why != "" && !strings.Contains(strings.Join(a.Wrong, " "), c.why) {
+		if a.Stale != c.stale || a.Acts != len(c.acts) || c.reason != "" && !strings.Contains(strings.Join(a.Wrong, " "), c.reason) {
 			t.Errorf("%s: %d of %d stale: %v", c.name, a.Stale, a.Acts, a.Wrong)
 		}
 	}
 }
 
-// echo answers each connection with what it reads.
-func echo(t *testing.T) string {
+// startEchoServer answers each connection with what it reads.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -206,13 +206,13 @@
 	return listener.Addr().String()
 }
 
-// answers tells whether a connection gives back what it is given, or is silent, or ends.
-func answers(conn net.Conn) string {
-	const silence = 200 * time.Millisecond
+// sendByte tells whether a connection gives back what it is given, or is silent, or ends.
+func sendByte(conn net.Conn) string {
+	const timeout = 200 * time.Millisecond
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return "ends"
 	}
-	conn.SetReadDeadline(time.Now().Add(silence))
+	conn.SetReadDeadline(time.Now().Add(timeout))
 	_, err := conn.Read(make([]byte, 1))
 	if wait, ok := err.(net.Error); ok && wait.Timeout() {
 		return "is silent"
@@ -226,7 +226,7 @@
 // TestLinks: a cut link loses what is said on it, both before coordinators and between them; healed, connections that lost
 // something end, others go on.
 func TestLinks(t *testing.T) {
-	target := echo(t)
+	target := startEchoServer(t)
 	network := NewNetwork(map[string]string{"10.9.9.9:1": target})
 	relayed, err := newRelay("127.0.0.1:0", target)
 	if err != nil {
@@ -249,27 +249,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := answers(used); got != "answers" {
+		if got := sendByte(used); got != "answers" {
 			t.Errorf("%s link %s", c.name, got)
 		}
 		c.cut()
-		if got := answers(used); got != "is silent" {
+		if got := sendByte(used); got != "is silent" {
 			t.Errorf("%s cut link %s", c.name, got)
 		}
 		c.heal()
-		if got := answers(used); got != "ends" {
+		if got := sendByte(used); got != "ends" {
 			t.Errorf("%s connection that lost something %s", c.name, got)
 		}
 		again, err := c.dial(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := answers(again); got != "answers" {
+		if got := sendByte(again); got != "answers" {
 			t.Errorf("%s healed link %s", c.name, got)
 		}
 		c.cut()
 		c.heal()
-		if got := answers(again); got != "answers" {
+		if got := sendByte(again); got != "answers" {
 			t.Errorf("%s connection that lost nothing %s", c.name, got)
 		}
 	}
@@ -278,7 +278,7 @@
 	if _, err := network.Dial("south")(t.Context(), "tcp", "10.9.9.9:1"); err == nil || boottime.Now()-began < connectTimeout.Seconds()-0.01 {
 		t.Errorf("a connection over a cut link: %v after %.2f s", err, boottime.Now()-began)
 	}
-	if conn, err := network.Dial("north")(t.Context(), "tcp", "10.9.9.9:1"); err != nil || answers(conn) != "answers" {
+	if conn, err := network.Dial("north")(t.Context(), "tcp", "10.9.9.9:1"); err != nil || sendByte(conn) != "answers" {
 		t.Errorf("another region's link: %v", err)
 	}
 }
--- a/internal/hollow/network.go
+++ b/internal/hollow/network.go
@@ -78,15 +78,15 @@
 // Heal all links.
 func (n *Network) Heal() {
 	n.mu.Lock()
-	var stale []*linkConn
+	var damaged []*linkConn
 	for c := range n.conns {
-		if c.stale {
-			stale = append(stale, c)
+		if c.lostData {
+			damaged = append(damaged, c)
 		}
 	}
 	clear(n.cut)
 	n.mu.Unlock()
-	for _, c := range stale {
+	for _, c := range damaged {
 		c.Close()
 	}
 }
@@ -94,22 +94,22 @@
 // linkConn is a connection over one link.
 type linkConn struct {
 	net.Conn
-	network *Network
-	path    link
-	stale   bool // it lost something; guarded by the network's mutex
+	network  *Network
+	path     link
+	lostData bool // it lost something; guarded by the network's mutex
 }
 
-// loses tells whether what passes now is lost.
-func (c *linkConn) loses() bool {
+// dropsTraffic tells whether what passes now is lost.
+func (c *linkConn) dropsTraffic() bool {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	lost := c.network.cut[c.path]
-	c.stale = c.stale || lost
-	return lost
+	cut := c.network.cut[c.path]
+	c.lostData = c.lostData || cut
+	return cut
 }
 
 func (c *linkConn) Write(b []byte) (int, error) {
-	if c.loses() {
+	if c.dropsTraffic() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
@@ -118,7 +118,7 @@
 func (c *linkConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if err != nil || !c.loses() {
+		if err != nil || !c.dropsTraffic() {
 			return n, err
 		}
 	}
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -44,14 +44,14 @@
 	text bytes.Buffer
 }
 
-const mostTail = 4 << 10 // bytes
+const maxTailBytes = 4 << 10 // bytes
 
 func (t *tail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text.Write(b)
-	if over := t.text.Len() - mostTail; over > 0 {
-		t.text.Next(over)
+	if excess := t.text.Len() - maxTailBytes; excess > 0 {
+		t.text.Next(excess)
 	}
 	return len(b), nil
 }
@@ -104,11 +104,11 @@
 	if _, err := w.in.Write(append(line, '\n')); err != nil {
 		return report, fmt.Errorf("worker: %w", err)
 	}
-	answer, err := w.out.ReadBytes('\n')
+	reply, err := w.out.ReadBytes('\n')
 	if err != nil {
 		return report, fmt.Errorf("worker: %w", err)
 	}
-	if err := json.Unmarshal(answer, &report); err != nil {
+	if err := json.Unmarshal(reply, &report); err != nil {
 		return report, err
 	}
 	if report.Error != "" {
--- a/internal/hollow/relay.go
+++ b/internal/hollow/relay.go
@@ -12,17 +12,17 @@
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	cut   map[string]bool // by caller's address
-	pairs map[*relayPair]bool
-	done  bool
+	mu     sync.Mutex
+	cut    map[string]bool // by caller's address
+	pairs  map[*relayPair]bool
+	closed bool
 }
 
 // relayPair is a connection and its continuation.
 type relayPair struct {
-	caller string
-	conns  [2]net.Conn
-	stale  bool // it lost something
+	caller   string
+	conns    [2]net.Conn
+	lostData bool // it lost something
 }
 
 func newRelay(listen, target string) (*relay, error) {
@@ -41,31 +41,31 @@
 		if err != nil {
 			return
 		}
-		go r.join(conn)
+		go r.forward(conn)
 	}
 }
 
-func (r *relay) join(conn net.Conn) {
+func (r *relay) forward(conn net.Conn) {
 	caller, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-	next, err := net.DialTimeout("tcp", r.target, connectTimeout)
+	upstream, err := net.DialTimeout("tcp", r.target, connectTimeout)
 	if err != nil {
 		conn.(*net.TCPConn).SetLinger(0) // a refused connection, as the caller would see it
 		conn.Close()
 		return
 	}
-	p := &relayPair{caller: caller, conns: [2]net.Conn{conn, next}}
+	p := &relayPair{caller: caller, conns: [2]net.Conn{conn, upstream}}
 	r.mu.Lock()
-	if r.done {
+	if r.closed {
 		r.mu.Unlock()
 		p.close()
 		return
 	}
 	r.pairs[p] = true
 	r.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { r.copy(p, conn, next) })
-	both.Go(func() { r.copy(p, next, conn) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { r.copy(p, conn, upstream) })
+	copies.Go(func() { r.copy(p, upstream, conn) })
+	copies.Wait()
 	r.mu.Lock()
 	delete(r.pairs, p)
 	r.mu.Unlock()
@@ -76,7 +76,7 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !r.loses(p) {
+		if n > 0 && !r.dropsTraffic(p) {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
@@ -87,12 +87,12 @@
 	}
 }
 
-func (r *relay) loses(p *relayPair) bool {
+func (r *relay) dropsTraffic(p *relayPair) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.cut[p.caller]
-	p.stale = p.stale || lost
-	return lost
+	cut := r.cut[p.caller]
+	p.lostData = p.lostData || cut
+	return cut
 }
 
 // cutFrom drops all that these callers say and are told.
@@ -110,7 +110,7 @@
 	defer r.mu.Unlock()
 	clear(r.cut)
 	for p := range r.pairs {
-		if p.stale {
+		if p.lostData {
 			p.close()
 		}
 	}
@@ -120,7 +120,7 @@
 	r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.done = true
+	r.closed = true
 	for p := range r.pairs {
 		p.close()
 	}
--- a/internal/hollow/router.go
+++ b/internal/hollow/router.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	tickEvery = 100 * time.Millisecond // as the router's data path tells the agent what it has use for
-	needs     = 2.0                    // equal parts of each cold database that a router has use for
+	tickInterval = 100 * time.Millisecond // as the router's data path tells the agent what it has use for
+	sharesNeeded = 2.0                    // equal parts of each cold database that a router has use for
 )
 
 // router is one hollow router's process, from its start to its end.
@@ -49,38 +49,38 @@
 
 // state of a router as its worker sees it.
 type state struct {
-	session   bool
-	confirmed int     // views so far
-	since     float64 // boot clock, first confirmation after the mark, 0: none yet
-	held      int
-	shares    int
-	stats     agent.Stats
+	session          bool
+	snapshotsApplied int     // views so far
+	confirmedAt      float64 // boot clock, first confirmation after the mark, 0: none yet
+	held             int
+	shares           int
+	stats            agent.Stats
 }
 
 // newRouter is a process of that number that runs at once.
-func newRouter(s *Setup, n *Network, number int, demand func() Demand, act func(Act)) (*router, error) {
-	const digits = 1<<52 - 1 // as a real router draws it
-	at := (number - 1) % len(s.Zones)
-	r := &router{number: number, name: fmt.Sprint("r", number), incarnation: rand.Uint64()&digits | 1, zone: s.Zones[at], zoneCount: len(s.Zones), demand: demand,
+func newRouter(s *Setup, n *Network, number int, demand func() Demand, recordAct func(Act)) (*router, error) {
+	const incarnationMask = 1<<52 - 1 // as a real router draws it
+	zoneNumber := (number - 1) % len(s.Zones)
+	r := &router{number: number, name: fmt.Sprint("r", number), incarnation: rand.Uint64()&incarnationMask | 1, zone: s.Zones[zoneNumber], zoneCount: len(s.Zones), demand: demand,
 		stop: make(chan struct{}), ended: make(chan struct{})}
 	var err error
 	if r.list, err = newList(s); err != nil {
 		return nil, err
 	}
 	names := make([]string, len(s.Zones))
-	ways := make([][]float64, len(s.Zones))
+	roundTrips := make([][]float64, len(s.Zones))
 	for k, zone := range s.Zones {
 		names[k] = zone.Name
-		ways[k] = make([]float64, len(s.Zones))
+		roundTrips[k] = make([]float64, len(s.Zones))
 	}
 	id := fmt.Sprintf("%s/%x", r.name, r.incarnation)
 	r.client = coordserver.NewClientOver(s.Coordinators, n.Dial(r.zone.Region))
 	r.member = agent.New(agent.Config{Name: r.name, Zone: r.zone.Name, Region: r.zone.Region, Incarnation: r.incarnation, Seed: rand.Uint64(),
-		CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind, agent.PlanKind}, ZoneCount: len(names), ZoneNames: names, ZoneNumber: at, RoundTrips: ways,
+		CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind, agent.PlanKind}, ZoneCount: len(names), ZoneNames: names, ZoneNumber: zoneNumber, RoundTrips: roundTrips,
 		RouterCount: s.Routers, Window: 1, StartedAt: boottime.Now(), Now: boottime.Now,
 		Trace: func(t agent.Trace) {
 			if t.Event == "act" {
-				act(Act{Task: t.Task, Router: id, Fence: t.Fence, At: t.At, Until: t.Until})
+				recordAct(Act{Task: t.Task, Router: id, Fence: t.Fence, At: t.At, Until: t.Until})
 			}
 		}}, agent.PersistentState{})
 	r.driver = agentdriver.NewDriver(r.member, r.client)
@@ -103,7 +103,7 @@
 }
 
 func (r *router) loop(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	stop := r.stop
 	for {
@@ -114,11 +114,11 @@
 			stop = nil
 			r.driver.Put(r.member.Close(boottime.Now()))
 			time.AfterFunc(closeGrace, r.cancel)
-		case take := <-r.driver.News():
-			take()
+		case handle := <-r.driver.News():
+			handle()
 		case <-tick.C:
 			now := boottime.Now()
-			r.member.SetDemand(now, r.needs(r.demand()))
+			r.member.SetDemand(now, r.agentDemand(r.demand()))
 			r.driver.Put(r.member.Tick(now))
 		}
 		r.publish()
@@ -128,25 +128,25 @@
 // closeGrace is how long a router that ends waits for its last request.
 const closeGrace = time.Second
 
-// needs is the demand as the data path would tell it.
-func (r *router) needs(d Demand) agent.Demand {
-	var all agent.Demand
+// agentDemand is the demand as the data path would tell it.
+func (r *router) agentDemand(d Demand) agent.Demand {
+	var demand agent.Demand
 	for n := range d.Cold {
-		all.ColdServers = append(all.ColdServers, agent.ColdServer{Server: engine(n, d.Generation), Need: needs / float64(max(r.member.FleetSize(), 1))})
+		demand.ColdServers = append(demand.ColdServers, agent.ColdServer{Server: coldServer(n, d.Generation), Need: sharesNeeded / float64(max(r.member.FleetSize(), 1))})
 	}
 	if d.Reports {
-		all.Report = r.report
+		demand.Report = r.zoneReport
 	}
-	return all
+	return demand
 }
 
-// engine is a cold database of one generation.
-func engine(n, generation int) agent.Server {
+// coldServer is a cold database of one generation.
+func coldServer(n, generation int) agent.Server {
 	return agent.Server{ID: uint32(n + 1), Start: float64(generation + 1)}
 }
 
-// report is evidence of a second in which all went well, with traffic in the router's own zone and a little in each other.
-func (r *router) report() failover.Report {
+// zoneReport is evidence of a second in which all went well, with traffic in the router's own zone and a little in each other.
+func (r *router) zoneReport() failover.Report {
 	const work, cores = 3.75, 16.0 // core seconds a second: 750 requests of 5 ms; ready cores in a zone
 	report := failover.Report{Demand: work, Observations: make([]failover.ZoneObservation, r.zoneCount)}
 	report.Zone = (r.number - 1) % len(report.Observations)
@@ -162,28 +162,28 @@
 	now, d := boottime.Now(), r.demand()
 	shares := 0
 	for n := range d.Cold {
-		e := engine(n, d.Generation)
-		if part, ok := r.member.WarmUpShare(now, e.ID, e.Start); ok && part > 0 {
+		server := coldServer(n, d.Generation)
+		if share, ok := r.member.WarmUpShare(now, server.ID, server.Start); ok && share > 0 {
 			shares++
 		}
 	}
 	stats := r.member.Stats
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if stats.SnapshotsApplied > r.state.confirmed && r.state.since == 0 {
-		r.state.since = now
+	if stats.SnapshotsApplied > r.state.snapshotsApplied && r.state.confirmedAt == 0 {
+		r.state.confirmedAt = now
 	}
-	r.state.session, r.state.confirmed, r.state.held, r.state.shares, r.state.stats = r.member.Session() != 0, stats.SnapshotsApplied, len(r.member.Held()), shares, stats
+	r.state.session, r.state.snapshotsApplied, r.state.held, r.state.shares, r.state.stats = r.member.Session() != 0, stats.SnapshotsApplied, len(r.member.Held()), shares, stats
 }
 
-// mark has confirmations count from now on.
-func (r *router) mark() {
+// resetConfirmed has confirmations count from now on.
+func (r *router) resetConfirmed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.since = 0
+	r.state.confirmedAt = 0
 }
 
-func (r *router) look() state {
+func (r *router) currentState() state {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state
--- a/internal/hollow/sampler.go
+++ b/internal/hollow/sampler.go
@@ -23,12 +23,12 @@
 	stop  chan struct{}
 	ended chan struct{}
 
-	mu   sync.Mutex
-	peak Peak
-	over error // a bound of the machine that was passed
+	mu       sync.Mutex
+	peak     Peak
+	limitErr error // a bound of the machine that was passed
 }
 
-const sampleEvery = time.Second
+const sampleInterval = time.Second
 
 func newSampler(f *Fleet) *sampler {
 	s := &sampler{fleet: f, stop: make(chan struct{}), ended: make(chan struct{})}
@@ -38,7 +38,7 @@
 
 func (s *sampler) run() {
 	defer close(s.ended)
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	last := map[int]Usage{}
 	at := time.Now()
@@ -48,27 +48,27 @@
 			return
 		case <-tick.C:
 		}
-		took := time.Since(at).Seconds()
+		elapsed := time.Since(at).Seconds()
 		at = time.Now()
-		last = s.sample(last, took)
+		last = s.sample(last, elapsed)
 	}
 }
 
 // sample all processes once; last is what they had used before, by process.
-func (s *sampler) sample(last map[int]Usage, took float64) map[int]Usage {
+func (s *sampler) sample(previous map[int]Usage, elapsed float64) map[int]Usage {
 	now := map[int]Usage{}
-	all := Peak{Processes: 1}
+	total := Peak{Processes: 1}
 	add := func(pid int) (Usage, bool) {
 		u, err := usageOf(pid)
 		if err != nil {
 			return u, false // it has just ended
 		}
-		all.MemoryMB += u.MemoryMB
-		all.Processes++
+		total.MemoryMB += u.MemoryMB
+		total.Processes++
 		return u, true
 	}
 	if u, err := usageOf(os.Getpid()); err == nil {
-		all.MemoryMB += u.MemoryMB
+		total.MemoryMB += u.MemoryMB
 	}
 	for _, w := range s.fleet.workers {
 		add(w.cmd.Process.Pid)
@@ -79,18 +79,18 @@
 			continue
 		}
 		now[pid] = u
-		all.Coordinator = max(all.Coordinator, u.MemoryMB)
-		all.Descriptors = max(all.Descriptors, u.Descriptors)
-		if before, ok := last[pid]; ok {
-			all.Core = max(all.Core, (u.Core-before.Core)/took)
-			all.Bytes = max(all.Bytes, (u.Transferred-before.Transferred)/took)
+		total.Coordinator = max(total.Coordinator, u.MemoryMB)
+		total.Descriptors = max(total.Descriptors, u.Descriptors)
+		if before, ok := previous[pid]; ok {
+			total.Core = max(total.Core, (u.Core-before.Core)/elapsed)
+			total.Bytes = max(total.Bytes, (u.Transferred-before.Transferred)/elapsed)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peak.Raise(all)
-	if all.MemoryMB > MostMemoryMB || all.Processes > MostProcesses {
-		s.over = fmt.Errorf("%d processes take %.0f MB: %d and %d are the most", all.Processes, all.MemoryMB, MostProcesses, MostMemoryMB)
+	s.peak.Raise(total)
+	if total.MemoryMB > MostMemoryMB || total.Processes > MostProcesses {
+		s.limitErr = fmt.Errorf("%d processes take %.0f MB: %d and %d are the most", total.Processes, total.MemoryMB, MostProcesses, MostMemoryMB)
 	}
 	return now
 }
@@ -108,7 +108,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over
+	return s.limitErr
 }
 
 func (s *sampler) close() {
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -14,22 +14,22 @@
 
 // Bounds of one worker process.
 const (
-	mostRouters = 400
-	mostActs    = 200_000  // that wait to be told
-	mostLine    = 64 << 20 // bytes of a command or report
+	maxRouters     = 400
+	maxPendingActs = 200_000  // that wait to be told
+	maxLineBytes   = 64 << 20 // bytes of a command or report
 )
 
 // Worker is the hollow routers of one process. All but its routers is one goroutine's.
 type Worker struct {
-	setup   *Setup
-	network *Network
-	routers map[int]*router
-	demand  atomic.Pointer[Demand]
-	past    Report // totals of routers that have ended
+	setup       *Setup
+	network     *Network
+	routers     map[int]*router
+	demand      atomic.Pointer[Demand]
+	endedTotals Report // totals of routers that have ended
 
-	mu     sync.Mutex
-	acts   []Act
-	unseen int
+	mu          sync.Mutex
+	pendingActs []Act
+	droppedActs int
 }
 
 // NewWorker has no routers.
@@ -43,8 +43,8 @@
 func (w *Worker) Serve(in io.Reader, out io.Writer) error {
 	defer func() { w.end(w.numbers(), func(r *router) { r.cancel() }) }()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, mostLine)
-	answers := json.NewEncoder(out)
+	lines.Buffer(nil, maxLineBytes)
+	reports := json.NewEncoder(out)
 	for lines.Scan() {
 		var c Command
 		var report Report
@@ -55,7 +55,7 @@
 		if err != nil {
 			report.Error = err.Error()
 		}
-		if err := answers.Encode(report); err != nil {
+		if err := reports.Encode(report); err != nil {
 			return err
 		}
 	}
@@ -63,10 +63,10 @@
 }
 
 var (
-	errNotConfigured = errors.New("the first command has to configure the worker, and no other may")
-	errNoDemand      = errors.New("a load without a demand")
-	errTwice         = errors.New("a router runs already, or is named twice")
-	errTooMany       = fmt.Errorf("more than %d routers in one process", mostRouters)
+	errNotConfigured   = errors.New("the first command has to configure the worker, and no other may")
+	errNoDemand        = errors.New("a load without a demand")
+	errDuplicateRouter = errors.New("a router runs already, or is named twice")
+	errTooManyRouters  = fmt.Errorf("more than %d routers in one process", maxRouters)
 )
 
 // Do one command and report.
@@ -95,7 +95,7 @@
 		w.network.Heal()
 	case Mark:
 		for _, r := range w.routers {
-			r.mark()
+			r.resetConfirmed()
 		}
 	case Look:
 	default:
@@ -106,24 +106,24 @@
 
 // start routers, on all cores: each reads its list of databases.
 func (w *Worker) start(numbers []int) error {
-	if len(w.routers)+len(numbers) > mostRouters {
-		return errTooMany
+	if len(w.routers)+len(numbers) > maxRouters {
+		return errTooManyRouters
 	}
 	if slices.ContainsFunc(numbers, func(n int) bool { return w.routers[n] != nil }) || len(slices.Compact(slices.Sorted(slices.Values(numbers)))) < len(numbers) {
-		return errTwice
+		return errDuplicateRouter
 	}
 	started := make([]*router, len(numbers))
 	failed := make([]error, len(numbers))
-	var wait sync.WaitGroup
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var starts sync.WaitGroup
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for k, number := range numbers {
-		places <- struct{}{}
-		wait.Go(func() {
-			started[k], failed[k] = newRouter(w.setup, w.network, number, func() Demand { return *w.demand.Load() }, w.act)
-			<-places
+		slots <- struct{}{}
+		starts.Go(func() {
+			started[k], failed[k] = newRouter(w.setup, w.network, number, func() Demand { return *w.demand.Load() }, w.addAct)
+			<-slots
 		})
 	}
-	wait.Wait()
+	starts.Wait()
 	for _, r := range started {
 		if r != nil {
 			w.routers[r.number] = r
@@ -141,57 +141,57 @@
 }
 
 // end routers in that way, and wait until they have ended.
-func (w *Worker) end(numbers []int, how func(*router)) {
+func (w *Worker) end(numbers []int, stop func(*router)) {
 	var ending []*router
 	for _, number := range numbers {
 		if r := w.routers[number]; r != nil {
 			delete(w.routers, number)
-			how(r)
+			stop(r)
 			ending = append(ending, r)
 		}
 	}
 	for _, r := range ending {
 		<-r.ended
-		w.past.Add(r.totals())
+		w.endedTotals.Add(r.totals())
 	}
 }
 
-// act of an owner, kept for the next report.
-func (w *Worker) act(a Act) {
+// addAct of an owner, kept for the next report.
+func (w *Worker) addAct(a Act) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.acts) >= mostActs {
-		w.unseen++
+	if len(w.pendingActs) >= maxPendingActs {
+		w.droppedActs++
 		return
 	}
-	w.acts = append(w.acts, a)
+	w.pendingActs = append(w.pendingActs, a)
 }
 
 func (w *Worker) report() Report {
-	var all Report
-	all.Add(w.past)
+	var total Report
+	total.Add(w.endedTotals)
 	for _, r := range w.routers {
-		all.Add(r.totals())
-		s := r.look()
-		all.Live++
+		total.Add(r.totals())
+		s := r.currentState()
+		total.Live++
 		if s.session {
-			all.Open++
+			total.Open++
 		}
-		if s.since > 0 {
-			all.Confirmed++
-			all.Last = max(all.Last, s.since)
+		if s.confirmedAt > 0 {
+			total.Confirmed++
+			total.Last = max(total.Last, s.confirmedAt)
 		}
-		all.Held, all.Shares, all.Listed = all.Held+s.held, all.Shares+s.shares, all.Listed+len(r.list.entries)
+		total.Held, total.Shares, total.Listed = total.Held+s.held, total.Shares+s.shares, total.Listed+len(r.list.entries)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	all.Acts, all.Unseen, w.acts = w.acts, w.unseen, nil
-	return all
+	total.Acts, total.Unseen, w.pendingActs = w.pendingActs, w.droppedActs, nil
+	return total
 }
 
 // totals are the counters of a router that outlive it.
 func (r *router) totals() Report {
-	s := r.look()
+	s := r.currentState()
 	requests, bytes := r.client.Traffic()
 	return Report{Requests: requests, Bytes: bytes, ByPath: r.client.TrafficByPath(),
 		Grants: s.stats.Granted, Relinquished: s.stats.Relinquishments, Late: s.stats.LateGrants, Refused: s.stats.RejectedStale, Lost: s.stats.Lost}
--- a/internal/measure/budgets.go
+++ b/internal/measure/budgets.go
@@ -30,17 +30,17 @@
 
 // Budgets measures team budgets and waits.
 func Budgets() ([]Row, error) {
-	return each(flood, shares, lent, tenfold, promises, spilling)
+	return runAll(reportsBehindFlood, budgetShares, lentBudget, tenfoldOverload, waitEstimates, memorySpilling)
 }
 
 const (
-	lookup = 0
-	report = 1
-	warm   = 20.0 // seconds that histograms and corrections take to fill; what was taken before does not count
+	lookupProfile = 0
+	reportProfile = 1
+	warmUpSeconds = 20.0 // seconds that histograms and corrections take to fill; what was taken before does not count
 )
 
-// The yard is four engines of eight cores, and commands as planners send them.
-func yard(seed uint64) cluster.Settings {
+// The poolSettings is four engines of eight cores, and commands as planners send them.
+func poolSettings(seed uint64) cluster.Settings {
 	s := cluster.Settings{Seed: seed, Length: 140, Brain: admission.Settings{Routers: 1, Tick: 0.005, MaxSends: 6, Priorities: true,
 		MaxPause: 0.5, ColdFrom: 0.35, WarmUp: 15, FallMultiple: 2, FallWindow: 1, Profiles: []admission.Profile{
 			{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1}, {Target: 2, Stretch: 2.5, Benefit: 10, Threads: 2}}}}
@@ -50,9 +50,9 @@
 	return s
 }
 
-const cores = 32.0
+const poolCores = 32.0
 
-func teams(weights ...float64) *fairshare.Spec {
+func teamSpec(weights ...float64) *fairshare.Spec {
 	s := &fairshare.Spec{Default: "t0", Ageing: 0.1, TurnsForBypassed: true, MaxPriorityChanges: 20, ProtectSpilling: true}
 	for k, w := range weights {
 		s.Nodes = append(s.Nodes, fairshare.Node{Name: fmt.Sprintf("t%d", k), Weight: w, Tenants: []int{k}})
@@ -60,65 +60,65 @@
 	return s
 }
 
-// asks is a stream that asks for so much of the pool's work.
-func asks(team, profile int, share float64) cluster.Stream {
+// steadyStream is a stream that steadyStream for so much of the pool's work.
+func steadyStream(team, profile int, share float64) cluster.Stream {
 	s := cluster.Stream{Team: team, Profile: profile, Work: 0.17, CV: 1, Deadline: 4, Scatter: 0.3}
-	if profile == report {
+	if profile == reportProfile {
 		s.Work, s.CV, s.Deadline, s.Memory = 4, 1, 15, 400
 	}
-	s.Rate, s.Peak = cluster.Steady(share * cores / s.Work)
+	s.Rate, s.Peak = cluster.Steady(share * poolCores / s.Work)
 	return s
 }
 
-// behind is how a stream fared in the line: the longest wait of a command that was sent, as a share of its latency target,
+// queueOutcome is how a stream fared in the line: the longest wait of a command that was sent, as a share of its latency target,
 // the share sent of those held, and the share answered in time of all.
-func behind(r cluster.Result, stream int) (wait, sent, inTime float64) {
-	all, good, held, left := 0.0, 0.0, 0.0, 0.0
+func queueOutcome(r cluster.Result, stream int) (wait, sent, inTime float64) {
+	all, completedInTime, held, heldAndSent := 0.0, 0.0, 0.0, 0.0
 	for k := range r.Tries {
 		t := &r.Tries[k]
-		if t.Stream != stream || t.Taken < warm || t.How == cluster.Open {
+		if t.Stream != stream || t.Taken < warmUpSeconds || t.How == cluster.Open {
 			continue
 		}
 		if all++; t.InTime() {
-			good++
+			completedInTime++
 		}
-		switch never := math.IsNaN(t.Sent); {
-		case never && t.Ended > t.Taken:
+		switch neverSent := math.IsNaN(t.Sent); {
+		case neverSent && t.Ended > t.Taken:
 			held++
-		case !never && t.Sent > t.Taken:
+		case !neverSent && t.Sent > t.Taken:
 			held++
-			left++
+			heldAndSent++
 			wait = max(wait, (t.Sent-t.Taken)/t.Target)
 		}
 	}
 	if held == 0 {
-		left, held = 1, 1
+		heldAndSent, held = 1, 1
 	}
-	return wait, left / held, good / all
+	return wait, heldAndSent / held, completedInTime / all
 }
 
-// flood: reports of one team behind an endless flood of lookups, of another team and of the same.
-func flood() (rows []Row, err error) {
+// reportsBehindFlood: reports of one team behind an endless reportsBehindFlood of lookups, of another team and of the same.
+func reportsBehindFlood() (rows []Row, err error) {
 	for _, c := range []struct {
-		name       string
-		team       int
-		sent, time float64 // bounds; its own team's lookups run at a higher level, so most of its reports that left end late
+		name               string
+		team               int
+		minSent, minInTime float64 // bounds; its own team's lookups run at a higher level, so most of its reports that left end late
 	}{{"another team's", 1, 0.95, 0.95}, {"its own team's", 0, 0.5, 0.01}} {
-		for _, on := range []bool{true, false} {
-			s := yard(1)
-			s.Teams = teams(1, 1)
-			if !on {
+		for _, protected := range []bool{true, false} {
+			s := poolSettings(1)
+			s.Teams = teamSpec(1, 1)
+			if !protected {
 				s.Teams.Ageing, s.Teams.TurnsForBypassed = 0, false
 			}
-			s.Streams = []cluster.Stream{asks(0, report, 0.15), asks(c.team, lookup, 3)}
+			s.Streams = []cluster.Stream{steadyStream(0, reportProfile, 0.15), steadyStream(c.team, lookupProfile, 3)}
 			r, err := cluster.Run(s)
 			if err != nil {
 				return nil, err
 			}
-			wait, sent, inTime := behind(r, 0)
-			if name := "report behind " + c.name + " flood: "; on {
+			wait, sent, inTime := queueOutcome(r, 0)
+			if name := "report behind " + c.name + " flood: "; protected {
 				rows = append(rows, AtMost(name+"longest wait over target", wait, 1),
-					AtLeast(name+"share sent of those held", sent, c.sent), AtLeast(name+"share in time", inTime, c.time))
+					AtLeast(name+"share sent of those held", sent, c.minSent), AtLeast(name+"share in time", inTime, c.minInTime))
 			} else {
 				name = "the same, no ageing and no turns: "
 				rows = append(rows, Figure(name+"longest wait over target", wait), Figure(name+"share sent of those held", sent),
@@ -129,8 +129,8 @@
 	return rows, nil
 }
 
-// did is the work that engines did in a time, by team.
-func did(r cluster.Result, s cluster.Settings, from, to float64) map[int]float64 {
+// workByTeam is the work that engines workByTeam in a time, by team.
+func workByTeam(r cluster.Result, s cluster.Settings, from, to float64) map[int]float64 {
 	work := map[int]float64{}
 	for _, q := range r.Ran {
 		if q.At >= from && q.At < to {
@@ -140,25 +140,25 @@
 	return work
 }
 
-// shares: eight teams that all ask for more than they are due.
-func shares() ([]Row, error) {
-	s := yard(2)
+// budgetShares: eight teams that all ask for more than they are due.
+func budgetShares() ([]Row, error) {
+	s := poolSettings(2)
 	weights := []float64{1, 1, 2, 2, 3, 3, 4, 4}
-	s.Teams = teams(weights...)
+	s.Teams = teamSpec(weights...)
 	s.Length = 620
 	sum := 20.0
 	for k := range weights { // each for a quarter of the pool, half of it lookups
-		s.Streams = append(s.Streams, asks(k, lookup, 0.125), asks(k, report, 0.125))
+		s.Streams = append(s.Streams, steadyStream(k, lookupProfile, 0.125), steadyStream(k, reportProfile, 0.125))
 	}
 	r, err := cluster.Run(s)
 	if err != nil {
 		return nil, err
 	}
-	work, all := did(r, s, warm, s.Length), 0.0
+	work, all := workByTeam(r, s, warmUpSeconds, s.Length), 0.0
 	for _, w := range work {
 		all += w
 	}
-	rows := []Row{AtLeast("eight teams under full load: cores in use", all/(s.Length-warm)/cores, 0.8)}
+	rows := []Row{AtLeast("eight teams under full load: cores in use", all/(s.Length-warmUpSeconds)/poolCores, 0.8)}
 	for k, w := range weights {
 		rows = append(rows, Between(fmt.Sprintf("eight teams under full load: work over budget, team %d of weight %v", k, w),
 			work[k]/all/(w/sum), 0.95, 1.05))
@@ -166,79 +166,79 @@
 	return rows, nil
 }
 
-// lent: a team of three idles, and then asks for all it can get.
-func lent() ([]Row, error) {
-	const asked, settled = 120.0, 5.0
-	s := yard(3)
-	s.Teams = teams(1, 1, 2)
+// lentBudget: a team of three idles, and then asks for all it can get.
+func lentBudget() ([]Row, error) {
+	const demandStart, settleTime = 120.0, 5.0
+	s := poolSettings(3)
+	s.Teams = teamSpec(1, 1, 2)
 	s.Length = 320
 	for _, team := range []int{0, 2} {
-		s.Streams = append(s.Streams, asks(team, lookup, 0.6), asks(team, report, 0.6))
+		s.Streams = append(s.Streams, steadyStream(team, lookupProfile, 0.6), steadyStream(team, reportProfile, 0.6))
 	}
-	for _, profile := range []int{lookup, report} {
-		late := asks(1, profile, 0.6)
-		rate := late.Peak
-		late.Rate = func(t float64) float64 {
-			if t < asked {
+	for _, profile := range []int{lookupProfile, reportProfile} {
+		idleFirst := steadyStream(1, profile, 0.6)
+		rate := idleFirst.Peak
+		idleFirst.Rate = func(t float64) float64 {
+			if t < demandStart {
 				return 0
 			}
 			return rate
 		}
-		s.Streams = append(s.Streams, late)
+		s.Streams = append(s.Streams, idleFirst)
 	}
 	r, err := cluster.Run(s)
 	if err != nil {
 		return nil, err
 	}
-	before, after := did(r, s, warm, asked), did(r, s, asked+settled, s.Length)
-	first := 0.0
+	before, after := workByTeam(r, s, warmUpSeconds, demandStart), workByTeam(r, s, demandStart+settleTime, s.Length)
+	longestWait := 0.0
 	for k := range r.Tries {
-		if t := &r.Tries[k]; s.Streams[t.Stream].Team == 1 && t.Taken < asked+1 && !math.IsNaN(t.Sent) {
-			first = max(first, t.Sent-t.Taken)
+		if t := &r.Tries[k]; s.Streams[t.Stream].Team == 1 && t.Taken < demandStart+1 && !math.IsNaN(t.Sent) {
+			longestWait = max(longestWait, t.Sent-t.Taken)
 		}
 	}
 	return []Row{Between("lent by weight: work of the heavier team over the lighter's", before[2]/before[0], 1.9, 2.1),
 		Between("called back: share of the team that idled, of its budget", after[1]/(after[0]+after[1]+after[2])/0.25, 0.95, 1.05),
-		AtMost("called back: longest wait for a send in its first second (s)", first, 2)}, nil
+		AtMost("called back: longest wait for a send in its first second (s)", longestWait, 2)}, nil
 }
 
-// tenfold: three teams that keep to their budgets, beside one that keeps to its own or sends ten times that.
-func tenfold() ([]Row, error) {
-	service := func(times float64) (share float64, err error) {
-		s := yard(4)
-		s.Teams = teams(1, 1, 1, 1)
+// tenfoldOverload: three teams that keep to their budgets, beside one that keeps to its own or sends ten times that.
+func tenfoldOverload() ([]Row, error) {
+	benefitInTime := func(loadFactor float64) (share float64, err error) {
+		s := poolSettings(4)
+		s.Teams = teamSpec(1, 1, 1, 1)
 		for k := range 3 {
-			s.Streams = append(s.Streams, asks(k, lookup, 0.1), asks(k, report, 0.1))
+			s.Streams = append(s.Streams, steadyStream(k, lookupProfile, 0.1), steadyStream(k, reportProfile, 0.1))
 		}
-		s.Streams = append(s.Streams, asks(3, lookup, 0.1*times), asks(3, report, 0.1*times))
+		s.Streams = append(s.Streams, steadyStream(3, lookupProfile, 0.1*loadFactor), steadyStream(3, reportProfile, 0.1*loadFactor))
 		r, err := cluster.Run(s)
-		got, of := 0.0, 0.0
+		inTime, total := 0.0, 0.0
 		for k := range r.Tries {
-			if t := &r.Tries[k]; t.Stream < 6 && t.Taken >= warm && t.How != cluster.Open {
+			if t := &r.Tries[k]; t.Stream < 6 && t.Taken >= warmUpSeconds && t.How != cluster.Open {
 				benefit := s.Brain.Profiles[s.Streams[t.Stream].Profile].Benefit
-				if of += benefit; t.InTime() {
-					got += benefit
+				if total += benefit; t.InTime() {
+					inTime += benefit
 				}
 			}
 		}
-		return got / of, err
+		return inTime / total, err
 	}
-	calm, err := service(1)
+	normal, err := benefitInTime(1)
 	if err != nil {
 		return nil, err
 	}
-	loud, err := service(10)
-	return []Row{Figure("benefit in time of three teams inside their budgets", calm),
-		AtLeast("the same beside one that sends ten times its own, of that", loud/calm, 0.95)}, err
+	overloaded, err := benefitInTime(10)
+	return []Row{Figure("benefit in time of three teams inside their budgets", normal),
+		AtLeast("the same beside one that sends ten times its own, of that", overloaded/normal, 0.95)}, err
 }
 
-// promises: what is told of waits against what came, under load that comes and goes.
-func promises() ([]Row, error) {
-	s := yard(5)
-	s.Teams, s.Waits, s.Length = teams(1, 1, 2), true, 1220
+// waitEstimates: what is told of waits against what came, under load that comes and goes.
+func waitEstimates() ([]Row, error) {
+	s := poolSettings(5)
+	s.Teams, s.Waits, s.Length = teamSpec(1, 1, 2), true, 1220
 	s.Brain.MaxPause = 20 // so that what is told is what was estimated
 	for k, share := range []float64{0.3, 0.3, 0.5} {
-		s.Streams = append(s.Streams, asks(k, lookup, share/2), asks(k, report, share/2))
+		s.Streams = append(s.Streams, steadyStream(k, lookupProfile, share/2), steadyStream(k, reportProfile, share/2))
 		for n := len(s.Streams) - 2; n < len(s.Streams); n++ {
 			s.Streams[n].Tries, s.Streams[n].Ignores = 3, 0.2
 		}
@@ -248,111 +248,111 @@
 	if err != nil {
 		return nil, err
 	}
-	rows := comebacks(r, s)
+	rows := retriesAfterRejection(r, s)
 	for k := range 3 {
-		var ratios, returns []float64
-		var covered, kept, back, backs float64
+		var heldRatios, rejectedRatios []float64
+		var heldCovered, heldCount, rejectedCovered, rejectedCount float64
 		for n := range r.Tries {
 			t := &r.Tries[n]
-			if s.Streams[t.Stream].Team != k || t.Taken < warm {
+			if s.Streams[t.Stream].Team != k || t.Taken < warmUpSeconds {
 				continue
 			}
 			if e := t.Told[waittime.Start]; t.HasTold[waittime.Start] && t.How != cluster.Open {
-				wait, open := t.Sent-t.Taken, false
+				wait, censored := t.Sent-t.Taken, false
 				if math.IsNaN(wait) { // given up: it would have waited longer
-					wait, open = t.Ended-t.Taken, true
+					wait, censored = t.Ended-t.Taken, true
 				}
-				if !open || wait > e.P90 {
-					kept++
-					if !open && wait <= e.P90 {
-						covered++
+				if !censored || wait > e.P90 {
+					heldCount++
+					if !censored && wait <= e.P90 {
+						heldCovered++
 					}
 				}
-				if !open || wait > e.P50 {
-					ratios = append(ratios, (wait+0.02)/(e.P50+0.02))
+				if !censored || wait > e.P50 {
+					heldRatios = append(heldRatios, (wait+0.02)/(e.P50+0.02))
 				}
 			}
 		}
 		for _, w := range r.Shadows {
-			if s.Streams[w.Stream].Team != k || w.At < warm || !w.In && w.At > s.Length-60 {
+			if s.Streams[w.Stream].Team != k || w.At < warmUpSeconds || !w.In && w.At > s.Length-60 {
 				continue
 			}
-			if backs++; w.In && w.Took <= w.Told.P90 {
-				back++
+			if rejectedCount++; w.In && w.Took <= w.Told.P90 {
+				rejectedCovered++
 			}
-			returns = append(returns, (w.Took+0.05)/(w.Told.P50+0.05))
+			rejectedRatios = append(rejectedRatios, (w.Took+0.05)/(w.Told.P50+0.05))
 		}
-		slices.Sort(ratios)
-		slices.Sort(returns)
+		slices.Sort(heldRatios)
+		slices.Sort(rejectedRatios)
 		rows = append(rows,
-			Between(fmt.Sprintf("team %d, held: wait over the median told", k), stat.Quantile(0.5, stat.Empirical, ratios, nil), 0.75, 1.25),
-			Between(fmt.Sprintf("team %d, held: share under the 90th percentile told", k), covered/kept, 0.85, 0.95))
-		if len(returns) > 0 {
+			Between(fmt.Sprintf("team %d, held: wait over the median told", k), stat.Quantile(0.5, stat.Empirical, heldRatios, nil), 0.75, 1.25),
+			Between(fmt.Sprintf("team %d, held: share under the 90th percentile told", k), heldCovered/heldCount, 0.85, 0.95))
+		if len(rejectedRatios) > 0 {
 			rows = append(rows,
-				Between(fmt.Sprintf("team %d, refused: wait over the median told", k), stat.Quantile(0.5, stat.Empirical, returns, nil), 0.75, 1.25),
-				Between(fmt.Sprintf("team %d, refused: share under the 90th percentile told", k), back/backs, 0.85, 0.95),
-				Figure(fmt.Sprintf("team %d, refused: commands looked at", k), backs))
+				Between(fmt.Sprintf("team %d, refused: wait over the median told", k), stat.Quantile(0.5, stat.Empirical, rejectedRatios, nil), 0.75, 1.25),
+				Between(fmt.Sprintf("team %d, refused: share under the 90th percentile told", k), rejectedCovered/rejectedCount, 0.85, 0.95),
+				Figure(fmt.Sprintf("team %d, refused: commands looked at", k), rejectedCount))
 		}
 	}
 	return rows, nil
 }
 
-// comebacks is what clients gain that come back when they were told, beside those that come again at once: let in at their
+// retriesAfterRejection is what clients gain that come back when they were told, beside those that come again at once: let in at their
 // next try, and answered in the end, of all refused at once at their first.
-func comebacks(r cluster.Result, s cluster.Settings) []Row {
-	type fate struct{ refused, next, answered float64 }
-	var by [2]fate
-	first := map[uint64]bool{} // clients that were refused at once
+func retriesAfterRejection(r cluster.Result, s cluster.Settings) []Row {
+	type retryOutcomes struct{ rejected, admittedNext, completed float64 }
+	var byBehaviour [2]retryOutcomes
+	rejectedFirst := map[uint64]bool{} // clients that were refused at once
 	for k := range r.Tries {
 		t := &r.Tries[k]
-		who := &by[0]
+		outcomes := &byBehaviour[0]
 		if t.Ignores {
-			who = &by[1]
+			outcomes = &byBehaviour[1]
 		}
-		atOnce := t.How == cluster.Shed && t.Ended == t.Taken
+		rejectedAtOnce := t.How == cluster.Shed && t.Ended == t.Taken
 		switch {
-		case t.Taken < warm || t.How == cluster.Open || s.Streams[t.Stream].Profile != report:
-		case t.Number == 1 && atOnce:
-			first[t.Mark] = true
-			who.refused++
-		case first[t.Mark]:
-			if t.Number == 2 && !atOnce {
-				who.next++
+		case t.Taken < warmUpSeconds || t.How == cluster.Open || s.Streams[t.Stream].Profile != reportProfile:
+		case t.Number == 1 && rejectedAtOnce:
+			rejectedFirst[t.Mark] = true
+			outcomes.rejected++
+		case rejectedFirst[t.Mark]:
+			if t.Number == 2 && !rejectedAtOnce {
+				outcomes.admittedNext++
 			}
 			if t.How == cluster.Answered {
-				who.answered++
+				outcomes.completed++
 			}
 		}
 	}
-	kept, ignored := by[0], by[1]
-	return []Row{AtLeast("refused reports that come when told: let in at the next try", kept.next/kept.refused, 0.5),
-		Figure("refused reports that come again at once: let in at the next try", ignored.next/ignored.refused),
-		AtLeast("the same, when told over at once", kept.next/kept.refused/(ignored.next/ignored.refused), 1),
-		Figure("come when told: answered in the end", kept.answered/kept.refused),
-		Figure("come again at once: answered in the end", ignored.answered/ignored.refused),
-		AtLeast("the same, when told over at once", kept.answered/kept.refused/(ignored.answered/ignored.refused), 1)}
+	waited, immediate := byBehaviour[0], byBehaviour[1]
+	return []Row{AtLeast("refused reports that come when told: let in at the next try", waited.admittedNext/waited.rejected, 0.5),
+		Figure("refused reports that come again at once: let in at the next try", immediate.admittedNext/immediate.rejected),
+		AtLeast("the same, when told over at once", waited.admittedNext/waited.rejected/(immediate.admittedNext/immediate.rejected), 1),
+		Figure("come when told: answered in the end", waited.completed/waited.rejected),
+		Figure("come again at once: answered in the end", immediate.completed/immediate.rejected),
+		AtLeast("the same, when told over at once", waited.completed/waited.rejected/(immediate.completed/immediate.rejected), 1)}
 }
 
-// spilling: one team's long reports have filled all places when another's come, every thirty seconds; engines have memory
+// memorySpilling: one team's long reports have filled all places when another's come, every thirty seconds; engines have memory
 // for what their places hold, and not for what is let in besides when some of that steps back.
-func spilling() (rows []Row, err error) {
-	var inTime, spilt []float64
+func memorySpilling() (rows []Row, err error) {
+	var inTime, spilledWork []float64
 	for _, c := range []struct {
 		name    string
 		changes float64
 		guard   bool
 	}{{"stepping back, guarded", 20, true}, {"stepping back, no guard", 20, false}, {"no stepping back", 0, true}} {
-		s := yard(6)
+		s := poolSettings(6)
 		for k := range s.Engines {
 			s.Engines[k].Memory, s.Engines[k].Spill = 2800, 3
 		}
-		s.Teams = teams(1, 1)
+		s.Teams = teamSpec(1, 1)
 		s.Teams.MaxPriorityChanges, s.Teams.ProtectSpilling = c.changes, c.guard
 		s.Length = 620
-		long, others := asks(0, report, 1.5), asks(1, report, 1)
+		long, others := steadyStream(0, reportProfile, 1.5), steadyStream(1, reportProfile, 1)
 		s.Brain.Profiles = append(s.Brain.Profiles, admission.Profile{Target: 20, Stretch: 3, Benefit: 10, Threads: 2})
 		long.Profile, long.Work, long.Deadline = 2, 40, 90
-		long.Rate, long.Peak = cluster.Steady(1.5 * cores / long.Work)
+		long.Rate, long.Peak = cluster.Steady(1.5 * poolCores / long.Work)
 		peak := others.Peak
 		others.Rate = func(t float64) float64 {
 			if math.Mod(t, 30) < 3 {
@@ -365,17 +365,17 @@
 		if err != nil {
 			return nil, err
 		}
-		n := 0.0
+		changes := 0.0
 		for _, at := range r.Changes {
-			if at >= warm {
-				n++
+			if at >= warmUpSeconds {
+				changes++
 			}
 		}
-		_, _, share := behind(r, 1)
-		inTime, spilt = append(inTime, share), append(spilt, r.Wasted)
+		_, _, share := queueOutcome(r, 1)
+		inTime, spilledWork = append(inTime, share), append(spilledWork, r.Wasted)
 		rows = append(rows, Figure(c.name+": share in time of the team that waited", share), Figure(c.name+": core seconds spilt", r.Wasted),
-			AtMost(c.name+": changes of level a second", n/(s.Length-warm), 20))
+			AtMost(c.name+": changes of level a second", changes/(s.Length-warmUpSeconds), 20))
 	}
 	return append(rows, AtLeast("in time, stepping back over not", inTime[0]/inTime[2], 1),
-		AtMost("spilt, guarded over not", spilt[0]/spilt[1], 1)), nil
+		AtMost("spilt, guarded over not", spilledWork[0]/spilledWork[1], 1)), nil
 }
--- a/internal/measure/chart.go
+++ b/internal/measure/chart.go
@@ -14,21 +14,21 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// charted is a day that docs/zones.md shows as a time line.
-type charted struct {
+// chartedDay is a day that docs/zones.md shows as a time line.
+type chartedDay struct {
 	name, title string
 	settings    zones.Settings
 }
 
-func chartedDays() []charted {
-	three := func(load float64, faults ...zones.Fault) zones.Settings {
+func chartedDays() []chartedDay {
+	threeZones := func(load float64, faults ...zones.Fault) zones.Settings {
 		return zones.Settings{Zones: 3, Regions: 1, Routers: 30, Load: load, Seed: 1, Length: 90, Faults: faults}
 	}
-	return []charted{
-		{"zone-lost", "a zone's engines are gone from 20 s to 45 s", three(0.55, zones.Fault{At: 20, Until: 45, Kind: zones.Engines, Zone: 0})},
-		{"two-lost", "two zones' engines are gone, the third can't carry all", three(0.55, zones.Fault{At: 20, Until: 45, Kind: zones.Engines, Zone: 0},
+	return []chartedDay{
+		{"zone-lost", "a zone's engines are gone from 20 s to 45 s", threeZones(0.55, zones.Fault{At: 20, Until: 45, Kind: zones.Engines, Zone: 0})},
+		{"two-lost", "two zones' engines are gone, the third can't carry all", threeZones(0.55, zones.Fault{At: 20, Until: 45, Kind: zones.Engines, Zone: 0},
 			zones.Fault{At: 21, Until: 45, Kind: zones.Engines, Zone: 1})},
-		{"flapping", "a zone goes and comes every 5 s from 20 s to 60 s", three(0.55, zones.Fault{At: 20, Until: 60, Kind: zones.Flapping, Zone: 0, By: 5})},
+		{"flapping", "a zone goes and comes every 5 s from 20 s to 60 s", threeZones(0.55, zones.Fault{At: 20, Until: 60, Kind: zones.Flapping, Zone: 0, By: 5})},
 	}
 }
 
@@ -69,12 +69,12 @@
 		}
 		for _, f := range c.settings.Faults {
 			for _, at := range []float64{f.At, f.Until} {
-				mark, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: math.Max(p.Y.Max, 1)}})
+				faultLine, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: math.Max(p.Y.Max, 1)}})
 				if err != nil {
 					return "", err
 				}
-				mark.Color = color.Gray{Y: 128}
-				p.Add(mark)
+				faultLine.Color = color.Gray{Y: 128}
+				p.Add(faultLine)
 			}
 		}
 		if err := p.Save(18*vg.Centimeter, 9*vg.Centimeter, filepath.Join(dir, c.name+".svg")); err != nil {
--- a/internal/measure/expect.go
+++ b/internal/measure/expect.go
@@ -19,7 +19,7 @@
 // what else this process does.
 func shortExpect() ([]Row, error) { return expectations(false) }
 
-func expectations(whole bool) ([]Row, error) {
+func expectations(full bool) ([]Row, error) {
 	var u expect.Under
 	var err error
 	if u.Config, err = os.ReadFile("deploy/example.json"); err != nil {
@@ -28,60 +28,60 @@
 	if u.Operator, err = os.ReadFile("deploy/operator.json"); err != nil {
 		return nil, err
 	}
-	read := func() []expect.Source {
+	readSuite := func() []expect.Source {
 		var s []expect.Source
 		if err == nil {
 			s, err = expect.Read([]string{"deploy/expectations"}, schema.CheckExpectations)
 		}
 		return s
 	}
-	suite := read()
+	suite := readSuite()
 	if err != nil {
 		return nil, err
 	}
-	const four = 4 // cores
+	const coreCount = 4 // cores
 	began := time.Now()
-	all := expect.Check(u, suite, expect.Options{Cores: four})
-	took := time.Since(began).Seconds()
+	outcomes := expect.Check(u, suite, expect.Options{Cores: coreCount})
+	elapsed := time.Since(began).Seconds()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	same := 1.0
-	if again := expect.Check(u, read(), expect.Options{}); !cmp.Equal(all, again, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")) {
-		same = 0
+	sameOutcomes := 1.0
+	if again := expect.Check(u, readSuite(), expect.Options{}); !cmp.Equal(outcomes, again, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")) {
+		sameOutcomes = 0
 	}
 	planted, err := expect.Parse([]byte(plantedFile), schema.CheckExpectations)
 	if err != nil {
 		return nil, err
 	}
-	found := expect.Count(expect.Check(u, []expect.Source{{Name: "planted", File: planted}}, expect.Options{}))
-	rows := []Row{AtLeast("expectations", float64(len(all)), 50),
-		AtLeast("of them passed", float64(expect.Count(all)[expect.Passed])/float64(len(all)), 1),
-		AtLeast("same outcomes on four cores and on all", same, 1),
-		Between("planted file of four: void", float64(found[expect.Void]), 2, 2),
-		Between("planted file of four: never exercised", float64(found[expect.Idle]), 1, 1),
-		Between("planted file of four: failed", float64(found[expect.Failed]), 1, 1)}
-	if !whole {
+	plantedCounts := expect.Count(expect.Check(u, []expect.Source{{Name: "planted", File: planted}}, expect.Options{}))
+	rows := []Row{AtLeast("expectations", float64(len(outcomes)), 50),
+		AtLeast("of them passed", float64(expect.Count(outcomes)[expect.Passed])/float64(len(outcomes)), 1),
+		AtLeast("same outcomes on four cores and on all", sameOutcomes, 1),
+		Between("planted file of four: void", float64(plantedCounts[expect.Void]), 2, 2),
+		Between("planted file of four: never exercised", float64(plantedCounts[expect.Idle]), 1, 1),
+		Between("planted file of four: failed", float64(plantedCounts[expect.Failed]), 1, 1)}
+	if !full {
 		return rows, nil
 	}
-	rows = append(rows, AtMost("seconds for all on four cores", took, 60), AtMost("memory from the system at its peak (MB)", float64(memory.Sys)/(1<<20), 500))
-	broken, err := noticed(u, read())
+	rows = append(rows, AtMost("seconds for all on four cores", elapsed, 60), AtMost("memory from the system at its peak (MB)", float64(memory.Sys)/(1<<20), 500))
+	broken, err := detectedMutants(u, readSuite())
 	return append(rows, broken...), err
 }
 
-// noticed breaks the configuration in one way after another and tells how many of these the suite notices.
-func noticed(under expect.Under, suite []expect.Source) ([]Row, error) {
+// detectedMutants breaks the configuration in one way after another and tells how many of these the suite notices.
+func detectedMutants(under expect.Under, suite []expect.Source) ([]Row, error) {
 	// One seed is enough to notice a break, and three take three times as long.
 	mutants, err := expect.Mutate(under, suite, expect.Options{Seed: 1}, func(string) {})
 	if err != nil {
 		return nil, err
 	}
-	count := 0.0
+	detected := 0.0
 	for _, m := range mutants {
 		if m.Err != nil || len(m.Noticed) > 0 {
-			count++
+			detected++
 		}
 	}
-	return []Row{Figure("configurations broken", float64(len(mutants))), AtLeast("of them noticed", count/float64(len(mutants)), 1)}, nil
+	return []Row{Figure("configurations broken", float64(len(mutants))), AtLeast("of them noticed", detected/float64(len(mutants)), 1)}, nil
 }
 
 const plantedFile = `{"given": {"seconds": 5, "traffic": [{"name": "t", "profile": "quick", "tenant": "depot", "rate": 20, "work": 0.1}]},
--- a/internal/measure/failover.go
+++ b/internal/measure/failover.go
@@ -21,7 +21,7 @@
 
 // Failover measures plans by shares on virtual time, and over processes.
 func Failover() ([]Row, error) {
-	bin, err := programs()
+	bin, err := programFolder()
 	if err != nil {
 		return nil, err
 	}
@@ -29,31 +29,31 @@
 	if err != nil {
 		return nil, err
 	}
-	virtual, err := each(
+	virtual, err := runAll(
 		func() ([]Row, error) { return drawnDays(0, 600, 500) },
 		func() ([]Row, error) { return calmDays(30) },
 		func() ([]Row, error) { return lostZones(60) },
 		func() ([]Row, error) { return flapping(20) },
-		func() ([]Row, error) { return lying(60) },
+		func() ([]Row, error) { return unreliableObservers(60) },
 		func() ([]Row, error) { return evidenceBytes(9) },
 	)
 	return append(virtual, rows...), err
 }
 
 // DrawnDays plays so many and says what broke a rule.
-func DrawnDays(from, count uint64) (broken []string, planned, real float64, plans int, err error) {
+func DrawnDays(from, count uint64) (broken []string, planned, worst float64, plans int, err error) {
 	var group errgroup.Group
 	var mu sync.Mutex
-	const hands = 4
-	for hand := range uint64(hands) {
+	const workers = 4
+	for worker := range uint64(workers) {
 		group.Go(func() error {
-			for seed := from + hand; seed < from+count; seed += hands {
+			for seed := from + worker; seed < from+count; seed += workers {
 				r, err := zones.Play(zones.Drawn(seed))
 				if err != nil {
 					return err
 				}
 				mu.Lock()
-				planned, real, plans = max(planned, r.Planned), max(real, r.Worst), plans+len(r.Changes)
+				planned, worst, plans = max(planned, r.Planned), max(worst, r.Worst), plans+len(r.Changes)
 				if r.Planned > 1+1e-6 || r.Worst > 1.05 || len(r.Given) > 0 {
 					broken = append(broken, fmt.Sprintf("seed %d: planned %.4f, real %.4f of what a zone can, given up though well: %v", seed, r.Planned, r.Worst, r.Given))
 				}
@@ -64,22 +64,22 @@
 	}
 	err = group.Wait()
 	slices.Sort(broken)
-	return broken, planned, real, plans, err
+	return broken, planned, worst, plans, err
 }
 
-func drawnDays(from, count uint64, least float64) ([]Row, error) {
-	broken, planned, real, plans, err := DrawnDays(from, count)
+func drawnDays(from, count uint64, minDays float64) ([]Row, error) {
+	broken, planned, worst, plans, err := DrawnDays(from, count)
 	return []Row{
-		AtLeast("drawn days: how many", float64(count), least),
+		AtLeast("drawn days: how many", float64(count), minDays),
 		AtLeast("drawn days: plans", float64(plans), float64(count)),
 		AtMost("drawn days: planned over what a zone is taken to bear, any mixture", planned, 1+1e-6),
-		AtMost("drawn days: offered over what a zone can, for a second, by others", real, 1.05),
+		AtMost("drawn days: offered over what a zone can, for a second, by others", worst, 1.05),
 		AtMost("drawn days: with a rule broken", float64(len(broken)), 0),
 	}, err
 }
 
-// day of a fleet of three to seven zones under a load.
-func day(seed uint64, rule zones.Rule, faults ...zones.Fault) zones.Settings {
+// daySettings of a fleet of three to seven zones under a load.
+func daySettings(seed uint64, rule zones.Rule, faults ...zones.Fault) zones.Settings {
 	return zones.Settings{Zones: 3 + int(seed%5), Regions: 1 + int(seed%2), Routers: 30, Load: 0.4 + 0.02*float64(seed%16), Skew: 0.2, Seed: seed, Rule: rule,
 		Length: 90, Faults: faults}
 }
@@ -87,23 +87,23 @@
 func calmDays(days uint64) ([]Row, error) {
 	share, changes := math.Inf(1), 0
 	for seed := range days {
-		r, err := zones.Play(day(seed, zones.Planned))
+		r, err := zones.Play(daySettings(seed, zones.Planned))
 		if err != nil {
 			return nil, err
 		}
-		best, err := zones.Play(day(seed, zones.Knowing))
+		best, err := zones.Play(daySettings(seed, zones.Knowing))
 		if err != nil {
 			return nil, err
 		}
-		share, changes = min(share, r.Near*worth(r, 5, 90)/max(best.Near*worth(best, 5, 90), 1e-9)), changes+len(r.Changes)
+		share, changes = min(share, r.Near*meanBenefit(r, 5, 90)/max(best.Near*meanBenefit(best, 5, 90), 1e-9)), changes+len(r.Changes)
 	}
 	return []Row{AtLeast("calm days: work kept near, over the best possible, lowest", share, 0.99), Figure("calm days: plans", float64(changes))}, nil
 }
 
-func worth(r zones.Result, from, to int) float64 { return stat.Mean(r.Worth[from:to], nil) }
+func meanBenefit(r zones.Result, from, to int) float64 { return stat.Mean(r.Worth[from:to], nil) }
 
-// interval of 95 % about the mean of paired differences, Student's t.
-func interval(x []float64) (mean, half float64) {
+// confidenceInterval of 95 % about the mean of paired differences, Student's t.
+func confidenceInterval(x []float64) (mean, halfWidth float64) {
 	mean, sd := stat.MeanStdDev(x, nil)
 	n := float64(len(x))
 	return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * sd / math.Sqrt(n)
@@ -111,60 +111,60 @@
 
 // lostZones plays the loss of a zone's engines, the same days under each rule.
 func lostZones(days uint64) ([]Row, error) {
-	const at, back, length = 20.3, 55.0, 130.0
-	var share, local, locality, plan, near []float64
-	var other float64 // most that a zone is offered under today's rule
+	const lostAt, restoredAt, length = 20.3, 55.0, 130.0
+	var benefitShares, gainsOverLocal, gainsOverLocality, planDelays, returnDelays []float64
+	var localWorst float64 // most that a zone is offered under today's rule
 	for seed := range days {
-		fault := zones.Fault{At: at, Until: back, Kind: zones.Engines, Zone: int(seed) % 3}
-		got := map[zones.Rule]zones.Result{}
+		fault := zones.Fault{At: lostAt, Until: restoredAt, Kind: zones.Engines, Zone: int(seed) % 3}
+		results := map[zones.Rule]zones.Result{}
 		for _, rule := range []zones.Rule{zones.Planned, zones.Local, zones.Locality, zones.Knowing} {
-			s := day(seed, rule, fault)
+			s := daySettings(seed, rule, fault)
 			s.Length = length
 			r, err := zones.Play(s)
 			if err != nil {
 				return nil, err
 			}
-			got[rule] = r
+			results[rule] = r
 		}
-		ours, best := worth(got[zones.Planned], 20, 50), worth(got[zones.Knowing], 20, 50)
-		share = append(share, ours/best)
-		local = append(local, ours-worth(got[zones.Local], 20, 50))
-		locality = append(locality, ours-worth(got[zones.Locality], 20, 50))
-		other = max(other, got[zones.Local].Worst)
-		if c := got[zones.Planned].Changes; len(c) > 0 {
-			plan = append(plan, c[0]-at)
+		planned, best := meanBenefit(results[zones.Planned], 20, 50), meanBenefit(results[zones.Knowing], 20, 50)
+		benefitShares = append(benefitShares, planned/best)
+		gainsOverLocal = append(gainsOverLocal, planned-meanBenefit(results[zones.Local], 20, 50))
+		gainsOverLocality = append(gainsOverLocality, planned-meanBenefit(results[zones.Locality], 20, 50))
+		localWorst = max(localWorst, results[zones.Local].Worst)
+		if c := results[zones.Planned].Changes; len(c) > 0 {
+			planDelays = append(planDelays, c[0]-lostAt)
 		} else {
-			plan = append(plan, math.Inf(1))
+			planDelays = append(planDelays, math.Inf(1))
 		}
-		if b := got[zones.Planned].Back; math.IsNaN(b) {
-			near = append(near, math.Inf(1))
+		if b := results[zones.Planned].Back; math.IsNaN(b) {
+			returnDelays = append(returnDelays, math.Inf(1))
 		} else {
-			near = append(near, b)
+			returnDelays = append(returnDelays, b)
 		}
 	}
-	gain, half := interval(local)
-	over, halfOver := interval(locality)
+	gain, half := confidenceInterval(gainsOverLocal)
+	over, halfOver := confidenceInterval(gainsOverLocality)
 	return []Row{
-		AtLeast("a zone lost: worth in 30 s over the bound that knows all, mean", stat.Mean(share, nil), 0.95),
-		Figure("a zone lost: the same, lowest day", slices.Min(share)),
+		AtLeast("a zone lost: worth in 30 s over the bound that knows all, mean", stat.Mean(benefitShares, nil), 0.95),
+		Figure("a zone lost: the same, lowest day", slices.Min(benefitShares)),
 		Figure("a zone lost: gain over today's local rule, mean", gain),
 		Figure("a zone lost: gain over today's local rule, half of a 95 % interval", half),
 		Figure("a zone lost: gain over locality with 1.4 and panic, mean", over),
 		Figure("a zone lost: gain over locality, half of a 95 % interval", halfOver),
-		Figure("a zone lost: most that today's rule offers a zone over what it can", other),
-		AtMost("a zone lost: seconds to a plan, p50", quantile(plan, 0.5), 2),
-		AtMost("a zone lost: seconds to a plan, p99", quantile(plan, 0.99), 4),
-		Figure("a zone back: seconds until 99 % of near work is near again, p50", quantile(near, 0.5)),
-		AtMost("a zone back: seconds until 99 % of near work is near again, p99", quantile(near, 0.99), 30),
+		Figure("a zone lost: most that today's rule offers a zone over what it can", localWorst),
+		AtMost("a zone lost: seconds to a plan, p50", quantile(planDelays, 0.5), 2),
+		AtMost("a zone lost: seconds to a plan, p99", quantile(planDelays, 0.99), 4),
+		Figure("a zone back: seconds until 99 % of near work is near again, p50", quantile(returnDelays, 0.5)),
+		AtMost("a zone back: seconds until 99 % of near work is near again, p99", quantile(returnDelays, 0.99), 30),
 	}, nil
 }
 
 // flapping is a zone that goes and comes every five seconds for two minutes.
 func flapping(days uint64) ([]Row, error) {
 	const from, to = 20.0, 140.0
-	plans, worst, real := 0.0, 0.0, 0.0
+	plans, worst, offered := 0.0, 0.0, 0.0
 	for seed := range days {
-		s := day(seed, zones.Planned, zones.Fault{At: from, Until: to, Kind: zones.Flapping, Zone: 0, By: 5})
+		s := daySettings(seed, zones.Planned, zones.Fault{At: from, Until: to, Kind: zones.Flapping, Zone: 0, By: 5})
 		s.Length = 170
 		r, err := zones.Play(s)
 		if err != nil {
@@ -176,23 +176,23 @@
 				n++
 			}
 		}
-		plans, worst, real = plans+n/(to-from)*60/float64(days), max(worst, n/(to-from)*60), max(real, r.Worst)
+		plans, worst, offered = plans+n/(to-from)*60/float64(days), max(worst, n/(to-from)*60), max(offered, r.Worst)
 	}
 	return []Row{
 		AtMost("flapping every 5 s: plans a minute, mean", plans, 2),
 		Figure("flapping every 5 s: plans a minute, most of a day", worst),
-		AtMost("flapping every 5 s: offered over what a zone can", real, 1.05),
+		AtMost("flapping every 5 s: offered over what a zone can", offered, 1.05),
 	}, nil
 }
 
-// lying observers, and those that are cut off.
-func lying(days uint64) ([]Row, error) {
-	given, cases := 0, 0
+// unreliableObservers observers, and those that are cut off.
+func unreliableObservers(days uint64) ([]Row, error) {
+	wronglyEvicted, cases := 0, 0
 	for seed := range days {
 		for n, f := range []zones.Fault{{Kind: zones.Deaf}, {Kind: zones.Link}, {Kind: zones.OneWay}, {Kind: zones.Minority}, {Kind: zones.Controller}, {}} {
 			f.Zone, f.At, f.Until = int(seed)%3, 20, 50
 			f.To = (f.Zone + 1) % 3
-			s := day(seed, zones.Planned, f)
+			s := daySettings(seed, zones.Planned, f)
 			if n == 5 {
 				s.Faults, s.Liars = nil, 0.4
 			}
@@ -202,11 +202,11 @@
 			}
 			cases++
 			if len(r.Given) > 0 {
-				given++
+				wronglyEvicted++
 			}
 		}
 	}
-	return []Row{AtLeast("observers cut off or lying (four in ten): cases", float64(cases), 100), AtMost("observers cut off or lying: zones given up that are well", float64(given), 0)}, nil
+	return []Row{AtLeast("observers cut off or lying (four in ten): cases", float64(cases), 100), AtMost("observers cut off or lying: zones given up that are well", float64(wronglyEvicted), 0)}, nil
 }
 
 func evidenceBytes(n int) ([]Row, error) {
@@ -220,14 +220,14 @@
 
 // zoneCut cuts a zone's engines off from all routers, as processes: with the fleet's plans, and with none.
 func zoneCut(bin string) ([]Row, error) {
-	type seen struct {
-		plan, back      float64
-		before, after   faultrig.Figures
-		into, elsewhere int
+	type zoneCutFigures struct {
+		planDelay, returnDelay      float64
+		before, after               faultrig.Figures
+		sentIntoZone, sentElsewhere int
 	}
-	var all [2]seen
+	var all [2]zoneCutFigures
 	var group errgroup.Group
-	for k, works := range [][]string{{"plan"}, {"trial"}} {
+	for k, taskKinds := range [][]string{{"plan"}, {"trial"}} {
 		group.Go(func() error {
 			dir, err := os.MkdirTemp("", "dunerig")
 			if err != nil {
@@ -235,7 +235,7 @@
 			}
 			defer os.RemoveAll(dir)
 			f := scenario.File{Name: "zones", Keepers: 3, Routers: 6, Zones: 3, Engines: 6, Lease: 2, Drift: 0.05}
-			r, err := faultrig.NewWith(f, faultrig.Options{Warm: true, Linked: true, Cores: 8, Work: 0.01, Clients: []int{8, 8, 8, 8, 8, 8}, Works: works}, bin, dir, nil)
+			r, err := faultrig.NewWith(f, faultrig.Options{Warm: true, Linked: true, Cores: 8, Work: 0.01, Clients: []int{8, 8, 8, 8, 8, 8}, Works: taskKinds}, bin, dir, nil)
 			if err != nil {
 				return err
 			}
@@ -244,38 +244,38 @@
 			if err := r.Start(); err != nil {
 				return err
 			}
-			until := func(seconds float64, what string, seen func() bool) (float64, error) {
+			waitFor := func(seconds float64, goal string, condition func() bool) (float64, error) {
 				began := time.Now()
-				for !seen() {
+				for !condition() {
 					if time.Since(began).Seconds() > seconds {
-						return 0, fmt.Errorf("%s does not come within %.0f s; wrong: %v", what, seconds, r.Figures().Wrong)
+						return 0, fmt.Errorf("%s does not come within %.0f s; wrong: %v", goal, seconds, r.Figures().Wrong)
 					}
 					time.Sleep(20 * time.Millisecond)
 				}
 				return time.Since(began).Seconds(), nil
 			}
-			if _, err := until(20, "load", func() bool { return min(r.ZoneSent(1), r.ZoneSent(2), r.ZoneSent(3)) > 200 }); err != nil {
+			if _, err := waitFor(20, "load", func() bool { return min(r.ZoneSent(1), r.ZoneSent(2), r.ZoneSent(3)) > 200 }); err != nil {
 				return err
 			}
 			s := &all[k]
 			s.before = r.Figures()
 			r.CutEngines(1, nil)
 			if k == 0 {
-				if s.plan, err = until(15, "a plan without zone 1", func() bool {
+				if s.planDelay, err = waitFor(15, "a plan without zone 1", func() bool {
 					p, err := r.Plan()
 					return err == nil && len(p.Plan.Share) == 3 && p.Plan.Share[0][0]+p.Plan.Share[1][0]+p.Plan.Share[2][0] == 0
 				}); err != nil {
 					return err
 				}
 			}
-			time.Sleep(time.Duration((8 - s.plan) * float64(time.Second)))
+			time.Sleep(time.Duration((8 - s.planDelay) * float64(time.Second)))
 			in, out := r.ZoneSent(1), r.ZoneSent(2)+r.ZoneSent(3)
 			time.Sleep(4 * time.Second)
-			s.into, s.elsewhere = r.ZoneSent(1)-in, r.ZoneSent(2)+r.ZoneSent(3)-out
+			s.sentIntoZone, s.sentElsewhere = r.ZoneSent(1)-in, r.ZoneSent(2)+r.ZoneSent(3)-out
 			s.after = r.Figures()
 			r.Heal()
 			if k == 0 {
-				s.back, err = until(30, "the way back", func() bool {
+				s.returnDelay, err = waitFor(30, "the way back", func() bool {
 					p, err := r.Plan()
 					return err == nil && len(p.Plan.Share) == 3 && p.Plan.Share[0][0] > 0.99
 				})
@@ -289,16 +289,16 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	lost := func(s seen) float64 {
-		asked := float64(s.after.Asked - s.before.Asked)
-		return 1 - float64(s.after.Answered-s.before.Answered)/max(asked, 1)
+	uncompletedShare := func(s zoneCutFigures) float64 {
+		requests := float64(s.after.Asked - s.before.Asked)
+		return 1 - float64(s.after.Answered-s.before.Answered)/max(requests, 1)
 	}
 	return []Row{
 		AtLeast("processes: commands in the 12 s after a zone was cut off", float64(all[0].after.Asked-all[0].before.Asked), 2000),
-		AtMost("processes: seconds to a plan without it", all[0].plan, 4),
-		AtMost("processes: sends into it when the plan is known, over those elsewhere", float64(all[0].into)/max(float64(all[0].elsewhere), 1), 0.02),
-		AtMost("processes: commands not answered, share", lost(all[0]), lost(all[1])+0.02),
-		Figure("processes: the same without plans", lost(all[1])),
-		Figure("processes: seconds until it is planned with in full again", all[0].back),
+		AtMost("processes: seconds to a plan without it", all[0].planDelay, 4),
+		AtMost("processes: sends into it when the plan is known, over those elsewhere", float64(all[0].sentIntoZone)/max(float64(all[0].sentElsewhere), 1), 0.02),
+		AtMost("processes: commands not answered, share", uncompletedShare(all[0]), uncompletedShare(all[1])+0.02),
+		Figure("processes: the same without plans", uncompletedShare(all[1])),
+		Figure("processes: seconds until it is planned with in full again", all[0].returnDelay),
 	}, nil
 }
--- a/internal/measure/owner.go
+++ b/internal/measure/owner.go
@@ -26,36 +26,36 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-const ownerLease = 2.0 // seconds, of the processes here: a usual one would leave time for few losses
+const rigLease = 2.0 // seconds, of the processes here: a usual one would leave time for few losses
 
 // Owner measures over processes, in virtual time and by walking all states; what costs processor time is shared out so that
 // it takes under a minute on four cores.
 func Owner() ([]Row, error) {
-	bin, err := programs()
+	bin, err := programFolder()
 	if err != nil {
 		return nil, err
 	}
-	rows, err := each(
-		func() ([]Row, error) { return virtual(12) },
-		func() ([]Row, error) { return keepersLost(bin) },
-		func() ([]Row, error) { return sessions(bin, 300) },
-		func() ([]Row, error) { return walk(modelcheck.Short) },
-		func() ([]Row, error) { return atRest(bin) },
+	rows, err := runAll(
+		func() ([]Row, error) { return virtualRuns(12) },
+		func() ([]Row, error) { return coordinatorsLost(bin) },
+		func() ([]Row, error) { return sessionCost(bin, 300) },
+		func() ([]Row, error) { return exploreStates(modelcheck.Short) },
+		func() ([]Row, error) { return idleMemory(bin) },
 	)
 	if err != nil {
 		return nil, err
 	}
 	// Times are measured alone: three hundred sessions beside them on the same cores are no part of the program's own time.
-	gaps, err := handOver(bin)
+	gaps, err := handoverTimes(bin)
 	if err != nil {
 		return nil, err
 	}
-	cost, err := decision()
+	cost, err := decisionCost()
 	return append(append(rows, gaps...), cost...), err
 }
 
-// programs is the folder that this one lies in, where the others lie beside it.
-func programs() (string, error) {
+// programFolder is the folder that this one lies in, where the others lie beside it.
+func programFolder() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
@@ -83,7 +83,7 @@
 	return all, played, nil
 }
 
-type seedsSaid struct {
+type seedsResult struct {
 	Figures fleetworld.Figures
 	Played  uint64
 	Wrong   string
@@ -92,7 +92,7 @@
 // SaySeeds is Seeds for a process of its own: raft draws its chance from one source a process.
 func SaySeeds(from, count uint64, seconds float64) ([]byte, error) {
 	f, n, err := Seeds(from, count, seconds)
-	s := seedsSaid{f, n, ""}
+	s := seedsResult{f, n, ""}
 	if err != nil {
 		s.Wrong = err.Error()
 	}
@@ -106,7 +106,7 @@
 		return f, 0, nil, err
 	}
 	var group errgroup.Group
-	said := make([]seedsSaid, workers)
+	results := make([]seedsResult, workers)
 	for k := range workers {
 		first, next := from+count*k/workers, from+count*(k+1)/workers
 		group.Go(func() error {
@@ -114,13 +114,13 @@
 			if err != nil {
 				return fmt.Errorf("fleet-seeds: %v", err)
 			}
-			return json.Unmarshal(out, &said[k])
+			return json.Unmarshal(out, &results[k])
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return f, 0, nil, err
 	}
-	for _, s := range said {
+	for _, s := range results {
 		runs += s.Played
 		if s.Wrong != "" {
 			wrong = append(wrong, s.Wrong)
@@ -140,7 +140,7 @@
 	return append(virtualRows(f, runs, wrong), AtLeast("virtual time: of the runs asked for", float64(runs)/float64(count), 1)), nil
 }
 
-func virtual(seconds float64) ([]Row, error) {
+func virtualRuns(seconds float64) ([]Row, error) {
 	f, runs, wrong, err := drawnRuns(1000, 2_000_000, seconds, 2)
 	if err != nil {
 		return nil, err
@@ -164,12 +164,12 @@
 	}
 }
 
-func fleetOf(name string, routers, engines int) scenario.File {
-	return scenario.File{Name: name, Keepers: 3, Routers: routers, Zones: 2, Engines: engines, Lease: ownerLease, Drift: 0.05, Folders: true, Settle: 30}
+func fleetScenario(name string, routers, engines int) scenario.File {
+	return scenario.File{Name: name, Keepers: 3, Routers: routers, Zones: 2, Engines: engines, Lease: rigLease, Drift: 0.05, Folders: true, Settle: 30}
 }
 
-// started is a rig whose processes run.
-func started(f scenario.File, bin string, load bool) (*faultrig.Rig, func(), error) {
+// startRig is a rig whose processes run.
+func startRig(f scenario.File, bin string, load bool) (*faultrig.Rig, func(), error) {
 	dir, err := os.MkdirTemp("", "dunerig")
 	if err != nil {
 		return nil, nil, err
@@ -191,8 +191,8 @@
 	return r, end, nil
 }
 
-// handOver takes owners away, by SIGKILL and by SIGTERM, and tells how long their works were nobody's.
-func handOver(bin string) ([]Row, error) {
+// handoverTimes takes owners away, by SIGKILL and by SIGTERM, and tells how long their works were nobody's.
+func handoverTimes(bin string) ([]Row, error) {
 	const rigs, seconds = 2, 18.0
 	gaps := map[string][]float64{}
 	var all faultrig.Figures
@@ -200,7 +200,7 @@
 	var group errgroup.Group
 	for k := range rigs {
 		group.Go(func() error {
-			r, end, err := started(fleetOf("hand-over", 6, 3), bin, false)
+			r, end, err := startRig(fleetScenario("hand-over", 6, 3), bin, false)
 			if err != nil {
 				return err
 			}
@@ -209,16 +209,16 @@
 				return fmt.Errorf("%v\n%s", err, r.Tail())
 			}
 			before := 0
-			for until, n := time.Now().Add(time.Duration(seconds*1e9)), k; time.Now().Before(until); n++ {
+			for end, n := time.Now().Add(time.Duration(seconds*1e9)), k; time.Now().Before(end); n++ {
 				how := []string{"kill", "end", "end"}[n%3]
-				who := r.Note()
-				if who == "" {
+				owner := r.Note()
+				if owner == "" {
 					if err := r.Await("owned"); err != nil {
 						return err
 					}
 					continue
 				}
-				if err := r.Do(how, who); err != nil {
+				if err := r.Do(how, owner); err != nil {
 					return err
 				}
 				if err := r.Await("moved"); err != nil {
@@ -227,7 +227,7 @@
 				if err := r.Await("owned"); err != nil {
 					return err
 				}
-				if err := r.Do("start", who); err != nil {
+				if err := r.Do("start", owner); err != nil {
 					return err
 				}
 				f := r.Figures()
@@ -263,7 +263,7 @@
 	}
 	rows = append(rows,
 		Figure("next owner's first act after a loss, p50 s", quantile(gaps["kill"], 0.5)),
-		AtMost("next owner's first act after a loss, p99 s", quantile(gaps["kill"], 0.99), ownerLease+1),
+		AtMost("next owner's first act after a loss, p99 s", quantile(gaps["kill"], 0.99), rigLease+1),
 		Figure("next owner's first act after SIGTERM, p50 s", quantile(gaps["end"], 0.5)),
 		AtMost("next owner's first act after SIGTERM, p99 s", quantile(gaps["end"], 0.99), 0.3),
 		AtLeast("works that were handed over", float64(len(gaps["kill"])+len(gaps["end"])), 20))
@@ -275,14 +275,14 @@
 	return stat.Quantile(q, stat.Empirical, x, nil)
 }
 
-// keepersLost compares a fleet whose keepers are all killed with one whose keepers stay.
-func keepersLost(bin string) ([]Row, error) {
+// coordinatorsLost compares a fleet whose keepers are all killed with one whose keepers stay.
+func coordinatorsLost(bin string) ([]Row, error) {
 	const before, after = 7 * time.Second, 14 * time.Second // deals are out; leases and pledges run out, and time beyond
 	var figures [2]faultrig.Figures
 	var group errgroup.Group
 	for k := range figures {
 		group.Go(func() error {
-			r, end, err := started(fleetOf("keepers lost", 4, 2), bin, true)
+			r, end, err := startRig(fleetScenario("keepers lost", 4, 2), bin, true)
 			if err != nil {
 				return err
 			}
@@ -314,14 +314,14 @@
 	}, nil
 }
 
-// sessions opens so many with real keepers and tells what they cost: idle, and with four cold engines to deal out.
-func sessions(bin string, many int) ([]Row, error) {
+// sessionCost opens so many with real keepers and tells what they cost: idle, and with four cold engines to deal out.
+func sessionCost(bin string, count int) ([]Row, error) {
 	r, end, err := func() (*faultrig.Rig, func(), error) {
 		dir, err := os.MkdirTemp("", "dunerig")
 		if err != nil {
 			return nil, nil, err
 		}
-		f := fleetOf("sessions", 1, 1)
+		f := fleetScenario("sessions", 1, 1)
 		f.Lease = 4
 		r, err := faultrig.New(f, bin, dir, nil)
 		if err != nil {
@@ -335,53 +335,53 @@
 	defer end()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var cold sync.Map // whether there are cold engines: "on"
+	var coldServers sync.Map // whether there are cold engines: "on"
 	group, ctx := errgroup.WithContext(ctx)
 	var clients []*coordserver.Client
-	opened := make(chan bool, many)
-	for n := range many {
+	opened := make(chan bool, count)
+	for n := range count {
 		c := coordserver.NewClient(r.Fronts(), "")
 		clients = append(clients, c)
 		m := agent.New(agent.Config{Name: fmt.Sprint("s", n+1), Zone: fmt.Sprint("z", n%2+1), Incarnation: uint64(n + 1), Seed: uint64(n + 77),
-			CandidateKinds: []string{agent.WarmUpKind}, RouterCount: many, Window: 1, StartedAt: boottime.Now(), CleanStart: true}, agent.PersistentState{})
+			CandidateKinds: []string{agent.WarmUpKind}, RouterCount: count, Window: 1, StartedAt: boottime.Now(), CleanStart: true}, agent.PersistentState{})
 		d := agentdriver.NewDriver(m, c)
 		d.Run(ctx, group)
 		group.Go(func() error {
 			tick := time.NewTicker(100 * time.Millisecond)
 			defer tick.Stop()
-			said := false
+			reported := false
 			for {
 				select {
 				case <-ctx.Done():
 					return nil
-				case take := <-d.News():
-					take()
+				case handle := <-d.News():
+					handle()
 				case <-tick.C:
 					var demand agent.Demand
-					if _, on := cold.Load("on"); on {
+					if _, on := coldServers.Load("on"); on {
 						for e := range 4 {
-							demand.ColdServers = append(demand.ColdServers, agent.ColdServer{Server: agent.Server{ID: uint32(e + 1), Start: 1}, Need: 2 / float64(many)})
+							demand.ColdServers = append(demand.ColdServers, agent.ColdServer{Server: agent.Server{ID: uint32(e + 1), Start: 1}, Need: 2 / float64(count)})
 						}
 					}
 					now := boottime.Now()
 					m.SetDemand(now, demand)
 					d.Put(m.Tick(now))
 				}
-				if !said && m.Session() != 0 {
-					said = true
+				if !reported && m.Session() != 0 {
+					reported = true
 					opened <- true
 				}
 			}
 		})
 	}
-	for range many {
+	for range count {
 		select {
 		case <-opened:
 		case <-time.After(20 * time.Second):
 			return nil, errors.New("not all sessions opened in 20 s")
 		}
 	}
-	usage := func() (all [3]float64, calls, bytes float64, err error) {
+	usage := func() (all [3]float64, requests, bytes float64, err error) {
 		for k := range all {
 			if all[k], _, err = r.CPU(fmt.Sprint("k", k+1)); err != nil {
 				return
@@ -389,11 +389,11 @@
 		}
 		for _, c := range clients {
 			n, b := c.Traffic()
-			calls, bytes = calls+float64(n), bytes+float64(b)
+			requests, bytes = requests+float64(n), bytes+float64(b)
 		}
 		return
 	}
-	measure := func(seconds float64) (cores, calls, bytes float64, err error) {
+	measure := func(seconds float64) (cores, requests, bytes float64, err error) {
 		a, c0, b0, err := usage()
 		if err != nil {
 			return
@@ -405,16 +405,16 @@
 		for k := range a {
 			cores = max(cores, (b[k]-a[k])/took)
 		}
-		return cores, (c1 - c0) / took / float64(many), (b1 - b0) / took / float64(many), err
+		return cores, (c1 - c0) / took / float64(count), (b1 - b0) / took / float64(count), err
 	}
 	time.Sleep(2 * time.Second) // connections are up
-	idle, idleCalls, idleBytes, err := measure(8)
+	idle, idleRequests, idleBytes, err := measure(8)
 	if err != nil {
 		return nil, err
 	}
-	cold.Store("on", true)
+	coldServers.Store("on", true)
 	time.Sleep(4 * time.Second) // owners are found, and the last ones' deals waited out
-	busy, busyCalls, busyBytes, err := measure(6)
+	busy, busyRequests, busyBytes, err := measure(6)
 	cancel()
 	group.Wait()
 	if err != nil {
@@ -422,34 +422,34 @@
 	}
 	return []Row{
 		AtMost("300 sessions: the busiest keeper, cores", idle, 0.1),
-		AtMost("300 sessions: calls a router and second", idleCalls, 3),
+		AtMost("300 sessions: calls a router and second", idleRequests, 3),
 		AtMost("300 sessions: bytes a router and second", idleBytes, 4096),
 		Figure("300 sessions and four cold engines: the busiest keeper, cores", busy),
-		Figure("300 sessions and four cold engines: calls a router and second", busyCalls),
+		Figure("300 sessions and four cold engines: calls a router and second", busyRequests),
 		Figure("300 sessions and four cold engines: bytes a router and second", busyBytes),
 	}, nil
 }
 
-func walk(b modelcheck.Bounds) ([]Row, error) {
+func exploreStates(b modelcheck.Bounds) ([]Row, error) {
 	began := time.Now()
-	states, whole, err := modelcheck.Walk(b)
-	wrong := 0.0
+	states, complete, err := modelcheck.Walk(b)
+	violations := 0.0
 	if err != nil {
-		wrong = 1
+		violations = 1
 		fmt.Fprintln(os.Stderr, err)
 	}
-	if !whole {
-		wrong = math.NaN()
+	if !complete {
+		violations = math.NaN()
 	}
 	return []Row{
 		AtLeast("states explored, all orders of two owners and a receiver", float64(states), 10_000),
-		AtMost("states with a rule broken", wrong, 0),
+		AtMost("states with a rule broken", violations, 0),
 		Figure("seconds that it took", time.Since(began).Seconds()),
 	}, nil
 }
 
-// atRest starts a router without the fleet, and one with keepers that don't answer.
-func atRest(bin string) ([]Row, error) {
+// idleMemory starts a router without the fleet, and one with keepers that don't answer.
+func idleMemory(bin string) ([]Row, error) {
 	var memory [2]float64
 	for k := range memory {
 		dir, err := os.MkdirTemp("", "dunerig")
@@ -457,7 +457,7 @@
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
-		f := fleetOf("at rest", 1, 1)
+		f := fleetScenario("at rest", 1, 1)
 		f.Keepers = k
 		r, err := faultrig.New(f, bin, dir, nil)
 		if err != nil {
@@ -474,9 +474,9 @@
 			return nil, err
 		}
 	}
-	const before = 8.7 // MB, of the version without a fleet
+	const baselineMB = 8.7 // MB, of the version without a fleet
 	return []Row{
-		AtMost("router at rest without the section, MB", memory[0], before+0.5),
+		AtMost("router at rest without the section, MB", memory[0], baselineMB+0.5),
 		AtMost("router at rest with it, MB", memory[1], 16),
 	}, nil
 }
--- a/internal/measure/short.go
+++ b/internal/measure/short.go
@@ -9,29 +9,29 @@
 // The short forms play fewer cases of the same measurements, by the same bounds, with no processes of routers and no figures that
 // depend on the machine's pace: CI runs them, so that a change which breaks a figure of the documents is seen.
 
-// decisiveLiars is so many seeds of lying that those of past failures are among them: 13 gave a zone up that was well.
-const decisiveLiars = 20
+// unreliableObserverSeeds is so many seeds of lying that those of past failures are among them: 13 gave a zone up that was well.
+const unreliableObserverSeeds = 20
 
 func shortFailover() ([]Row, error) {
-	return each(
+	return runAll(
 		func() ([]Row, error) { return drawnDays(0, 60, 60) },
 		func() ([]Row, error) { return calmDays(5) },
 		func() ([]Row, error) { return lostZones(9) },
 		func() ([]Row, error) { return flapping(20) }, // the mean of fewer is another figure
-		func() ([]Row, error) { return lying(decisiveLiars) },
+		func() ([]Row, error) { return unreliableObservers(unreliableObserverSeeds) },
 		func() ([]Row, error) { return evidenceBytes(9) },
 	)
 }
 
 func shortOwner() ([]Row, error) {
-	return each(
-		func() ([]Row, error) { return drawnHere(1000, 60) },
-		func() ([]Row, error) { return walk(modelcheck.Short) },
+	return runAll(
+		func() ([]Row, error) { return drawnRunsInProcess(1000, 60) },
+		func() ([]Row, error) { return exploreStates(modelcheck.Short) },
 	)
 }
 
-// drawnHere plays drawn runs of a fleet in this process.
-func drawnHere(from, count uint64) ([]Row, error) {
+// drawnRunsInProcess plays drawn runs of a fleet in this process.
+func drawnRunsInProcess(from, count uint64) ([]Row, error) {
 	figures, runs, err := Seeds(from, count, math.MaxInt32)
 	var wrong []string
 	if err != nil {
@@ -41,10 +41,10 @@
 }
 
 func shortState() ([]Row, error) {
-	return each(
-		func() ([]Row, error) { return kills(40) },
-		func() ([]Row, error) { return ages(), nil },
-		func() ([]Row, error) { return regret(4) },
-		func() ([]Row, error) { return rolled(30) },
+	return runAll(
+		func() ([]Row, error) { return killedWriters(40) },
+		func() ([]Row, error) { return trustByAge(), nil },
+		func() ([]Row, error) { return restartRegret(4) },
+		func() ([]Row, error) { return rollingRestart(30) },
 	)
 }
--- a/internal/measure/show.go
+++ b/internal/measure/show.go
@@ -54,23 +54,23 @@
 }
 
 // Print writes rows as a table and tells whether all hold.
-func Print(w io.Writer, rows []Row) (good bool) {
-	good = true
+func Print(w io.Writer, rows []Row) (allHold bool) {
+	allHold = true
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "figure\tvalue\tbound\t")
 	for _, r := range rows {
-		short := ""
+		verdict := ""
 		if !r.Holds() {
-			short, good = "FALLS SHORT", false
+			verdict, allHold = "FALLS SHORT", false
 		}
-		fmt.Fprintf(table, "%s\t%.4g\t%s\t%s\n", r.Name, r.Value, r.bound(), short)
+		fmt.Fprintf(table, "%s\t%.4g\t%s\t%s\n", r.Name, r.Value, r.bound(), verdict)
 	}
 	table.Flush()
-	return good
+	return allHold
 }
 
-// each runs parts side by side and gives their rows in order.
-func each(parts ...func() ([]Row, error)) ([]Row, error) {
+// runAll runs parts side by side and gives their rows in order.
+func runAll(parts ...func() ([]Row, error)) ([]Row, error) {
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	all := make([][]Row, len(parts))
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -14,13 +14,13 @@
 // Soak plays drawn faults over five keepers and forty routers, as processes with clients, and prints a line a minute. An error is
 // something that must not be.
 func Soak(out io.Writer, minutes float64) error {
-	bin, err := programs()
+	bin, err := programFolder()
 	if err != nil {
 		return err
 	}
-	const keepers, routers, zones = 5, 40, 3
-	f := scenario.File{Name: "soak", Keepers: keepers, Routers: routers, Zones: zones, Engines: 4, Lease: 3, Drift: 0.05, Folders: true, Seed: 1, Settle: 40}
-	r, end, err := started(f, bin, true)
+	const coordinators, routers, zones = 5, 40, 3
+	f := scenario.File{Name: "soak", Keepers: coordinators, Routers: routers, Zones: zones, Engines: 4, Lease: 3, Drift: 0.05, Folders: true, Seed: 1, Settle: 40}
+	r, end, err := startRig(f, bin, true)
 	if err != nil {
 		return err
 	}
@@ -29,30 +29,30 @@
 		return fmt.Errorf("%v\n%s", err, r.Tail())
 	}
 	rnd := rand.New(rand.NewPCG(f.Seed, 31))
-	fmt.Fprintf(out, "%d keepers and %d routers in %d zones, leases of %g s, four cold engines; faults drawn with seed %d.\n\n", keepers, routers, zones, f.Lease, f.Seed)
+	fmt.Fprintf(out, "%d keepers and %d routers in %d zones, leases of %g s, four cold engines; faults drawn with seed %d.\n\n", coordinators, routers, zones, f.Lease, f.Seed)
 	fmt.Fprintln(out, "| minute | faults | acts | under an old fence | most of an allowance | works lost | asked | answered | shed | failed | cut off | ran twice |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|---|---|")
 	faults := 0
 	began := time.Now()
 	down, stopped := map[string]bool{}, map[string]bool{}
 	minute := 1
-	who := func() string {
+	drawTarget := func() string {
 		if rnd.IntN(4) == 0 {
-			return fmt.Sprint("k", 1+rnd.IntN(keepers))
+			return fmt.Sprint("k", 1+rnd.IntN(coordinators))
 		}
 		if o := r.Owner(); o != "" && rnd.IntN(2) == 0 {
 			return o
 		}
 		return fmt.Sprint("n", 1+rnd.IntN(routers))
 	}
-	line := func() {
-		g := r.Figures()
-		fmt.Fprintf(out, "| %d | %d | %d | %d | %.3f | %d | %d | %d | %d | %d | %d | %d |\n", minute, faults, g.Acts, g.Old, g.Worst, len(g.Gaps), g.Asked, g.Answered, g.Shed, g.Failed, g.Cut, g.Twice)
+	printRow := func() {
+		figures := r.Figures()
+		fmt.Fprintf(out, "| %d | %d | %d | %d | %.3f | %d | %d | %d | %d | %d | %d | %d |\n", minute, faults, figures.Acts, figures.Old, figures.Worst, len(figures.Gaps), figures.Asked, figures.Answered, figures.Shed, figures.Failed, figures.Cut, figures.Twice)
 	}
 	for time.Since(began).Minutes() < minutes {
 		time.Sleep(time.Duration(rnd.ExpFloat64() * 1.5 * 1e9)) // the draw's own times
 		faults++
-		switch name := who(); rnd.IntN(8) {
+		switch name := drawTarget(); rnd.IntN(8) {
 		case 0, 1:
 			if !down[name] {
 				err = r.Do([]string{"kill", "end"}[rnd.IntN(2)], name)
@@ -64,9 +64,9 @@
 				stopped[name] = true
 			}
 		case 3:
-			r.Link("cut", name, fmt.Sprint("k", 1+rnd.IntN(keepers)), 0)
+			r.Link("cut", name, fmt.Sprint("k", 1+rnd.IntN(coordinators)), 0)
 		case 4:
-			r.Link("hold", fmt.Sprint("k", 1+rnd.IntN(keepers)), name, rnd.Float64()*20)
+			r.Link("hold", fmt.Sprint("k", 1+rnd.IntN(coordinators)), name, rnd.Float64()*20)
 		case 5:
 			r.Heal()
 		case 6:
@@ -88,7 +88,7 @@
 			return err
 		}
 		if time.Since(began).Minutes() >= float64(minute) {
-			line()
+			printRow()
 			minute++
 		}
 	}
@@ -105,19 +105,19 @@
 		}
 	}
 	r.Heal()
-	back := time.Now()
+	faultsEnded := time.Now()
 	if err := r.Await("dealt"); err != nil {
 		return fmt.Errorf("after the last fault: %v\n%s", err, r.Tail())
 	}
-	line()
+	printRow()
 	g := r.Figures()
 	fmt.Fprintf(out, "\nAll works owned and dealt %.1f s after the last fault. Longest time from a loss to the next owner's first act %.1f s, median %.1f s.\n",
-		time.Since(back).Seconds(), quantile(g.Gaps, 1), quantile(g.Gaps, 0.5))
+		time.Since(faultsEnded).Seconds(), quantile(g.Gaps, 1), quantile(g.Gaps, 0.5))
 	if len(g.Wrong) > 0 {
 		fmt.Fprintln(os.Stderr, strings.Join(g.Wrong, "\n"))
-		return errShortSoak
+		return errRulesBroken
 	}
 	return nil
 }
 
-var errShortSoak = fmt.Errorf("something happened that must not")
+var errRulesBroken = fmt.Errorf("something happened that must not")
--- a/internal/measure/state.go
+++ b/internal/measure/state.go
@@ -33,31 +33,31 @@
 // State measures what survives a restart: the folder under kills, what is believed of it by age, what reading and writing cost, and what
 // it is worth in the peak.
 func State() ([]Row, error) {
-	rows, err := each(
-		func() ([]Row, error) { return kills(500) },
-		func() ([]Row, error) { return ages(), nil },
-		func() ([]Row, error) { return regret(24) },
-		func() ([]Row, error) { return rolled(30) },
+	rows, err := runAll(
+		func() ([]Row, error) { return killedWriters(500) },
+		func() ([]Row, error) { return trustByAge(), nil },
+		func() ([]Row, error) { return restartRegret(24) },
+		func() ([]Row, error) { return rollingRestart(30) },
 	)
 	if err != nil {
 		return nil, err
 	}
-	full, err := fullFolder() // times and memory alone
+	full, err := fullFolderCost() // times and memory alone
 	if err != nil {
 		return nil, err
 	}
-	late, err := lateOwner(1.7)
+	late, err := snapshotLateness(1.7)
 	return append(append(rows, full...), late...), err
 }
 
 // WriteState writes to a folder until it is killed: snapshots and records that bear a number which only grows, each number printed once
 // it must last.
 func WriteState(dir string) error {
-	s, read, err := store.Open(dir, "n1")
+	s, loaded, err := store.Open(dir, "n1")
 	if err != nil {
 		return err
 	}
-	n, err := number(read)
+	n, err := lastNumber(loaded)
 	if err != nil {
 		return err
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// number is the last one in a folder.
-func number(r store.Read) (n uint64, err error) {
+// lastNumber is the last one in a folder.
+func lastNumber(r store.Read) (n uint64, err error) {
 	if r.Generation == 0 {
 		return 0, nil
 	}
@@ -106,26 +106,26 @@
 	return n, nil
 }
 
-// kills ends a writing process at a random moment, again and again in the same folders, and reads what is there.
-func kills(many int) ([]Row, error) {
+// killedWriters ends a writing process at a random moment, again and again in the same folders, and reads what is there.
+func killedWriters(count int) ([]Row, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
-	var half, lost, back, cut, done int
+	var damaged, lost, wentBack, cutShort, killed int
 	var group errgroup.Group
-	const hands = 4
-	for hand := range hands {
+	const workers = 4
+	for worker := range workers {
 		group.Go(func() error {
 			dir, err := os.MkdirTemp("", "dunestate")
 			if err != nil {
 				return err
 			}
 			defer os.RemoveAll(dir)
-			rnd := rand.New(rand.NewPCG(uint64(hand), 5))
+			rnd := rand.New(rand.NewPCG(uint64(worker), 5))
 			last, generation := uint64(0), uint64(0)
-			for range many / hands {
+			for range count / workers {
 				c := exec.Command(self, "state-writer", dir)
 				out, err := c.StdoutPipe()
 				if err != nil {
@@ -134,7 +134,7 @@
 				if err := c.Start(); err != nil {
 					return err
 				}
-				said := make(chan uint64, 1)
+				lastPrinted := make(chan uint64, 1)
 				first := make(chan bool)
 				go func() {
 					var n uint64
@@ -146,7 +146,7 @@
 							close(first)
 						}
 					}
-					said <- n
+					lastPrinted <- n
 				}()
 				select {
 				case <-first:
@@ -156,26 +156,26 @@
 				}
 				time.Sleep(time.Duration(rnd.Float64() * 20e6)) // the moment is drawn
 				c.Process.Kill()
-				acked := max(<-said, last)
+				acked := max(<-lastPrinted, last)
 				c.Wait()
 				r, _, err := store.Load(dir, "n1")
 				if err != nil {
 					return err
 				}
-				n, wrong := number(r)
+				n, wrong := lastNumber(r)
 				mu.Lock()
-				done++
+				killed++
 				if wrong != nil || r.Generation == 0 || len(r.Passed) > 0 {
-					half++
+					damaged++
 				}
 				if n < acked {
 					lost++
 				}
 				if r.Generation < generation {
-					back++
+					wentBack++
 				}
 				if r.Cut {
-					cut++
+					cutShort++
 				}
 				mu.Unlock()
 				last, generation = n, r.Generation
@@ -187,24 +187,24 @@
 		return nil, err
 	}
 	return []Row{
-		AtLeast("kills of a writing process, each followed by a read", float64(done), float64(many)),
-		AtMost("reads that found something half written", float64(half), 0),
+		AtLeast("kills of a writing process, each followed by a read", float64(killed), float64(count)),
+		AtMost("reads that found something half written", float64(damaged), 0),
 		AtMost("reads that lacked what had been synced", float64(lost), 0),
-		AtMost("reads whose generation went back", float64(back), 0),
-		Figure("journals cut short by the kill, as is normal", float64(cut)),
+		AtMost("reads whose generation went back", float64(wentBack), 0),
+		Figure("journals cut short by the kill, as is normal", float64(cutShort)),
 	}, nil
 }
 
-// ages is how much of each kind of knowledge is believed, by its age.
-func ages() (rows []Row) {
+// trustByAge is how much of each kind of knowledge is believed, by its age.
+func trustByAge() (rows []Row) {
 	settings, rates := []uint64{1}, []float64{2}
-	then := warmstart.Timestamp{Wall: 1e9, Up: 1e6, Boot: "b"}
-	kept := warmstart.Snapshot{At: then, Profiles: []warmstart.Profile{{Settings: 1, Work: 0.1, Seen: 100, Hinted: 10, Worked: 20, Slow: 3, Times: warmstart.Times{Counts: []float64{1000}, Sum: 100}}},
-		Quick: warmstart.JournalRecord{At: then, Known: warmstart.Knowledge{Engines: []warmstart.Server{{ID: 1, Slow: 2, Fails: 0.8, Ill: true, Pause: 1}}, Tenants: []warmstart.Tenant{{Left: -60, Rate: 2}}}}}
+	savedAt := warmstart.Timestamp{Wall: 1e9, Up: 1e6, Boot: "b"}
+	snapshot := warmstart.Snapshot{At: savedAt, Profiles: []warmstart.Profile{{Settings: 1, Work: 0.1, Seen: 100, Hinted: 10, Worked: 20, Slow: 3, Times: warmstart.Times{Counts: []float64{1000}, Sum: 100}}},
+		Quick: warmstart.JournalRecord{At: savedAt, Known: warmstart.Knowledge{Engines: []warmstart.Server{{ID: 1, Slow: 2, Fails: 0.8, Ill: true, Pause: 1}}, Tenants: []warmstart.Tenant{{Left: -60, Rate: 2}}}}}
 	for _, a := range []struct {
-		name              string
-		age               float64
-		times, ill, debts [2]float64 // least and most
+		name                    string
+		age                     float64
+		times, suspended, debts [2]float64 // least and most
 	}{
 		{"1 s", 1, [2]float64{39.9, 40}, [2]float64{1, 1}, [2]float64{58, 58}},
 		{"20 s", 20, [2]float64{39, 40}, [2]float64{0, 0}, [2]float64{20, 20}},
@@ -212,24 +212,24 @@
 		{"1 hour", 3600, [2]float64{0, 1}, [2]float64{0, 0}, [2]float64{-7140, -7140}},
 		{"3 days", 3 * 86400, [2]float64{0, 0}, [2]float64{0, 0}, [2]float64{-1e6, -5e5}},
 	} {
-		r := warmstart.Restore(kept, nil, warmstart.Timestamp{Wall: then.Wall + a.age, Up: then.Up + a.age, Boot: "b"}, settings, rates)
-		ill := 0.0
+		r := warmstart.Restore(snapshot, nil, warmstart.Timestamp{Wall: savedAt.Wall + a.age, Up: savedAt.Up + a.age, Boot: "b"}, settings, rates)
+		suspended := 0.0
 		for _, e := range r.Engines {
 			if e.Ill {
-				ill++
+				suspended++
 			}
 		}
 		rows = append(rows,
 			Between("knowledge of "+a.name+": processing times, of forty", r.Profiles[0].Times.N(), a.times[0], a.times[1]),
-			Between("knowledge of "+a.name+": engines still taken for ill, of one", ill, a.ill[0], a.ill[1]),
+			Between("knowledge of "+a.name+": engines still taken for ill, of one", suspended, a.suspended[0], a.suspended[1]),
 			Between("knowledge of "+a.name+": a tenant's debt of sixty", -r.Tenants[0].Left, a.debts[0], a.debts[1]))
 	}
-	r := warmstart.Restore(kept, nil, warmstart.Timestamp{Wall: then.Wall - 100, Up: 5, Boot: "c"}, settings, rates)
+	r := warmstart.Restore(snapshot, nil, warmstart.Timestamp{Wall: savedAt.Wall - 100, Up: 5, Boot: "c"}, settings, rates)
 	return append(rows, AtMost("a clock that went back: processing times, of forty", r.Profiles[0].Times.N(), 10), AtMost("a clock that went back: engines taken for ill", float64(len(r.Engines)), 0))
 }
 
-// fullKept is as much as is read at all: a thousand profiles, four thousand engines and tenants.
-func fullKept() warmstart.Snapshot {
+// maxSnapshot is as much as is read at all: a thousand profiles, four thousand engines and tenants.
+func maxSnapshot() warmstart.Snapshot {
 	k := warmstart.Snapshot{At: warmstart.Timestamp{Wall: 1, Up: 1}}
 	for n := range warmstart.MaxProfiles {
 		p := warmstart.Profile{Settings: uint64(n), Work: 0.1, Seen: 50, Hinted: 3, Worked: 4, Slow: 1.2}
@@ -245,8 +245,8 @@
 	return k
 }
 
-// fullFolder reads a folder that is as full as one may be.
-func fullFolder() ([]Row, error) {
+// fullFolderCost reads a folder that is as full as one may be.
+func fullFolderCost() ([]Row, error) {
 	dir, err := os.MkdirTemp("", "dunestate")
 	if err != nil {
 		return nil, err
@@ -256,14 +256,14 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := cbor.Marshal(fullKept())
+	body, err := cbor.Marshal(maxSnapshot())
 	if err != nil {
 		return nil, err
 	}
 	if err := s.Snapshot(body); err != nil {
 		return nil, err
 	}
-	quick, err := cbor.Marshal(warmstart.JournalRecord{Known: warmstart.Knowledge{Engines: fullKept().Quick.Known.Engines[:500]}})
+	quick, err := cbor.Marshal(warmstart.JournalRecord{Known: warmstart.Knowledge{Engines: maxSnapshot().Quick.Known.Engines[:500]}})
 	if err != nil {
 		return nil, err
 	}
@@ -294,18 +294,18 @@
 	}, nil
 }
 
-// lateOwner is how late an owner's timers are while it decides, with a snapshot each second and without, on one core as a router has.
-func lateOwner(seconds float64) ([]Row, error) {
+// snapshotLateness is how late an owner's timers are while it decides, with a snapshot each second and without, on one core as a router has.
+func snapshotLateness(seconds float64) ([]Row, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	var p99 [2][]float64
-	var adds []float64
+	var differences []float64
 	const rounds = 7 // in turn, and by pairs, as the machine's pace changes
 	for range rounds {
-		for k, how := range []string{"without", "with"} {
-			out, err := exec.Command(self, "state-late", how, fmt.Sprint(seconds)).Output()
+		for k, mode := range []string{"without", "with"} {
+			out, err := exec.Command(self, "state-late", mode, fmt.Sprint(seconds)).Output()
 			if err != nil {
 				return nil, fmt.Errorf("state-late: %v", err)
 			}
@@ -315,12 +315,12 @@
 			}
 			p99[k] = append(p99[k], x)
 		}
-		adds = append(adds, p99[1][len(adds)]-p99[0][len(adds)])
+		differences = append(differences, p99[1][len(differences)]-p99[0][len(differences)])
 	}
 	return []Row{
 		Figure("the owner's timers late at p99 with no snapshots, ms", 1000*quantile(p99[0], 0.5)),
 		Figure("the same with a snapshot each second, ms", 1000*quantile(p99[1], 0.5)),
-		AtMost("what snapshots add at p99, ms, median of pairs", 1000*quantile(adds, 0.5), 1),
+		AtMost("what snapshots add at p99, ms, median of pairs", 1000*quantile(differences, 0.5), 1),
 	}, nil
 }
 
@@ -341,11 +341,11 @@
 			return 0, err
 		}
 		defer s.Close()
-		kept := fullKept()
-		kept.Profiles = kept.Profiles[:32] // of a usual router
-		kept.Quick.Known.Engines, kept.Quick.Known.Tenants = kept.Quick.Known.Engines[:72], kept.Quick.Known.Tenants[:64]
+		snapshot := maxSnapshot()
+		snapshot.Profiles = snapshot.Profiles[:32] // of a usual router
+		snapshot.Quick.Known.Engines, snapshot.Quick.Known.Tenants = snapshot.Quick.Known.Engines[:72], snapshot.Quick.Known.Tenants[:64]
 		r.Add(bg.Job{Name: "snapshot", Interval: 1, Deadline: 1}, func(_ context.Context, m *jobrunner.Meter) error {
-			body, err := cbor.Marshal(kept)
+			body, err := cbor.Marshal(snapshot)
 			if err != nil {
 				return err
 			}
@@ -358,24 +358,24 @@
 		r.Run(ctx, time.Second)
 		close(ended)
 	}()
-	p := newPlayed(nil)
-	var lates []float64
-	const every = 2 * time.Millisecond
-	for end, due := time.Now().Add(time.Duration(seconds*1e9)), time.Now().Add(every); due.Before(end); due = due.Add(every) {
+	driver := newRequestDriver(nil)
+	var lateness []float64
+	const interval = 2 * time.Millisecond
+	for end, due := time.Now().Add(time.Duration(seconds*1e9)), time.Now().Add(interval); due.Before(end); due = due.Add(interval) {
 		time.Sleep(time.Until(due))
 		late := time.Since(due).Seconds()
-		lates = append(lates, late)
+		lateness = append(lateness, late)
 		r.ObserveLateness(late)
-		p.run(100) // some 0.2 ms of decisions
+		driver.run(100) // some 0.2 ms of decisions
 	}
 	cancel()
 	<-ended
-	return quantile(lates, 0.99), nil
+	return quantile(lateness, 0.99), nil
 }
 
-// regret is what a restart in the peak costs: all routers restart at once, with what they knew and with nothing, against never.
-func regret(days int) ([]Row, error) {
-	believed := func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
+// restartRegret is what a restart in the peak costs: all routers restart at once, with what they knew and with nothing, against never.
+func restartRegret(days int) ([]Row, error) {
+	recallDiscounted := func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
 		b := warmstart.Discount(k, age, true, admission.Fingerprints(s.Profiles), s.TenantRates())
 		return &b
 	}
@@ -397,18 +397,18 @@
 		return s
 	}
 	spans := []float64{10, 30, 60}
-	var inTime, shed [3][3][]float64 // nothing, knew, never; by span; by day
-	var sends [3]float64             // to the engine that hangs, in the ten seconds after
+	var inTime, rejected [3][3][]float64 // nothing, knew, never; by span; by day
+	var attemptsToHung [3]float64        // to the engine that hangs, in the ten seconds after
 	var mu sync.Mutex
 	var group errgroup.Group
 	group.SetLimit(4)
 	for seed := range uint64(days) {
 		group.Go(func() error {
-			for k, s := range []cluster.Settings{peak(seed, true, nil), peak(seed, true, believed), peak(seed, false, nil)} {
-				hung := 0.0
+			for k, s := range []cluster.Settings{peak(seed, true, nil), peak(seed, true, recallDiscounted), peak(seed, false, nil)} {
+				hungAttempts := 0.0
 				s.Watch = func(m *cluster.Moment) bool {
 					if m.On == cluster.Sent && m.Engine == 0 && m.Now >= 40.5 && m.Now < 48 {
-						hung++
+						hungAttempts++
 					}
 					return true
 				}
@@ -417,23 +417,23 @@
 					return err
 				}
 				mu.Lock()
-				sends[k] += hung
+				attemptsToHung[k] += hungAttempts
 				mu.Unlock()
 				for n, span := range spans {
-					got, refused, all := 0.0, 0.0, 0.0
+					completed, rejectedCount, all := 0.0, 0.0, 0.0
 					for i := range r.Tries {
 						if x := &r.Tries[i]; x.Taken >= 40.5 && x.Taken < 40.5+span {
 							all++
 							if x.InTime() {
-								got++
+								completed++
 							}
 							if x.How == cluster.Shed {
-								refused++
+								rejectedCount++
 							}
 						}
 					}
 					mu.Lock()
-					inTime[k][n], shed[k][n] = append(inTime[k][n], got/all), append(shed[k][n], refused/all)
+					inTime[k][n], rejected[k][n] = append(inTime[k][n], completed/all), append(rejected[k][n], rejectedCount/all)
 					mu.Unlock()
 				}
 			}
@@ -446,18 +446,18 @@
 	var rows []Row
 	for n, span := range spans {
 		name := fmt.Sprintf("restart in the peak, %.0f s: ", span)
-		nothing, knew, never := stat.Mean(inTime[0][n], nil), stat.Mean(inTime[1][n], nil), stat.Mean(inTime[2][n], nil)
-		rows = append(rows, Figure(name+"in time from nothing", nothing), Figure(name+"with what it knew", knew), Figure(name+"never stopped", never),
-			AtMost(name+"regret with what it knew", never-knew, max(0.02, (never-nothing)/2)),
-			AtMost(name+"refused with what it knew, over refused from nothing", stat.Mean(shed[1][n], nil)/math.Max(stat.Mean(shed[0][n], nil), 1e-9), 1.05))
+		withoutState, withState, uninterrupted := stat.Mean(inTime[0][n], nil), stat.Mean(inTime[1][n], nil), stat.Mean(inTime[2][n], nil)
+		rows = append(rows, Figure(name+"in time from nothing", withoutState), Figure(name+"with what it knew", withState), Figure(name+"never stopped", uninterrupted),
+			AtMost(name+"regret with what it knew", uninterrupted-withState, max(0.02, (uninterrupted-withoutState)/2)),
+			AtMost(name+"refused with what it knew, over refused from nothing", stat.Mean(rejected[1][n], nil)/math.Max(stat.Mean(rejected[0][n], nil), 1e-9), 1.05))
 	}
-	return append(rows, Figure("restart in the peak: sends to an engine known to hang, a day, from nothing", sends[0]/float64(days)),
-		AtMost("restart in the peak: the same with what it knew, over that", sends[1]/max(sends[0], 1), 0.8)), nil
+	return append(rows, Figure("restart in the peak: sends to an engine known to hang, a day, from nothing", attemptsToHung[0]/float64(days)),
+		AtMost("restart in the peak: the same with what it knew, over that", attemptsToHung[1]/max(attemptsToHung[0], 1), 0.8)), nil
 }
 
-// rolled restarts many routers one after the other while an engine hangs, which is well again before the last of them is back: they all
+// rollingRestart restarts many routers one after the other while an engine hangs, which is well again before the last of them is back: they all
 // believe that it hangs. Nobody may have to tell them, and they may not all try it in the same moment.
-func rolled(routers int) ([]Row, error) {
+func rollingRestart(routers int) ([]Row, error) {
 	s := cluster.Settings{Seed: 3, Length: 80, Routers: routers, Brain: admission.Settings{Tick: 0.005, MaxSends: 4, MaxPause: 0.5,
 		Profiles: []admission.Profile{{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1}}}}
 	for range 6 {
@@ -476,15 +476,15 @@
 		return &b
 	}
 	const slot = 0.05
-	tries := map[int]float64{} // sends to it by slot
-	var back, all [40]float64  // by second after it is well: sends to it, and to all
+	attemptsBySlot := map[int]float64{}   // sends to it by slot
+	var attempts, allAttempts [40]float64 // by second after it is well: sends to it, and to all
 	s.Watch = func(m *cluster.Moment) bool {
 		if m.On == cluster.Sent && m.Now >= ended && m.Now < ended+40 {
 			k := int(m.Now - ended)
-			if all[k]++; m.Engine == 0 {
-				back[k]++
+			if allAttempts[k]++; m.Engine == 0 {
+				attempts[k]++
 				if m.Now < ended+1 {
-					tries[int((m.Now-ended)/slot)]++
+					attemptsBySlot[int((m.Now-ended)/slot)]++
 				}
 			}
 		}
@@ -493,18 +493,18 @@
 	if _, err := cluster.Run(s); err != nil {
 		return nil, err
 	}
-	took, worst := math.Inf(1), 0.0
-	for k := range back {
-		if back[k] >= 0.5*all[k]/6 {
-			took = float64(k + 1)
+	recovered, worst := math.Inf(1), 0.0
+	for k := range attempts {
+		if attempts[k] >= 0.5*allAttempts[k]/6 {
+			recovered = float64(k + 1)
 			break
 		}
 	}
-	for _, n := range tries {
+	for _, n := range attemptsBySlot {
 		worst = max(worst, n)
 	}
 	return []Row{
-		AtMost(fmt.Sprintf("%d routers restarted, all told that a well engine hangs: seconds until it has half of its share", routers), took, 6),
+		AtMost(fmt.Sprintf("%d routers restarted, all told that a well engine hangs: seconds until it has half of its share", routers), recovered, 6),
 		AtMost("the same: of them in one twentieth of a second, in its first second", worst/float64(routers), 0.34),
 	}, nil
 }
