--- a/internal/hollow/audit.go
+++ b/internal/hollow/audit.go
@@ -23,45 +23,43 @@
 	// Wrong has one line for each of the first stale acts.
 	Wrong []string
 
-	pending      []Act
-	newestAct    map[string]Act    // by task: the newest fence and its first act
-	ownerOfFence map[uint64]string // by fence
+	acts   []Act
+	latest map[string]Act    // by task: the newest fence and its first act
+	owners map[uint64]string // by fence
 }
 
 // maxViolations bounds the lines that are kept.
 const maxViolations = 20
 
 // NewAuditor has seen nothing.
-func NewAuditor() *Auditor {
-	return &Auditor{newestAct: map[string]Act{}, ownerOfFence: map[uint64]string{}}
-}
+func NewAuditor() *Auditor { return &Auditor{latest: map[string]Act{}, owners: map[uint64]string{}} }
 
 // Add acts, in any order. They are judged by Judge, once all that happened before has been added.
-func (a *Auditor) Add(acts []Act) { a.pending = append(a.pending, acts...) }
+func (a *Auditor) Add(acts []Act) { a.acts = append(a.acts, acts...) }
 
 // Judge what has been added since the last call, in the order in which it happened.
 func (a *Auditor) Judge() {
-	slices.SortStableFunc(a.pending, func(x, y Act) int { return cmp.Compare(x.At, y.At) })
-	for _, act := range a.pending {
+	slices.SortStableFunc(a.acts, func(x, y Act) int { return cmp.Compare(x.At, y.At) })
+	for _, act := range a.acts {
 		a.Acts++
 		a.check(act)
 	}
-	a.pending = nil
+	a.acts = nil
 }
 
 func (a *Auditor) check(act Act) {
 	if act.At > act.Until {
 		a.recordStale(act, "after its lease was over")
 	}
-	if newest := a.newestAct[act.Task]; act.Fence < newest.Fence {
+	if newest := a.latest[act.Task]; act.Fence < newest.Fence {
 		a.recordStale(act, fmt.Sprintf("after %s acted under fence %d", newest.Router, newest.Fence))
 	} else if act.Fence > newest.Fence {
-		a.newestAct[act.Task] = act
+		a.latest[act.Task] = act
 	}
-	if other, ok := a.ownerOfFence[act.Fence]; ok && other != act.Router {
+	if other, ok := a.owners[act.Fence]; ok && other != act.Router {
 		a.recordStale(act, "under a fence of "+other)
 	}
-	a.ownerOfFence[act.Fence] = act.Router
+	a.owners[act.Fence] = act.Router
 }
 
 func (a *Auditor) recordStale(act Act, reason string) {
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -225,8 +225,8 @@
 	return sum, f.sampler.err()
 }
 
-// commandRouters in a command go to the workers that have them.
-func (f *Fleet) commandRouters(action Action, numbers []int, running bool) (Report, error) {
+// sendTo in a command go to the workers that have them.
+func (f *Fleet) sendTo(action Action, numbers []int, running bool) (Report, error) {
 	byWorker := make([][]int, len(f.workers))
 	for _, number := range numbers {
 		worker := (number - 1) / f.options.PerWorker
@@ -237,23 +237,17 @@
 			delete(f.running, number)
 		}
 	}
-	return f.sendEach(func(k int) Command { return Command{Action: action, Routers: byWorker[k]} })
+	return f.sendEach(func(worker int) Command { return Command{Action: action, Routers: byWorker[worker]} })
 }
 
 // StartRouters starts new processes of these numbers.
-func (f *Fleet) StartRouters(numbers []int) (Report, error) {
-	return f.commandRouters(Start, numbers, true)
-}
+func (f *Fleet) StartRouters(numbers []int) (Report, error) { return f.sendTo(Start, numbers, true) }
 
 // CrashRouters ends these without a word.
-func (f *Fleet) CrashRouters(numbers []int) (Report, error) {
-	return f.commandRouters(Crash, numbers, false)
-}
+func (f *Fleet) CrashRouters(numbers []int) (Report, error) { return f.sendTo(Crash, numbers, false) }
 
 // StopRouters ends these in order.
-func (f *Fleet) StopRouters(numbers []int) (Report, error) {
-	return f.commandRouters(Stop, numbers, false)
-}
+func (f *Fleet) StopRouters(numbers []int) (Report, error) { return f.sendTo(Stop, numbers, false) }
 
 // Load is what all routers have use for from now on.
 func (f *Fleet) Load(d Demand) error {
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -94,7 +94,7 @@
 	audit := NewAuditor()
 	waitForReport(t, do, "an owner acts", func(r Report) bool {
 		audit.Add(r.Acts)
-		return r.Held >= 1 && len(audit.pending) > 2
+		return r.Held >= 1 && len(audit.acts) > 2
 	})
 	waitForReport(t, do, "parts are granted", func(r Report) bool {
 		audit.Add(r.Acts)
--- a/internal/hollow/network.go
+++ b/internal/hollow/network.go
@@ -78,15 +78,15 @@
 // Heal all links.
 func (n *Network) Heal() {
 	n.mu.Lock()
-	var damaged []*linkConn
+	var lostData []*linkConn
 	for c := range n.conns {
 		if c.lostData {
-			damaged = append(damaged, c)
+			lostData = append(lostData, c)
 		}
 	}
 	clear(n.cut)
 	n.mu.Unlock()
-	for _, c := range damaged {
+	for _, c := range lostData {
 		c.Close()
 	}
 }
@@ -103,9 +103,9 @@
 func (c *linkConn) dropsTraffic() bool {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	cut := c.network.cut[c.path]
-	c.lostData = c.lostData || cut
-	return cut
+	dropped := c.network.cut[c.path]
+	c.lostData = c.lostData || dropped
+	return dropped
 }
 
 func (c *linkConn) Write(b []byte) (int, error) {
--- a/internal/hollow/relay.go
+++ b/internal/hollow/relay.go
@@ -90,9 +90,9 @@
 func (r *relay) dropsTraffic(p *relayPair) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	cut := r.cut[p.caller]
-	p.lostData = p.lostData || cut
-	return cut
+	dropped := r.cut[p.caller]
+	p.lostData = p.lostData || dropped
+	return dropped
 }
 
 // cutFrom drops all that these callers say and are told.
--- a/internal/hollow/router.go
+++ b/internal/hollow/router.go
@@ -148,13 +148,13 @@
 // zoneReport is evidence of a second in which all went well, with traffic in the router's own zone and a little in each other.
 func (r *router) zoneReport() failover.Report {
 	const work, cores = 3.75, 16.0 // core seconds a second: 750 requests of 5 ms; ready cores in a zone
-	report := failover.Report{Demand: work, Observations: make([]failover.ZoneObservation, r.zoneCount)}
-	report.Zone = (r.number - 1) % len(report.Observations)
-	for z := range report.Observations {
-		report.Observations[z] = failover.ZoneObservation{Attempts: 10, Work: work / 100, Slow: 1.2, Ready: cores}
+	zoneReport := failover.Report{Demand: work, Observations: make([]failover.ZoneObservation, r.zoneCount)}
+	zoneReport.Zone = (r.number - 1) % len(zoneReport.Observations)
+	for z := range zoneReport.Observations {
+		zoneReport.Observations[z] = failover.ZoneObservation{Attempts: 10, Work: work / 100, Slow: 1.2, Ready: cores}
 	}
-	report.Observations[report.Zone] = failover.ZoneObservation{Attempts: 700, Work: work, Slow: 1.2, Ready: cores}
-	return report
+	zoneReport.Observations[zoneReport.Zone] = failover.ZoneObservation{Attempts: 700, Work: work, Slow: 1.2, Ready: cores}
+	return zoneReport
 }
 
 // publish what the worker may look at.
--- a/internal/measure/budgets.go
+++ b/internal/measure/budgets.go
@@ -100,9 +100,9 @@
 // reportsBehindFlood: reports of one team behind an endless reportsBehindFlood of lookups, of another team and of the same.
 func reportsBehindFlood() (rows []Row, err error) {
 	for _, c := range []struct {
-		name               string
-		team               int
-		minSent, minInTime float64 // bounds; its own team's lookups run at a higher level, so most of its reports that left end late
+		name            string
+		team            int
+		sent, minInTime float64 // bounds; its own team's lookups run at a higher level, so most of its reports that left end late
 	}{{"another team's", 1, 0.95, 0.95}, {"its own team's", 0, 0.5, 0.01}} {
 		for _, protected := range []bool{true, false} {
 			s := poolSettings(1)
@@ -118,7 +118,7 @@
 			wait, sent, inTime := queueOutcome(r, 0)
 			if name := "report behind " + c.name + " flood: "; protected {
 				rows = append(rows, AtMost(name+"longest wait over target", wait, 1),
-					AtLeast(name+"share sent of those held", sent, c.minSent), AtLeast(name+"share in time", inTime, c.minInTime))
+					AtLeast(name+"share sent of those held", sent, c.sent), AtLeast(name+"share in time", inTime, c.minInTime))
 			} else {
 				name = "the same, no ageing and no turns: "
 				rows = append(rows, Figure(name+"longest wait over target", wait), Figure(name+"share sent of those held", sent),
@@ -365,16 +365,16 @@
 		if err != nil {
 			return nil, err
 		}
-		changes := 0.0
+		changeCount := 0.0
 		for _, at := range r.Changes {
 			if at >= warmUpSeconds {
-				changes++
+				changeCount++
 			}
 		}
 		_, _, share := queueOutcome(r, 1)
 		inTime, spilledWork = append(inTime, share), append(spilledWork, r.Wasted)
 		rows = append(rows, Figure(c.name+": share in time of the team that waited", share), Figure(c.name+": core seconds spilt", r.Wasted),
-			AtMost(c.name+": changes of level a second", changes/(s.Length-warmUpSeconds), 20))
+			AtMost(c.name+": changes of level a second", changeCount/(s.Length-warmUpSeconds), 20))
 	}
 	return append(rows, AtLeast("in time, stepping back over not", inTime[0]/inTime[2], 1),
 		AtMost("spilt, guarded over not", spilledWork[0]/spilledWork[1], 1)), nil
--- a/internal/measure/decision.go
+++ b/internal/measure/decision.go
@@ -11,9 +11,9 @@
 )
 
 // discardingHost carries out nothing, and remembers where the last send went.
-type discardingHost struct{ lastServer uint32 }
+type discardingHost struct{ server uint32 }
 
-func (d *discardingHost) Send(_, engine uint32, _, _ float64)                         { d.lastServer = engine }
+func (d *discardingHost) Send(_, server uint32, _, _ float64)                         { d.server = server }
 func (d *discardingHost) Withdraw(uint32, int)                                        {}
 func (d *discardingHost) Reject(uint32, float64)                                      {}
 func (d *discardingHost) Fail(uint32)                                                 {}
@@ -53,7 +53,7 @@
 		p.count++
 		id := uint32(p.count)
 		p.controller.Request(p.now, admission.Request{ID: id, Tenant: p.count & 1, Cost: 0.1, TimeLeft: 4})
-		p.controller.Outcome(p.now+0.0005, admission.Outcome{ID: id, Server: p.host.lastServer, End: admission.Completed, Latency: 0.0005, Work: 0.1, Final: true})
+		p.controller.Outcome(p.now+0.0005, admission.Outcome{ID: id, Server: p.host.server, End: admission.Completed, Latency: 0.0005, Work: 0.1, Final: true})
 		if p.count%50 == 0 {
 			p.controller.Woken(p.now, 0)
 		}
--- a/internal/measure/failover.go
+++ b/internal/measure/failover.go
@@ -220,12 +220,12 @@
 
 // zoneCut cuts a zone's engines off from all routers, as processes: with the fleet's plans, and with none.
 func zoneCut(bin string) ([]Row, error) {
-	type zoneCutFigures struct {
+	type observed struct {
 		planDelay, returnDelay      float64
 		before, after               faultrig.Figures
 		sentIntoZone, sentElsewhere int
 	}
-	var all [2]zoneCutFigures
+	var all [2]observed
 	var group errgroup.Group
 	for k, taskKinds := range [][]string{{"plan"}, {"trial"}} {
 		group.Go(func() error {
@@ -244,9 +244,9 @@
 			if err := r.Start(); err != nil {
 				return err
 			}
-			waitFor := func(seconds float64, goal string, condition func() bool) (float64, error) {
+			waitFor := func(seconds float64, goal string, observed func() bool) (float64, error) {
 				began := time.Now()
-				for !condition() {
+				for !observed() {
 					if time.Since(began).Seconds() > seconds {
 						return 0, fmt.Errorf("%s does not come within %.0f s; wrong: %v", goal, seconds, r.Figures().Wrong)
 					}
@@ -289,7 +289,7 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	uncompletedShare := func(s zoneCutFigures) float64 {
+	uncompletedShare := func(s observed) float64 {
 		requests := float64(s.after.Asked - s.before.Asked)
 		return 1 - float64(s.after.Answered-s.before.Answered)/max(requests, 1)
 	}
--- a/internal/measure/owner.go
+++ b/internal/measure/owner.go
@@ -209,8 +209,8 @@
 				return fmt.Errorf("%v\n%s", err, r.Tail())
 			}
 			before := 0
-			for end, n := time.Now().Add(time.Duration(seconds*1e9)), k; time.Now().Before(end); n++ {
-				how := []string{"kill", "end", "end"}[n%3]
+			for deadline, n := time.Now().Add(time.Duration(seconds*1e9)), k; time.Now().Before(deadline); n++ {
+				action := []string{"kill", "end", "end"}[n%3]
 				owner := r.Note()
 				if owner == "" {
 					if err := r.Await("owned"); err != nil {
@@ -218,7 +218,7 @@
 					}
 					continue
 				}
-				if err := r.Do(how, owner); err != nil {
+				if err := r.Do(action, owner); err != nil {
 					return err
 				}
 				if err := r.Await("moved"); err != nil {
@@ -232,7 +232,7 @@
 				}
 				f := r.Figures()
 				mu.Lock()
-				gaps[how] = append(gaps[how], f.Gaps[before:]...)
+				gaps[action] = append(gaps[action], f.Gaps[before:]...)
 				mu.Unlock()
 				before = len(f.Gaps)
 			}
@@ -256,9 +256,9 @@
 		AtMost("processes: live parts over an allowance, at most", all.Worst, 1+1e-9),
 		AtMost("processes: other things wrong", float64(len(all.Wrong)-all.Old), 0),
 	}
-	for _, how := range []string{"kill", "end"} {
-		if len(gaps[how]) == 0 {
-			return nil, errors.New("no owner was taken away by " + how)
+	for _, action := range []string{"kill", "end"} {
+		if len(gaps[action]) == 0 {
+			return nil, errors.New("no owner was taken away by " + action)
 		}
 	}
 	rows = append(rows,
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -110,11 +110,11 @@
 		return fmt.Errorf("after the last fault: %v\n%s", err, r.Tail())
 	}
 	printRow()
-	g := r.Figures()
+	figures := r.Figures()
 	fmt.Fprintf(out, "\nAll works owned and dealt %.1f s after the last fault. Longest time from a loss to the next owner's first act %.1f s, median %.1f s.\n",
-		time.Since(faultsEnded).Seconds(), quantile(g.Gaps, 1), quantile(g.Gaps, 0.5))
-	if len(g.Wrong) > 0 {
-		fmt.Fprintln(os.Stderr, strings.Join(g.Wrong, "\n"))
+		time.Since(faultsEnded).Seconds(), quantile(figures.Gaps, 1), quantile(figures.Gaps, 0.5))
+	if len(figures.Wrong) > 0 {
+		fmt.Fprintln(os.Stderr, strings.Join(figures.Wrong, "\n"))
 		return errRulesBroken
 	}
 	return nil
