--- a/internal/hollow/audit.go
+++ b/internal/hollow/audit.go
@@ -6,38 +6,38 @@
 	"slices"
 )
 
-// Act is one act of a task's owner, with what it believed of its lease then. Times are readings of the machine's boot clock, which
-// all processes on one machine share.
+// Act is one action of a task's owner, with the lease end that the owner assumed at that time. Times are readings of the machine's
+// boot clock, which all processes on one machine share.
 type Act struct {
 	Task   string  `json:"task"`
 	Router string  `json:"router"` // name and incarnation
 	Fence  uint64  `json:"fence"`
 	At     float64 `json:"at"`
-	Until  float64 `json:"until"` // end of the lease as the owner counts it
+	Until  float64 `json:"until"` // end of the lease as computed by the owner
 }
 
-// Auditor judges acts from outside.
+// Auditor checks acts for violations of exclusive ownership, independently of the routers and coordinators.
 type Auditor struct {
-	// Acts that were judged, and those of them that were stale.
+	// Acts counts the acts checked, Stale the violations found among them.
 	Acts, Stale int
-	// Wrong has one line for each of the first stale acts.
+	// Wrong describes the first violations, one line each.
 	Wrong []string
 
 	acts   []Act
-	latest map[string]Act    // by task: the newest fence and its first act
-	owners map[uint64]string // by fence
+	latest map[string]Act    // by task: the first act under the highest fence so far
+	owners map[uint64]string // router by fence
 }
 
-// maxViolations bounds the lines that are kept.
+// maxViolations limits the number of violations that are described.
 const maxViolations = 20
 
-// NewAuditor has seen nothing.
+// NewAuditor returns an auditor without any acts.
 func NewAuditor() *Auditor { return &Auditor{latest: map[string]Act{}, owners: map[uint64]string{}} }
 
-// Add acts, in any order. They are judged by Judge, once all that happened before has been added.
+// Add adds acts in any order. Call Judge only once all earlier acts have been added too.
 func (a *Auditor) Add(acts []Act) { a.acts = append(a.acts, acts...) }
 
-// Judge what has been added since the last call, in the order in which it happened.
+// Judge checks the acts added since the last call in order of their times.
 func (a *Auditor) Judge() {
 	slices.SortStableFunc(a.acts, func(x, y Act) int { return cmp.Compare(x.At, y.At) })
 	for _, act := range a.acts {
@@ -49,7 +49,7 @@
 
 func (a *Auditor) check(act Act) {
 	if act.At > act.Until {
-		a.recordStale(act, "after its lease was over")
+		a.recordStale(act, "after its lease had expired")
 	}
 	if newest := a.latest[act.Task]; act.Fence < newest.Fence {
 		a.recordStale(act, fmt.Sprintf("after %s acted under fence %d", newest.Router, newest.Fence))
@@ -57,7 +57,7 @@
 		a.latest[act.Task] = act
 	}
 	if other, ok := a.owners[act.Fence]; ok && other != act.Router {
-		a.recordStale(act, "under a fence of "+other)
+		a.recordStale(act, "under a fence issued to "+other)
 	}
 	a.owners[act.Fence] = act.Router
 }
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -19,27 +19,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Bounds of one fleet on one machine, checked while it runs.
+// Limits of one fleet on one machine, checked while it runs.
 const (
 	MostMemoryMB  = 12 << 10
 	MostProcesses = 300
 )
 
-// Options of a fleet.
+// Options configures a fleet.
 type Options struct {
-	Keep         string // program of a coordinator
-	Worker       string // program that serves a Worker, with WorkerArgs
+	Keep         string // path of the coordinator program
+	Worker       string // path of the program that runs Worker.Serve; started with WorkerArgs
 	WorkerArgs   []string
-	Folder       string // of its own: coordinators' folders come in there
+	Folder       string // parent of the coordinators' data folders; must be used by this fleet only
 	Coordinators int
-	Routers      int    // that the settings name, and at most run
-	PerWorker    int    // routers in one process
-	Zones        []Zone // coordinators and routers are dealt to them in turn
+	Routers      int    // number of routers in the settings, and maximum number that run
+	PerWorker    int    // routers per worker process
+	Zones        []Zone // coordinators and routers are assigned to the zones round-robin
 	Databases    int
 	Lease        float64 // seconds
 }
 
-// Fleet is some coordinators with the hollow routers before them. Its methods are one goroutine's.
+// Fleet runs a set of coordinators and the hollow routers that connect to them. Its methods must be called from one goroutine.
 type Fleet struct {
 	Audit *Auditor
 
@@ -48,27 +48,27 @@
 	coordinators []*coordinatorProcess
 	workers      []*workerProcess
 	client       *coordserver.Client
-	running      map[int]bool // routers that run
+	running      map[int]bool // numbers of the running routers
 	sampler      *sampler
 }
 
-// coordinatorProcess is one coordinator, which may be down.
+// coordinatorProcess is one coordinator, which may be stopped.
 type coordinatorProcess struct {
 	name      string
 	zone      Zone
-	published string // address that the registry names; a relay listens there
-	listening string
-	host      string // address that its own requests come from
+	published string // address listed in the registry; the relay listens on it
+	listening string // address that the coordinator itself listens on
+	host      string // source address of the coordinator's own requests
 	folder    string
-	cmd       *exec.Cmd    // nil: it is down
-	pid       atomic.Int64 // of cmd, 0: it is down
+	cmd       *exec.Cmd    // nil while the coordinator is down
+	pid       atomic.Int64 // process id of cmd, 0 while the coordinator is down
 	log       tail
 	relay     *relay
 }
 
 const coordinatorPort = 7000
 
-// New fleet: its coordinators lead, and no router runs yet.
+// New starts a fleet and waits until a coordinator leads. No router runs yet.
 func New(o Options) (*Fleet, error) {
 	f := &Fleet{Audit: NewAuditor(), options: o, starter: newStarter(), running: map[int]bool{}}
 	if err := f.build(); err != nil {
@@ -91,7 +91,7 @@
 			return err
 		}
 	}
-	network := NewNetwork(route) // the fleet's own requests don't pass the relays either
+	network := NewNetwork(route) // the fleet's own requests bypass the relays, as the routers' requests do
 	f.client = coordserver.NewClientOver(published, network.Dial(""))
 	for range (f.options.Routers + f.options.PerWorker - 1) / f.options.PerWorker {
 		w, err := startWorker(f.starter, f.options.Worker, f.options.WorkerArgs...)
@@ -105,8 +105,8 @@
 	if _, err := f.sendAll(Command{Action: Configure, Setup: setup}); err != nil {
 		return err
 	}
-	const timeout = 20 * time.Second // all coordinators of a new registry have to meet
-	return f.await(timeout, "a coordinator leads", func() (bool, error) { return f.Leader() >= 0, nil })
+	const timeout = 20 * time.Second // all coordinators must connect before a new registry elects a leader
+	return f.await(timeout, "waiting for a leading coordinator", func() (bool, error) { return f.Leader() >= 0, nil })
 }
 
 func (f *Fleet) initCoordinators() error {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// Close ends all processes.
+// Close kills all processes.
 func (f *Fleet) Close() {
 	if f.sampler != nil {
 		f.sampler.close()
@@ -164,14 +164,14 @@
 	f.starter.close()
 }
 
-// Leader is the number of the coordinator that leads, -1: none says so.
+// Leader returns the number of the leading coordinator, or -1 if none reports that it leads.
 func (f *Fleet) Leader() int {
 	const timeout = 2 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	leader, leadingFor := -1, 0.0
 	for n, status := range f.statuses(ctx) {
-		if status != nil && status.LeaderFor > 0 && (leader < 0 || status.LeaderFor < leadingFor) { // of two that say so the newer one
+		if status != nil && status.LeaderFor > 0 && (leader < 0 || status.LeaderFor < leadingFor) { // if two claim to lead, take the more recent leader
 			leader, leadingFor = n, status.LeaderFor
 		}
 	}
@@ -186,7 +186,7 @@
 	return f.client.Each(ctx, addresses)
 }
 
-// Registry as the coordinators agree on it now.
+// Registry returns the current registry from the coordinators.
 func (f *Fleet) Registry() (p coordserver.Picture, err error) {
 	const timeout = 3 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -195,11 +195,12 @@
 	return p, err
 }
 
-// sendAll workers do a command; their reports are added, and acts go to the auditor.
+// sendAll sends the same command to all workers. It returns the sum of their reports and passes their acts to the auditor.
 func (f *Fleet) sendAll(c Command) (Report, error) {
 	return f.sendEach(func(int) Command { return c })
 }
 
+// sendEach sends each worker its own command, in parallel, and handles the reports as sendAll does.
 func (f *Fleet) sendEach(command func(worker int) Command) (sum Report, err error) {
 	var group errgroup.Group
 	reports := make([]Report, len(f.workers))
@@ -220,18 +221,18 @@
 	f.Audit.Add(sum.Acts)
 	sum.Acts = nil
 	if sum.Unseen > 0 {
-		return sum, fmt.Errorf("%d acts were not seen by the auditor", sum.Unseen)
+		return sum, fmt.Errorf("%d acts were dropped before they reached the auditor", sum.Unseen)
 	}
 	return sum, f.sampler.err()
 }
 
-// sendTo in a command go to the workers that have them.
-func (f *Fleet) sendTo(action Action, numbers []int, running bool) (Report, error) {
+// sendTo sends a command for the given routers to the workers that run them, and records whether these routers run from now on.
+func (f *Fleet) sendTo(action Action, numbers []int, start bool) (Report, error) {
 	byWorker := make([][]int, len(f.workers))
 	for _, number := range numbers {
 		worker := (number - 1) / f.options.PerWorker
 		byWorker[worker] = append(byWorker[worker], number)
-		if running {
+		if start {
 			f.running[number] = true
 		} else {
 			delete(f.running, number)
@@ -240,31 +241,31 @@
 	return f.sendEach(func(worker int) Command { return Command{Action: action, Routers: byWorker[worker]} })
 }
 
-// StartRouters starts new processes of these numbers.
+// StartRouters starts routers with these numbers, each as a new incarnation.
 func (f *Fleet) StartRouters(numbers []int) (Report, error) { return f.sendTo(Start, numbers, true) }
 
-// CrashRouters ends these without a word.
+// CrashRouters ends these routers without closing their sessions.
 func (f *Fleet) CrashRouters(numbers []int) (Report, error) { return f.sendTo(Crash, numbers, false) }
 
-// StopRouters ends these in order.
+// StopRouters shuts these routers down, closing their sessions.
 func (f *Fleet) StopRouters(numbers []int) (Report, error) { return f.sendTo(Stop, numbers, false) }
 
-// Load is what all routers have use for from now on.
+// Load sets the demand of all routers from now on.
 func (f *Fleet) Load(d Demand) error {
 	_, err := f.sendAll(Command{Action: Load, Demand: &d})
 	return err
 }
 
-// Mark has confirmations count from now on.
+// Mark resets the confirmations: only those from now on count for Report.Confirmed.
 func (f *Fleet) Mark() error {
 	_, err := f.sendAll(Command{Action: Mark})
 	return err
 }
 
-// Look at all routers.
+// Look collects the reports of all routers.
 func (f *Fleet) Look() (Report, error) { return f.sendAll(Command{Action: Look}) }
 
-// KillCoordinator ends that one as by a loss of power.
+// KillCoordinator kills coordinator n without a shutdown, as a power loss would.
 func (f *Fleet) KillCoordinator(n int) {
 	c := f.coordinators[n]
 	if c.cmd == nil {
@@ -276,7 +277,7 @@
 	c.cmd = nil
 }
 
-// StartCoordinator starts one that is down, on the folder that it has.
+// StartCoordinator restarts coordinator n on its existing data folder if it is down.
 func (f *Fleet) StartCoordinator(n int) error {
 	if f.coordinators[n].cmd != nil {
 		return nil
@@ -284,7 +285,7 @@
 	return f.startCoordinator(f.coordinators[n])
 }
 
-// Coordinators are all numbers of coordinators.
+// Coordinators returns the numbers of all coordinators.
 func (f *Fleet) Coordinators() (all []int) {
 	for n := range f.coordinators {
 		all = append(all, n)
@@ -292,7 +293,7 @@
 	return all
 }
 
-// CoordinatorsOf are the numbers of a region's coordinators.
+// CoordinatorsOf returns the numbers of a region's coordinators.
 func (f *Fleet) CoordinatorsOf(region string) (all []int) {
 	for n, c := range f.coordinators {
 		if c.zone.Region == region {
@@ -302,10 +303,10 @@
 	return all
 }
 
-// ZoneOf a router.
+// ZoneOf returns the zone of a router.
 func (f *Fleet) ZoneOf(router int) Zone { return f.options.Zones[(router-1)%len(f.options.Zones)] }
 
-// CutRegion cuts all links between that region and the others.
+// CutRegion cuts all links between a region and the other regions.
 func (f *Fleet) CutRegion(region string) error {
 	var inside, outside []string
 	for _, c := range f.coordinators {
@@ -336,7 +337,7 @@
 	return nil
 }
 
-// Heal all links.
+// Heal restores all links.
 func (f *Fleet) Heal() error {
 	for _, c := range f.coordinators {
 		c.relay.heal()
@@ -345,7 +346,7 @@
 	return err
 }
 
-// Logs are the last lines of all coordinators.
+// Logs returns the last log lines of all coordinators.
 func (f *Fleet) Logs() string {
 	var all strings.Builder
 	for _, c := range f.coordinators {
@@ -354,11 +355,11 @@
 	return all.String()
 }
 
-var errTimeout = errors.New("it took too long")
+var errTimeout = errors.New("timed out")
 
 const pollInterval = 200 * time.Millisecond
 
-// await asks until it is so.
+// await polls the condition until it holds, returns an error or the timeout passes.
 func (f *Fleet) await(timeout time.Duration, goal string, condition func() (bool, error)) error {
 	for end := time.Now().Add(timeout); ; {
 		done, err := condition()
@@ -372,19 +373,19 @@
 	}
 }
 
-// Recovery is how long control took to be whole again.
+// Recovery is the time that the control plane took to recover from a fault, in seconds.
 type Recovery struct {
-	Confirmed float64 // seconds until the last router's session was confirmed
-	Settled   float64 // seconds until also no dead session was left, and every task that is wanted had a living owner
+	Confirmed float64 // until the last router's session was confirmed
+	Settled   float64 // until in addition no session of an ended router was left and every requested task had a running owner
 	Report    Report
 }
 
-// Recover waits until control is whole again: the sessions of so many routers are confirmed since the mark, the registry has theirs
-// alone, and so many tasks are owned.
+// Recover waits until the control plane has recovered: the sessions of the given number of routers have been confirmed since the last
+// Mark, the registry contains no other sessions, and the given number of tasks are owned.
 func (f *Fleet) Recover(since float64, routers, tasks int, timeout time.Duration) (r Recovery, err error) {
 	confirmed := false
 	var registry coordserver.Picture
-	err = f.await(timeout, "control is whole again", func() (bool, error) {
+	err = f.await(timeout, "waiting for the control plane to recover", func() (bool, error) {
 		if !confirmed {
 			report, err := f.Look()
 			if err != nil {
@@ -398,7 +399,7 @@
 		}
 		p, err := f.Registry()
 		if err != nil {
-			return false, nil // no coordinator answers yet
+			return false, nil // no coordinator has answered yet
 		}
 		registry = p
 		r.Settled = boottime.Now() - since
@@ -411,24 +412,24 @@
 	return r, err
 }
 
-// AwaitTasks waits until just so many tasks are owned.
+// AwaitTasks waits until exactly the given number of tasks are owned.
 func (f *Fleet) AwaitTasks(tasks int, timeout time.Duration) error {
 	owned := 0
-	err := f.await(timeout, "tasks are owned", func() (bool, error) {
+	err := f.await(timeout, "waiting for task owners", func() (bool, error) {
 		p, err := f.Registry()
 		owned = len(p.Owners)
 		return err == nil && owned == tasks, nil
 	})
 	if err != nil {
-		return fmt.Errorf("%w; %d of %d", err, owned, tasks)
+		return fmt.Errorf("%w; %d tasks owned instead of %d", err, owned, tasks)
 	}
 	return nil
 }
 
-// Live is how many routers run.
+// Live returns the number of running routers.
 func (f *Fleet) Live() int { return len(f.running) }
 
-// FolderBytes is the size of a coordinator's file.
+// FolderBytes returns the total size of the files in a coordinator's data folder.
 func (f *Fleet) FolderBytes(n int) (sum float64) {
 	entries, _ := os.ReadDir(f.coordinators[n].folder)
 	for _, e := range entries {
@@ -448,13 +449,13 @@
 	return all
 }
 
-// FleetUsage is what the processes have used so far.
+// FleetUsage is the resource usage of the fleet's processes so far.
 type FleetUsage struct {
-	Coordinators []Usage // by number; nothing for one that is down
-	Routers      Usage   // of all worker processes
+	Coordinators []Usage // by number; zero for one that is down
+	Routers      Usage   // sum over all worker processes
 }
 
-// Usage of all processes so far.
+// Usage returns the resource usage of all processes so far.
 func (f *Fleet) Usage() (u FleetUsage, err error) {
 	u.Coordinators = make([]Usage, len(f.coordinators))
 	for n, c := range f.coordinators {
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 )
 
-// startTestCoordinator runs one coordinator in this process and gives its address.
+// startTestCoordinator runs one coordinator in this process and returns its address.
 func startTestCoordinator(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 	return address
 }
 
-// startTestWorker is a worker behind the same lines of text that a process of its own would read and write.
+// startTestWorker runs a worker in this process behind the line protocol of a worker process, and returns a function that executes commands.
 func startTestWorker(t *testing.T, coordinator string, routers int) func(Command) Report {
 	t.Helper()
 	commands, in := io.Pipe()
@@ -67,6 +67,7 @@
 	return do
 }
 
+// waitForReport polls the worker until its report meets the condition.
 func waitForReport(t *testing.T, do func(Command) Report, goal string, condition func(Report) bool) Report {
 	t.Helper()
 	const timeout = 20 * time.Second
@@ -80,45 +81,45 @@
 	return report
 }
 
-// TestRouters: sessions open, a cold database gets an owner whose acts are told once, crashed routers come again under new
-// sessions, and a cut link keeps its routers from being confirmed until it is healed.
+// TestRouters checks that sessions open, that a cold database gets an owner whose acts are reported once, that crashed routers return
+// under new sessions, and that routers behind a cut link are not confirmed until it is healed.
 func TestRouters(t *testing.T) {
 	address := startTestCoordinator(t)
 	do := startTestWorker(t, address, 4)
 	do(Command{Action: Start, Routers: []int{1, 2, 3, 4}})
-	report := waitForReport(t, do, "all sessions are open", func(r Report) bool { return r.Open == 4 })
+	report := waitForReport(t, do, "waiting for all sessions to open", func(r Report) bool { return r.Open == 4 })
 	if report.Live != 4 || report.Listed != 4*30 {
 		t.Errorf("%d routers run, with %d databases in all lists", report.Live, report.Listed)
 	}
 	do(Command{Action: Load, Demand: &Demand{Cold: 1}})
 	audit := NewAuditor()
-	waitForReport(t, do, "an owner acts", func(r Report) bool {
+	waitForReport(t, do, "waiting for an act of an owner", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Held >= 1 && len(audit.acts) > 2
 	})
-	waitForReport(t, do, "parts are granted", func(r Report) bool {
+	waitForReport(t, do, "waiting for granted shares", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Shares == 4
 	})
 	do(Command{Action: Crash, Routers: []int{1, 2}})
 	do(Command{Action: Mark})
 	do(Command{Action: Start, Routers: []int{1, 2}})
-	waitForReport(t, do, "crashed routers are back", func(r Report) bool {
+	waitForReport(t, do, "waiting for the crashed routers to return", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Confirmed == 4
 	})
 	do(Command{Action: Cut, Region: "south", Addresses: []string{address}})
 	do(Command{Action: Mark})
-	time.Sleep(2500 * time.Millisecond) // longer than an answer that was under way, and than a lease
+	time.Sleep(2500 * time.Millisecond) // longer than the wait for an answer already in transit, and than a lease
 	if cut := do(Command{Action: Mark}); cut.Live != 4 {
 		t.Errorf("%d routers run", cut.Live)
 	}
-	waitForReport(t, do, "the other region goes on", func(r Report) bool {
+	waitForReport(t, do, "waiting for confirmations in the other region", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Confirmed == 2
 	})
 	do(Command{Action: Heal})
-	waitForReport(t, do, "all are confirmed again", func(r Report) bool {
+	waitForReport(t, do, "waiting for all routers to be confirmed", func(r Report) bool {
 		audit.Add(r.Acts)
 		return r.Confirmed == 4
 	})
@@ -131,30 +132,30 @@
 	}
 }
 
-// TestWorkerRefuses: what can't be done is told in one line, and what runs goes on.
+// TestWorkerRefuses checks that the worker answers an invalid command with an error and keeps running.
 func TestWorkerRefuses(t *testing.T) {
 	w := NewWorker()
 	if _, err := w.Do(Command{Action: Look}); err == nil {
-		t.Error("a worker without a setup looks")
+		t.Error("a worker without a setup executes a command")
 	}
 	if _, err := w.Do(Command{Action: Configure}); err == nil {
-		t.Error("a setup that is missing is taken")
+		t.Error("a configure command without a setup is accepted")
 	}
 	if _, err := w.Do(Command{Action: Configure, Setup: &Setup{Zones: []Zone{{"z1", "north"}}, Coordinators: []string{"127.0.0.1:1"}}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := w.Do(Command{Action: "dance"}); err == nil {
-		t.Error("an unknown action is taken")
+		t.Error("an unknown action is accepted")
 	}
 	if _, err := w.Do(Command{Action: Load}); err == nil {
-		t.Error("a load without a demand is taken")
+		t.Error("a load command without a demand is accepted")
 	}
 	many := make([]int, maxRouters+1)
 	for n := range many {
 		many[n] = n + 1
 	}
 	if _, err := w.Do(Command{Action: Start, Routers: many}); err == nil || w.report().Live != 0 {
-		t.Error("more routers than a process may have are started")
+		t.Error("more routers than the limit of a process are started")
 	}
 	if _, err := w.Do(Command{Action: Start, Routers: []int{1, 1}}); err == nil {
 		t.Error("a router is started twice")
@@ -162,7 +163,7 @@
 	w.end(w.numbers(), func(r *router) { r.cancel() })
 }
 
-// TestAuditor: an act after a lease, one under an older fence and one under another's fence are stale; the rest is not.
+// TestAuditor checks that acts after the lease end, under an older fence or under another router's fence are stale, and no others.
 func TestAuditor(t *testing.T) {
 	good := []Act{{"t", "a", 1, 10, 12}, {"t", "a", 1, 11, 13}, {"t", "b", 2, 14, 16}, {"u", "a", 3, 14, 16}}
 	for _, c := range []struct {
@@ -172,10 +173,10 @@
 		reason string
 	}{
 		{"in order", good, 0, ""},
-		{"as they arrive, not as they happened", []Act{good[2], good[0], good[1]}, 0, ""},
-		{"a lease that is over", append(good[:1:1], Act{"t", "a", 1, 13, 12.5}), 1, "lease"},
+		{"added out of order", []Act{good[2], good[0], good[1]}, 0, ""},
+		{"an expired lease", append(good[:1:1], Act{"t", "a", 1, 13, 12.5}), 1, "lease"},
 		{"an older fence", append(good[:3:3], Act{"t", "a", 1, 15, 17}), 1, "acted under fence 2"},
-		{"a fence of another", append(good[:2:2], Act{"t", "b", 1, 11.5, 13}), 1, "fence of a"},
+		{"another router's fence", append(good[:2:2], Act{"t", "b", 1, 11.5, 13}), 1, "fence issued to a"},
 	} {
 		a := NewAuditor()
 		a.Add(c.acts)
@@ -186,7 +187,7 @@
 	}
 }
 
-// startEchoServer answers each connection with what it reads.
+// startEchoServer starts a server that echoes the data of each connection, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -206,7 +207,7 @@
 	return listener.Addr().String()
 }
 
-// sendByte tells whether a connection gives back what it is given, or is silent, or ends.
+// sendByte sends one byte and returns whether the connection answers, stays silent or ends.
 func sendByte(conn net.Conn) string {
 	const timeout = 200 * time.Millisecond
 	if _, err := conn.Write([]byte("x")); err != nil {
@@ -223,8 +224,8 @@
 	return "answers"
 }
 
-// TestLinks: a cut link loses what is said on it, both before coordinators and between them; healed, connections that lost
-// something end, others go on.
+// TestLinks checks that a cut link drops data, both from routers to coordinators and between coordinators, and that healing it ends only
+// the connections that lost data.
 func TestLinks(t *testing.T) {
 	target := startEchoServer(t)
 	network := NewNetwork(map[string]string{"10.9.9.9:1": target})
@@ -258,7 +259,7 @@
 		}
 		c.heal()
 		if got := sendByte(used); got != "ends" {
-			t.Errorf("%s connection that lost something %s", c.name, got)
+			t.Errorf("%s connection that lost data %s", c.name, got)
 		}
 		again, err := c.dial(t.Context())
 		if err != nil {
@@ -270,7 +271,7 @@
 		c.cut()
 		c.heal()
 		if got := sendByte(again); got != "answers" {
-			t.Errorf("%s connection that lost nothing %s", c.name, got)
+			t.Errorf("%s connection that lost no data %s", c.name, got)
 		}
 	}
 	network.Cut("south", []string{"10.9.9.9:1"})
@@ -283,14 +284,14 @@
 	}
 }
 
-// TestUsage reads this process's own figures.
+// TestUsage checks the resource usage that is read for this process, and the peak of several readings.
 func TestUsage(t *testing.T) {
 	u, err := usageOf(os.Getpid())
 	if err != nil || u.MemoryMB <= 1 || u.Descriptors < 3 || u.Transferred <= 0 {
 		t.Errorf("%+v %v", u, err)
 	}
 	if _, err := usageOf(-1); err == nil {
-		t.Error("a process that is none has a usage")
+		t.Error("a process that does not exist has a usage")
 	}
 	var p Peak
 	p.Raise(Peak{Core: 1, Processes: 4})
--- a/internal/hollow/list.go
+++ b/internal/hollow/list.go
@@ -10,10 +10,10 @@
 	"dunereach/internal/discovery"
 )
 
-// databaseKind is the one kind of databases in the list.
+// databaseKind is the kind of all databases in the list.
 const databaseKind = "std"
 
-// databaseList is what a router holds of the databases: its own copy of what discovery makes of the list.
+// databaseList is a router's own copy of the database list as discovery produces it.
 type databaseList struct {
 	entries   []admission.Entry
 	addresses map[uint32]netip.AddrPort
@@ -21,14 +21,15 @@
 	ids       map[string]uint32
 }
 
-// listCache has the list of one process, which is listCache once: a router's processor time for that is no part of control.
+// listCache is shared by all routers of the process. The list is read only once because the CPU time for reading it is no part of the
+// control plane's cost.
 var listCache struct {
 	sync.Mutex
 	databases int
 	follower  *discovery.Follower
 }
 
-// newList is a router's own list of all databases.
+// newList returns a router's own copy of the list of all databases.
 func newList(s *Setup) (*databaseList, error) {
 	follower, err := cachedFollower(s)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return list, nil
 }
 
-// cachedFollower as a router reads it from its configuration.
+// cachedFollower returns a discovery follower that has read the list the way a router reads it from its configuration.
 func cachedFollower(s *Setup) (*discovery.Follower, error) {
 	listCache.Lock()
 	defer listCache.Unlock()
@@ -63,7 +64,7 @@
 	return follower, nil
 }
 
-// configuredList is the list as a configuration names it.
+// configuredList builds the list of databases as it stands in a configuration.
 func configuredList(s *Setup) discovery.ConfiguredList {
 	all := make([]discovery.Target, s.Databases)
 	for n := range all {
--- a/internal/hollow/network.go
+++ b/internal/hollow/network.go
@@ -9,34 +9,34 @@
 	"dunereach/internal/coordserver"
 )
 
-// connectTimeout is how long a connection attempt may take, as at a real router.
+// connectTimeout limits a connection attempt; real routers use the same limit.
 const connectTimeout = 500 * time.Millisecond
 
-// link is one direction-less path between the routers of a region and a coordinator.
+// link is the path, in both directions, between the routers of a region and a coordinator.
 type link struct{ region, address string }
 
-// Network carries the requests of hollow routers to coordinators. Links can be cut: what is written on a cut link is lost, what
-// arrives on it is dropped, and connections that lost something are closed when the link is healed.
+// Network carries the requests of hollow routers to coordinators. Links can be cut: a cut link drops data in both directions, and the
+// connections that lost data are closed when the link is healed.
 type Network struct {
-	route map[string]string // published address of a coordinator to the one that it listens on
+	route map[string]string // published address of a coordinator to its listening address
 
 	mu    sync.Mutex
 	cut   map[link]bool
 	conns map[*linkConn]struct{}
 }
 
-// NewNetwork has all links up. Addresses that route does not name are called as they are.
+// NewNetwork returns a network with all links up. Addresses that are missing in route are dialed unchanged.
 func NewNetwork(route map[string]string) *Network {
 	return &Network{route: route, cut: map[link]bool{}, conns: map[*linkConn]struct{}{}}
 }
 
-// Dial opens connections for a router of that region.
+// Dial returns the function that opens connections for the routers of a region.
 func (n *Network) Dial(region string) coordserver.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		path := link{region, address}
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 		defer cancel()
-		if n.isCut(path) { // nothing answers: the attempt runs out its time
+		if n.isCut(path) { // no answer arrives: the attempt times out
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -66,7 +66,7 @@
 	return c
 }
 
-// Cut the links between the routers of a region and some coordinators.
+// Cut cuts the links between the routers of a region and the coordinators with these addresses.
 func (n *Network) Cut(region string, addresses []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Heal all links.
+// Heal restores all links and closes the connections that lost data.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	var lostData []*linkConn
@@ -96,10 +96,10 @@
 	net.Conn
 	network  *Network
 	path     link
-	lostData bool // it lost something; guarded by the network's mutex
+	lostData bool // data was dropped; guarded by the network's mutex
 }
 
-// dropsTraffic tells whether what passes now is lost.
+// dropsTraffic reports whether the link is cut now, and if so marks the connection as having lost data.
 func (c *linkConn) dropsTraffic() bool {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -15,7 +15,8 @@
 	"syscall"
 )
 
-// starter starts processes that end with this one. The system ends them with the thread that started them, so that thread is kept.
+// starter starts processes that are killed when this process ends. Linux sends the signal when the parent thread ends (Pdeathsig), so
+// all processes are started from one locked thread that stays alive.
 type starter struct{ starts chan func() }
 
 func newStarter() *starter {
@@ -38,7 +39,7 @@
 
 func (s *starter) close() { close(s.starts) }
 
-// tail keeps the last lines of a process's log.
+// tail keeps the end of a process's log.
 type tail struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -62,7 +63,7 @@
 	return t.text.String()
 }
 
-// lineClient speaks to a worker, a line of JSON each way.
+// lineClient sends commands to a worker and reads its reports, one line of JSON each.
 type lineClient struct {
 	in  io.WriteCloser
 	out *bufio.Reader
@@ -72,14 +73,14 @@
 	return &lineClient{in, bufio.NewReaderSize(out, 1<<20)}
 }
 
-// workerProcess is a worker in a process of its own.
+// workerProcess is a worker that runs in its own process.
 type workerProcess struct {
 	*lineClient
 	cmd *exec.Cmd
 	log tail
 }
 
-// startWorker runs the program that serves a Worker on its standard input and output.
+// startWorker starts the program that runs Worker.Serve on its standard input and output.
 func startWorker(s *starter, program string, args ...string) (*workerProcess, error) {
 	w := &workerProcess{cmd: exec.Command(program, args...)}
 	w.cmd.Stderr = &w.log
@@ -95,7 +96,7 @@
 	return w, s.start(w.cmd)
 }
 
-// do one command and wait for its report.
+// do sends one command and waits for its report.
 func (w *lineClient) do(c Command) (report Report, err error) {
 	line, err := json.Marshal(c)
 	if err != nil {
@@ -123,19 +124,19 @@
 	w.cmd.Wait()
 }
 
-// Usage of one process.
+// Usage is the resource usage of one process.
 type Usage struct {
 	Core        float64 // seconds of processor time
 	MemoryMB    float64 // resident
-	Transferred float64 // bytes that passed through read and write calls: sockets and files
-	Written     float64 // bytes that were written to the disk
-	Descriptors int
+	Transferred float64 // bytes transferred by read and write calls, on sockets and files
+	Written     float64 // bytes written to disk
+	Descriptors int     // open file descriptors
 }
 
-// clockTicks is USER_HZ, the same on every Linux that Go runs on.
+// clockTicks is USER_HZ, which is the same on every Linux platform that Go supports.
 const clockTicks = 100
 
-// usageOf reads what the system counts of a process.
+// usageOf reads a process's resource usage from /proc.
 func usageOf(pid int) (u Usage, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -145,7 +146,7 @@
 	fields := strings.Fields(rest)
 	const user, system, resident = 11, 12, 21
 	if len(fields) <= resident {
-		return u, errors.New("a line of /proc that can't be read")
+		return u, errors.New("/proc stat line has too few fields")
 	}
 	var ticks, pages float64
 	for _, k := range []int{user, system} {
--- a/internal/hollow/protocol.go
+++ b/internal/hollow/protocol.go
@@ -4,75 +4,75 @@
 	"dunereach/internal/coordserver"
 )
 
-// Action names what a worker process is asked to do.
+// Action is the kind of a command to a worker process.
 type Action string
 
-// Actions. Each command gets one report.
+// The actions, with the command fields that each uses. Every command is answered by one report.
 const (
-	Configure Action = "configure" // Setup: the first command, once
-	Start     Action = "start"     // Routers: new processes of these, of a new incarnation
-	Crash     Action = "crash"     // Routers: they end without a word, as by SIGKILL
-	Stop      Action = "stop"      // Routers: they end their sessions, as by SIGTERM
-	Load      Action = "load"      // Demand: what all routers have use for from now on
-	Cut       Action = "cut"       // Region, Addresses: links that carry nothing from now on
-	Heal      Action = "heal"      // all links
-	Mark      Action = "mark"      // from now on confirmations count for Report.Confirmed
-	Look      Action = "look"      // nothing but the report
+	Configure Action = "configure" // Setup: must be the first command, and sent only once
+	Start     Action = "start"     // Routers: start these as new incarnations
+	Crash     Action = "crash"     // Routers: end these without closing their sessions, as SIGKILL would
+	Stop      Action = "stop"      // Routers: close the sessions of these and end them, as SIGTERM would
+	Load      Action = "load"      // Demand: the demand of all routers from now on
+	Cut       Action = "cut"       // Region, Addresses: links that drop all data from now on
+	Heal      Action = "heal"      // restore all links
+	Mark      Action = "mark"      // only confirmations from now on count for Report.Confirmed
+	Look      Action = "look"      // only report
 )
 
-// Setup of the routers of one process.
+// Setup configures the routers of one process.
 type Setup struct {
 	Coordinators []string          `json:"coordinators"` // published addresses
 	Route        map[string]string `json:"route"`        // published to listening addresses
-	Routers      int               `json:"routers"`      // that the fleet's settings name, in all processes
+	Routers      int               `json:"routers"`      // number of routers in the fleet's settings, over all processes
 	Zones        []Zone            `json:"zones"`
-	Databases    int               `json:"databases"` // in the list that each router holds
+	Databases    int               `json:"databases"` // number of databases in each router's list
 }
 
-// Zone and the region that it is in.
+// Zone is a zone's name with its region.
 type Zone struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
 }
 
-// Demand is what the data path would tell the control part.
+// Demand is the demand that a router's data path would report to its control part.
 type Demand struct {
-	Cold       int  `json:"cold"`       // databases that warm up, each of use to every router
-	Generation int  `json:"generation"` // of their starts: tasks of another one are others
-	Reports    bool `json:"reports"`    // evidence on zones goes to the plan's owner once a second
+	Cold       int  `json:"cold"`       // number of databases that are warming up, each needed by every router
+	Generation int  `json:"generation"` // distinguishes restarts of these databases: each generation has its own tasks
+	Reports    bool `json:"reports"`    // send evidence about zones to the plan's owner once a second
 }
 
-// Command to a worker process.
+// Command is one command to a worker process.
 type Command struct {
 	Action    Action   `json:"action"`
 	Setup     *Setup   `json:"setup,omitempty"`
-	Routers   []int    `json:"routers,omitempty"` // numbers, from 1
+	Routers   []int    `json:"routers,omitempty"` // router numbers, starting at 1
 	Demand    *Demand  `json:"demand,omitempty"`
 	Region    string   `json:"region,omitempty"`
 	Addresses []string `json:"addresses,omitempty"`
 }
 
-// Report of a worker process, or of several together.
+// Report is the state of the routers of one worker process, or the sum over several.
 type Report struct {
 	Error     string  `json:"error,omitempty"`
-	Live      int     `json:"live"`      // routers that run
-	Open      int     `json:"open"`      // with a session
-	Confirmed int     `json:"confirmed"` // whose session was confirmed since the mark
-	Last      float64 `json:"last"`      // boot clock, when the last of these was first confirmed
-	Held      int     `json:"held"`      // tasks that their owners believe in
-	Shares    int     `json:"shares"`    // cold databases by routers that may use a granted part now
-	Listed    int     `json:"listed"`    // databases in the lists of all routers
+	Live      int     `json:"live"`      // running routers
+	Open      int     `json:"open"`      // of these, with a session
+	Confirmed int     `json:"confirmed"` // of these, with a session confirmed since the last Mark
+	Last      float64 `json:"last"`      // boot clock time at which the last of the confirmed routers was first confirmed
+	Held      int     `json:"held"`      // tasks that the routers consider themselves owners of
+	Shares    int     `json:"shares"`    // pairs of a cold database and a router that has a usable share of it now
+	Listed    int     `json:"listed"`    // database entries, summed over the lists of all routers
 
 	Requests int64                              `json:"requests"`
-	Bytes    int64                              `json:"bytes"` // on connections, both ways, with headers
+	Bytes    int64                              `json:"bytes"` // bytes on connections in both directions, including headers
 	ByPath   map[string]coordserver.PathTraffic `json:"by_path"`
 
 	Grants, Relinquished, Late, Refused, Lost int
-	Acts                                      []Act `json:"acts,omitempty"` // since the last report
-	Unseen                                    int   `json:"unseen"`         // acts that found no room
+	Acts                                      []Act `json:"acts,omitempty"` // acts since the last report
+	Unseen                                    int   `json:"unseen"`         // acts dropped because the buffer was full
 }
 
-// Add another process's report.
+// Add adds the report of another process.
 func (r *Report) Add(o Report) {
 	if r.Error == "" {
 		r.Error = o.Error
--- a/internal/hollow/relay.go
+++ b/internal/hollow/relay.go
@@ -6,23 +6,23 @@
 	"sync"
 )
 
-// relay stands before one coordinator and carries the requests of the others to it. Callers are told apart by the address that
-// their connections come from.
+// relay is a TCP proxy in front of one coordinator for the requests of the other coordinators. It identifies callers by the source
+// address of their connections.
 type relay struct {
 	listener net.Listener
 	target   string
 
 	mu     sync.Mutex
-	cut    map[string]bool // by caller's address
+	cut    map[string]bool // by the caller's source address
 	pairs  map[*relayPair]bool
 	closed bool
 }
 
-// relayPair is a connection and its continuation.
+// relayPair is a caller's connection and the matching connection to the coordinator.
 type relayPair struct {
 	caller   string
 	conns    [2]net.Conn
-	lostData bool // it lost something
+	lostData bool // data was dropped
 }
 
 func newRelay(listen, target string) (*relay, error) {
@@ -49,7 +49,7 @@
 	caller, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
 	upstream, err := net.DialTimeout("tcp", r.target, connectTimeout)
 	if err != nil {
-		conn.(*net.TCPConn).SetLinger(0) // a refused connection, as the caller would see it
+		conn.(*net.TCPConn).SetLinger(0) // reset the connection: the caller sees a failure as with a refused connection
 		conn.Close()
 		return
 	}
@@ -87,6 +87,7 @@
 	}
 }
 
+// dropsTraffic reports whether the caller is cut off now, and if so marks the pair as having lost data.
 func (r *relay) dropsTraffic(p *relayPair) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +96,7 @@
 	return dropped
 }
 
-// cutFrom drops all that these callers say and are told.
+// cutFrom drops all data to and from these callers.
 func (r *relay) cutFrom(callers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// heal the links; connections that lost something end.
+// heal restores all links and closes the connections that lost data.
 func (r *relay) heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/hollow/router.go
+++ b/internal/hollow/router.go
@@ -1,9 +1,9 @@
-// Package hollow runs the control part of routers without their data path: session, lease, agent and its driver's requests over
-// real sockets to real coordinators, and the list of databases in memory. Some hundreds share a process (Worker), and a Fleet is
-// some such processes with their coordinators, the faults between them and an auditor of what owners do.
+// Package hollow runs the control part of routers without their data path: sessions, leases, the agent, its driver's requests over real
+// sockets to real coordinators, and the list of databases in memory. Several hundred routers share a process (Worker). A Fleet consists
+// of several such processes and their coordinators, injects faults between them, and audits the acts of task owners.
 //
-// What is left out: client connections, requests, connections to databases, the folder of fences, and the name server's answers
-// (each router holds the list, but is told it once).
+// Hollow routers have no client connections, no requests, no connections to databases, no folder that stores fences, and no name server
+// queries: each router holds the database list, but receives it only once.
 package hollow
 
 import (
@@ -23,11 +23,11 @@
 )
 
 const (
-	tickInterval = 100 * time.Millisecond // as the router's data path tells the agent what it has use for
-	sharesNeeded = 2.0                    // equal parts of each cold database that a router has use for
+	tickInterval = 100 * time.Millisecond // a real router's data path reports its demand to the agent at this interval
+	sharesNeeded = 2.0                    // demand of a router for each cold database, in equal shares of the fleet
 )
 
-// router is one hollow router's process, from its start to its end.
+// router is one incarnation of a hollow router, from its start to its end.
 type router struct {
 	number      int
 	name        string
@@ -39,7 +39,7 @@
 	client      *coordserver.Client
 	list        *databaseList
 	demand      func() Demand
-	stop        chan struct{} // closed: end the session, then the process
+	stop        chan struct{} // closed to request a shutdown: the session ends first, then the router
 	cancel      context.CancelFunc
 	ended       chan struct{}
 
@@ -47,19 +47,19 @@
 	state state
 }
 
-// state of a router as its worker sees it.
+// state is the part of a router's state that its worker reads.
 type state struct {
 	session          bool
-	snapshotsApplied int     // views so far
-	confirmedAt      float64 // boot clock, first confirmation after the mark, 0: none yet
+	snapshotsApplied int     // number of registry snapshots applied so far
+	confirmedAt      float64 // boot clock time of the first confirmation after the last Mark, 0 if none yet
 	held             int
 	shares           int
 	stats            agent.Stats
 }
 
-// newRouter is a process of that number that runs at once.
+// newRouter starts a router with the given number. It calls recordAct for each act of an owner.
 func newRouter(s *Setup, n *Network, number int, demand func() Demand, recordAct func(Act)) (*router, error) {
-	const incarnationMask = 1<<52 - 1 // as a real router draws it
+	const incarnationMask = 1<<52 - 1 // 52 bits, as in a real router's incarnation
 	zoneNumber := (number - 1) % len(s.Zones)
 	r := &router{number: number, name: fmt.Sprint("r", number), incarnation: rand.Uint64()&incarnationMask | 1, zone: s.Zones[zoneNumber], zoneCount: len(s.Zones), demand: demand,
 		stop: make(chan struct{}), ended: make(chan struct{})}
@@ -90,7 +90,7 @@
 	return r, nil
 }
 
-// run owns the member until the process ends.
+// run drives the member until the router ends. Only its goroutines use the member.
 func (r *router) run(ctx context.Context) {
 	defer close(r.ended)
 	group, ctx := errgroup.WithContext(ctx)
@@ -125,10 +125,10 @@
 	}
 }
 
-// closeGrace is how long a router that ends waits for its last request.
+// closeGrace is the time that a stopping router waits for its last request.
 const closeGrace = time.Second
 
-// agentDemand is the demand as the data path would tell it.
+// agentDemand converts a demand into the form in which the data path reports it to the agent.
 func (r *router) agentDemand(d Demand) agent.Demand {
 	var demand agent.Demand
 	for n := range d.Cold {
@@ -140,12 +140,13 @@
 	return demand
 }
 
-// coldServer is a cold database of one generation.
+// coldServer identifies cold database n of a generation.
 func coldServer(n, generation int) agent.Server {
 	return agent.Server{ID: uint32(n + 1), Start: float64(generation + 1)}
 }
 
-// zoneReport is evidence of a second in which all went well, with traffic in the router's own zone and a little in each other.
+// zoneReport returns the evidence for one second without failures, with most traffic in the router's own zone and a little in each other
+// zone.
 func (r *router) zoneReport() failover.Report {
 	const work, cores = 3.75, 16.0 // core seconds a second: 750 requests of 5 ms; ready cores in a zone
 	zoneReport := failover.Report{Demand: work, Observations: make([]failover.ZoneObservation, r.zoneCount)}
@@ -157,7 +158,7 @@
 	return zoneReport
 }
 
-// publish what the worker may look at.
+// publish updates the state that the worker reads.
 func (r *router) publish() {
 	now, d := boottime.Now(), r.demand()
 	shares := 0
@@ -176,7 +177,7 @@
 	r.state.session, r.state.snapshotsApplied, r.state.held, r.state.shares, r.state.stats = r.member.Session() != 0, stats.SnapshotsApplied, len(r.member.Held()), shares, stats
 }
 
-// resetConfirmed has confirmations count from now on.
+// resetConfirmed discards the confirmation: only later ones count.
 func (r *router) resetConfirmed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/hollow/sampler.go
+++ b/internal/hollow/sampler.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Peak is the most that was seen of the fleet's processes.
+// Peak is the highest resource usage observed for the fleet's processes.
 type Peak struct {
-	Core        float64 // of the busiest coordinator, over a second
-	Bytes       float64 // a second, in and out, of the busiest coordinator
-	MemoryMB    float64 // of all processes together, this one among them
-	Coordinator float64 // MB of the largest coordinator
-	Descriptors int     // of the coordinator that has most
+	Core        float64 // cores used by the busiest coordinator, over a second
+	Bytes       float64 // bytes per second, in and out, of the busiest coordinator
+	MemoryMB    float64 // of all processes together, including this one
+	Coordinator float64 // memory in MB of the largest coordinator
+	Descriptors int     // open descriptors of the coordinator with the most
 	Processes   int
 }
 
-// sampler looks at all processes once a second.
+// sampler reads the resource usage of all processes once a second.
 type sampler struct {
 	fleet *Fleet
 	stop  chan struct{}
@@ -25,7 +25,7 @@
 
 	mu       sync.Mutex
 	peak     Peak
-	limitErr error // a bound of the machine that was passed
+	limitErr error // set once a limit of the machine was exceeded
 }
 
 const sampleInterval = time.Second
@@ -54,14 +54,14 @@
 	}
 }
 
-// sample all processes once; last is what they had used before, by process.
+// sample reads the usage of all processes once. previous is the coordinators' usage at the last sample, by process id.
 func (s *sampler) sample(previous map[int]Usage, elapsed float64) map[int]Usage {
 	now := map[int]Usage{}
 	total := Peak{Processes: 1}
 	add := func(pid int) (Usage, bool) {
 		u, err := usageOf(pid)
 		if err != nil {
-			return u, false // it has just ended
+			return u, false // the process has just ended
 		}
 		total.MemoryMB += u.MemoryMB
 		total.Processes++
@@ -90,18 +90,19 @@
 	defer s.mu.Unlock()
 	s.peak.Raise(total)
 	if total.MemoryMB > MostMemoryMB || total.Processes > MostProcesses {
-		s.limitErr = fmt.Errorf("%d processes take %.0f MB: %d and %d are the most", total.Processes, total.MemoryMB, MostProcesses, MostMemoryMB)
+		s.limitErr = fmt.Errorf("%d processes use %.0f MB: the limits are %d processes and %d MB", total.Processes, total.MemoryMB, MostProcesses, MostMemoryMB)
 	}
 	return now
 }
 
-// Raise to another's figures where those are more.
+// Raise sets each figure to the larger one of p and o.
 func (p *Peak) Raise(o Peak) {
 	p.Core, p.Bytes = max(p.Core, o.Core), max(p.Bytes, o.Bytes)
 	p.MemoryMB, p.Coordinator = max(p.MemoryMB, o.MemoryMB), max(p.Coordinator, o.Coordinator)
 	p.Descriptors, p.Processes = max(p.Descriptors, o.Descriptors), max(p.Processes, o.Processes)
 }
 
+// err returns an error if a limit of the machine was exceeded. It works on a nil sampler.
 func (s *sampler) err() error {
 	if s == nil {
 		return nil
@@ -116,7 +117,7 @@
 	<-s.ended
 }
 
-// TakePeak is the most that was seen since the last call.
+// TakePeak returns the peak since the last call and resets it.
 func (f *Fleet) TakePeak() Peak {
 	f.sampler.mu.Lock()
 	defer f.sampler.mu.Unlock()
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -12,34 +12,34 @@
 	"sync/atomic"
 )
 
-// Bounds of one worker process.
+// Limits of one worker process.
 const (
 	maxRouters     = 400
-	maxPendingActs = 200_000  // that wait to be told
-	maxLineBytes   = 64 << 20 // bytes of a command or report
+	maxPendingActs = 200_000  // acts held for the next report
+	maxLineBytes   = 64 << 20 // length of a command in bytes
 )
 
-// Worker is the hollow routers of one process. All but its routers is one goroutine's.
+// Worker runs the hollow routers of one process. Its methods must be called from one goroutine; each router has its own goroutines.
 type Worker struct {
 	setup       *Setup
 	network     *Network
 	routers     map[int]*router
 	demand      atomic.Pointer[Demand]
-	endedTotals Report // totals of routers that have ended
+	endedTotals Report // counters of the routers that have ended
 
 	mu          sync.Mutex
 	pendingActs []Act
 	droppedActs int
 }
 
-// NewWorker has no routers.
+// NewWorker returns a worker without routers.
 func NewWorker() *Worker {
 	w := &Worker{routers: map[int]*router{}}
 	w.demand.Store(&Demand{})
 	return w
 }
 
-// Serve commands, a line of JSON each, until the input ends; then all routers crash.
+// Serve executes commands, one line of JSON each, until the input ends. Then it ends all routers as Crash does.
 func (w *Worker) Serve(in io.Reader, out io.Writer) error {
 	defer func() { w.end(w.numbers(), func(r *router) { r.cancel() }) }()
 	lines := bufio.NewScanner(in)
@@ -63,13 +63,13 @@
 }
 
 var (
-	errNotConfigured   = errors.New("the first command has to configure the worker, and no other may")
-	errNoDemand        = errors.New("a load without a demand")
-	errDuplicateRouter = errors.New("a router runs already, or is named twice")
+	errNotConfigured   = errors.New("the first command, and no later one, must configure the worker")
+	errNoDemand        = errors.New("load command has no demand")
+	errDuplicateRouter = errors.New("router is already running or listed twice")
 	errTooManyRouters  = fmt.Errorf("more than %d routers in one process", maxRouters)
 )
 
-// Do one command and report.
+// Do executes one command and returns the report.
 func (w *Worker) Do(c Command) (Report, error) {
 	if (c.Action == Configure) != (w.setup == nil) || c.Action == Configure && c.Setup == nil {
 		return Report{}, errNotConfigured
@@ -99,12 +99,12 @@
 		}
 	case Look:
 	default:
-		err = fmt.Errorf("no action is called %q", c.Action)
+		err = fmt.Errorf("unknown action %q", c.Action)
 	}
 	return w.report(), err
 }
 
-// start routers, on all cores: each reads its list of databases.
+// start starts routers in parallel on all cores, because each copies its list of databases.
 func (w *Worker) start(numbers []int) error {
 	if len(w.routers)+len(numbers) > maxRouters {
 		return errTooManyRouters
@@ -140,7 +140,7 @@
 	return all
 }
 
-// end routers in that way, and wait until they have ended.
+// end ends routers by calling stop, and waits until they have ended.
 func (w *Worker) end(numbers []int, stop func(*router)) {
 	var ending []*router
 	for _, number := range numbers {
@@ -156,7 +156,7 @@
 	}
 }
 
-// addAct of an owner, kept for the next report.
+// addAct keeps an owner's act for the next report.
 func (w *Worker) addAct(a Act) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,7 +189,7 @@
 	return total
 }
 
-// totals are the counters of a router that outlive it.
+// totals returns a router's counters, which remain in the report after the router has ended.
 func (r *router) totals() Report {
 	s := r.currentState()
 	requests, bytes := r.client.Traffic()
