--- a/internal/measure/budgets.go
+++ b/internal/measure/budgets.go
@@ -14,21 +14,21 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Subsystem that can be measured.
+// Subsystem is a subsystem that can be measured.
 type Subsystem struct {
 	Name, About string
 	Run         func() ([]Row, error)
-	Short       func() ([]Row, error) // the form that CI runs: seconds, and no verdict by the machine's pace
+	Short       func() ([]Row, error) // form for CI: takes seconds and checks nothing that depends on the machine's speed
 }
 
-// All of them.
-var All = []Subsystem{{"budgets", "Team budgets and honest waits, on virtual time", Budgets, Budgets},
-	{"expect", "Routing expectations: time, what broken configurations are noticed, memory", Expect, shortExpect},
-	{"owner", "One owner at a time: fences, leases, hand-over and cost", Owner, shortOwner},
-	{"failover", "Failover between zones: plans, mixtures, what is served and kept near", Failover, shortFailover},
-	{"state", "What survives a restart: kills, ages, costs, and what it is worth", State, shortState}}
+// All lists the subsystems.
+var All = []Subsystem{{"budgets", "Team budgets and wait estimates, on virtual time", Budgets, Budgets},
+	{"expect", "Routing expectations: time, detected broken configurations, memory", Expect, shortExpect},
+	{"owner", "Exclusive task ownership: fences, leases, handover and cost", Owner, shortOwner},
+	{"failover", "Failover between zones: plans, mixtures of plans, served and local share", Failover, shortFailover},
+	{"state", "State kept over a restart: kills, ages, cost and benefit", State, shortState}}
 
-// Budgets measures team budgets and waits.
+// Budgets measures team budgets and wait estimates.
 func Budgets() ([]Row, error) {
 	return runAll(reportsBehindFlood, budgetShares, lentBudget, tenfoldOverload, waitEstimates, memorySpilling)
 }
@@ -36,10 +36,10 @@
 const (
 	lookupProfile = 0
 	reportProfile = 1
-	warmUpSeconds = 20.0 // seconds that histograms and corrections take to fill; what was taken before does not count
+	warmUpSeconds = 20.0 // seconds until histograms and corrections are filled; earlier requests are not counted
 )
 
-// The poolSettings is four engines of eight cores, and commands as planners send them.
+// poolSettings returns a pool of four servers with eight cores each, with profiles of lookups and reports like those of planners.
 func poolSettings(seed uint64) cluster.Settings {
 	s := cluster.Settings{Seed: seed, Length: 140, Brain: admission.Settings{Routers: 1, Tick: 0.005, MaxSends: 6, Priorities: true,
 		MaxPause: 0.5, ColdFrom: 0.35, WarmUp: 15, FallMultiple: 2, FallWindow: 1, Profiles: []admission.Profile{
@@ -52,6 +52,7 @@
 
 const poolCores = 32.0
 
+// teamSpec returns one team for each weight, named t0, t1 and so on.
 func teamSpec(weights ...float64) *fairshare.Spec {
 	s := &fairshare.Spec{Default: "t0", Ageing: 0.1, TurnsForBypassed: true, MaxPriorityChanges: 20, ProtectSpilling: true}
 	for k, w := range weights {
@@ -60,7 +61,7 @@
 	return s
 }
 
-// steadyStream is a stream that steadyStream for so much of the pool's work.
+// steadyStream returns a stream of requests at a constant rate whose work is the given share of the pool's capacity.
 func steadyStream(team, profile int, share float64) cluster.Stream {
 	s := cluster.Stream{Team: team, Profile: profile, Work: 0.17, CV: 1, Deadline: 4, Scatter: 0.3}
 	if profile == reportProfile {
@@ -70,8 +71,8 @@
 	return s
 }
 
-// queueOutcome is how a stream fared in the line: the longest wait of a command that was sent, as a share of its latency target,
-// the share sent of those held, and the share answered in time of all.
+// queueOutcome returns how the requests of a stream fared in the queue: the longest wait of a request that was sent, relative to its
+// latency target; the share of the queued requests that were sent; and the share of all requests that completed in time.
 func queueOutcome(r cluster.Result, stream int) (wait, sent, inTime float64) {
 	all, completedInTime, held, heldAndSent := 0.0, 0.0, 0.0, 0.0
 	for k := range r.Tries {
@@ -97,12 +98,12 @@
 	return wait, heldAndSent / held, completedInTime / all
 }
 
-// reportsBehindFlood: reports of one team behind an endless reportsBehindFlood of lookups, of another team and of the same.
+// reportsBehindFlood measures reports of one team that compete with an endless flood of lookups, of another team and of the same team.
 func reportsBehindFlood() (rows []Row, err error) {
 	for _, c := range []struct {
 		name            string
 		team            int
-		sent, minInTime float64 // bounds; its own team's lookups run at a higher level, so most of its reports that left end late
+		sent, minInTime float64 // lower bounds; lookups of the same team run at a higher priority, so most of its reports that are sent complete late
 	}{{"another team's", 1, 0.95, 0.95}, {"its own team's", 0, 0.5, 0.01}} {
 		for _, protected := range []bool{true, false} {
 			s := poolSettings(1)
@@ -116,11 +117,11 @@
 				return nil, err
 			}
 			wait, sent, inTime := queueOutcome(r, 0)
-			if name := "report behind " + c.name + " flood: "; protected {
+			if name := "report behind " + c.name + " flood of lookups: "; protected {
 				rows = append(rows, AtMost(name+"longest wait over target", wait, 1),
 					AtLeast(name+"share sent of those held", sent, c.sent), AtLeast(name+"share in time", inTime, c.minInTime))
 			} else {
-				name = "the same, no ageing and no turns: "
+				name = "the same without ageing and turns: "
 				rows = append(rows, Figure(name+"longest wait over target", wait), Figure(name+"share sent of those held", sent),
 					Figure(name+"share in time", inTime))
 			}
@@ -129,7 +130,7 @@
 	return rows, nil
 }
 
-// workByTeam is the work that engines workByTeam in a time, by team.
+// workByTeam returns the work done by the servers in a time span, by team.
 func workByTeam(r cluster.Result, s cluster.Settings, from, to float64) map[int]float64 {
 	work := map[int]float64{}
 	for _, q := range r.Ran {
@@ -140,14 +141,14 @@
 	return work
 }
 
-// budgetShares: eight teams that all ask for more than they are due.
+// budgetShares measures the work of eight teams that all request more than their budgets.
 func budgetShares() ([]Row, error) {
 	s := poolSettings(2)
 	weights := []float64{1, 1, 2, 2, 3, 3, 4, 4}
 	s.Teams = teamSpec(weights...)
 	s.Length = 620
 	sum := 20.0
-	for k := range weights { // each for a quarter of the pool, half of it lookups
+	for k := range weights { // each requests a quarter of the pool, half of it in lookups
 		s.Streams = append(s.Streams, steadyStream(k, lookupProfile, 0.125), steadyStream(k, reportProfile, 0.125))
 	}
 	r, err := cluster.Run(s)
@@ -160,13 +161,13 @@
 	}
 	rows := []Row{AtLeast("eight teams under full load: cores in use", all/(s.Length-warmUpSeconds)/poolCores, 0.8)}
 	for k, w := range weights {
-		rows = append(rows, Between(fmt.Sprintf("eight teams under full load: work over budget, team %d of weight %v", k, w),
+		rows = append(rows, Between(fmt.Sprintf("eight teams under full load: work / budget, team %d of weight %v", k, w),
 			work[k]/all/(w/sum), 0.95, 1.05))
 	}
 	return rows, nil
 }
 
-// lentBudget: a team of three idles, and then asks for all it can get.
+// lentBudget measures three teams of which one is idle at first and later requests as much as it can get.
 func lentBudget() ([]Row, error) {
 	const demandStart, settleTime = 120.0, 5.0
 	s := poolSettings(3)
@@ -197,12 +198,12 @@
 			longestWait = max(longestWait, t.Sent-t.Taken)
 		}
 	}
-	return []Row{Between("lent by weight: work of the heavier team over the lighter's", before[2]/before[0], 1.9, 2.1),
-		Between("called back: share of the team that idled, of its budget", after[1]/(after[0]+after[1]+after[2])/0.25, 0.95, 1.05),
-		AtMost("called back: longest wait for a send in its first second (s)", longestWait, 2)}, nil
+	return []Row{Between("budget lent by weight: work of the heavier team / work of the lighter team", before[2]/before[0], 1.9, 2.1),
+		Between("budget reclaimed: work of the formerly idle team / its budget", after[1]/(after[0]+after[1]+after[2])/0.25, 0.95, 1.05),
+		AtMost("budget reclaimed: longest wait of a sent request in the first second (s)", longestWait, 2)}, nil
 }
 
-// tenfoldOverload: three teams that keep to their budgets, beside one that keeps to its own or sends ten times that.
+// tenfoldOverload measures three teams that keep to their budgets next to a team that keeps to its budget or requests ten times as much.
 func tenfoldOverload() ([]Row, error) {
 	benefitInTime := func(loadFactor float64) (share float64, err error) {
 		s := poolSettings(4)
@@ -228,15 +229,15 @@
 		return nil, err
 	}
 	overloaded, err := benefitInTime(10)
-	return []Row{Figure("benefit in time of three teams inside their budgets", normal),
-		AtLeast("the same beside one that sends ten times its own, of that", overloaded/normal, 0.95)}, err
+	return []Row{Figure("share of benefit in time, three teams within their budgets", normal),
+		AtLeast("the same next to a team at ten times its budget, relative to that", overloaded/normal, 0.95)}, err
 }
 
-// waitEstimates: what is told of waits against what came, under load that comes and goes.
+// waitEstimates compares the reported wait estimates with the actual waits under varying load.
 func waitEstimates() ([]Row, error) {
 	s := poolSettings(5)
 	s.Teams, s.Waits, s.Length = teamSpec(1, 1, 2), true, 1220
-	s.Brain.MaxPause = 20 // so that what is told is what was estimated
+	s.Brain.MaxPause = 20 // long enough that reported estimates are not capped
 	for k, share := range []float64{0.3, 0.3, 0.5} {
 		s.Streams = append(s.Streams, steadyStream(k, lookupProfile, share/2), steadyStream(k, reportProfile, share/2))
 		for n := len(s.Streams) - 2; n < len(s.Streams); n++ {
@@ -259,7 +260,7 @@
 			}
 			if e := t.Told[waittime.Start]; t.HasTold[waittime.Start] && t.How != cluster.Open {
 				wait, censored := t.Sent-t.Taken, false
-				if math.IsNaN(wait) { // given up: it would have waited longer
+				if math.IsNaN(wait) { // gave up: the wait is censored, as it would have been longer
 					wait, censored = t.Ended-t.Taken, true
 				}
 				if !censored || wait > e.P90 {
@@ -285,24 +286,25 @@
 		slices.Sort(heldRatios)
 		slices.Sort(rejectedRatios)
 		rows = append(rows,
-			Between(fmt.Sprintf("team %d, held: wait over the median told", k), stat.Quantile(0.5, stat.Empirical, heldRatios, nil), 0.75, 1.25),
-			Between(fmt.Sprintf("team %d, held: share under the 90th percentile told", k), heldCovered/heldCount, 0.85, 0.95))
+			Between(fmt.Sprintf("team %d, queued: wait / reported median", k), stat.Quantile(0.5, stat.Empirical, heldRatios, nil), 0.75, 1.25),
+			Between(fmt.Sprintf("team %d, queued: share within the reported 90th percentile", k), heldCovered/heldCount, 0.85, 0.95))
 		if len(rejectedRatios) > 0 {
 			rows = append(rows,
-				Between(fmt.Sprintf("team %d, refused: wait over the median told", k), stat.Quantile(0.5, stat.Empirical, rejectedRatios, nil), 0.75, 1.25),
-				Between(fmt.Sprintf("team %d, refused: share under the 90th percentile told", k), rejectedCovered/rejectedCount, 0.85, 0.95),
-				Figure(fmt.Sprintf("team %d, refused: commands looked at", k), rejectedCount))
+				Between(fmt.Sprintf("team %d, rejected: wait / reported median", k), stat.Quantile(0.5, stat.Empirical, rejectedRatios, nil), 0.75, 1.25),
+				Between(fmt.Sprintf("team %d, rejected: share within the reported 90th percentile", k), rejectedCovered/rejectedCount, 0.85, 0.95),
+				Figure(fmt.Sprintf("team %d, rejected: requests measured", k), rejectedCount))
 		}
 	}
 	return rows, nil
 }
 
-// retriesAfterRejection is what clients gain that come back when they were told, beside those that come again at once: let in at their
-// next try, and answered in the end, of all refused at once at their first.
+// retriesAfterRejection compares clients that wait for the reported time before they retry with clients that retry immediately. Of the
+// clients whose first request was rejected immediately, it measures the shares that were admitted at the next attempt and that were
+// completed in the end.
 func retriesAfterRejection(r cluster.Result, s cluster.Settings) []Row {
 	type retryOutcomes struct{ rejected, admittedNext, completed float64 }
 	var byBehaviour [2]retryOutcomes
-	rejectedFirst := map[uint64]bool{} // clients that were refused at once
+	rejectedFirst := map[uint64]bool{} // clients whose first request was rejected immediately
 	for k := range r.Tries {
 		t := &r.Tries[k]
 		outcomes := &byBehaviour[0]
@@ -325,23 +327,24 @@
 		}
 	}
 	waited, immediate := byBehaviour[0], byBehaviour[1]
-	return []Row{AtLeast("refused reports that come when told: let in at the next try", waited.admittedNext/waited.rejected, 0.5),
-		Figure("refused reports that come again at once: let in at the next try", immediate.admittedNext/immediate.rejected),
-		AtLeast("the same, when told over at once", waited.admittedNext/waited.rejected/(immediate.admittedNext/immediate.rejected), 1),
-		Figure("come when told: answered in the end", waited.completed/waited.rejected),
-		Figure("come again at once: answered in the end", immediate.completed/immediate.rejected),
-		AtLeast("the same, when told over at once", waited.completed/waited.rejected/(immediate.completed/immediate.rejected), 1)}
+	return []Row{AtLeast("rejected reports retried at the reported time: admitted at the next attempt", waited.admittedNext/waited.rejected, 0.5),
+		Figure("rejected reports retried immediately: admitted at the next attempt", immediate.admittedNext/immediate.rejected),
+		AtLeast("the same, at the reported time / immediately", waited.admittedNext/waited.rejected/(immediate.admittedNext/immediate.rejected), 1),
+		Figure("retried at the reported time: completed in the end", waited.completed/waited.rejected),
+		Figure("retried immediately: completed in the end", immediate.completed/immediate.rejected),
+		AtLeast("the same, at the reported time / immediately", waited.completed/waited.rejected/(immediate.completed/immediate.rejected), 1)}
 }
 
-// memorySpilling: one team's long reports have filled all places when another's come, every thirty seconds; engines have memory
-// for what their places hold, and not for what is let in besides when some of that steps back.
+// memorySpilling measures a team whose reports arrive every thirty seconds, when long reports of another team occupy all slots. The
+// servers have enough memory for the requests in their slots, but not for those admitted in addition when the priority of running
+// requests is lowered.
 func memorySpilling() (rows []Row, err error) {
 	var inTime, spilledWork []float64
 	for _, c := range []struct {
 		name    string
 		changes float64
 		guard   bool
-	}{{"stepping back, guarded", 20, true}, {"stepping back, no guard", 20, false}, {"no stepping back", 0, true}} {
+	}{{"priorities lowered, spill protection", 20, true}, {"priorities lowered, no spill protection", 20, false}, {"priorities not lowered", 0, true}} {
 		s := poolSettings(6)
 		for k := range s.Engines {
 			s.Engines[k].Memory, s.Engines[k].Spill = 2800, 3
@@ -373,9 +376,9 @@
 		}
 		_, _, share := queueOutcome(r, 1)
 		inTime, spilledWork = append(inTime, share), append(spilledWork, r.Wasted)
-		rows = append(rows, Figure(c.name+": share in time of the team that waited", share), Figure(c.name+": core seconds spilt", r.Wasted),
-			AtMost(c.name+": changes of level a second", changeCount/(s.Length-warmUpSeconds), 20))
+		rows = append(rows, Figure(c.name+": share in time of the waiting team", share), Figure(c.name+": core seconds lost to spilling", r.Wasted),
+			AtMost(c.name+": priority changes per second", changeCount/(s.Length-warmUpSeconds), 20))
 	}
-	return append(rows, AtLeast("in time, stepping back over not", inTime[0]/inTime[2], 1),
-		AtMost("spilt, guarded over not", spilledWork[0]/spilledWork[1], 1)), nil
+	return append(rows, AtLeast("share in time, priorities lowered / not lowered", inTime[0]/inTime[2], 1),
+		AtMost("core seconds lost to spilling, protection / no protection", spilledWork[0]/spilledWork[1], 1)), nil
 }
--- a/internal/measure/chart.go
+++ b/internal/measure/chart.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chartedDay is a day that docs/zones.md shows as a time line.
+// chartedDay is a simulated day that docs/zones.md shows as a chart.
 type chartedDay struct {
 	name, title string
 	settings    zones.Settings
@@ -25,20 +25,20 @@
 		return zones.Settings{Zones: 3, Regions: 1, Routers: 30, Load: load, Seed: 1, Length: 90, Faults: faults}
 	}
 	return []chartedDay{
-		{"zone-lost", "a zone's engines are gone from 20 s to 45 s", threeZones(0.55, zones.Fault{At: 20, Until: 45, Kind: zones.Engines, Zone: 0})},
-		{"two-lost", "two zones' engines are gone, the third can't carry all", threeZones(0.55, zones.Fault{At: 20, Until: 45, Kind: zones.Engines, Zone: 0},
+		{"zone-lost", "a zone's servers are gone from 20 s to 45 s", threeZones(0.55, zones.Fault{At: 20, Until: 45, Kind: zones.Engines, Zone: 0})},
+		{"two-lost", "two zones' servers are gone, the third lacks capacity for all load", threeZones(0.55, zones.Fault{At: 20, Until: 45, Kind: zones.Engines, Zone: 0},
 			zones.Fault{At: 21, Until: 45, Kind: zones.Engines, Zone: 1})},
-		{"flapping", "a zone goes and comes every 5 s from 20 s to 60 s", threeZones(0.55, zones.Fault{At: 20, Until: 60, Kind: zones.Flapping, Zone: 0, By: 5})},
+		{"flapping", "a zone fails and recovers every 5 s from 20 s to 60 s", threeZones(0.55, zones.Fault{At: 20, Until: 60, Kind: zones.Flapping, Zone: 0, By: 5})},
 	}
 }
 
-// Charts writes the time lines of three days as pictures, and gives a table of each: what zones are offered by second, with the
-// fleet's plans and under today's local rule.
+// Charts writes charts of three simulated days as SVG files: the load offered to each zone by second, with the fleet's plans and with
+// the existing local rule. It returns a table of the served shares for each.
 func Charts(dir string) (tables string, err error) {
 	for _, c := range chartedDays() {
 		p := plot.New()
 		p.Title.Text = c.title
-		p.X.Label.Text, p.Y.Label.Text = "seconds", "core seconds a second offered"
+		p.X.Label.Text, p.Y.Label.Text = "seconds", "core seconds per second offered"
 		p.Legend.Top = true
 		for k, rule := range []zones.Rule{zones.Planned, zones.Local} {
 			name := []string{"plans", "local rule"}[k]
--- a/internal/measure/decision.go
+++ b/internal/measure/decision.go
@@ -10,7 +10,7 @@
 	"dunereach/waittime"
 )
 
-// discardingHost carries out nothing, and remembers where the last send went.
+// discardingHost carries out no action and remembers only the server of the last attempt.
 type discardingHost struct{ server uint32 }
 
 func (d *discardingHost) Send(_, server uint32, _, _ float64)                         { d.server = server }
@@ -26,7 +26,7 @@
 func (d *discardingHost) Log(string)                                                  {}
 func (d *discardingHost) ReportEstimate(uint32, waittime.TimeKind, waittime.Estimate) {}
 
-// requestDriver is a module that takes, sends and has answered one command after another.
+// requestDriver drives a controller with one request after another: each is admitted, sent and completed.
 type requestDriver struct {
 	controller *admission.Controller
 	host       discardingHost
@@ -60,13 +60,13 @@
 	}
 }
 
-// decisionCost is what a command costs in the module with the fleet on, beside what it costs without, and what it allocates.
+// decisionCost measures the controller's time per request with and without the fleet, and its allocations per request with the fleet.
 func decisionCost() ([]Row, error) {
 	m := agent.New(agent.Config{Name: "n1", Incarnation: 1, CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind}, RouterCount: 300, Window: 1,
 		Tenants: []string{"a", "b"}, CleanStart: true}, agent.PersistentState{})
 	m.SetDemand(0, agent.Demand{Tenants: []agent.Tenant{{Number: 0, Need: 0.1}, {Number: 1, Need: 0.1}}})
 	withoutFleet, withFleet := newRequestDriver(nil), newRequestDriver(m)
-	const block, blocks = 4000, 400 // some milliseconds each, in turn, so that what else runs on the machine meets both
+	const block, blocks = 4000, 400 // blocks of a few milliseconds alternate, so that other load on the machine affects both
 	var without, with []float64
 	timed := func(p *requestDriver) float64 {
 		began := time.Now()
@@ -81,14 +81,14 @@
 		}
 	}
 	allocs := testing.AllocsPerRun(10, func() { withFleet.run(1000) })
-	ratios := make([]float64, blocks) // by pairs: the machine's own pace changes by a factor of two, and rarely inside a pair
+	ratios := make([]float64, blocks) // of adjacent pairs: the machine's speed varies by a factor of two, but rarely within a pair
 	for n := range ratios {
 		ratios[n] = with[n] / without[n]
 	}
 	return []Row{
-		Figure("a command's decisions without the fleet, ns", quantile(without, 0.5)),
-		Figure("a command's decisions with it, ns", quantile(with, 0.5)),
-		AtMost("a command's decisions, with it over without", quantile(ratios, 0.5), 1.02),
-		AtMost("a command's allocations with it", math.Round(allocs/1000), 0),
+		Figure("decisions per request without the fleet, ns", quantile(without, 0.5)),
+		Figure("decisions per request with the fleet, ns", quantile(with, 0.5)),
+		AtMost("decisions per request, with the fleet / without", quantile(ratios, 0.5), 1.02),
+		AtMost("allocations per request with the fleet", math.Round(allocs/1000), 0),
 	}, nil
 }
--- a/internal/measure/expect.go
+++ b/internal/measure/expect.go
@@ -12,11 +12,11 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// Expect measures the suite of the example deployment: it runs from the root.
+// Expect measures the expectations of the example deployment. It must run in the root folder of the repository.
 func Expect() ([]Row, error) { return expectations(true) }
 
-// shortExpect leaves out which broken configurations are noticed, nine tenths of the time, and what depends on the machine's pace or on
-// what else this process does.
+// shortExpect leaves out the detection of broken configurations, which takes nine tenths of the time, and all figures that depend on the
+// machine's speed or on other work of this process.
 func shortExpect() ([]Row, error) { return expectations(false) }
 
 func expectations(full bool) ([]Row, error) {
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	const coreCount = 4 // cores
+	const coreCount = 4 // the bound of 60 s below holds for this number of cores
 	began := time.Now()
 	outcomes := expect.Check(u, suite, expect.Options{Cores: coreCount})
 	elapsed := time.Since(began).Seconds()
@@ -55,22 +55,22 @@
 	}
 	plantedCounts := expect.Count(expect.Check(u, []expect.Source{{Name: "planted", File: planted}}, expect.Options{}))
 	rows := []Row{AtLeast("expectations", float64(len(outcomes)), 50),
-		AtLeast("of them passed", float64(expect.Count(outcomes)[expect.Passed])/float64(len(outcomes)), 1),
-		AtLeast("same outcomes on four cores and on all", sameOutcomes, 1),
-		Between("planted file of four: void", float64(plantedCounts[expect.Void]), 2, 2),
-		Between("planted file of four: never exercised", float64(plantedCounts[expect.Idle]), 1, 1),
-		Between("planted file of four: failed", float64(plantedCounts[expect.Failed]), 1, 1)}
+		AtLeast("expectations passed, share", float64(expect.Count(outcomes)[expect.Passed])/float64(len(outcomes)), 1),
+		AtLeast("same outcomes on four cores and on all cores", sameOutcomes, 1),
+		Between("planted file of four expectations: void", float64(plantedCounts[expect.Void]), 2, 2),
+		Between("planted file of four expectations: never exercised", float64(plantedCounts[expect.Idle]), 1, 1),
+		Between("planted file of four expectations: failed", float64(plantedCounts[expect.Failed]), 1, 1)}
 	if !full {
 		return rows, nil
 	}
-	rows = append(rows, AtMost("seconds for all on four cores", elapsed, 60), AtMost("memory from the system at its peak (MB)", float64(memory.Sys)/(1<<20), 500))
+	rows = append(rows, AtMost("seconds for all expectations on four cores", elapsed, 60), AtMost("peak memory obtained from the system (MB)", float64(memory.Sys)/(1<<20), 500))
 	broken, err := detectedMutants(u, readSuite())
 	return append(rows, broken...), err
 }
 
-// detectedMutants breaks the configuration in one way after another and tells how many of these the suite notices.
+// detectedMutants breaks the configuration in one way at a time and counts the broken configurations that the suite detects.
 func detectedMutants(under expect.Under, suite []expect.Source) ([]Row, error) {
-	// One seed is enough to notice a break, and three take three times as long.
+	// One seed is enough to detect a break; three would take three times as long.
 	mutants, err := expect.Mutate(under, suite, expect.Options{Seed: 1}, func(string) {})
 	if err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 			detected++
 		}
 	}
-	return []Row{Figure("configurations broken", float64(len(mutants))), AtLeast("of them noticed", detected/float64(len(mutants)), 1)}, nil
+	return []Row{Figure("broken configurations", float64(len(mutants))), AtLeast("broken configurations detected, share", detected/float64(len(mutants)), 1)}, nil
 }
 
 const plantedFile = `{"given": {"seconds": 5, "traffic": [{"name": "t", "profile": "quick", "tenant": "depot", "rate": 20, "work": 0.1}]},
--- a/internal/measure/failover.go
+++ b/internal/measure/failover.go
@@ -19,13 +19,13 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Failover measures plans by shares on virtual time, and over processes.
+// Failover measures failover plans on virtual time and with real processes.
 func Failover() ([]Row, error) {
 	bin, err := programFolder()
 	if err != nil {
 		return nil, err
 	}
-	rows, err := zoneCut(bin) // alone: its clients run in this process
+	rows, err := zoneCut(bin) // with nothing else running, because its clients run in this process
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +40,8 @@
 	return append(virtual, rows...), err
 }
 
-// DrawnDays plays so many and says what broke a rule.
+// DrawnDays simulates the given number of random days from a seed on, and describes those that broke a rule. planned and worst are the
+// highest planned and offered loads relative to a zone's capacity; plans counts the plans made.
 func DrawnDays(from, count uint64) (broken []string, planned, worst float64, plans int, err error) {
 	var group errgroup.Group
 	var mu sync.Mutex
@@ -55,7 +56,7 @@
 				mu.Lock()
 				planned, worst, plans = max(planned, r.Planned), max(worst, r.Worst), plans+len(r.Changes)
 				if r.Planned > 1+1e-6 || r.Worst > 1.05 || len(r.Given) > 0 {
-					broken = append(broken, fmt.Sprintf("seed %d: planned %.4f, real %.4f of what a zone can, given up though well: %v", seed, r.Planned, r.Worst, r.Given))
+					broken = append(broken, fmt.Sprintf("seed %d: planned load %.4f and offered load %.4f of a zone's capacity, healthy zones given up: %v", seed, r.Planned, r.Worst, r.Given))
 				}
 				mu.Unlock()
 			}
@@ -70,15 +71,15 @@
 func drawnDays(from, count uint64, minDays float64) ([]Row, error) {
 	broken, planned, worst, plans, err := DrawnDays(from, count)
 	return []Row{
-		AtLeast("drawn days: how many", float64(count), minDays),
-		AtLeast("drawn days: plans", float64(plans), float64(count)),
-		AtMost("drawn days: planned over what a zone is taken to bear, any mixture", planned, 1+1e-6),
-		AtMost("drawn days: offered over what a zone can, for a second, by others", worst, 1.05),
-		AtMost("drawn days: with a rule broken", float64(len(broken)), 0),
+		AtLeast("random days", float64(count), minDays),
+		AtLeast("random days: plans", float64(plans), float64(count)),
+		AtMost("random days: planned load / assumed zone capacity, any mixture of plans, max", planned, 1+1e-6),
+		AtMost("random days: load offered by other zones / zone capacity, over a second, max", worst, 1.05),
+		AtMost("random days: days with a broken rule", float64(len(broken)), 0),
 	}, err
 }
 
-// daySettings of a fleet of three to seven zones under a load.
+// daySettings returns a day of a fleet with three to seven zones. The seed determines the zones, the regions and the load.
 func daySettings(seed uint64, rule zones.Rule, faults ...zones.Fault) zones.Settings {
 	return zones.Settings{Zones: 3 + int(seed%5), Regions: 1 + int(seed%2), Routers: 30, Load: 0.4 + 0.02*float64(seed%16), Skew: 0.2, Seed: seed, Rule: rule,
 		Length: 90, Faults: faults}
@@ -97,23 +98,23 @@
 		}
 		share, changes = min(share, r.Near*meanBenefit(r, 5, 90)/max(best.Near*meanBenefit(best, 5, 90), 1e-9)), changes+len(r.Changes)
 	}
-	return []Row{AtLeast("calm days: work kept near, over the best possible, lowest", share, 0.99), Figure("calm days: plans", float64(changes))}, nil
+	return []Row{AtLeast("days without faults: work served locally / best possible, lowest", share, 0.99), Figure("days without faults: plans", float64(changes))}, nil
 }
 
 func meanBenefit(r zones.Result, from, to int) float64 { return stat.Mean(r.Worth[from:to], nil) }
 
-// confidenceInterval of 95 % about the mean of paired differences, Student's t.
+// confidenceInterval returns the mean of paired differences and half the width of its 95 % interval, by Student's t distribution.
 func confidenceInterval(x []float64) (mean, halfWidth float64) {
 	mean, sd := stat.MeanStdDev(x, nil)
 	n := float64(len(x))
 	return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * sd / math.Sqrt(n)
 }
 
-// lostZones plays the loss of a zone's engines, the same days under each rule.
+// lostZones simulates the loss of a zone's servers, on the same days under each rule.
 func lostZones(days uint64) ([]Row, error) {
 	const lostAt, restoredAt, length = 20.3, 55.0, 130.0
 	var benefitShares, gainsOverLocal, gainsOverLocality, planDelays, returnDelays []float64
-	var localWorst float64 // most that a zone is offered under today's rule
+	var localWorst float64 // highest load offered to a zone under the local rule, relative to its capacity
 	for seed := range days {
 		fault := zones.Fault{At: lostAt, Until: restoredAt, Kind: zones.Engines, Zone: int(seed) % 3}
 		results := map[zones.Rule]zones.Result{}
@@ -145,21 +146,21 @@
 	gain, half := confidenceInterval(gainsOverLocal)
 	over, halfOver := confidenceInterval(gainsOverLocality)
 	return []Row{
-		AtLeast("a zone lost: worth in 30 s over the bound that knows all, mean", stat.Mean(benefitShares, nil), 0.95),
-		Figure("a zone lost: the same, lowest day", slices.Min(benefitShares)),
-		Figure("a zone lost: gain over today's local rule, mean", gain),
-		Figure("a zone lost: gain over today's local rule, half of a 95 % interval", half),
-		Figure("a zone lost: gain over locality with 1.4 and panic, mean", over),
-		Figure("a zone lost: gain over locality, half of a 95 % interval", halfOver),
-		Figure("a zone lost: most that today's rule offers a zone over what it can", localWorst),
-		AtMost("a zone lost: seconds to a plan, p50", quantile(planDelays, 0.5), 2),
-		AtMost("a zone lost: seconds to a plan, p99", quantile(planDelays, 0.99), 4),
-		Figure("a zone back: seconds until 99 % of near work is near again, p50", quantile(returnDelays, 0.5)),
-		AtMost("a zone back: seconds until 99 % of near work is near again, p99", quantile(returnDelays, 0.99), 30),
+		AtLeast("zone lost: benefit in 30 s / bound with full knowledge, mean", stat.Mean(benefitShares, nil), 0.95),
+		Figure("zone lost: the same, lowest day", slices.Min(benefitShares)),
+		Figure("zone lost: gain over the local rule, mean", gain),
+		Figure("zone lost: gain over the local rule, half of a 95 % interval", half),
+		Figure("zone lost: gain over locality with 1.4 and panic, mean", over),
+		Figure("zone lost: gain over locality, half of a 95 % interval", halfOver),
+		Figure("zone lost: load offered under the local rule / zone capacity, max", localWorst),
+		AtMost("zone lost: seconds to a plan, p50", quantile(planDelays, 0.5), 2),
+		AtMost("zone lost: seconds to a plan, p99", quantile(planDelays, 0.99), 4),
+		Figure("zone restored: seconds until 99 % of local work is served locally again, p50", quantile(returnDelays, 0.5)),
+		AtMost("zone restored: seconds until 99 % of local work is served locally again, p99", quantile(returnDelays, 0.99), 30),
 	}, nil
 }
 
-// flapping is a zone that goes and comes every five seconds for two minutes.
+// flapping simulates a zone that fails and recovers every five seconds for two minutes.
 func flapping(days uint64) ([]Row, error) {
 	const from, to = 20.0, 140.0
 	plans, worst, offered := 0.0, 0.0, 0.0
@@ -179,13 +180,13 @@
 		plans, worst, offered = plans+n/(to-from)*60/float64(days), max(worst, n/(to-from)*60), max(offered, r.Worst)
 	}
 	return []Row{
-		AtMost("flapping every 5 s: plans a minute, mean", plans, 2),
-		Figure("flapping every 5 s: plans a minute, most of a day", worst),
-		AtMost("flapping every 5 s: offered over what a zone can", offered, 1.05),
+		AtMost("flapping every 5 s: plans per minute, mean", plans, 2),
+		Figure("flapping every 5 s: plans per minute, max of a day", worst),
+		AtMost("flapping every 5 s: offered load / zone capacity, max", offered, 1.05),
 	}, nil
 }
 
-// unreliableObservers observers, and those that are cut off.
+// unreliableObservers simulates observers that report false evidence and observers that are cut off.
 func unreliableObservers(days uint64) ([]Row, error) {
 	wronglyEvicted, cases := 0, 0
 	for seed := range days {
@@ -206,19 +207,20 @@
 			}
 		}
 	}
-	return []Row{AtLeast("observers cut off or lying (four in ten): cases", float64(cases), 100), AtMost("observers cut off or lying: zones given up that are well", float64(wronglyEvicted), 0)}, nil
+	return []Row{AtLeast("observers cut off or reporting falsely (four in ten): cases", float64(cases), 100), AtMost("observers cut off or reporting falsely: healthy zones given up", float64(wronglyEvicted), 0)}, nil
 }
 
+// evidenceBytes measures the encoded size of a router's evidence about n zones with all figures present.
 func evidenceBytes(n int) ([]Row, error) {
 	r := failover.Report{Zone: n - 1, Demand: 123.456789, Pinned: 1.23456789, Epoch: 123456, Span: 1.00123456}
 	for range n {
 		r.Observations = append(r.Observations, failover.ZoneObservation{Attempts: 1234, Failed: 12, Rejected: 3, Late: 45, Work: 123.456789, Slow: 1.23456789, Ready: 64, ColdCores: 7.123456789, DrainingCores: 8, SuspectCores: 16})
 	}
 	body, err := json.Marshal(r)
-	return []Row{AtMost(fmt.Sprintf("evidence of %d zones, everything seen: bytes a router and second", n), float64(len(body)), 2048)}, err
+	return []Row{AtMost(fmt.Sprintf("evidence of %d zones, all figures present: bytes per router and second", n), float64(len(body)), 2048)}, err
 }
 
-// zoneCut cuts a zone's engines off from all routers, as processes: with the fleet's plans, and with none.
+// zoneCut runs real processes and cuts a zone's servers off from all routers, once with the fleet's plans and once without.
 func zoneCut(bin string) ([]Row, error) {
 	type observed struct {
 		planDelay, returnDelay      float64
@@ -248,7 +250,7 @@
 				began := time.Now()
 				for !observed() {
 					if time.Since(began).Seconds() > seconds {
-						return 0, fmt.Errorf("%s does not come within %.0f s; wrong: %v", goal, seconds, r.Figures().Wrong)
+						return 0, fmt.Errorf("%s: not reached within %.0f s; violations: %v", goal, seconds, r.Figures().Wrong)
 					}
 					time.Sleep(20 * time.Millisecond)
 				}
@@ -275,13 +277,13 @@
 			s.after = r.Figures()
 			r.Heal()
 			if k == 0 {
-				s.returnDelay, err = waitFor(30, "the way back", func() bool {
+				s.returnDelay, err = waitFor(30, "a plan with zone 1", func() bool {
 					p, err := r.Plan()
 					return err == nil && len(p.Plan.Share) == 3 && p.Plan.Share[0][0] > 0.99
 				})
 			}
 			if wrong := r.Figures().Wrong; len(wrong) > 0 {
-				return fmt.Errorf("rules broken: %v", wrong)
+				return fmt.Errorf("invariants violated: %v", wrong)
 			}
 			return err
 		})
@@ -294,11 +296,11 @@
 		return 1 - float64(s.after.Answered-s.before.Answered)/max(requests, 1)
 	}
 	return []Row{
-		AtLeast("processes: commands in the 12 s after a zone was cut off", float64(all[0].after.Asked-all[0].before.Asked), 2000),
-		AtMost("processes: seconds to a plan without it", all[0].planDelay, 4),
-		AtMost("processes: sends into it when the plan is known, over those elsewhere", float64(all[0].sentIntoZone)/max(float64(all[0].sentElsewhere), 1), 0.02),
-		AtMost("processes: commands not answered, share", uncompletedShare(all[0]), uncompletedShare(all[1])+0.02),
+		AtLeast("processes: requests in the 12 s after a zone was cut off", float64(all[0].after.Asked-all[0].before.Asked), 2000),
+		AtMost("processes: seconds to a plan without the zone", all[0].planDelay, 4),
+		AtMost("processes: attempts to the zone under the plan / attempts elsewhere", float64(all[0].sentIntoZone)/max(float64(all[0].sentElsewhere), 1), 0.02),
+		AtMost("processes: requests not completed, share", uncompletedShare(all[0]), uncompletedShare(all[1])+0.02),
 		Figure("processes: the same without plans", uncompletedShare(all[1])),
-		Figure("processes: seconds until it is planned with in full again", all[0].returnDelay),
+		Figure("processes: seconds until the zone has its full share in the plan again", all[0].returnDelay),
 	}, nil
 }
--- a/internal/measure/owner.go
+++ b/internal/measure/owner.go
@@ -26,10 +26,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-const rigLease = 2.0 // seconds, of the processes here: a usual one would leave time for few losses
+const rigLease = 2.0 // seconds; shorter than usual, as a usual lease would leave time for only a few losses of owners
 
-// Owner measures over processes, in virtual time and by walking all states; what costs processor time is shared out so that
-// it takes under a minute on four cores.
+// Owner measures task ownership with real processes, on virtual time and by exploring all states. Parts that need much CPU time run in
+// parallel, so that it takes under a minute on four cores.
 func Owner() ([]Row, error) {
 	bin, err := programFolder()
 	if err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Times are measured alone: three hundred sessions beside them on the same cores are no part of the program's own time.
+	// Times are measured with nothing else running: three hundred sessions on the same cores would add to them.
 	gaps, err := handoverTimes(bin)
 	if err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 	return append(append(rows, gaps...), cost...), err
 }
 
-// programFolder is the folder that this one lies in, where the others lie beside it.
+// programFolder returns the folder of this program, which must also contain the programs of the fleet.
 func programFolder() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -63,13 +63,14 @@
 	dir := filepath.Dir(self)
 	for _, name := range []string{"dunereach", "dunefleet", "dunekeep", "dunecheck"} {
 		if _, err := os.Stat(filepath.Join(dir, name)); err != nil {
-			return "", fmt.Errorf("%s is not beside this program: `make build` first", name)
+			return "", fmt.Errorf("%s is missing in the folder of this program: run `make build` first", name)
 		}
 	}
 	return dir, nil
 }
 
-// Seeds plays drawn runs from one seed on until the time is over, or so many were played.
+// Seeds simulates random runs of a fleet from a seed on, until the given number of runs or seconds is reached. It stops at the first
+// error, and returns the combined figures and the number of runs played.
 func Seeds(from, count uint64, seconds float64) (all fleetworld.Figures, played uint64, err error) {
 	for end := time.Now().Add(time.Duration(seconds * 1e9)); played < count && time.Now().Before(end); played++ {
 		f, err := fleetworld.Play(fleetworld.Drawn(from+played), nil)
@@ -83,13 +84,15 @@
 	return all, played, nil
 }
 
+// seedsResult is written as JSON by the Go names of its fields.
 type seedsResult struct {
 	Figures fleetworld.Figures
 	Played  uint64
 	Wrong   string
 }
 
-// SaySeeds is Seeds for a process of its own: raft draws its chance from one source a process.
+// SaySeeds runs Seeds and returns the result as JSON. Each process runs only one Seeds at a time, because raft has one random source per
+// process.
 func SaySeeds(from, count uint64, seconds float64) ([]byte, error) {
 	f, n, err := Seeds(from, count, seconds)
 	s := seedsResult{f, n, ""}
@@ -99,7 +102,8 @@
 	return json.Marshal(s)
 }
 
-// drawnRuns has processes play drawn runs side by side, so many from a seed on in all, for so long at the most.
+// drawnRuns simulates random runs in several worker processes in parallel: count runs in total from a seed on, for at most the given
+// number of seconds.
 func drawnRuns(from, count uint64, seconds float64, workers uint64) (f fleetworld.Figures, runs uint64, wrong []string, err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -131,13 +135,13 @@
 	return f, runs, wrong, nil
 }
 
-// Explore plays that many drawn runs of a fleet on virtual time, on all cores.
+// Explore simulates the given number of random runs of a fleet on virtual time, on all cores.
 func Explore(from, count uint64, seconds float64) ([]Row, error) {
 	f, runs, wrong, err := drawnRuns(from, count, seconds, uint64(runtime.GOMAXPROCS(0)))
 	if err != nil {
 		return nil, err
 	}
-	return append(virtualRows(f, runs, wrong), AtLeast("virtual time: of the runs asked for", float64(runs)/float64(count), 1)), nil
+	return append(virtualRows(f, runs, wrong), AtLeast("virtual time: share of the requested runs played", float64(runs)/float64(count), 1)), nil
 }
 
 func virtualRuns(seconds float64) ([]Row, error) {
@@ -153,14 +157,14 @@
 		fmt.Fprintln(os.Stderr, w)
 	}
 	return []Row{
-		AtLeast("virtual time: drawn runs", float64(runs), 50),
-		AtMost("virtual time: runs with something wrong", float64(len(wrong)), 0),
-		AtMost("virtual time: moments with two owners that may act", float64(f.Twice), 0),
-		AtMost("virtual time: live parts over an allowance, at most", f.Worst, 1+1e-9),
-		AtLeast("virtual time: words under an old fence, all refused", float64(f.OldTried), 1),
-		AtLeast("virtual time: deals that came after their life, all refused", float64(f.Late), 1),
-		Figure("virtual time: works lost", float64(f.Lost)),
-		Figure("virtual time: operations in histories that porcupine found in order", float64(f.Operations)),
+		AtLeast("virtual time: random runs", float64(runs), 50),
+		AtMost("virtual time: runs with a violation", float64(len(wrong)), 0),
+		AtMost("virtual time: times with two owners allowed to act", float64(f.Twice), 0),
+		AtMost("virtual time: valid shares / allowance, max", f.Worst, 1+1e-9),
+		AtLeast("virtual time: messages under a stale fence, all refused", float64(f.OldTried), 1),
+		AtLeast("virtual time: grants that arrived after they expired, all refused", float64(f.Late), 1),
+		Figure("virtual time: tasks lost", float64(f.Lost)),
+		Figure("virtual time: operations in histories that porcupine found linearizable", float64(f.Operations)),
 	}
 }
 
@@ -168,7 +172,7 @@
 	return scenario.File{Name: name, Keepers: 3, Routers: routers, Zones: 2, Engines: engines, Lease: rigLease, Drift: 0.05, Folders: true, Settle: 30}
 }
 
-// startRig is a rig whose processes run.
+// startRig creates a fault rig and starts its processes. The returned function ends them and removes their folder.
 func startRig(f scenario.File, bin string, load bool) (*faultrig.Rig, func(), error) {
 	dir, err := os.MkdirTemp("", "dunerig")
 	if err != nil {
@@ -191,7 +195,7 @@
 	return r, end, nil
 }
 
-// handoverTimes takes owners away, by SIGKILL and by SIGTERM, and tells how long their works were nobody's.
+// handoverTimes ends owners by SIGKILL and by SIGTERM, and measures how long their tasks had no owner.
 func handoverTimes(bin string) ([]Row, error) {
 	const rigs, seconds = 2, 18.0
 	gaps := map[string][]float64{}
@@ -251,14 +255,14 @@
 		fmt.Fprintln(os.Stderr, w)
 	}
 	rows := []Row{
-		AtMost("processes: acts under an old fence", float64(all.Old), 0),
+		AtMost("processes: acts under a stale fence", float64(all.Old), 0),
 		AtLeast("processes: acts", float64(all.Acts), 100),
-		AtMost("processes: live parts over an allowance, at most", all.Worst, 1+1e-9),
-		AtMost("processes: other things wrong", float64(len(all.Wrong)-all.Old), 0),
+		AtMost("processes: valid shares / allowance, max", all.Worst, 1+1e-9),
+		AtMost("processes: other violations", float64(len(all.Wrong)-all.Old), 0),
 	}
 	for _, action := range []string{"kill", "end"} {
 		if len(gaps[action]) == 0 {
-			return nil, errors.New("no owner was taken away by " + action)
+			return nil, errors.New("no owner was ended by " + action)
 		}
 	}
 	rows = append(rows,
@@ -266,7 +270,7 @@
 		AtMost("next owner's first act after a loss, p99 s", quantile(gaps["kill"], 0.99), rigLease+1),
 		Figure("next owner's first act after SIGTERM, p50 s", quantile(gaps["end"], 0.5)),
 		AtMost("next owner's first act after SIGTERM, p99 s", quantile(gaps["end"], 0.99), 0.3),
-		AtLeast("works that were handed over", float64(len(gaps["kill"])+len(gaps["end"])), 20))
+		AtLeast("tasks handed over", float64(len(gaps["kill"])+len(gaps["end"])), 20))
 	return rows, nil
 }
 
@@ -275,14 +279,14 @@
 	return stat.Quantile(q, stat.Empirical, x, nil)
 }
 
-// coordinatorsLost compares a fleet whose keepers are all killed with one whose keepers stay.
+// coordinatorsLost compares a fleet whose coordinators are all killed with one whose coordinators keep running.
 func coordinatorsLost(bin string) ([]Row, error) {
-	const before, after = 7 * time.Second, 14 * time.Second // deals are out; leases and pledges run out, and time beyond
+	const before, after = 7 * time.Second, 14 * time.Second // until grants are issued; until leases and relinquishments have expired, and some time beyond
 	var figures [2]faultrig.Figures
 	var group errgroup.Group
 	for k := range figures {
 		group.Go(func() error {
-			r, end, err := startRig(fleetScenario("keepers lost", 4, 2), bin, true)
+			r, end, err := startRig(fleetScenario("coordinators lost", 4, 2), bin, true)
 			if err != nil {
 				return err
 			}
@@ -305,16 +309,17 @@
 	}
 	with, without := figures[0], figures[1]
 	return []Row{
-		AtLeast("commands with keepers", float64(with.Asked), 500),
-		AtLeast("commands without", float64(without.Asked), 500),
-		AtMost("commands failed because of keepers lost", float64(without.Failed-with.Failed), 0),
-		AtMost("commands without an answer because of keepers lost", float64(without.Cut-with.Cut), 0),
-		Figure("commands shed with keepers, share", float64(with.Shed)/float64(with.Asked)),
-		AtMost("commands shed without, share", float64(without.Shed)/float64(without.Asked), 0.02+float64(with.Shed)/float64(with.Asked)),
+		AtLeast("requests with coordinators", float64(with.Asked), 500),
+		AtLeast("requests without", float64(without.Asked), 500),
+		AtMost("requests failed because of lost coordinators", float64(without.Failed-with.Failed), 0),
+		AtMost("requests without an answer because of lost coordinators", float64(without.Cut-with.Cut), 0),
+		Figure("requests rejected with coordinators, share", float64(with.Shed)/float64(with.Asked)),
+		AtMost("requests rejected without, share", float64(without.Shed)/float64(without.Asked), 0.02+float64(with.Shed)/float64(with.Asked)),
 	}, nil
 }
 
-// sessionCost opens so many with real keepers and tells what they cost: idle, and with four cold engines to deal out.
+// sessionCost opens the given number of sessions with real coordinators and measures their cost: idle, and with four cold servers to
+// grant shares of.
 func sessionCost(bin string, count int) ([]Row, error) {
 	r, end, err := func() (*faultrig.Rig, func(), error) {
 		dir, err := os.MkdirTemp("", "dunerig")
@@ -335,7 +340,7 @@
 	defer end()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var coldServers sync.Map // whether there are cold engines: "on"
+	var coldServers sync.Map // contains "on" once there are cold servers
 	group, ctx := errgroup.WithContext(ctx)
 	var clients []*coordserver.Client
 	opened := make(chan bool, count)
@@ -399,7 +404,7 @@
 			return
 		}
 		began := time.Now()
-		time.Sleep(time.Duration(seconds * 1e9)) // what is measured is a rate
+		time.Sleep(time.Duration(seconds * 1e9)) // rates are measured over this time
 		b, c1, b1, err := usage()
 		took := time.Since(began).Seconds()
 		for k := range a {
@@ -407,13 +412,13 @@
 		}
 		return cores, (c1 - c0) / took / float64(count), (b1 - b0) / took / float64(count), err
 	}
-	time.Sleep(2 * time.Second) // connections are up
+	time.Sleep(2 * time.Second) // until connections are up
 	idle, idleRequests, idleBytes, err := measure(8)
 	if err != nil {
 		return nil, err
 	}
 	coldServers.Store("on", true)
-	time.Sleep(4 * time.Second) // owners are found, and the last ones' deals waited out
+	time.Sleep(4 * time.Second) // until tasks have owners and the grants of earlier owners have expired
 	busy, busyRequests, busyBytes, err := measure(6)
 	cancel()
 	group.Wait()
@@ -421,15 +426,17 @@
 		return nil, err
 	}
 	return []Row{
-		AtMost("300 sessions: the busiest keeper, cores", idle, 0.1),
-		AtMost("300 sessions: calls a router and second", idleRequests, 3),
-		AtMost("300 sessions: bytes a router and second", idleBytes, 4096),
-		Figure("300 sessions and four cold engines: the busiest keeper, cores", busy),
-		Figure("300 sessions and four cold engines: calls a router and second", busyRequests),
-		Figure("300 sessions and four cold engines: bytes a router and second", busyBytes),
+		AtMost("300 sessions: the busiest coordinator, cores", idle, 0.1),
+		AtMost("300 sessions: requests per router and second", idleRequests, 3),
+		AtMost("300 sessions: bytes per router and second", idleBytes, 4096),
+		Figure("300 sessions and four cold servers: the busiest coordinator, cores", busy),
+		Figure("300 sessions and four cold servers: requests per router and second", busyRequests),
+		Figure("300 sessions and four cold servers: bytes per router and second", busyBytes),
 	}, nil
 }
 
+// exploreStates checks the rules of ownership in all states of a small model. The number of violations is NaN, which is never within
+// bounds, if not all states were explored.
 func exploreStates(b modelcheck.Bounds) ([]Row, error) {
 	began := time.Now()
 	states, complete, err := modelcheck.Walk(b)
@@ -442,13 +449,13 @@
 		violations = math.NaN()
 	}
 	return []Row{
-		AtLeast("states explored, all orders of two owners and a receiver", float64(states), 10_000),
-		AtMost("states with a rule broken", violations, 0),
-		Figure("seconds that it took", time.Since(began).Seconds()),
+		AtLeast("states explored, all interleavings of two owners and a receiver", float64(states), 10_000),
+		AtMost("states that break a rule", violations, 0),
+		Figure("seconds for exploring the states", time.Since(began).Seconds()),
 	}, nil
 }
 
-// idleMemory starts a router without the fleet, and one with keepers that don't answer.
+// idleMemory measures the memory of an idle router without the fleet, and of one whose coordinators don't answer.
 func idleMemory(bin string) ([]Row, error) {
 	var memory [2]float64
 	for k := range memory {
@@ -457,7 +464,7 @@
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
-		f := fleetScenario("at rest", 1, 1)
+		f := fleetScenario("idle", 1, 1)
 		f.Keepers = k
 		r, err := faultrig.New(f, bin, dir, nil)
 		if err != nil {
@@ -467,16 +474,16 @@
 			r.Close()
 			return nil, err
 		}
-		time.Sleep(2 * time.Second) // at rest
+		time.Sleep(2 * time.Second) // until the router is idle
 		_, memory[k], err = r.CPU("n1")
 		r.Close()
 		if err != nil {
 			return nil, err
 		}
 	}
-	const baselineMB = 8.7 // MB, of the version without a fleet
+	const baselineMB = 8.7 // memory of an idle router in the version before the fleet existed
 	return []Row{
-		AtMost("router at rest without the section, MB", memory[0], baselineMB+0.5),
-		AtMost("router at rest with it, MB", memory[1], 16),
+		AtMost("idle router without fleet settings, MB", memory[0], baselineMB+0.5),
+		AtMost("idle router with fleet settings, MB", memory[1], 16),
 	}, nil
 }
--- a/internal/measure/rows.go
+++ b/internal/measure/rows.go
@@ -1,5 +1,5 @@
-// Package measure measures subsystems on virtual time, each in under a minute, and says whether they hold: rows of figure,
-// value and bound.
+// Package measure measures subsystems, most of them on virtual time and each in under a minute. The result is a table with a figure,
+// its value and its bound in each row, and whether all values are within their bounds.
 package measure
 
 import (
@@ -11,14 +11,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Row is one figure. A bound of nil is none: the figure stands beside another for comparison.
+// Row is one figure. A nil bound means that there is none: a figure without bounds is printed for comparison with others.
 type Row struct {
 	Name        string
 	Value       float64
 	Least, Most *float64
 }
 
-// Holds tells whether the value keeps its bounds. What is not a number keeps none.
+// Holds reports whether the value is within its bounds. NaN is outside any bound.
 func (r Row) Holds() bool {
 	return !(r.Least != nil && !(r.Value >= *r.Least) || r.Most != nil && !(r.Value <= *r.Most))
 }
@@ -35,25 +35,25 @@
 	return "-"
 }
 
-// Figure is a row without bounds, printed for comparison.
+// Figure returns a row without bounds, printed for comparison.
 func Figure(name string, value float64) Row { return Row{Name: name, Value: value} }
 
-// AtMost is a row that holds while its value is not above the bound.
+// AtMost returns a row that holds if its value is not above the bound.
 func AtMost(name string, value, bound float64) Row {
 	return Row{Name: name, Value: value, Most: &bound}
 }
 
-// AtLeast is a row that holds while its value is not below the bound.
+// AtLeast returns a row that holds if its value is not below the bound.
 func AtLeast(name string, value, bound float64) Row {
 	return Row{Name: name, Value: value, Least: &bound}
 }
 
-// Between is a row that holds while its value lies between two bounds, which count as held.
+// Between returns a row that holds if its value lies between two bounds, inclusive.
 func Between(name string, value, low, high float64) Row {
 	return Row{Name: name, Value: value, Least: &low, Most: &high}
 }
 
-// Print writes rows as a table and tells whether all hold.
+// Print writes rows as a table and reports whether all hold.
 func Print(w io.Writer, rows []Row) (allHold bool) {
 	allHold = true
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -69,7 +69,7 @@
 	return allHold
 }
 
-// runAll runs parts side by side and gives their rows in order.
+// runAll runs parts in parallel and returns their rows in the order of the parts.
 func runAll(parts ...func() ([]Row, error)) ([]Row, error) {
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
--- a/internal/measure/short.go
+++ b/internal/measure/short.go
@@ -6,10 +6,11 @@
 	"dunereach/emulator/modelcheck"
 )
 
-// The short forms play fewer cases of the same measurements, by the same bounds, with no processes of routers and no figures that
-// depend on the machine's pace: CI runs them, so that a change which breaks a figure of the documents is seen.
+// The short forms run fewer cases of the same measurements against the same bounds, without router processes and without figures that
+// depend on the machine's speed. CI runs them to detect changes that break a documented figure.
 
-// unreliableObserverSeeds is so many seeds of lying that those of past failures are among them: 13 gave a zone up that was well.
+// unreliableObserverSeeds is the number of seeds of unreliableObservers. It is large enough to include those of past failures: with seed
+// 13 a healthy zone was given up.
 const unreliableObserverSeeds = 20
 
 func shortFailover() ([]Row, error) {
@@ -17,7 +18,7 @@
 		func() ([]Row, error) { return drawnDays(0, 60, 60) },
 		func() ([]Row, error) { return calmDays(5) },
 		func() ([]Row, error) { return lostZones(9) },
-		func() ([]Row, error) { return flapping(20) }, // the mean of fewer is another figure
+		func() ([]Row, error) { return flapping(20) }, // as many as in the full form: a mean over fewer days differs
 		func() ([]Row, error) { return unreliableObservers(unreliableObserverSeeds) },
 		func() ([]Row, error) { return evidenceBytes(9) },
 	)
@@ -30,7 +31,7 @@
 	)
 }
 
-// drawnRunsInProcess plays drawn runs of a fleet in this process.
+// drawnRunsInProcess simulates random runs of a fleet in this process.
 func drawnRunsInProcess(from, count uint64) ([]Row, error) {
 	figures, runs, err := Seeds(from, count, math.MaxInt32)
 	var wrong []string
--- a/internal/measure/short_test.go
+++ b/internal/measure/short_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestMain is the writing process too that a part of state kills.
+// TestMain also runs as the writer process that the state measurement starts and kills.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "state-writer" {
 		if err := WriteState(os.Args[2]); err != nil {
@@ -16,9 +16,9 @@
 	os.Exit(m.Run())
 }
 
-// TestShort: the short form of each measurement keeps every bound.
+// TestShort checks that the short form of each measurement is within all bounds.
 func TestShort(t *testing.T) {
-	t.Chdir("../..") // where the example deployment is
+	t.Chdir("../..") // contains the example deployment
 	for _, s := range All {
 		t.Run(s.Name, func(t *testing.T) {
 			rows, err := s.Short()
--- a/internal/measure/soak.go
+++ b/internal/measure/soak.go
@@ -11,8 +11,8 @@
 	"dunereach/emulator/scenario"
 )
 
-// Soak plays drawn faults over five keepers and forty routers, as processes with clients, and prints a line a minute. An error is
-// something that must not be.
+// Soak injects random faults into five coordinators and forty routers, which run as processes with clients, and prints a line per minute.
+// It returns an error if an invariant was violated.
 func Soak(out io.Writer, minutes float64) error {
 	bin, err := programFolder()
 	if err != nil {
@@ -29,8 +29,8 @@
 		return fmt.Errorf("%v\n%s", err, r.Tail())
 	}
 	rnd := rand.New(rand.NewPCG(f.Seed, 31))
-	fmt.Fprintf(out, "%d keepers and %d routers in %d zones, leases of %g s, four cold engines; faults drawn with seed %d.\n\n", coordinators, routers, zones, f.Lease, f.Seed)
-	fmt.Fprintln(out, "| minute | faults | acts | under an old fence | most of an allowance | works lost | asked | answered | shed | failed | cut off | ran twice |")
+	fmt.Fprintf(out, "%d coordinators and %d routers in %d zones, leases of %g s, four cold servers; random faults with seed %d.\n\n", coordinators, routers, zones, f.Lease, f.Seed)
+	fmt.Fprintln(out, "| minute | faults | acts | under a stale fence | max share of an allowance | tasks lost | requests | completed | rejected | failed | cut off | ran twice |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|---|---|")
 	faults := 0
 	began := time.Now()
@@ -50,7 +50,7 @@
 		fmt.Fprintf(out, "| %d | %d | %d | %d | %.3f | %d | %d | %d | %d | %d | %d | %d |\n", minute, faults, figures.Acts, figures.Old, figures.Worst, len(figures.Gaps), figures.Asked, figures.Answered, figures.Shed, figures.Failed, figures.Cut, figures.Twice)
 	}
 	for time.Since(began).Minutes() < minutes {
-		time.Sleep(time.Duration(rnd.ExpFloat64() * 1.5 * 1e9)) // the draw's own times
+		time.Sleep(time.Duration(rnd.ExpFloat64() * 1.5 * 1e9)) // random intervals with a mean of 1.5 s
 		faults++
 		switch name := drawTarget(); rnd.IntN(8) {
 		case 0, 1:
@@ -111,7 +111,7 @@
 	}
 	printRow()
 	figures := r.Figures()
-	fmt.Fprintf(out, "\nAll works owned and dealt %.1f s after the last fault. Longest time from a loss to the next owner's first act %.1f s, median %.1f s.\n",
+	fmt.Fprintf(out, "\nAll tasks owned and all shares granted %.1f s after the last fault. Longest time from the loss of an owner to the next owner's first act %.1f s, median %.1f s.\n",
 		time.Since(faultsEnded).Seconds(), quantile(figures.Gaps, 1), quantile(figures.Gaps, 0.5))
 	if len(figures.Wrong) > 0 {
 		fmt.Fprintln(os.Stderr, strings.Join(figures.Wrong, "\n"))
@@ -120,4 +120,4 @@
 	return nil
 }
 
-var errRulesBroken = fmt.Errorf("something happened that must not")
+var errRulesBroken = fmt.Errorf("soak: invariants violated")
--- a/internal/measure/state.go
+++ b/internal/measure/state.go
@@ -30,8 +30,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// State measures what survives a restart: the folder under kills, what is believed of it by age, what reading and writing cost, and what
-// it is worth in the peak.
+// State measures the state that survives a restart: the state folder when the writer is killed, the trust in stored knowledge by its age,
+// the cost of reading and writing, and the benefit of the state after a restart at peak load.
 func State() ([]Row, error) {
 	rows, err := runAll(
 		func() ([]Row, error) { return killedWriters(500) },
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	full, err := fullFolderCost() // times and memory alone
+	full, err := fullFolderCost() // with nothing else running, because it measures time and memory
 	if err != nil {
 		return nil, err
 	}
@@ -50,8 +50,8 @@
 	return append(append(rows, full...), late...), err
 }
 
-// WriteState writes to a folder until it is killed: snapshots and records that bear a number which only grows, each number printed once
-// it must last.
+// WriteState writes snapshots and records to a folder until the process is killed. Each contains a number, one higher than the last. A
+// number is printed once it must be durable.
 func WriteState(dir string) error {
 	s, loaded, err := store.Open(dir, "n1")
 	if err != nil {
@@ -76,7 +76,7 @@
 			if err := s.Append(binary.LittleEndian.AppendUint64(nil, n)); err != nil {
 				return err
 			}
-			if n%3 == 0 { // in groups
+			if n%3 == 0 { // several records per sync
 				if err := s.Sync(); err != nil {
 					return err
 				}
@@ -87,13 +87,13 @@
 	}
 }
 
-// lastNumber is the last one in a folder.
+// lastNumber returns the last number in a folder. It fails if numbers are missing.
 func lastNumber(r store.Read) (n uint64, err error) {
 	if r.Generation == 0 {
 		return 0, nil
 	}
 	if len(r.Body) < 8 {
-		return 0, errors.New("a body that nobody wrote")
+		return 0, errors.New("snapshot body is too short")
 	}
 	n = binary.LittleEndian.Uint64(r.Body)
 	for _, b := range r.Records {
@@ -106,7 +106,7 @@
 	return n, nil
 }
 
-// killedWriters ends a writing process at a random moment, again and again in the same folders, and reads what is there.
+// killedWriters repeatedly kills a writer process at a random time, in the same folders, and reads the folder after each kill.
 func killedWriters(count int) ([]Row, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -152,9 +152,9 @@
 				case <-first:
 				case <-time.After(20 * time.Second):
 					c.Process.Kill()
-					return errors.New("the writer does not write")
+					return errors.New("the writer has written nothing for 20 s")
 				}
-				time.Sleep(time.Duration(rnd.Float64() * 20e6)) // the moment is drawn
+				time.Sleep(time.Duration(rnd.Float64() * 20e6)) // a random time up to 20 ms
 				c.Process.Kill()
 				acked := max(<-lastPrinted, last)
 				c.Wait()
@@ -187,15 +187,15 @@
 		return nil, err
 	}
 	return []Row{
-		AtLeast("kills of a writing process, each followed by a read", float64(killed), float64(count)),
-		AtMost("reads that found something half written", float64(damaged), 0),
-		AtMost("reads that lacked what had been synced", float64(lost), 0),
+		AtLeast("kills of a writer process, each followed by a read", float64(killed), float64(count)),
+		AtMost("reads that found partly written data", float64(damaged), 0),
+		AtMost("reads that lacked synced data", float64(lost), 0),
 		AtMost("reads whose generation went back", float64(wentBack), 0),
-		Figure("journals cut short by the kill, as is normal", float64(cutShort)),
+		Figure("journals truncated by the kill, as expected", float64(cutShort)),
 	}, nil
 }
 
-// trustByAge is how much of each kind of knowledge is believed, by its age.
+// trustByAge measures how much of each kind of stored knowledge is restored, by its age.
 func trustByAge() (rows []Row) {
 	settings, rates := []uint64{1}, []float64{2}
 	savedAt := warmstart.Timestamp{Wall: 1e9, Up: 1e6, Boot: "b"}
@@ -204,7 +204,7 @@
 	for _, a := range []struct {
 		name                    string
 		age                     float64
-		times, suspended, debts [2]float64 // least and most
+		times, unhealthy, debts [2]float64 // lower and upper bounds
 	}{
 		{"1 s", 1, [2]float64{39.9, 40}, [2]float64{1, 1}, [2]float64{58, 58}},
 		{"20 s", 20, [2]float64{39, 40}, [2]float64{0, 0}, [2]float64{20, 20}},
@@ -213,22 +213,22 @@
 		{"3 days", 3 * 86400, [2]float64{0, 0}, [2]float64{0, 0}, [2]float64{-1e6, -5e5}},
 	} {
 		r := warmstart.Restore(snapshot, nil, warmstart.Timestamp{Wall: savedAt.Wall + a.age, Up: savedAt.Up + a.age, Boot: "b"}, settings, rates)
-		suspended := 0.0
+		unhealthy := 0.0
 		for _, e := range r.Engines {
 			if e.Ill {
-				suspended++
+				unhealthy++
 			}
 		}
 		rows = append(rows,
-			Between("knowledge of "+a.name+": processing times, of forty", r.Profiles[0].Times.N(), a.times[0], a.times[1]),
-			Between("knowledge of "+a.name+": engines still taken for ill, of one", suspended, a.suspended[0], a.suspended[1]),
-			Between("knowledge of "+a.name+": a tenant's debt of sixty", -r.Tenants[0].Left, a.debts[0], a.debts[1]))
+			Between("knowledge of "+a.name+": processing times restored, of forty", r.Profiles[0].Times.N(), a.times[0], a.times[1]),
+			Between("knowledge of "+a.name+": servers still considered unhealthy, of one", unhealthy, a.unhealthy[0], a.unhealthy[1]),
+			Between("knowledge of "+a.name+": a tenant's remaining debt, of sixty", -r.Tenants[0].Left, a.debts[0], a.debts[1]))
 	}
 	r := warmstart.Restore(snapshot, nil, warmstart.Timestamp{Wall: savedAt.Wall - 100, Up: 5, Boot: "c"}, settings, rates)
-	return append(rows, AtMost("a clock that went back: processing times, of forty", r.Profiles[0].Times.N(), 10), AtMost("a clock that went back: engines taken for ill", float64(len(r.Engines)), 0))
+	return append(rows, AtMost("clock went back: processing times restored, of forty", r.Profiles[0].Times.N(), 10), AtMost("clock went back: servers considered unhealthy", float64(len(r.Engines)), 0))
 }
 
-// maxSnapshot is as much as is read at all: a thousand profiles, four thousand engines and tenants.
+// maxSnapshot returns a snapshot with the largest contents that are read: a thousand profiles, four thousand servers and tenants.
 func maxSnapshot() warmstart.Snapshot {
 	k := warmstart.Snapshot{At: warmstart.Timestamp{Wall: 1, Up: 1}}
 	for n := range warmstart.MaxProfiles {
@@ -245,7 +245,7 @@
 	return k
 }
 
-// fullFolderCost reads a folder that is as full as one may be.
+// fullFolderCost measures reading a folder of the maximum size.
 func fullFolderCost() ([]Row, error) {
 	dir, err := os.MkdirTemp("", "dunestate")
 	if err != nil {
@@ -289,12 +289,13 @@
 	_, bytes := store.Size(dir, "n1")
 	return []Row{
 		Figure("a full folder, MB", float64(bytes)/(1<<20)),
-		AtMost("a full folder: ms to read and believe", float64(took.Microseconds())/1000, 500),
-		AtMost("a full folder: MB that reading takes in all", float64(after.TotalAlloc-before.TotalAlloc)/(1<<20), 64),
+		AtMost("a full folder: ms to read and restore", float64(took.Microseconds())/1000, 500),
+		AtMost("a full folder: MB allocated in total for reading", float64(after.TotalAlloc-before.TotalAlloc)/(1<<20), 64),
 	}, nil
 }
 
-// snapshotLateness is how late an owner's timers are while it decides, with a snapshot each second and without, on one core as a router has.
+// snapshotLateness measures the lateness of the timers of a process that makes decisions on one core, as a router does, with a snapshot
+// each second and without.
 func snapshotLateness(seconds float64) ([]Row, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -302,7 +303,7 @@
 	}
 	var p99 [2][]float64
 	var differences []float64
-	const rounds = 7 // in turn, and by pairs, as the machine's pace changes
+	const rounds = 7 // both modes alternate and are compared in pairs, because the machine's speed varies
 	for range rounds {
 		for k, mode := range []string{"without", "with"} {
 			out, err := exec.Command(self, "state-late", mode, fmt.Sprint(seconds)).Output()
@@ -318,13 +319,13 @@
 		differences = append(differences, p99[1][len(differences)]-p99[0][len(differences)])
 	}
 	return []Row{
-		Figure("the owner's timers late at p99 with no snapshots, ms", 1000*quantile(p99[0], 0.5)),
-		Figure("the same with a snapshot each second, ms", 1000*quantile(p99[1], 0.5)),
-		AtMost("what snapshots add at p99, ms, median of pairs", 1000*quantile(differences, 0.5), 1),
+		Figure("timer lateness at p99 without snapshots, ms", 1000*quantile(p99[0], 0.5)),
+		Figure("the same with a snapshot every second, ms", 1000*quantile(p99[1], 0.5)),
+		AtMost("increase by snapshots at p99, ms, median of pairs", 1000*quantile(differences, 0.5), 1),
 	}, nil
 }
 
-// Late is one of these runs: it prints how late the timers of a process on one core were at p99, in seconds.
+// Late runs one of these measurements in this process and returns the lateness of its timers on one core at p99, in seconds.
 func Late(write bool, seconds float64) (p99 float64, err error) {
 	runtime.GOMAXPROCS(1)
 	dir, err := os.MkdirTemp("", "dunestate")
@@ -342,7 +343,7 @@
 		}
 		defer s.Close()
 		snapshot := maxSnapshot()
-		snapshot.Profiles = snapshot.Profiles[:32] // of a usual router
+		snapshot.Profiles = snapshot.Profiles[:32] // as in a typical router
 		snapshot.Quick.Known.Engines, snapshot.Quick.Known.Tenants = snapshot.Quick.Known.Engines[:72], snapshot.Quick.Known.Tenants[:64]
 		r.Add(bg.Job{Name: "snapshot", Interval: 1, Deadline: 1}, func(_ context.Context, m *jobrunner.Meter) error {
 			body, err := cbor.Marshal(snapshot)
@@ -366,14 +367,15 @@
 		late := time.Since(due).Seconds()
 		lateness = append(lateness, late)
 		r.ObserveLateness(late)
-		driver.run(100) // some 0.2 ms of decisions
+		driver.run(100) // about 0.2 ms of decisions
 	}
 	cancel()
 	<-ended
 	return quantile(lateness, 0.99), nil
 }
 
-// restartRegret is what a restart in the peak costs: all routers restart at once, with what they knew and with nothing, against never.
+// restartRegret measures the cost of a restart at peak load: all routers restart at once, with and without their stored state, compared
+// with routers that are not restarted.
 func restartRegret(days int) ([]Row, error) {
 	recallDiscounted := func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
 		b := warmstart.Discount(k, age, true, admission.Fingerprints(s.Profiles), s.TenantRates())
@@ -397,8 +399,8 @@
 		return s
 	}
 	spans := []float64{10, 30, 60}
-	var inTime, rejected [3][3][]float64 // nothing, knew, never; by span; by day
-	var attemptsToHung [3]float64        // to the engine that hangs, in the ten seconds after
+	var inTime, rejected [3][3][]float64 // by mode (without state, with state, not restarted), by span, by day
+	var attemptsToHung [3]float64        // attempts to the hanging server between 40.5 s and 48 s, by mode
 	var mu sync.Mutex
 	var group errgroup.Group
 	group.SetLimit(4)
@@ -445,18 +447,19 @@
 	}
 	var rows []Row
 	for n, span := range spans {
-		name := fmt.Sprintf("restart in the peak, %.0f s: ", span)
+		name := fmt.Sprintf("restart at peak load, %.0f s: ", span)
 		withoutState, withState, uninterrupted := stat.Mean(inTime[0][n], nil), stat.Mean(inTime[1][n], nil), stat.Mean(inTime[2][n], nil)
-		rows = append(rows, Figure(name+"in time from nothing", withoutState), Figure(name+"with what it knew", withState), Figure(name+"never stopped", uninterrupted),
-			AtMost(name+"regret with what it knew", uninterrupted-withState, max(0.02, (uninterrupted-withoutState)/2)),
-			AtMost(name+"refused with what it knew, over refused from nothing", stat.Mean(rejected[1][n], nil)/math.Max(stat.Mean(rejected[0][n], nil), 1e-9), 1.05))
+		rows = append(rows, Figure(name+"in time without state", withoutState), Figure(name+"in time with state", withState), Figure(name+"in time without a restart", uninterrupted),
+			AtMost(name+"regret with state", uninterrupted-withState, max(0.02, (uninterrupted-withoutState)/2)),
+			AtMost(name+"rejected with state / rejected without state", stat.Mean(rejected[1][n], nil)/math.Max(stat.Mean(rejected[0][n], nil), 1e-9), 1.05))
 	}
-	return append(rows, Figure("restart in the peak: sends to an engine known to hang, a day, from nothing", attemptsToHung[0]/float64(days)),
-		AtMost("restart in the peak: the same with what it knew, over that", attemptsToHung[1]/max(attemptsToHung[0], 1), 0.8)), nil
+	return append(rows, Figure("restart at peak load: attempts per day to a server known to hang, without state", attemptsToHung[0]/float64(days)),
+		AtMost("restart at peak load: the same with state, relative to that", attemptsToHung[1]/max(attemptsToHung[0], 1), 0.8)), nil
 }
 
-// rollingRestart restarts many routers one after the other while an engine hangs, which is well again before the last of them is back: they all
-// believe that it hangs. Nobody may have to tell them, and they may not all try it in the same moment.
+// rollingRestart restarts many routers one after another while a server hangs. The server recovers when the last routers come back, so all
+// routers restore the knowledge that it hangs. They have to find out by themselves that it has recovered, and must not all send attempts
+// to it at the same time.
 func rollingRestart(routers int) ([]Row, error) {
 	s := cluster.Settings{Seed: 3, Length: 80, Routers: routers, Brain: admission.Settings{Tick: 0.005, MaxSends: 4, MaxPause: 0.5,
 		Profiles: []admission.Profile{{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1}}}}
@@ -468,7 +471,7 @@
 	s.Streams = []cluster.Stream{st}
 	const began, ended = 30.0, 40.0
 	s.Happens = []cluster.Happening{{At: began, For: ended - began, Act: cluster.Silent, Engines: []int{0}}}
-	for r := range routers { // the last of them is back just after
+	for r := range routers { // the last one restarts shortly before the server recovers
 		s.Happens = append(s.Happens, cluster.Happening{At: began + 3 + (ended-began-3)*float64(r)/float64(routers), For: 0.2, Act: cluster.Restart, Routers: []int{r}})
 	}
 	s.Recall = func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
@@ -476,8 +479,8 @@
 		return &b
 	}
 	const slot = 0.05
-	attemptsBySlot := map[int]float64{}   // sends to it by slot
-	var attempts, allAttempts [40]float64 // by second after it is well: sends to it, and to all
+	attemptsBySlot := map[int]float64{}   // attempts to the server by slot of time
+	var attempts, allAttempts [40]float64 // by second since the server recovered: attempts to it, and to all servers
 	s.Watch = func(m *cluster.Moment) bool {
 		if m.On == cluster.Sent && m.Now >= ended && m.Now < ended+40 {
 			k := int(m.Now - ended)
@@ -504,7 +507,7 @@
 		worst = max(worst, n)
 	}
 	return []Row{
-		AtMost(fmt.Sprintf("%d routers restarted, all told that a well engine hangs: seconds until it has half of its share", routers), recovered, 6),
-		AtMost("the same: of them in one twentieth of a second, in its first second", worst/float64(routers), 0.34),
+		AtMost(fmt.Sprintf("%d routers restarted with stored knowledge that a healthy server hangs: seconds until it has half of its share", routers), recovered, 6),
+		AtMost("the same: attempts in a twentieth of a second per router, max in the first second", worst/float64(routers), 0.34),
 	}, nil
 }
