--- a/internal/hollow/audit.go
+++ b/internal/hollow/audit.go
@@ -20,7 +20,7 @@
 type Auditor struct {
 	// Acts counts the acts checked, Stale the violations found among them.
 	Acts, Stale int
-	// Wrong describes the first violations, one line each.
+	// Violations describes the first violations, one line each.
 	Wrong []string
 
 	acts   []Act
@@ -34,10 +34,10 @@
 // NewAuditor returns an auditor without any acts.
 func NewAuditor() *Auditor { return &Auditor{latest: map[string]Act{}, owners: map[uint64]string{}} }
 
-// Add adds acts in any order. Call Judge only once all earlier acts have been added too.
+// Add adds acts in any order. Call Check only once all earlier acts have been added too.
 func (a *Auditor) Add(acts []Act) { a.acts = append(a.acts, acts...) }
 
-// Judge checks the acts added since the last call in order of their times.
+// Check checks the acts added since the last call in order of their times.
 func (a *Auditor) Judge() {
 	slices.SortStableFunc(a.acts, func(x, y Act) int { return cmp.Compare(x.At, y.At) })
 	for _, act := range a.acts {
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -54,16 +54,16 @@
 
 // coordinatorProcess is one coordinator, which may be stopped.
 type coordinatorProcess struct {
-	name      string
-	zone      Zone
-	published string // address listed in the registry; the relay listens on it
-	listening string // address that the coordinator itself listens on
-	host      string // source address of the coordinator's own requests
-	folder    string
-	cmd       *exec.Cmd    // nil while the coordinator is down
-	pid       atomic.Int64 // process id of cmd, 0 while the coordinator is down
-	log       tail
-	relay     *relay
+	name          string
+	zone          Zone
+	published     string // address listed in the registry; the relay listens on it
+	listenAddress string // address that the coordinator itself listens on
+	sourceHost    string // source address of the coordinator's own requests
+	folder        string
+	cmd           *exec.Cmd    // nil while the coordinator is down
+	pid           atomic.Int64 // process id of cmd, 0 while the coordinator is down
+	log           tail
+	relay         *relay
 }
 
 const coordinatorPort = 7000
@@ -86,7 +86,7 @@
 	route := map[string]string{}
 	for _, c := range f.coordinators {
 		published = append(published, c.published)
-		route[c.published] = c.listening
+		route[c.published] = c.listenAddress
 		if err := f.startCoordinator(c); err != nil {
 			return err
 		}
@@ -113,12 +113,12 @@
 	network := fmt.Sprintf("127.%d.%d.", 64+rand.IntN(128), rand.IntN(256))
 	var spec []string
 	for n := range f.options.Coordinators {
-		c := &coordinatorProcess{name: fmt.Sprint("c", n+1), zone: f.options.Zones[n%len(f.options.Zones)], host: fmt.Sprint(network, 11+n)}
+		c := &coordinatorProcess{name: fmt.Sprint("c", n+1), zone: f.options.Zones[n%len(f.options.Zones)], sourceHost: fmt.Sprint(network, 11+n)}
 		c.folder = filepath.Join(f.options.Folder, c.name)
 		c.published = fmt.Sprintf("%s%d:%d", network, 101+n, coordinatorPort)
-		c.listening = fmt.Sprintf("%s:%d", c.host, coordinatorPort)
+		c.listenAddress = fmt.Sprintf("%s:%d", c.sourceHost, coordinatorPort)
 		var err error
-		if c.relay, err = newRelay(c.published, c.listening); err != nil {
+		if c.relay, err = newRelay(c.published, c.listenAddress); err != nil {
 			return err
 		}
 		f.coordinators = append(f.coordinators, c)
@@ -136,7 +136,7 @@
 }
 
 func (f *Fleet) startCoordinator(c *coordinatorProcess) error {
-	cmd := exec.Command(f.options.Keep, "run", c.folder, "--listen", c.listening, "--from", c.host)
+	cmd := exec.Command(f.options.Keep, "run", c.folder, "--listen", c.listenAddress, "--from", c.sourceHost)
 	cmd.Stderr = &c.log
 	if err := f.starter.start(cmd); err != nil {
 		return err
@@ -311,9 +311,9 @@
 	var inside, outside []string
 	for _, c := range f.coordinators {
 		if c.zone.Region == region {
-			inside = append(inside, c.host)
+			inside = append(inside, c.sourceHost)
 		} else {
-			outside = append(outside, c.host)
+			outside = append(outside, c.sourceHost)
 		}
 	}
 	for _, c := range f.coordinators {
--- a/internal/measure/budgets.go
+++ b/internal/measure/budgets.go
@@ -74,7 +74,7 @@
 // queueOutcome returns how the requests of a stream fared in the queue: the longest wait of a request that was sent, relative to its
 // latency target; the share of the queued requests that were sent; and the share of all requests that completed in time.
 func queueOutcome(r cluster.Result, stream int) (wait, sent, inTime float64) {
-	all, completedInTime, held, heldAndSent := 0.0, 0.0, 0.0, 0.0
+	all, completedInTime, queued, queuedAndSent := 0.0, 0.0, 0.0, 0.0
 	for k := range r.Tries {
 		t := &r.Tries[k]
 		if t.Stream != stream || t.Taken < warmUpSeconds || t.How == cluster.Open {
@@ -85,17 +85,17 @@
 		}
 		switch neverSent := math.IsNaN(t.Sent); {
 		case neverSent && t.Ended > t.Taken:
-			held++
+			queued++
 		case !neverSent && t.Sent > t.Taken:
-			held++
-			heldAndSent++
+			queued++
+			queuedAndSent++
 			wait = max(wait, (t.Sent-t.Taken)/t.Target)
 		}
 	}
-	if held == 0 {
-		heldAndSent, held = 1, 1
+	if queued == 0 {
+		queuedAndSent, queued = 1, 1
 	}
-	return wait, heldAndSent / held, completedInTime / all
+	return wait, queuedAndSent / queued, completedInTime / all
 }
 
 // reportsBehindFlood measures reports of one team that compete with an endless flood of lookups, of another team and of the same team.
@@ -118,11 +118,11 @@
 			}
 			wait, sent, inTime := queueOutcome(r, 0)
 			if name := "report behind " + c.name + " flood of lookups: "; protected {
-				rows = append(rows, AtMost(name+"longest wait over target", wait, 1),
-					AtLeast(name+"share sent of those held", sent, c.sent), AtLeast(name+"share in time", inTime, c.minInTime))
+				rows = append(rows, AtMost(name+"longest wait / latency target", wait, 1),
+					AtLeast(name+"share of queued requests sent", sent, c.sent), AtLeast(name+"share in time", inTime, c.minInTime))
 			} else {
 				name = "the same without ageing and turns: "
-				rows = append(rows, Figure(name+"longest wait over target", wait), Figure(name+"share sent of those held", sent),
+				rows = append(rows, Figure(name+"longest wait / latency target", wait), Figure(name+"share of queued requests sent", sent),
 					Figure(name+"share in time", inTime))
 			}
 		}
@@ -147,7 +147,7 @@
 	weights := []float64{1, 1, 2, 2, 3, 3, 4, 4}
 	s.Teams = teamSpec(weights...)
 	s.Length = 620
-	sum := 20.0
+	totalWeight := 20.0
 	for k := range weights { // each requests a quarter of the pool, half of it in lookups
 		s.Streams = append(s.Streams, steadyStream(k, lookupProfile, 0.125), steadyStream(k, reportProfile, 0.125))
 	}
@@ -162,7 +162,7 @@
 	rows := []Row{AtLeast("eight teams under full load: cores in use", all/(s.Length-warmUpSeconds)/poolCores, 0.8)}
 	for k, w := range weights {
 		rows = append(rows, Between(fmt.Sprintf("eight teams under full load: work / budget, team %d of weight %v", k, w),
-			work[k]/all/(w/sum), 0.95, 1.05))
+			work[k]/all/(w/totalWeight), 0.95, 1.05))
 	}
 	return rows, nil
 }
@@ -230,7 +230,7 @@
 	}
 	overloaded, err := benefitInTime(10)
 	return []Row{Figure("share of benefit in time, three teams within their budgets", normal),
-		AtLeast("the same next to a team at ten times its budget, relative to that", overloaded/normal, 0.95)}, err
+		AtLeast("the same, next to a team at ten times its budget / within its budget", overloaded/normal, 0.95)}, err
 }
 
 // waitEstimates compares the reported wait estimates with the actual waits under varying load.
@@ -251,8 +251,8 @@
 	}
 	rows := retriesAfterRejection(r, s)
 	for k := range 3 {
-		var heldRatios, rejectedRatios []float64
-		var heldCovered, heldCount, rejectedCovered, rejectedCount float64
+		var queuedRatios, rejectedRatios []float64
+		var queuedCovered, queuedCount, rejectedCovered, rejectedCount float64
 		for n := range r.Tries {
 			t := &r.Tries[n]
 			if s.Streams[t.Stream].Team != k || t.Taken < warmUpSeconds {
@@ -264,13 +264,13 @@
 					wait, censored = t.Ended-t.Taken, true
 				}
 				if !censored || wait > e.P90 {
-					heldCount++
+					queuedCount++
 					if !censored && wait <= e.P90 {
-						heldCovered++
+						queuedCovered++
 					}
 				}
 				if !censored || wait > e.P50 {
-					heldRatios = append(heldRatios, (wait+0.02)/(e.P50+0.02))
+					queuedRatios = append(queuedRatios, (wait+0.02)/(e.P50+0.02))
 				}
 			}
 		}
@@ -283,11 +283,11 @@
 			}
 			rejectedRatios = append(rejectedRatios, (w.Took+0.05)/(w.Told.P50+0.05))
 		}
-		slices.Sort(heldRatios)
+		slices.Sort(queuedRatios)
 		slices.Sort(rejectedRatios)
 		rows = append(rows,
-			Between(fmt.Sprintf("team %d, queued: wait / reported median", k), stat.Quantile(0.5, stat.Empirical, heldRatios, nil), 0.75, 1.25),
-			Between(fmt.Sprintf("team %d, queued: share within the reported 90th percentile", k), heldCovered/heldCount, 0.85, 0.95))
+			Between(fmt.Sprintf("team %d, queued: wait / reported median", k), stat.Quantile(0.5, stat.Empirical, queuedRatios, nil), 0.75, 1.25),
+			Between(fmt.Sprintf("team %d, queued: share within the reported 90th percentile", k), queuedCovered/queuedCount, 0.85, 0.95))
 		if len(rejectedRatios) > 0 {
 			rows = append(rows,
 				Between(fmt.Sprintf("team %d, rejected: wait / reported median", k), stat.Quantile(0.5, stat.Empirical, rejectedRatios, nil), 0.75, 1.25),
@@ -341,16 +341,16 @@
 func memorySpilling() (rows []Row, err error) {
 	var inTime, spilledWork []float64
 	for _, c := range []struct {
-		name    string
-		changes float64
-		guard   bool
+		name      string
+		changes   float64
+		protected bool
 	}{{"priorities lowered, spill protection", 20, true}, {"priorities lowered, no spill protection", 20, false}, {"priorities not lowered", 0, true}} {
 		s := poolSettings(6)
 		for k := range s.Engines {
 			s.Engines[k].Memory, s.Engines[k].Spill = 2800, 3
 		}
 		s.Teams = teamSpec(1, 1)
-		s.Teams.MaxPriorityChanges, s.Teams.ProtectSpilling = c.changes, c.guard
+		s.Teams.MaxPriorityChanges, s.Teams.ProtectSpilling = c.changes, c.protected
 		s.Length = 620
 		long, others := steadyStream(0, reportProfile, 1.5), steadyStream(1, reportProfile, 1)
 		s.Brain.Profiles = append(s.Brain.Profiles, admission.Profile{Target: 20, Stretch: 3, Benefit: 10, Threads: 2})
--- a/internal/measure/failover.go
+++ b/internal/measure/failover.go
@@ -31,7 +31,7 @@
 	}
 	virtual, err := runAll(
 		func() ([]Row, error) { return drawnDays(0, 600, 500) },
-		func() ([]Row, error) { return calmDays(30) },
+		func() ([]Row, error) { return daysWithoutFaults(30) },
 		func() ([]Row, error) { return lostZones(60) },
 		func() ([]Row, error) { return flapping(20) },
 		func() ([]Row, error) { return unreliableObservers(60) },
@@ -85,7 +85,8 @@
 		Length: 90, Faults: faults}
 }
 
-func calmDays(days uint64) ([]Row, error) {
+// daysWithoutFaults measures how close the plans come to the best possible on days without faults.
+func daysWithoutFaults(days uint64) ([]Row, error) {
 	share, changes := math.Inf(1), 0
 	for seed := range days {
 		r, err := zones.Play(daySettings(seed, zones.Planned))
@@ -143,15 +144,15 @@
 			returnDelays = append(returnDelays, b)
 		}
 	}
-	gain, half := confidenceInterval(gainsOverLocal)
-	over, halfOver := confidenceInterval(gainsOverLocality)
+	gain, gainHalfWidth := confidenceInterval(gainsOverLocal)
+	localityGain, localityHalfWidth := confidenceInterval(gainsOverLocality)
 	return []Row{
 		AtLeast("zone lost: benefit in 30 s / bound with full knowledge, mean", stat.Mean(benefitShares, nil), 0.95),
 		Figure("zone lost: the same, lowest day", slices.Min(benefitShares)),
 		Figure("zone lost: gain over the local rule, mean", gain),
-		Figure("zone lost: gain over the local rule, half of a 95 % interval", half),
-		Figure("zone lost: gain over locality with 1.4 and panic, mean", over),
-		Figure("zone lost: gain over locality, half of a 95 % interval", halfOver),
+		Figure("zone lost: gain over the local rule, half of a 95 % interval", gainHalfWidth),
+		Figure("zone lost: gain over locality with 1.4 and panic, mean", localityGain),
+		Figure("zone lost: gain over locality, half of a 95 % interval", localityHalfWidth),
 		Figure("zone lost: load offered under the local rule / zone capacity, max", localWorst),
 		AtMost("zone lost: seconds to a plan, p50", quantile(planDelays, 0.5), 2),
 		AtMost("zone lost: seconds to a plan, p99", quantile(planDelays, 0.99), 4),
@@ -188,7 +189,7 @@
 
 // unreliableObservers simulates observers that report false evidence and observers that are cut off.
 func unreliableObservers(days uint64) ([]Row, error) {
-	wronglyEvicted, cases := 0, 0
+	wronglyGivenUp, cases := 0, 0
 	for seed := range days {
 		for n, f := range []zones.Fault{{Kind: zones.Deaf}, {Kind: zones.Link}, {Kind: zones.OneWay}, {Kind: zones.Minority}, {Kind: zones.Controller}, {}} {
 			f.Zone, f.At, f.Until = int(seed)%3, 20, 50
@@ -203,11 +204,11 @@
 			}
 			cases++
 			if len(r.Given) > 0 {
-				wronglyEvicted++
+				wronglyGivenUp++
 			}
 		}
 	}
-	return []Row{AtLeast("observers cut off or reporting falsely (four in ten): cases", float64(cases), 100), AtMost("observers cut off or reporting falsely: healthy zones given up", float64(wronglyEvicted), 0)}, nil
+	return []Row{AtLeast("observers cut off or reporting falsely (four in ten): cases", float64(cases), 100), AtMost("observers cut off or reporting falsely: healthy zones given up", float64(wronglyGivenUp), 0)}, nil
 }
 
 // evidenceBytes measures the encoded size of a router's evidence about n zones with all figures present.
--- a/internal/measure/short.go
+++ b/internal/measure/short.go
@@ -16,7 +16,7 @@
 func shortFailover() ([]Row, error) {
 	return runAll(
 		func() ([]Row, error) { return drawnDays(0, 60, 60) },
-		func() ([]Row, error) { return calmDays(5) },
+		func() ([]Row, error) { return daysWithoutFaults(5) },
 		func() ([]Row, error) { return lostZones(9) },
 		func() ([]Row, error) { return flapping(20) }, // as many as in the full form: a mean over fewer days differs
 		func() ([]Row, error) { return unreliableObservers(unreliableObserverSeeds) },
--- a/internal/measure/state.go
+++ b/internal/measure/state.go
@@ -263,11 +263,11 @@
 	if err := s.Snapshot(body); err != nil {
 		return nil, err
 	}
-	quick, err := cbor.Marshal(warmstart.JournalRecord{Known: warmstart.Knowledge{Engines: maxSnapshot().Quick.Known.Engines[:500]}})
+	record, err := cbor.Marshal(warmstart.JournalRecord{Known: warmstart.Knowledge{Engines: maxSnapshot().Quick.Known.Engines[:500]}})
 	if err != nil {
 		return nil, err
 	}
-	for s.Append(quick) == nil {
+	for s.Append(record) == nil {
 	}
 	s.Close()
 	runtime.GC()
@@ -284,12 +284,12 @@
 		return nil, err
 	}
 	warmstart.Restore(k, []warmstart.JournalRecord{q}, warmstart.Timestamp{Wall: 2, Up: 2}, make([]uint64, warmstart.MaxProfiles), make([]float64, warmstart.MaxTenants))
-	took := time.Since(began)
+	elapsed := time.Since(began)
 	runtime.ReadMemStats(&after)
 	_, bytes := store.Size(dir, "n1")
 	return []Row{
 		Figure("a full folder, MB", float64(bytes)/(1<<20)),
-		AtMost("a full folder: ms to read and restore", float64(took.Microseconds())/1000, 500),
+		AtMost("a full folder: ms to read and restore", float64(elapsed.Microseconds())/1000, 500),
 		AtMost("a full folder: MB allocated in total for reading", float64(after.TotalAlloc-before.TotalAlloc)/(1<<20), 64),
 	}, nil
 }
@@ -454,7 +454,7 @@
 			AtMost(name+"rejected with state / rejected without state", stat.Mean(rejected[1][n], nil)/math.Max(stat.Mean(rejected[0][n], nil), 1e-9), 1.05))
 	}
 	return append(rows, Figure("restart at peak load: attempts per day to a server known to hang, without state", attemptsToHung[0]/float64(days)),
-		AtMost("restart at peak load: the same with state, relative to that", attemptsToHung[1]/max(attemptsToHung[0], 1), 0.8)), nil
+		AtMost("restart at peak load: attempts to that server with state / without state", attemptsToHung[1]/max(attemptsToHung[0], 1), 0.8)), nil
 }
 
 // rollingRestart restarts many routers one after another while a server hangs. The server recovers when the last routers come back, so all
