--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -381,7 +381,7 @@
 }
 
 // Recover waits until the control plane has recovered: the sessions of the given number of routers have been confirmed since the last
-// Mark, the registry contains no other sessions, and the given number of tasks are owned.
+// ResetConfirmed, the registry contains no other sessions, and the given number of tasks are owned.
 func (f *Fleet) Recover(since float64, routers, tasks int, timeout time.Duration) (r Recovery, err error) {
 	confirmed := false
 	var registry coordserver.Picture
--- a/internal/hollow/protocol.go
+++ b/internal/hollow/protocol.go
@@ -57,7 +57,7 @@
 	Error     string  `json:"error,omitempty"`
 	Live      int     `json:"live"`      // running routers
 	Open      int     `json:"open"`      // of these, with a session
-	Confirmed int     `json:"confirmed"` // of these, with a session confirmed since the last Mark
+	Confirmed int     `json:"confirmed"` // of these, with a session confirmed since the last ResetConfirmed
 	Last      float64 `json:"last"`      // boot clock time at which the last of the confirmed routers was first confirmed
 	Held      int     `json:"held"`      // tasks that the routers consider themselves owners of
 	Shares    int     `json:"shares"`    // pairs of a cold database and a router that has a usable share of it now
--- a/internal/hollow/router.go
+++ b/internal/hollow/router.go
@@ -51,7 +51,7 @@
 type state struct {
 	session          bool
 	snapshotsApplied int     // number of registry snapshots applied so far
-	confirmedAt      float64 // boot clock time of the first confirmation after the last Mark, 0 if none yet
+	confirmedAt      float64 // boot clock time of the first confirmation after the last ResetConfirmed, 0 if none yet
 	held             int
 	shares           int
 	stats            agent.Stats
--- a/internal/measure/owner.go
+++ b/internal/measure/owner.go
@@ -91,7 +91,7 @@
 	Wrong   string
 }
 
-// SaySeeds runs Seeds and returns the result as JSON. Each process runs only one Seeds at a time, because raft has one random source per
+// SaySeeds calls RunSeeds and returns the result as JSON. Each process runs only one RunSeeds at a time, because raft has one random source per
 // process.
 func SaySeeds(from, count uint64, seconds float64) ([]byte, error) {
 	f, n, err := Seeds(from, count, seconds)
@@ -168,8 +168,8 @@
 	}
 }
 
-func fleetScenario(name string, routers, engines int) scenario.File {
-	return scenario.File{Name: name, Keepers: 3, Routers: routers, Zones: 2, Engines: engines, Lease: rigLease, Drift: 0.05, Folders: true, Settle: 30}
+func fleetScenario(name string, routers, servers int) scenario.File {
+	return scenario.File{Name: name, Keepers: 3, Routers: routers, Zones: 2, Engines: servers, Lease: rigLease, Drift: 0.05, Folders: true, Settle: 30}
 }
 
 // startRig creates a fault rig and starts its processes. The returned function ends them and removes their folder.
