--- a/internal/hollow/sampler.go
+++ b/internal/hollow/sampler.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Peak is the most that was seen of the fleet's processes.
+// Peak is the highest resource usage observed for the fleet's processes.
 type Peak struct {
-	Core        float64 // of the busiest coordinator, over a second
-	Bytes       float64 // a second, in and out, of the busiest coordinator
-	MemoryMB    float64 // of all processes together, this one among them
-	Coordinator float64 // MB of the largest coordinator
-	Descriptors int     // of the coordinator that has most
+	Core        float64 // cores used by the busiest coordinator, over a second
+	Bytes       float64 // bytes per second, in and out, of the busiest coordinator
+	MemoryMB    float64 // of all processes together, including this one
+	Coordinator float64 // memory in MB of the largest coordinator
+	Descriptors int     // open descriptors of the coordinator with the most
 	Processes   int
 }
 
-// sampler looks at all processes once a second.
+// sampler reads the resource usage of all processes once a second.
 type sampler struct {
 	fleet *Fleet
 	stop  chan struct{}
 	ended chan struct{}
 
-	mu   sync.Mutex
-	peak Peak
-	over error // a bound of the machine that was passed
+	mu       sync.Mutex
+	peak     Peak
+	limitErr error // set once a limit of the machine was exceeded
 }
 
-const sampleEvery = time.Second
+const sampleInterval = time.Second
 
 func newSampler(f *Fleet) *sampler {
 	s := &sampler{fleet: f, stop: make(chan struct{}), ended: make(chan struct{})}
@@ -38,7 +38,7 @@
 
 func (s *sampler) run() {
 	defer close(s.ended)
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	last := map[int]Usage{}
 	at := time.Now()
@@ -48,27 +48,27 @@
 			return
 		case <-tick.C:
 		}
-		took := time.Since(at).Seconds()
+		elapsed := time.Since(at).Seconds()
 		at = time.Now()
-		last = s.sample(last, took)
+		last = s.sample(last, elapsed)
 	}
 }
 
-// sample all processes once; last is what they had used before, by process.
-func (s *sampler) sample(last map[int]Usage, took float64) map[int]Usage {
+// sample reads the usage of all processes once. previous is the coordinators' usage at the last sample, by process id.
+func (s *sampler) sample(previous map[int]Usage, elapsed float64) map[int]Usage {
 	now := map[int]Usage{}
-	all := Peak{Processes: 1}
+	total := Peak{Processes: 1}
 	add := func(pid int) (Usage, bool) {
 		u, err := usageOf(pid)
 		if err != nil {
-			return u, false // it has just ended
+			return u, false // the process has just ended
 		}
-		all.MemoryMB += u.MemoryMB
-		all.Processes++
+		total.MemoryMB += u.MemoryMB
+		total.Processes++
 		return u, true
 	}
 	if u, err := usageOf(os.Getpid()); err == nil {
-		all.MemoryMB += u.MemoryMB
+		total.MemoryMB += u.MemoryMB
 	}
 	for _, w := range s.fleet.workers {
 		add(w.cmd.Process.Pid)
@@ -79,36 +79,37 @@
 			continue
 		}
 		now[pid] = u
-		all.Coordinator = max(all.Coordinator, u.MemoryMB)
-		all.Descriptors = max(all.Descriptors, u.Descriptors)
-		if before, ok := last[pid]; ok {
-			all.Core = max(all.Core, (u.Core-before.Core)/took)
-			all.Bytes = max(all.Bytes, (u.Transferred-before.Transferred)/took)
+		total.Coordinator = max(total.Coordinator, u.MemoryMB)
+		total.Descriptors = max(total.Descriptors, u.Descriptors)
+		if before, ok := previous[pid]; ok {
+			total.Core = max(total.Core, (u.Core-before.Core)/elapsed)
+			total.Bytes = max(total.Bytes, (u.Transferred-before.Transferred)/elapsed)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peak.Raise(all)
-	if all.MemoryMB > MostMemoryMB || all.Processes > MostProcesses {
-		s.over = fmt.Errorf("%d processes take %.0f MB: %d and %d are the most", all.Processes, all.MemoryMB, MostProcesses, MostMemoryMB)
+	s.peak.Raise(total)
+	if total.MemoryMB > MostMemoryMB || total.Processes > MostProcesses {
+		s.limitErr = fmt.Errorf("%d processes use %.0f MB: the limits are %d processes and %d MB", total.Processes, total.MemoryMB, MostProcesses, MostMemoryMB)
 	}
 	return now
 }
 
-// Raise to another's figures where those are more.
+// Raise sets each figure to the larger one of p and o.
 func (p *Peak) Raise(o Peak) {
 	p.Core, p.Bytes = max(p.Core, o.Core), max(p.Bytes, o.Bytes)
 	p.MemoryMB, p.Coordinator = max(p.MemoryMB, o.MemoryMB), max(p.Coordinator, o.Coordinator)
 	p.Descriptors, p.Processes = max(p.Descriptors, o.Descriptors), max(p.Processes, o.Processes)
 }
 
+// err returns an error if a limit of the machine was exceeded. It works on a nil sampler.
 func (s *sampler) err() error {
 	if s == nil {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over
+	return s.limitErr
 }
 
 func (s *sampler) close() {
@@ -116,7 +117,7 @@
 	<-s.ended
 }
 
-// TakePeak is the most that was seen since the last call.
+// TakePeak returns the peak since the last call and resets it.
 func (f *Fleet) TakePeak() Peak {
 	f.sampler.mu.Lock()
 	defer f.sampler.mu.Unlock()
--- a/internal/measure/owner.go
+++ b/internal/measure/owner.go
@@ -26,36 +26,36 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-const ownerLease = 2.0 // seconds, of the processes here: a usual one would leave time for few losses
+const rigLease = 2.0 // seconds; shorter than usual, as a usual lease would leave time for only a few losses of owners
 
-// Owner measures over processes, in virtual time and by walking all states; what costs processor time is shared out so that
-// it takes under a minute on four cores.
+// Owner measures task ownership with real processes, on virtual time and by exploring all states. Parts that need much CPU time run in
+// parallel, so that it takes under a minute on four cores.
 func Owner() ([]Row, error) {
-	bin, err := programs()
+	bin, err := programFolder()
 	if err != nil {
 		return nil, err
 	}
-	rows, err := each(
-		func() ([]Row, error) { return virtual(12) },
-		func() ([]Row, error) { return keepersLost(bin) },
-		func() ([]Row, error) { return sessions(bin, 300) },
-		func() ([]Row, error) { return walk(modelcheck.Short) },
-		func() ([]Row, error) { return atRest(bin) },
+	rows, err := runAll(
+		func() ([]Row, error) { return virtualRuns(12) },
+		func() ([]Row, error) { return coordinatorsLost(bin) },
+		func() ([]Row, error) { return sessionCost(bin, 300) },
+		func() ([]Row, error) { return exploreStates(modelcheck.Short) },
+		func() ([]Row, error) { return idleMemory(bin) },
 	)
 	if err != nil {
 		return nil, err
 	}
-	// Times are measured alone: three hundred sessions beside them on the same cores are no part of the program's own time.
-	gaps, err := handOver(bin)
+	// Times are measured with nothing else running: three hundred sessions on the same cores would add to them.
+	gaps, err := handoverTimes(bin)
 	if err != nil {
 		return nil, err
 	}
-	cost, err := decision()
+	cost, err := decisionCost()
 	return append(append(rows, gaps...), cost...), err
 }
 
-// programs is the folder that this one lies in, where the others lie beside it.
-func programs() (string, error) {
+// programFolder returns the folder of this program, which must also contain the programs of the fleet.
+func programFolder() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
@@ -63,13 +63,14 @@
 	dir := filepath.Dir(self)
 	for _, name := range []string{"dunereach", "dunefleet", "dunekeep", "dunecheck"} {
 		if _, err := os.Stat(filepath.Join(dir, name)); err != nil {
-			return "", fmt.Errorf("%s is not beside this program: `make build` first", name)
+			return "", fmt.Errorf("%s is missing in the folder of this program: run `make build` first", name)
 		}
 	}
 	return dir, nil
 }
 
-// Seeds plays drawn runs from one seed on until the time is over, or so many were played.
+// Seeds simulates random runs of a fleet from a seed on, until the given number of runs or seconds is reached. It stops at the first
+// error, and returns the combined figures and the number of runs played.
 func Seeds(from, count uint64, seconds float64) (all fleetworld.Figures, played uint64, err error) {
 	for end := time.Now().Add(time.Duration(seconds * 1e9)); played < count && time.Now().Before(end); played++ {
 		f, err := fleetworld.Play(fleetworld.Drawn(from+played), nil)
@@ -83,30 +84,33 @@
 	return all, played, nil
 }
 
-type seedsSaid struct {
+// seedsResult is written as JSON by the Go names of its fields.
+type seedsResult struct {
 	Figures fleetworld.Figures
 	Played  uint64
 	Wrong   string
 }
 
-// SaySeeds is Seeds for a process of its own: raft draws its chance from one source a process.
+// SaySeeds calls RunSeeds and returns the result as JSON. Each process runs only one RunSeeds at a time, because raft has one random source per
+// process.
 func SaySeeds(from, count uint64, seconds float64) ([]byte, error) {
 	f, n, err := Seeds(from, count, seconds)
-	s := seedsSaid{f, n, ""}
+	s := seedsResult{f, n, ""}
 	if err != nil {
 		s.Wrong = err.Error()
 	}
 	return json.Marshal(s)
 }
 
-// drawnRuns has processes play drawn runs side by side, so many from a seed on in all, for so long at the most.
+// drawnRuns simulates random runs in several worker processes in parallel: count runs in total from a seed on, for at most the given
+// number of seconds.
 func drawnRuns(from, count uint64, seconds float64, workers uint64) (f fleetworld.Figures, runs uint64, wrong []string, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return f, 0, nil, err
 	}
 	var group errgroup.Group
-	said := make([]seedsSaid, workers)
+	results := make([]seedsResult, workers)
 	for k := range workers {
 		first, next := from+count*k/workers, from+count*(k+1)/workers
 		group.Go(func() error {
@@ -114,13 +118,13 @@
 			if err != nil {
 				return fmt.Errorf("fleet-seeds: %v", err)
 			}
-			return json.Unmarshal(out, &said[k])
+			return json.Unmarshal(out, &results[k])
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return f, 0, nil, err
 	}
-	for _, s := range said {
+	for _, s := range results {
 		runs += s.Played
 		if s.Wrong != "" {
 			wrong = append(wrong, s.Wrong)
@@ -131,16 +135,16 @@
 	return f, runs, wrong, nil
 }
 
-// Explore plays that many drawn runs of a fleet on virtual time, on all cores.
+// Explore simulates the given number of random runs of a fleet on virtual time, on all cores.
 func Explore(from, count uint64, seconds float64) ([]Row, error) {
 	f, runs, wrong, err := drawnRuns(from, count, seconds, uint64(runtime.GOMAXPROCS(0)))
 	if err != nil {
 		return nil, err
 	}
-	return append(virtualRows(f, runs, wrong), AtLeast("virtual time: of the runs asked for", float64(runs)/float64(count), 1)), nil
+	return append(virtualRows(f, runs, wrong), AtLeast("virtual time: share of the requested runs played", float64(runs)/float64(count), 1)), nil
 }
 
-func virtual(seconds float64) ([]Row, error) {
+func virtualRuns(seconds float64) ([]Row, error) {
 	f, runs, wrong, err := drawnRuns(1000, 2_000_000, seconds, 2)
 	if err != nil {
 		return nil, err
@@ -153,23 +157,23 @@
 		fmt.Fprintln(os.Stderr, w)
 	}
 	return []Row{
-		AtLeast("virtual time: drawn runs", float64(runs), 50),
-		AtMost("virtual time: runs with something wrong", float64(len(wrong)), 0),
-		AtMost("virtual time: moments with two owners that may act", float64(f.Twice), 0),
-		AtMost("virtual time: live parts over an allowance, at most", f.Worst, 1+1e-9),
-		AtLeast("virtual time: words under an old fence, all refused", float64(f.OldTried), 1),
-		AtLeast("virtual time: deals that came after their life, all refused", float64(f.Late), 1),
-		Figure("virtual time: works lost", float64(f.Lost)),
-		Figure("virtual time: operations in histories that porcupine found in order", float64(f.Operations)),
+		AtLeast("virtual time: random runs", float64(runs), 50),
+		AtMost("virtual time: runs with a violation", float64(len(wrong)), 0),
+		AtMost("virtual time: times with two owners allowed to act", float64(f.Twice), 0),
+		AtMost("virtual time: valid shares / allowance, max", f.Worst, 1+1e-9),
+		AtLeast("virtual time: messages under a stale fence, all refused", float64(f.OldTried), 1),
+		AtLeast("virtual time: grants that arrived after they expired, all refused", float64(f.Late), 1),
+		Figure("virtual time: tasks lost", float64(f.Lost)),
+		Figure("virtual time: operations in histories that porcupine found linearizable", float64(f.Operations)),
 	}
 }
 
-func fleetOf(name string, routers, engines int) scenario.File {
-	return scenario.File{Name: name, Keepers: 3, Routers: routers, Zones: 2, Engines: engines, Lease: ownerLease, Drift: 0.05, Folders: true, Settle: 30}
+func fleetScenario(name string, routers, servers int) scenario.File {
+	return scenario.File{Name: name, Keepers: 3, Routers: routers, Zones: 2, Engines: servers, Lease: rigLease, Drift: 0.05, Folders: true, Settle: 30}
 }
 
-// started is a rig whose processes run.
-func started(f scenario.File, bin string, load bool) (*faultrig.Rig, func(), error) {
+// startRig creates a fault rig and starts its processes. The returned function ends them and removes their folder.
+func startRig(f scenario.File, bin string, load bool) (*faultrig.Rig, func(), error) {
 	dir, err := os.MkdirTemp("", "dunerig")
 	if err != nil {
 		return nil, nil, err
@@ -191,8 +195,8 @@
 	return r, end, nil
 }
 
-// handOver takes owners away, by SIGKILL and by SIGTERM, and tells how long their works were nobody's.
-func handOver(bin string) ([]Row, error) {
+// handoverTimes ends owners by SIGKILL and by SIGTERM, and measures how long their tasks had no owner.
+func handoverTimes(bin string) ([]Row, error) {
 	const rigs, seconds = 2, 18.0
 	gaps := map[string][]float64{}
 	var all faultrig.Figures
@@ -200,7 +204,7 @@
 	var group errgroup.Group
 	for k := range rigs {
 		group.Go(func() error {
-			r, end, err := started(fleetOf("hand-over", 6, 3), bin, false)
+			r, end, err := startRig(fleetScenario("hand-over", 6, 3), bin, false)
 			if err != nil {
 				return err
 			}
@@ -209,16 +213,16 @@
 				return fmt.Errorf("%v\n%s", err, r.Tail())
 			}
 			before := 0
-			for until, n := time.Now().Add(time.Duration(seconds*1e9)), k; time.Now().Before(until); n++ {
-				how := []string{"kill", "end", "end"}[n%3]
-				who := r.Note()
-				if who == "" {
+			for deadline, n := time.Now().Add(time.Duration(seconds*1e9)), k; time.Now().Before(deadline); n++ {
+				action := []string{"kill", "end", "end"}[n%3]
+				owner := r.Note()
+				if owner == "" {
 					if err := r.Await("owned"); err != nil {
 						return err
 					}
 					continue
 				}
-				if err := r.Do(how, who); err != nil {
+				if err := r.Do(action, owner); err != nil {
 					return err
 				}
 				if err := r.Await("moved"); err != nil {
@@ -227,12 +231,12 @@
 				if err := r.Await("owned"); err != nil {
 					return err
 				}
-				if err := r.Do("start", who); err != nil {
+				if err := r.Do("start", owner); err != nil {
 					return err
 				}
 				f := r.Figures()
 				mu.Lock()
-				gaps[how] = append(gaps[how], f.Gaps[before:]...)
+				gaps[action] = append(gaps[action], f.Gaps[before:]...)
 				mu.Unlock()
 				before = len(f.Gaps)
 			}
@@ -251,22 +255,22 @@
 		fmt.Fprintln(os.Stderr, w)
 	}
 	rows := []Row{
-		AtMost("processes: acts under an old fence", float64(all.Old), 0),
+		AtMost("processes: acts under a stale fence", float64(all.Old), 0),
 		AtLeast("processes: acts", float64(all.Acts), 100),
-		AtMost("processes: live parts over an allowance, at most", all.Worst, 1+1e-9),
-		AtMost("processes: other things wrong", float64(len(all.Wrong)-all.Old), 0),
+		AtMost("processes: valid shares / allowance, max", all.Worst, 1+1e-9),
+		AtMost("processes: other violations", float64(len(all.Wrong)-all.Old), 0),
 	}
-	for _, how := range []string{"kill", "end"} {
-		if len(gaps[how]) == 0 {
-			return nil, errors.New("no owner was taken away by " + how)
+	for _, action := range []string{"kill", "end"} {
+		if len(gaps[action]) == 0 {
+			return nil, errors.New("no owner was ended by " + action)
 		}
 	}
 	rows = append(rows,
 		Figure("next owner's first act after a loss, p50 s", quantile(gaps["kill"], 0.5)),
-		AtMost("next owner's first act after a loss, p99 s", quantile(gaps["kill"], 0.99), ownerLease+1),
+		AtMost("next owner's first act after a loss, p99 s", quantile(gaps["kill"], 0.99), rigLease+1),
 		Figure("next owner's first act after SIGTERM, p50 s", quantile(gaps["end"], 0.5)),
 		AtMost("next owner's first act after SIGTERM, p99 s", quantile(gaps["end"], 0.99), 0.3),
-		AtLeast("works that were handed over", float64(len(gaps["kill"])+len(gaps["end"])), 20))
+		AtLeast("tasks handed over", float64(len(gaps["kill"])+len(gaps["end"])), 20))
 	return rows, nil
 }
 
@@ -275,14 +279,14 @@
 	return stat.Quantile(q, stat.Empirical, x, nil)
 }
 
-// keepersLost compares a fleet whose keepers are all killed with one whose keepers stay.
-func keepersLost(bin string) ([]Row, error) {
-	const before, after = 7 * time.Second, 14 * time.Second // deals are out; leases and pledges run out, and time beyond
+// coordinatorsLost compares a fleet whose coordinators are all killed with one whose coordinators keep running.
+func coordinatorsLost(bin string) ([]Row, error) {
+	const before, after = 7 * time.Second, 14 * time.Second // until grants are issued; until leases and relinquishments have expired, and some time beyond
 	var figures [2]faultrig.Figures
 	var group errgroup.Group
 	for k := range figures {
 		group.Go(func() error {
-			r, end, err := started(fleetOf("keepers lost", 4, 2), bin, true)
+			r, end, err := startRig(fleetScenario("coordinators lost", 4, 2), bin, true)
 			if err != nil {
 				return err
 			}
@@ -305,23 +309,24 @@
 	}
 	with, without := figures[0], figures[1]
 	return []Row{
-		AtLeast("commands with keepers", float64(with.Asked), 500),
-		AtLeast("commands without", float64(without.Asked), 500),
-		AtMost("commands failed because of keepers lost", float64(without.Failed-with.Failed), 0),
-		AtMost("commands without an answer because of keepers lost", float64(without.Cut-with.Cut), 0),
-		Figure("commands shed with keepers, share", float64(with.Shed)/float64(with.Asked)),
-		AtMost("commands shed without, share", float64(without.Shed)/float64(without.Asked), 0.02+float64(with.Shed)/float64(with.Asked)),
+		AtLeast("requests with coordinators", float64(with.Asked), 500),
+		AtLeast("requests without", float64(without.Asked), 500),
+		AtMost("requests failed because of lost coordinators", float64(without.Failed-with.Failed), 0),
+		AtMost("requests without an answer because of lost coordinators", float64(without.Cut-with.Cut), 0),
+		Figure("requests rejected with coordinators, share", float64(with.Shed)/float64(with.Asked)),
+		AtMost("requests rejected without, share", float64(without.Shed)/float64(without.Asked), 0.02+float64(with.Shed)/float64(with.Asked)),
 	}, nil
 }
 
-// sessions opens so many with real keepers and tells what they cost: idle, and with four cold engines to deal out.
-func sessions(bin string, many int) ([]Row, error) {
+// sessionCost opens the given number of sessions with real coordinators and measures their cost: idle, and with four cold servers to
+// grant shares of.
+func sessionCost(bin string, count int) ([]Row, error) {
 	r, end, err := func() (*faultrig.Rig, func(), error) {
 		dir, err := os.MkdirTemp("", "dunerig")
 		if err != nil {
 			return nil, nil, err
 		}
-		f := fleetOf("sessions", 1, 1)
+		f := fleetScenario("sessions", 1, 1)
 		f.Lease = 4
 		r, err := faultrig.New(f, bin, dir, nil)
 		if err != nil {
@@ -335,53 +340,53 @@
 	defer end()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var cold sync.Map // whether there are cold engines: "on"
+	var coldServers sync.Map // contains "on" once there are cold servers
 	group, ctx := errgroup.WithContext(ctx)
 	var clients []*coordserver.Client
-	opened := make(chan bool, many)
-	for n := range many {
+	opened := make(chan bool, count)
+	for n := range count {
 		c := coordserver.NewClient(r.Fronts(), "")
 		clients = append(clients, c)
 		m := agent.New(agent.Config{Name: fmt.Sprint("s", n+1), Zone: fmt.Sprint("z", n%2+1), Incarnation: uint64(n + 1), Seed: uint64(n + 77),
-			CandidateKinds: []string{agent.WarmUpKind}, RouterCount: many, Window: 1, StartedAt: boottime.Now(), CleanStart: true}, agent.PersistentState{})
+			CandidateKinds: []string{agent.WarmUpKind}, RouterCount: count, Window: 1, StartedAt: boottime.Now(), CleanStart: true}, agent.PersistentState{})
 		d := agentdriver.NewDriver(m, c)
 		d.Run(ctx, group)
 		group.Go(func() error {
 			tick := time.NewTicker(100 * time.Millisecond)
 			defer tick.Stop()
-			said := false
+			reported := false
 			for {
 				select {
 				case <-ctx.Done():
 					return nil
-				case take := <-d.News():
-					take()
+				case handle := <-d.News():
+					handle()
 				case <-tick.C:
 					var demand agent.Demand
-					if _, on := cold.Load("on"); on {
+					if _, on := coldServers.Load("on"); on {
 						for e := range 4 {
-							demand.ColdServers = append(demand.ColdServers, agent.ColdServer{Server: agent.Server{ID: uint32(e + 1), Start: 1}, Need: 2 / float64(many)})
+							demand.ColdServers = append(demand.ColdServers, agent.ColdServer{Server: agent.Server{ID: uint32(e + 1), Start: 1}, Need: 2 / float64(count)})
 						}
 					}
 					now := boottime.Now()
 					m.SetDemand(now, demand)
 					d.Put(m.Tick(now))
 				}
-				if !said && m.Session() != 0 {
-					said = true
+				if !reported && m.Session() != 0 {
+					reported = true
 					opened <- true
 				}
 			}
 		})
 	}
-	for range many {
+	for range count {
 		select {
 		case <-opened:
 		case <-time.After(20 * time.Second):
 			return nil, errors.New("not all sessions opened in 20 s")
 		}
 	}
-	usage := func() (all [3]float64, calls, bytes float64, err error) {
+	usage := func() (all [3]float64, requests, bytes float64, err error) {
 		for k := range all {
 			if all[k], _, err = r.CPU(fmt.Sprint("k", k+1)); err != nil {
 				return
@@ -389,67 +394,69 @@
 		}
 		for _, c := range clients {
 			n, b := c.Traffic()
-			calls, bytes = calls+float64(n), bytes+float64(b)
+			requests, bytes = requests+float64(n), bytes+float64(b)
 		}
 		return
 	}
-	measure := func(seconds float64) (cores, calls, bytes float64, err error) {
+	measure := func(seconds float64) (cores, requests, bytes float64, err error) {
 		a, c0, b0, err := usage()
 		if err != nil {
 			return
 		}
 		began := time.Now()
-		time.Sleep(time.Duration(seconds * 1e9)) // what is measured is a rate
+		time.Sleep(time.Duration(seconds * 1e9)) // rates are measured over this time
 		b, c1, b1, err := usage()
 		took := time.Since(began).Seconds()
 		for k := range a {
 			cores = max(cores, (b[k]-a[k])/took)
 		}
-		return cores, (c1 - c0) / took / float64(many), (b1 - b0) / took / float64(many), err
+		return cores, (c1 - c0) / took / float64(count), (b1 - b0) / took / float64(count), err
 	}
-	time.Sleep(2 * time.Second) // connections are up
-	idle, idleCalls, idleBytes, err := measure(8)
+	time.Sleep(2 * time.Second) // until connections are up
+	idle, idleRequests, idleBytes, err := measure(8)
 	if err != nil {
 		return nil, err
 	}
-	cold.Store("on", true)
-	time.Sleep(4 * time.Second) // owners are found, and the last ones' deals waited out
-	busy, busyCalls, busyBytes, err := measure(6)
+	coldServers.Store("on", true)
+	time.Sleep(4 * time.Second) // until tasks have owners and the grants of earlier owners have expired
+	busy, busyRequests, busyBytes, err := measure(6)
 	cancel()
 	group.Wait()
 	if err != nil {
 		return nil, err
 	}
 	return []Row{
-		AtMost("300 sessions: the busiest keeper, cores", idle, 0.1),
-		AtMost("300 sessions: calls a router and second", idleCalls, 3),
-		AtMost("300 sessions: bytes a router and second", idleBytes, 4096),
-		Figure("300 sessions and four cold engines: the busiest keeper, cores", busy),
-		Figure("300 sessions and four cold engines: calls a router and second", busyCalls),
-		Figure("300 sessions and four cold engines: bytes a router and second", busyBytes),
+		AtMost("300 sessions: the busiest coordinator, cores", idle, 0.1),
+		AtMost("300 sessions: requests per router and second", idleRequests, 3),
+		AtMost("300 sessions: bytes per router and second", idleBytes, 4096),
+		Figure("300 sessions and four cold servers: the busiest coordinator, cores", busy),
+		Figure("300 sessions and four cold servers: requests per router and second", busyRequests),
+		Figure("300 sessions and four cold servers: bytes per router and second", busyBytes),
 	}, nil
 }
 
-func walk(b modelcheck.Bounds) ([]Row, error) {
+// exploreStates checks the rules of ownership in all states of a small model. The number of violations is NaN, which is never within
+// bounds, if not all states were explored.
+func exploreStates(b modelcheck.Bounds) ([]Row, error) {
 	began := time.Now()
-	states, whole, err := modelcheck.Walk(b)
-	wrong := 0.0
+	states, complete, err := modelcheck.Walk(b)
+	violations := 0.0
 	if err != nil {
-		wrong = 1
+		violations = 1
 		fmt.Fprintln(os.Stderr, err)
 	}
-	if !whole {
-		wrong = math.NaN()
+	if !complete {
+		violations = math.NaN()
 	}
 	return []Row{
-		AtLeast("states explored, all orders of two owners and a receiver", float64(states), 10_000),
-		AtMost("states with a rule broken", wrong, 0),
-		Figure("seconds that it took", time.Since(began).Seconds()),
+		AtLeast("states explored, all interleavings of two owners and a receiver", float64(states), 10_000),
+		AtMost("states that break a rule", violations, 0),
+		Figure("seconds for exploring the states", time.Since(began).Seconds()),
 	}, nil
 }
 
-// atRest starts a router without the fleet, and one with keepers that don't answer.
-func atRest(bin string) ([]Row, error) {
+// idleMemory measures the memory of an idle router without the fleet, and of one whose coordinators don't answer.
+func idleMemory(bin string) ([]Row, error) {
 	var memory [2]float64
 	for k := range memory {
 		dir, err := os.MkdirTemp("", "dunerig")
@@ -457,7 +464,7 @@
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
-		f := fleetOf("at rest", 1, 1)
+		f := fleetScenario("idle", 1, 1)
 		f.Keepers = k
 		r, err := faultrig.New(f, bin, dir, nil)
 		if err != nil {
@@ -467,16 +474,16 @@
 			r.Close()
 			return nil, err
 		}
-		time.Sleep(2 * time.Second) // at rest
+		time.Sleep(2 * time.Second) // until the router is idle
 		_, memory[k], err = r.CPU("n1")
 		r.Close()
 		if err != nil {
 			return nil, err
 		}
 	}
-	const before = 8.7 // MB, of the version without a fleet
+	const baselineMB = 8.7 // memory of an idle router in the version before the fleet existed
 	return []Row{
-		AtMost("router at rest without the section, MB", memory[0], before+0.5),
-		AtMost("router at rest with it, MB", memory[1], 16),
+		AtMost("idle router without fleet settings, MB", memory[0], baselineMB+0.5),
+		AtMost("idle router with fleet settings, MB", memory[1], 16),
 	}, nil
 }
