--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -13,53 +13,54 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Status of an expectation.
+// Status is the result of checking an expectation.
 type Status string
 
-// The statuses, as reports show them.
+// The statuses. Their values appear in reports.
 const (
 	Passed Status = "passed"
 	Failed Status = "failed"
-	Void   Status = "void"            // it names what the list does not have
-	Idle   Status = "never exercised" // no moment met its conditions
+	Void   Status = "void"            // the expectation names a server that is not in the server list
+	Idle   Status = "never exercised" // no observed event met the conditions
 	Broken Status = "can't be read"
 )
 
-// Outcome of one expectation.
+// Outcome is the result of checking one expectation.
 type Outcome struct {
 	File      string   `json:"file"`
 	Name      string   `json:"name"`
 	Says      string   `json:"says"`
 	Status    Status   `json:"status"`
 	Why       string   `json:"why,omitempty"`
-	Seed      uint64   `json:"seed,omitempty"` // that it failed with
-	At        float64  `json:"at,omitempty"`   // the first moment at which it was broken
-	Knew      string   `json:"knew,omitempty"` // what the router knew then
+	Seed      uint64   `json:"seed,omitempty"` // the seed that it failed with
+	At        float64  `json:"at,omitempty"`   // time of the first violation, in seconds
+	Knew      string   `json:"knew,omitempty"` // the router's state at that time
 	Exercised int      `json:"exercised"`
-	Margin    float64  `json:"margin"` // the least, over holds and seeds: share over the least, seconds to spare; 1 where there is none
+	Margin    float64  `json:"margin"` // smallest over holds and seeds: share above the required share, or seconds to spare; 1 if neither applies
 	Trace     []string `json:"trace,omitempty"`
 	Seconds   float64  `json:"seconds"`
 }
 
-// Good tells whether it counts as held.
+// Held reports whether the expectation passed.
 func (o *Outcome) Good() bool { return o.Status == Passed }
 
 // Options of a check.
 type Options struct {
-	Seed  uint64        // only this one, 0: those that each names
-	Trace bool          // keep the trace of what fails, cut short
-	Bound time.Duration // of one expectation, 0: half a minute
-	Cores int           // 0: all
+	Seed  uint64        // the only seed to use; 0: the seeds of each expectation
+	Trace bool          // keep a reduced trace of failures
+	Bound time.Duration // time limit of one expectation; 0: half a minute
+	Cores int           // expectations checked in parallel; 0: one per core of the machine
 	Seen  func(done int)
 }
 
+// expectationCheck is one expectation with the file that it comes from.
 type expectationCheck struct {
 	source      Source
 	file        *File
 	expectation *Expectation
 }
 
-// Check tries all expectations of the sources. The outcomes stand in the order of the sources, whatever the cores.
+// Check checks all expectations of the sources. The outcomes are in the order of the sources, for any number of cores.
 func Check(u Under, sources []Source, o Options) []Outcome {
 	var all []expectationCheck
 	var out []Outcome
@@ -99,12 +100,13 @@
 	return out
 }
 
+// check simulates the expectation with each seed until one fails.
 func (a expectationCheck) check(u Under, o Options) (out Outcome) {
 	began := time.Now()
 	out = Outcome{File: a.source.Name, Name: a.expectation.Name, Says: a.expectation.Says, Status: Passed, Margin: 1}
 	defer func() {
 		out.Seconds = time.Since(began).Seconds()
-		if p := recover(); p != nil { // of the module: that is a finding, not the checker's end
+		if p := recover(); p != nil { // a panic in the module under test is a failure of the expectation and must not end the checker
 			out.Status, out.Why = Failed, fmt.Sprintf("the module failed: %v", p)
 		}
 	}()
@@ -151,20 +153,21 @@
 	return out
 }
 
-// run is what playing an expectation once came to.
+// run is the result of simulating an expectation once.
 type run struct {
 	simulation  *simulation
 	conditions  []*hold
 	exercised   int
 	margin      float64
-	failure     string // the hold that broke and how, "": none
+	failure     string // the hold that was violated and how; "": none
 	path        string
 	violatedAt  float64
 	routerState string
 	client      uint64
-	traceLines  []string
+	lines       []string
 }
 
+// play simulates the expectation with one seed, without the parts that c omits.
 func (a expectationCheck) play(ctx context.Context, u Under, seed uint64, c *reduction) (*run, error) {
 	w, err := newSimulation(u, a.file, a.expectation, seed)
 	if err != nil {
@@ -217,11 +220,10 @@
 	return r, nil
 }
 
-func (r *run) record(w *simulation, m *cluster.Moment) {
-	r.traceLines = append(r.traceLines, w.traceLine(m))
-}
+// record adds an event to the trace.
+func (r *run) record(w *simulation, m *cluster.Moment) { r.lines = append(r.lines, w.traceLine(m)) }
 
-// Count outcomes by status.
+// Count counts outcomes by status.
 func Count(all []Outcome) map[Status]int {
 	n := map[Status]int{}
 	for k := range all {
@@ -230,6 +232,7 @@
 	return n
 }
 
+// sorted returns the keys of a map in ascending order.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/expect/cli.go
+++ b/internal/expect/cli.go
@@ -11,10 +11,10 @@
 	"github.com/spf13/cobra"
 )
 
-// ErrNotHeld is returned where all expectations were read and some do not hold.
+// ErrNotHeld is returned if all expectations could be read and some do not hold.
 var ErrNotHeld = errors.New("not all expectations hold")
 
-// invocation is one call of the command `expect`: its flags.
+// invocation holds the flags of one run of the command `expect`.
 type invocation struct {
 	Options
 	out                                     io.Writer
@@ -26,7 +26,8 @@
 	checkSchema                             func([]byte) error
 }
 
-// Command returns the command `expect`, as dunereach and dunecheck have it. It prints to out; check checks a text against the schema.
+// Command returns the command `expect` of dunereach and dunecheck. It prints to out; check validates a text against the
+// schema.
 func Command(env func(string) string, out io.Writer, check func([]byte) error) *cobra.Command {
 	v := &invocation{out: out, checkSchema: check}
 	c := &cobra.Command{
@@ -77,7 +78,7 @@
 	if v.mutate {
 		return runMutations(u, sources, v.Options, v.out)
 	}
-	if terminal(os.Stderr) { // progress
+	if terminal(os.Stderr) { // report progress
 		v.Seen = func(done int) { fmt.Fprintf(os.Stderr, "\r%d done ", done) }
 		defer fmt.Fprint(os.Stderr, "\r")
 	}
@@ -88,7 +89,7 @@
 	return v.reportOutcomes(all)
 }
 
-// printDifferences prints how the outcomes printDifferences from those under an older configuration.
+// printDifferences prints how the outcomes differ from those under an older configuration.
 func (v *invocation) printDifferences(sources []Source, all []Outcome) error {
 	old, err := readConfigurations(v.oldConfigFile, v.operatorFile)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// reportOutcomes prints the outcomes, keeps or compares their figures, and returns ErrNotHeld where some do not hold.
+// reportOutcomes prints the outcomes, saves or compares their figures, and returns ErrNotHeld if some do not hold.
 func (v *invocation) reportOutcomes(all []Outcome) error {
 	err := v.print(all)
 	if err == nil && v.recordFile != "" {
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// print writes the outcomes in the format that was asked for.
+// print writes the outcomes in the requested format.
 func (v *invocation) print(all []Outcome) error {
 	switch v.format {
 	case "text":
@@ -140,13 +141,13 @@
 	return nil
 }
 
-// terminal reports whether a file is one.
+// terminal reports whether a file is a terminal.
 func terminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// runMutations breaks the configuration in each known way and prints the breaks that no expectation notices.
+// runMutations breaks the configuration in each known way and prints the mutations that no expectation detects.
 func runMutations(u Under, sources []Source, o Options, out io.Writer) error {
 	for _, r := range Check(u, sources, o) {
 		if !r.Good() {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// readConfigurations reads the files readConfigurations test.
+// readConfigurations reads the router's configuration and the operators' file under test.
 func readConfigurations(config, operator string) (u Under, err error) {
 	if config == "" {
 		return u, errors.New("no configuration: --config or BALANCER_CONFIG names it")
--- a/internal/expect/conditions.go
+++ b/internal/expect/conditions.go
@@ -11,9 +11,10 @@
 	"github.com/google/cel-go/common/operators"
 )
 
-// program is a condition; none holds always.
+// program is a compiled condition. The zero value is always true.
 type program struct{ cel.Program }
 
+// matches evaluates the condition on the values of the variables.
 func (p program) matches(values map[string]any) (bool, error) {
 	if p.Program == nil {
 		return true, nil
@@ -25,7 +26,7 @@
 	return v.Value().(bool), nil
 }
 
-// celVariables are the fields that conditions may use.
+// celVariables are the variables that conditions may use.
 var celVariables = map[string]*cel.Type{
 	"now": cel.DoubleType, "router": cel.IntType,
 	"traffic": cel.StringType, "profile": cel.StringType, "tenant": cel.StringType, "team": cel.StringType,
@@ -38,11 +39,12 @@
 	"last_end": cel.StringType, "first_zone": cel.StringType, "since_first": cel.DoubleType, "cores": cel.DoubleType,
 	"recent": cel.DoubleType, "fall_multiple": cel.DoubleType, "warm_up": cel.DoubleType, "cold_from": cel.DoubleType,
 	"pause": cel.DoubleType, "was_sent": cel.BoolType, "rev": cel.IntType, "ready": cel.IntType,
-	// Of the configuration under test.
+	// Constants of the configuration under test.
 	"grace": cel.DoubleType, "longest_pause": cel.DoubleType, "sends_most": cel.IntType, "further_free": cel.DoubleType,
 	"further_share": cel.DoubleType, "key_rest": cel.DoubleType, "routers": cel.IntType, "priorities": cel.BoolType,
 }
 
+// newCELEnvironment declares the variables of conditions.
 func newCELEnvironment() (*cel.Env, error) {
 	var options []cel.EnvOption
 	for _, name := range sorted(celVariables) {
@@ -51,7 +53,8 @@
 	return cel.NewEnv(options...)
 }
 
-// values are the fields' places; what does not change is set.
+// values returns the variables of conditions: constants with their values, all others with the zero value of their
+// type.
 func (w *simulation) values() map[string]any {
 	b := &w.settings.Admission
 	v := map[string]any{"grace": w.drainGrace, "longest_pause": b.MaxPause, "key_rest": b.KeyRest, "fall_multiple": b.FallMultiple, "warm_up": b.WarmUp,
@@ -75,7 +78,7 @@
 	return v
 }
 
-// setValues sets the fields as a moment has them.
+// setValues sets the variables to the state at an event.
 func (w *simulation) setValues(v map[string]any, m *cluster.Moment) {
 	v["now"], v["router"], v["rev"], v["ready"] = m.Now, int64(m.Router), int64(m.Rev), int64(m.Listed)
 	v["engine"], v["kind"], v["zone"], v["cell"] = "", "", "", int64(0)
@@ -87,7 +90,7 @@
 	}
 	v["told_for"], v["age"] = m.ToldFor, m.Age
 	if m.Age < 0 {
-		v["age"] = math.Inf(1) // it started long ago
+		v["age"] = math.Inf(1) // the server started long ago
 	}
 	v["number"], v["out"], v["queries"], v["level"] = int64(m.Number), int64(m.Out), int64(m.EngineN), int64(m.Level)
 	v["ended"], v["further"], v["taken"], v["key_open"] = endTexts[m.End], int64(m.Further), int64(m.Commands), m.KeyOpen
@@ -121,7 +124,7 @@
 	v["pause"], v["was_sent"] = t.Pause, !math.IsNaN(t.Sent)
 }
 
-// conditions compiles the conditions and finds the engines that they name.
+// conditions compiles the conditions of an expectation and notes servers in them that the server list never contains.
 func (a expectationCheck) conditions(w *simulation) (all []*hold, err error) {
 	env, err := newCELEnvironment()
 	if err != nil {
@@ -163,7 +166,7 @@
 	return all, a.checkContradictions(all)
 }
 
-// checkContradictions finds two holds that can't both be: the same moments always and never so.
+// checkContradictions returns an error if one hold requires always what another requires never.
 func (a expectationCheck) checkContradictions(all []*hold) error {
 	for n, h := range all {
 		for k, o := range all[:n] {
@@ -175,6 +178,7 @@
 	return nil
 }
 
+// compile compiles one condition.
 func (w *simulation) compile(env *cel.Env, place, text string) (p program, err error) {
 	tree, issues := env.Compile(text)
 	if issues.Err() != nil {
@@ -184,7 +188,7 @@
 	if tree.OutputType() != cel.BoolType {
 		return p, errorAt(place, "it is a %s, not true or false", tree.OutputType())
 	}
-	const cost = 10000 // steps of one evaluation: hundreds of times an ordinary condition's
+	const cost = 10000 // limit on the steps of one evaluation: hundreds of times the cost of an ordinary condition
 	if p.Program, err = env.Program(tree, cel.CostLimit(cost), cel.EvalOptions(cel.OptOptimize)); err != nil {
 		return p, errorAt(place, "%v", err)
 	}
@@ -192,7 +196,7 @@
 	return p, nil
 }
 
-// noteUnknownServers notes engines that a condition compares with and the list never has.
+// noteUnknownServers notes servers that a condition compares with and that the server list never contains.
 func (w *simulation) noteUnknownServers(place string, tree *cel.Ast) {
 	check := func(e ast.Expr) {
 		if e.Kind() != ast.LiteralKind {
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -27,7 +27,8 @@
 	return expect.Under{Config: config, Operator: operator}
 }
 
-// TestSuite: the example deployment holds all its expectations, and they come to the same on one core and on all.
+// TestSuite guards against an example deployment that violates its own expectations, and against outcomes that depend
+// on the number of cores.
 func TestSuite(t *testing.T) {
 	read := func() []expect.Source {
 		s, err := expect.Read([]string{"../../deploy/expectations"}, schema.CheckExpectations)
@@ -54,7 +55,8 @@
 	}
 }
 
-// TestFiles prints what comes of each line of the scripts as a file of expectations.
+// TestFiles compares the outcome of each file of expectations in the scripts: unreadable files, unknown servers and
+// violated holds must be reported with their place.
 func TestFiles(t *testing.T) {
 	u := example(t)
 	script.Compare(t, func(t *testing.T, text string) string {
@@ -70,7 +72,8 @@
 	})
 }
 
-// TestShortest: the trace of a failure leaves out what it does not take, and is found again with its seed.
+// TestShortest guards against a trace that keeps parts which the failure does not need, and against a failure that its
+// seed does not reproduce.
 func TestShortest(t *testing.T) {
 	f, err := expect.Parse([]byte(`{"expectations":[{"name":"x","says":"Nothing goes to e-1 once it drains.","given":{"traffic":[
 		{"name":"a","profile":"quick","tenant":"depot","rate":20,"work":0.1},{"name":"b","profile":"long","tenant":"house","rate":1,"work":2}]},
@@ -90,7 +93,7 @@
 	}
 }
 
-// TestRecords: figures that shrank, and expectations that are gone, are named although all pass.
+// TestRecords guards against margins that shrink, and expectations that disappear, unnoticed because all others pass.
 func TestRecords(t *testing.T) {
 	path := t.TempDir() + "/record.json"
 	before := []expect.Outcome{{Name: "a", Status: expect.Passed, Margin: 0.4, Exercised: 100}, {Name: "b", Status: expect.Passed, Margin: 0.4, Exercised: 100},
--- a/internal/expect/files.go
+++ b/internal/expect/files.go
@@ -9,14 +9,15 @@
 	"strings"
 )
 
-// Source is one file of expectations, or why it can't be read.
+// Source is one file of expectations, or the error that reading it returned.
 type Source struct {
 	Name string
 	File *File
 	Err  error
 }
 
-// Read reads files, and of folders all that end in .json, in order of their names. check checks a text against the schema.
+// Read reads files, and all files of folders whose names end in .json, in order of their names. check validates a text
+// against the schema.
 func Read(paths []string, check func([]byte) error) (all []Source, err error) {
 	for _, path := range paths {
 		info, err := os.Stat(path)
@@ -46,7 +47,7 @@
 	return all, nil
 }
 
-// Parse reads a text.
+// Parse validates and decodes the text of a file of expectations.
 func Parse(text []byte, check func([]byte) error) (*File, error) {
 	if err := check(text); err != nil {
 		return nil, err
@@ -55,7 +56,7 @@
 	return f, json.Unmarshal(text, f)
 }
 
-// Matching keeps the expectations whose name holds a part.
+// Matching keeps the expectations whose names contain a substring.
 func Matching(all []Source, substring string) []Source {
 	for k := range all {
 		if f := all[k].File; f != nil {
--- a/internal/expect/format.go
+++ b/internal/expect/format.go
@@ -1,17 +1,17 @@
-// Package expect checks routing expectations: what operators write beside the configuration is tried on virtual time, with
-// the very module that serves, against model engines. No socket is opened.
+// Package expect checks routing expectations that operators write beside the configuration. It simulates the router
+// module that runs in production against model servers on virtual time, without opening a socket.
 package expect
 
 import "encoding/json"
 
-// File is expectations and what all of them are given.
+// File is a file of expectations and the setup that they share.
 type File struct {
 	Schema       string        `json:"$schema,omitempty" jsonschema:"description=Where the schema lies; editors use it."`
 	Given        Given         `json:"given,omitzero" jsonschema:"description=What all expectations of the file are given; each may say otherwise."`
 	Expectations []Expectation `json:"expectations" jsonschema:"maxItems=1000"`
 }
 
-// Expectation is one thing that must hold.
+// Expectation is a scenario and the conditions that must hold in it.
 type Expectation struct {
 	Name    string   `json:"name" jsonschema:"minLength=1,maxLength=100,description=Unique over all files."`
 	Says    string   `json:"says" jsonschema:"minLength=1,description=A sentence for people: what holds."`
@@ -22,7 +22,7 @@
 	MayIdle bool     `json:"may_idle,omitempty" jsonschema:"description=It may pass without ever being put to the test."`
 }
 
-// Given is the system that an expectation is tried on.
+// Given is the system that an expectation is checked on.
 type Given struct {
 	Seconds  float64         `json:"seconds,omitempty" jsonschema:"minimum=0,maximum=600,description=How long it is played. Absent: 30."`
 	Routers  int             `json:"routers,omitempty" jsonschema:"minimum=0,maximum=32,description=Absent: as the settings say."`
@@ -32,7 +32,7 @@
 	Operator json.RawMessage `json:"operator,omitempty" jsonschema:"type=object,description=Changes of the operators' file under test as a JSON merge patch (RFC 7396)."`
 }
 
-// Engines are some of a kind.
+// Engines is one server or several alike.
 type Engines struct {
 	Name     string  `json:"name" jsonschema:"minLength=1,maxLength=60,description=With a count above 1: name-1 and so on."`
 	Count    int     `json:"count,omitempty" jsonschema:"minimum=0,maximum=1000,description=Absent: 1."`
@@ -45,7 +45,7 @@
 	Absent   bool    `json:"absent,omitempty" jsonschema:"description=It comes later by 'back'."`
 }
 
-// Traffic is clients of one kind.
+// Traffic is a stream of requests of one kind.
 type Traffic struct {
 	Name     string  `json:"name" jsonschema:"minLength=1"`
 	Profile  string  `json:"profile" jsonschema:"minLength=1"`
@@ -64,7 +64,7 @@
 	Ignores  float64 `json:"ignores,omitempty" jsonschema:"minimum=0,maximum=1,description=Share of clients that come again at once whatever they are told."`
 }
 
-// Event is something that happens.
+// Event is a fault or a change at a given time.
 type Event struct {
 	At      float64  `json:"at" jsonschema:"minimum=0"`
 	For     float64  `json:"for,omitempty" jsonschema:"minimum=0,description=It is over then. Engines that drained or were gone start anew. Absent: it stays."`
@@ -76,7 +76,7 @@
 	Value   float64  `json:"value,omitempty" jsonschema:"minimum=0,maximum=100000,description=A factor or a share or seconds by what happens."`
 }
 
-// Hold is one condition; just one of its parts.
+// Hold is one condition. Exactly one of its fields is set.
 type Hold struct {
 	Never   *Rule   `json:"never,omitempty" jsonschema:"description=At no such moment is it so."`
 	Always  *Rule   `json:"always,omitempty" jsonschema:"description=At every such moment it is so."`
@@ -84,20 +84,20 @@
 	AtLeast *Share  `json:"at_least,omitempty" jsonschema:"description=At this share of such moments it is so."`
 }
 
-// Rule is moments and what is asked of each.
+// Rule is a selection of events and the condition that is checked at each.
 type Rule struct {
 	On   string `json:"on" jsonschema:"enum=take,enum=send,enum=end,enum=answer,enum=priority,enum=list"`
 	When string `json:"when,omitempty" jsonschema:"description=Which of them (CEL). Absent: all."`
 	That string `json:"that" jsonschema:"minLength=1,description=What is asked (CEL)."`
 }
 
-// Share of moments.
+// Share is a rule that must hold for a share of the events.
 type Share struct {
 	Rule
 	Share float64 `json:"share" jsonschema:"minimum=0,maximum=1"`
 }
 
-// Within is from one moment to another.
+// Within requires that one event of a request is followed by another in time.
 type Within struct {
 	On      string  `json:"on" jsonschema:"enum=take,enum=send,enum=end,enum=answer,enum=priority"`
 	When    string  `json:"when,omitempty"`
--- a/internal/expect/hold.go
+++ b/internal/expect/hold.go
@@ -1,6 +1,6 @@
 package expect
 
-// This file judges one condition of an expectation, moment by moment and at the end.
+// This file checks one hold of an expectation, at each event and at the end.
 
 import (
 	"cmp"
@@ -10,19 +10,19 @@
 	"dunereach/emulator/cluster"
 )
 
-// hold is one condition with what has been seen of it.
+// hold is one hold of an expectation with its results so far.
 type hold struct {
 	Hold
 	path              string
 	when, that        program
 	then              program
 	tested, satisfied int
-	minSlack          float64 // seconds to spare
+	minSlack          float64 // smallest time to spare, in seconds
 	openSince         map[uint64]float64
 	firstViolation    string
 }
 
-// observe takes a moment in; why tells how it broke the hold.
+// observe checks the hold at an event. It returns how the event violates the hold, "" if it does not.
 func (h *hold) observe(m *cluster.Moment, values map[string]any) (violation string, err error) {
 	on := func(name string) bool { return m.On.String() == name }
 	switch {
@@ -68,7 +68,7 @@
 			}
 			return "", err
 		}
-		if m.On == cluster.Final { // nothing comes of it any more
+		if m.On == cluster.Final { // the request has ended: the awaited event can no longer occur
 			if from, ok := h.openSince[client]; ok {
 				delete(h.openSince, client)
 				return h.lateViolation(m.Now - from), nil
@@ -78,6 +78,7 @@
 	return "", nil
 }
 
+// lateViolation returns the violation by an event that came late, "" if the hold tolerates a share of them.
 func (h *hold) lateViolation(took float64) string {
 	if h.Within.Share == 0 || h.Within.Share == 1 {
 		return fmt.Sprintf("%.3f s, of %v at most", took, h.Within.Seconds)
@@ -85,6 +86,7 @@
 	return ""
 }
 
+// checkRule checks that the rule evaluates to want at events that meet its condition.
 func (h *hold) checkRule(values map[string]any, want bool, violation string) (string, error) {
 	matches, err := h.when.matches(values)
 	if !matches || err != nil {
@@ -97,7 +99,7 @@
 	return violation, nil
 }
 
-// finalViolation judges what only shows at the end.
+// finalViolation checks the holds on shares, which can only be checked at the end.
 func (h *hold) finalViolation() string {
 	share := 0.0
 	switch {
@@ -105,7 +107,7 @@
 		share = h.AtLeast.Share
 	case h.Within != nil:
 		share = cmp.Or(h.Within.Share, 1)
-		h.tested -= len(h.openSince) // still under way
+		h.tested -= len(h.openSince) // requests that have not ended are not counted
 	}
 	if h.tested > 0 && float64(h.satisfied) < share*float64(h.tested) && (h.AtLeast != nil || h.Within != nil) {
 		return fmt.Sprintf("%d of %d, %.4f, under %v", h.satisfied, h.tested, float64(h.satisfied)/float64(h.tested), share)
@@ -113,6 +115,7 @@
 	return ""
 }
 
+// margin returns the share above the required share or the smallest time to spare; 1 if neither applies.
 func (h *hold) margin() float64 {
 	switch {
 	case h.tested == 0:
--- a/internal/expect/mutate.go
+++ b/internal/expect/mutate.go
@@ -8,12 +8,12 @@
 // Mutant is a configuration that was broken in one way.
 type Mutant struct {
 	Name    string
-	Noticed []string // expectations that do not hold with it
-	Err     error    // it was not taken at all: the configuration's own check noticed
+	Noticed []string // expectations that do not hold with this configuration
+	Err     error    // the configuration's own validation rejected it
 }
 
-// mutations break a configuration: its settings and the operators' file, as JSON values. They tell whether there was
-// something to break.
+// mutations break a configuration: its settings and the operators' file, as JSON values. Each function reports whether
+// it changed anything.
 var mutations = []struct {
 	name  string
 	apply func(settings, operator map[string]any) bool
@@ -24,16 +24,16 @@
 	{"quotas a hundredth", func(s, _ map[string]any) bool {
 		return each(s, "Realms", func(r map[string]any) bool { return scale(r, "QuotaPerS", 0.01) })
 	}},
-	{"what is over quota worth as much", func(s, _ map[string]any) bool { return set(s, "OverShareWorth", 1.0) }},
+	{"requests over quota worth as much", func(s, _ map[string]any) bool { return set(s, "OverShareWorth", 1.0) }},
 	{"priorities off", func(s, _ map[string]any) bool { return set(in(s, "FamilyInfo"), "RanksHeeded", false) }},
 	{"threads of all profiles one", func(s, _ map[string]any) bool { return set(in(s, "FamilyInfo"), "Dop", []any{1.0, 1.0, 1.0, 1.0}) }},
 	{"threads of all profiles eight", func(s, _ map[string]any) bool { return set(in(s, "FamilyInfo"), "Dop", []any{8.0, 8.0, 8.0, 8.0}) }},
 	{"cold rule absent", func(s, _ map[string]any) bool { return set(in(s, "Obligations"), "WarmUp", 0.0) }},
-	{"cold engines take a hundred times", func(s, _ map[string]any) bool { return scale(in(s, "Obligations"), "FallMultiple", 100) }},
-	{"sends unlimited", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "SendCap", 1000.0) }},
-	{"one send only", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "SendCap", 1.0) }},
-	{"budget of further sends gone", func(s, _ map[string]any) bool { return set(in(s, "Obligations"), "LookBack", 0.0) }},
-	{"budget of further sends nothing", func(s, _ map[string]any) bool {
+	{"cold servers take a hundred times as much", func(s, _ map[string]any) bool { return scale(in(s, "Obligations"), "FallMultiple", 100) }},
+	{"attempts unlimited", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "SendCap", 1000.0) }},
+	{"one attempt only", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "SendCap", 1.0) }},
+	{"retry budget gone", func(s, _ map[string]any) bool { return set(in(s, "Obligations"), "LookBack", 0.0) }},
+	{"retry budget zero", func(s, _ map[string]any) bool {
 		return set(in(s, "Obligations"), "ExtraFree", 0.0) && set(in(s, "Obligations"), "FurtherRatio", 0.0)
 	}},
 	{"grace ten times", func(s, _ map[string]any) bool { return scale(in(s, "Obligations"), "DrainGrace", 10) }},
@@ -46,7 +46,7 @@
 	{"order dropped", func(s, _ map[string]any) bool {
 		return each(s, "Classes", func(c map[string]any) bool { return drop(c, "ByArrival") })
 	}},
-	{"rest of keys gone", func(s, _ map[string]any) bool { return set(in(s, "Obligations"), "KeyRest", 0.0) }},
+	{"rest time of keys gone", func(s, _ map[string]any) bool { return set(in(s, "Obligations"), "KeyRest", 0.0) }},
 	{"all profiles may run twice", func(s, _ map[string]any) bool {
 		return each(s, "Classes", func(c map[string]any) bool { return set(c, "Effect", "safe") })
 	}},
@@ -62,7 +62,7 @@
 	{"benefits equal", func(s, _ map[string]any) bool {
 		return each(s, "Classes", func(c map[string]any) bool { return set(c, "Worth", 1.0) })
 	}},
-	{"pauses not told", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "RetryAfter", false) }},
+	{"pauses not sent to clients", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "RetryAfter", false) }},
 	{"pauses a hundred times", func(s, _ map[string]any) bool { return scale(in(s, "Limits"), "MaxRetryAfter", 100) }},
 	{"cores of all kinds one", func(s, _ map[string]any) bool {
 		return set(in(s, "FamilyInfo"), "CpuOfKind", []any{1.0, 1.0, 1.0, 1.0})
@@ -97,9 +97,10 @@
 	}},
 	{"no ageing", func(_, o map[string]any) bool { return set(in(o, "budgets"), "ageing", 0.0) }},
 	{"no turns", func(_, o map[string]any) bool { return set(in(o, "budgets"), "turns", false) }},
-	{"waits not kept", func(_, o map[string]any) bool { return drop(o, "waits") }},
+	{"waits section gone", func(_, o map[string]any) bool { return drop(o, "waits") }},
 }
 
+// set sets a key and reports whether its value changed.
 func set(m map[string]any, key string, v any) bool {
 	if m == nil {
 		return false
@@ -109,6 +110,7 @@
 	return !same
 }
 
+// scale multiplies a number by a factor and reports whether it changed.
 func scale(m map[string]any, key string, factor float64) bool {
 	v, ok := m[key].(float64)
 	if ok {
@@ -117,17 +119,20 @@
 	return ok && v != 0
 }
 
+// drop removes a key and reports whether it was set.
 func drop(m map[string]any, key string) bool {
 	_, ok := m[key]
 	delete(m, key)
 	return ok
 }
 
+// in returns the object under a key, nil if there is none.
 func in(m map[string]any, key string) map[string]any {
 	sub, _ := m[key].(map[string]any)
 	return sub
 }
 
+// each applies a function to every object of a list and reports whether any of them changed.
 func each(m map[string]any, key string, apply func(map[string]any) bool) (changed bool) {
 	list, _ := m[key].([]any)
 	for _, x := range list {
@@ -138,8 +143,9 @@
 	return changed
 }
 
-// Mutate breaks the configuration in each known way that it has something for, and tells which expectations notice. An
-// expectation's own changes of the settings come after, so it notices where it leaves the settings as they are.
+// Mutate breaks the configuration in each known way that applies to it and returns which expectations detect that. An
+// expectation's own changes of the settings are applied afterwards, so it detects only breaks of settings that it
+// leaves unchanged.
 func Mutate(u Under, sources []Source, o Options, progress func(name string)) (all []Mutant, err error) {
 	for _, m := range mutations {
 		var config map[string]any
--- a/internal/expect/report.go
+++ b/internal/expect/report.go
@@ -11,7 +11,7 @@
 	"github.com/jedib0t/go-pretty/v6/text"
 )
 
-// Text writes a plain message for each that does not hold, all where asked, and a count.
+// WriteText writes a message for each expectation that does not hold, all expectations if verbose, and a summary.
 func Text(w io.Writer, all []Outcome, verbose bool) {
 	for k := range all {
 		o := &all[k]
@@ -36,7 +36,7 @@
 		n[Void], n[Idle], n[Broken])
 }
 
-// JSON writes the outcomes.
+// WriteJSON writes the outcomes as JSON.
 func JSON(w io.Writer, all []Outcome) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
@@ -65,7 +65,7 @@
 	Text    string `xml:",chardata"`
 }
 
-// JUnit writes the outcomes as other tools take them.
+// WriteJUnit writes the outcomes as JUnit XML, for CI systems.
 func JUnit(w io.Writer, all []Outcome) error {
 	s := junitSuite{Name: "expectations", Tests: len(all)}
 	for k := range all {
@@ -95,13 +95,13 @@
 	return err
 }
 
-// Record is what an expectation came to in an earlier run.
+// Figures are the saved results of an expectation in an earlier run.
 type Record struct {
 	Margin    float64 `json:"margin"`
 	Exercised int     `json:"exercised"`
 }
 
-// Save keeps figures of all that passed.
+// SaveFigures saves the figures of all expectations that passed.
 func Save(path string, all []Outcome) error {
 	m := map[string]Record{}
 	for _, o := range all {
@@ -116,8 +116,8 @@
 	return err
 }
 
-// Against names the expectations that still pass, but by less: the margin shrank by more than a share of what it was, or
-// they were put to the test less than half as often.
+// CompareFigures returns the expectations that still pass, but by less: the margin shrank by more than a share of its
+// earlier value, or fewer than half as many events were checked. It also returns those that are missing.
 func Against(path string, all []Outcome, share float64) (shrunk []string, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return shrunk, nil
 }
 
-// Differ names the expectations that tell two configurations apart.
+// Differences returns the expectations whose status differs between two configurations.
 func Differ(old, new []Outcome) (differences []string) {
 	oldStatus := map[string]Status{}
 	for _, o := range old {
@@ -161,7 +161,8 @@
 	return differences
 }
 
-// Mutations writes which expectations notice each broken configuration, and gives those that none does.
+// WriteMutations writes which expectations detect each broken configuration and returns the mutations that none
+// detects.
 func Mutations(w io.Writer, all []Mutant) (unnoticed []string) {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
--- a/internal/expect/shrink.go
+++ b/internal/expect/shrink.go
@@ -1,6 +1,6 @@
 package expect
 
-// This file finds the least of an expectation's events, traffic and clients with which it still fails.
+// This file reduces a failing expectation to the events, traffic, servers and clients that are needed for the failure.
 
 import (
 	"context"
@@ -11,18 +11,18 @@
 	"dunereach/emulator/cluster"
 )
 
-// reduction leaves out parts of an expectation, to find what it takes for it to fail.
+// reduction omits parts of an expectation to find those that are needed for its failure.
 type reduction struct {
-	omittedEvents, omittedStreams []bool // left out
-	omittedServers                []bool // never there
-	lastClients                   int    // of which only the latest so many before the end, 0: all
+	omittedEvents, omittedStreams []bool // omitted
+	omittedServers                []bool // never in the server list
+	lastClients                   int    // only this many clients, the last before the end; 0: all
 	until                         float64
-	clientCount                   int // clients in all, up to then
+	clientCount                   int // all clients until then
 	tracedClient                  uint64
 	trace                         bool
 }
 
-// affectedByEvent tells whether one of the events that are left in is an engine's.
+// affectedByEvent reports whether one of the remaining events affects a server.
 func (c *reduction) affectedByEvent(w *simulation, k int) bool {
 	for n, h := range w.setup.Happens {
 		if n < len(c.omittedEvents) && !c.omittedEvents[n] && slices.Contains(h.Engines, k) {
@@ -32,6 +32,7 @@
 	return false
 }
 
+// apply removes the omitted parts from a simulation.
 func (c *reduction) apply(w *simulation) {
 	var kept []cluster.Happening
 	for k, h := range w.setup.Happens {
@@ -57,14 +58,14 @@
 	}
 }
 
-// shortestTrace looks for what can be left out so that the same hold still breaks: events, traffic, the earlier clients. It
-// gives the trace of what is left.
+// shortestTrace omits events, traffic, servers and earlier clients as long as the same hold is still violated, and
+// returns the trace of the remaining parts.
 func (a expectationCheck) shortestTrace(ctx context.Context, u Under, seed uint64, r *run) []string {
 	c := &reduction{omittedEvents: make([]bool, len(r.simulation.setup.Happens)), omittedServers: make([]bool, len(r.simulation.setup.Engines)), omittedStreams: make([]bool, len(r.simulation.setup.Streams)), until: r.violatedAt + 1e-6}
 	best := r
 	runs := 0
 	stillFails := func() bool {
-		const limit = 80 // runs: a second or so
+		const limit = 80 // simulations: about a second
 		if runs++; runs > limit || ctx.Err() != nil {
 			return false
 		}
@@ -75,14 +76,14 @@
 		best = again
 		return true
 	}
-	if !stillFails() { // a share is judged at the end: it takes all
+	if !stillFails() { // shares are checked at the end, so the whole run is needed
 		c.until = 0
 		stillFails()
 	}
 	for n, part := range [...][]bool{c.omittedEvents, c.omittedStreams, c.omittedServers} {
 		for k := range part {
-			const omittedServers, maxParts = 2, 20                                                 // each is a run: of many engines it would take them all
-			if len(part) > maxParts || n == omittedServers && c.affectedByEvent(r.simulation, k) { // what is to happen to it takes it
+			const omittedServers, maxParts = 2, 20                                                 // each part costs a simulation: a long list would use up the limit
+			if len(part) > maxParts || n == omittedServers && c.affectedByEvent(r.simulation, k) { // an event needs its server
 				continue
 			}
 			if part[k] = true; !stillFails() {
@@ -103,13 +104,13 @@
 	}
 	head := a.describeRemaining(c, r)
 	const limit = 40 // lines
-	if n := len(last.traceLines); n > limit {
-		last.traceLines = append([]string{fmt.Sprintf("... %d lines before", n-limit)}, last.traceLines[n-limit:]...)
+	if n := len(last.lines); n > limit {
+		last.lines = append([]string{fmt.Sprintf("... %d lines before", n-limit)}, last.lines[n-limit:]...)
 	}
-	return append(head, last.traceLines...)
+	return append(head, last.lines...)
 }
 
-// describeRemaining lists what is left of an expectation: events, traffic, servers and clients.
+// describeRemaining lists the remaining parts of an expectation: events, traffic, servers and clients.
 func (a expectationCheck) describeRemaining(c *reduction, r *run) (lines []string) {
 	list := func(what string, omitted []bool, name func(int) string) {
 		var names []string
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -17,26 +17,27 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// Under is the configuration under test, as texts: the router's file, and the operators' ("{}" for none).
+// Configuration is the configuration under test as texts: the router's file and the operators' file ("{}" for none).
 type Under struct{ Config, Operator []byte }
 
-// simulation is what one expectation is played on.
+// simulation is the cluster that one expectation is checked on.
 type simulation struct {
 	setup       cluster.Settings
 	settings    settings.Settings
 	spec        fairshare.Spec
-	teamNames   []string // by handle
+	teamNames   []string // by index in the fair share tree
 	drainGrace  float64
-	serverNames []string // engines by name
-	voidReasons []string // events on engines that the list of that moment does not have
+	serverNames []string // names of servers
+	voidReasons []string // events and conditions on servers that are not in the server list at the time
 }
 
-// errorAt tells where an expectation can't be used.
+// errorAt returns an error in an expectation, with its place in the file.
 func errorAt(path, format string, args ...any) error {
 	return fmt.Errorf("%s: %s", path, fmt.Sprintf(format, args...))
 }
 
-// newSimulation makes the world of an expectation: the configuration with the changes that its file and it make, servers and traffic.
+// newSimulation sets up the simulation of an expectation: the configuration with the changes of its file and of the
+// expectation, servers, traffic and events.
 func newSimulation(u Under, f *File, e *Expectation, seed uint64) (*simulation, error) {
 	w := &simulation{}
 	given := []*Given{&f.Given, &e.Given}
@@ -47,7 +48,7 @@
 	t := &w.setup
 	*t = cluster.Settings{Seed: seed, Brain: w.settings.Admission, Zones: w.settings.Zones, Kinds: w.settings.Kinds,
 		Length: 30, Routers: w.settings.Admission.Routers, Waits: op.Waits != nil}
-	// What needs probes, word from other routers or asking for the list is not in a router on sockets either.
+	// Features that need probes, messages from other routers or requests for the list are not in a production router either.
 	t.Brain.Peers, t.Brain.ProbeLoads, t.Brain.Ask = false, false, false
 	var tree *fairshare.Tree
 	if len(w.spec.Nodes) > 0 {
@@ -83,7 +84,7 @@
 	return w, w.addEvents(e.Happens, seed)
 }
 
-// configure reads the settings and the operators' file, each with the merge patches that are given (RFC 7396).
+// configure reads the settings and the operators' file, each with the given merge patches (RFC 7396).
 func (w *simulation) configure(u Under, given []*Given, seed uint64) (op operator.File, err error) {
 	var file struct {
 		Settings json.RawMessage `json:"settings"`
@@ -108,7 +109,7 @@
 		return op, err
 	}
 	var rules struct{ Obligations struct{ DrainGrace float64 } }
-	json.Unmarshal(settingsText, &rules) // Parse has read it
+	json.Unmarshal(settingsText, &rules) // cannot fail: settings.Parse has decoded the same text
 	w.drainGrace = rules.Obligations.DrainGrace / 1000
 	if err = json.Unmarshal(operatorText, &op); err != nil {
 		return op, errorAt("operators' file", "%v", err)
@@ -119,8 +120,9 @@
 	return op, nil
 }
 
-const maxServers, maxRequests = 1000, 2e6 // what a machine plays in half a minute
+const maxServers, maxRequests = 1000, 2e6 // bounds of a simulation that takes at most half a minute
 
+// addServers adds the given servers, by default those of the configuration's initial list.
 func (w *simulation) addServers(list []Engines, u Under) error {
 	if len(list) == 0 {
 		c, err := config.Parse(u.Config, "x", "127.0.0.1:1")
@@ -173,6 +175,7 @@
 	return nil
 }
 
+// addTraffic adds the request streams.
 func (w *simulation) addTraffic(list []Traffic, tree *fairshare.Tree) error {
 	sum := 0.0
 	for n, g := range list {
@@ -205,10 +208,11 @@
 	return nil
 }
 
+// addEvents adds the events, and notes those on servers that are not in the server list at the time.
 func (w *simulation) addEvents(list []Event, seed uint64) error {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	last := 0.0
-	absent := make([]bool, len(w.serverNames)) // as the list of that moment has it
+	absent := make([]bool, len(w.serverNames)) // in the server list at the time of the event
 	for k, e := range w.setup.Engines {
 		absent[k] = e.Absent
 	}
@@ -266,7 +270,7 @@
 	return nil
 }
 
-// absenceReason tells whether an engine is yet to come or was taken away.
+// absenceReason describes whether a server joins the list later or was removed from it.
 func (w *simulation) absenceReason(list []Event, n, k int) string {
 	for _, g := range list[n+1:] {
 		if g.What == "back" && slices.Contains(g.Engines, w.serverNames[k]) {
@@ -276,7 +280,7 @@
 	return "the list took it away"
 }
 
-// matching engines by a name: one, or all of a zone or kind.
+// matching returns the servers that a name stands for: one server, or all of a zone or kind.
 func (w *simulation) matching(name string) (list []int, ok bool) {
 	all := func(is func(cluster.Engine) bool) []int {
 		for k, e := range w.setup.Engines {
--- a/internal/expect/trace.go
+++ b/internal/expect/trace.go
@@ -1,6 +1,6 @@
 package expect
 
-// This file prints moments.
+// This file formats events of a simulation.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"dunereach/emulator/cluster"
 )
 
-// traceLine prints a moment.
+// traceLine formats an event.
 func (w *simulation) traceLine(m *cluster.Moment) string {
 	s := fmt.Sprintf("%9.3f router %d %-8s", m.Now, m.Router, m.On)
 	if m.Try != nil {
@@ -28,7 +28,7 @@
 	return s
 }
 
-// routerState is what a router routerState at a moment.
+// routerState describes a router's state at an event.
 func (w *simulation) routerState(m *cluster.Moment) string {
 	s := fmt.Sprintf("list number %d", m.Rev)
 	if m.Engine >= 0 {
