--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -74,7 +74,7 @@
 			e := &s.File.Expectations[k]
 			if other, twice := names[e.Name]; twice {
 				out = append(out, Outcome{File: s.Name, Name: e.Name, Says: e.Says, Status: Broken,
-					Why: fmt.Sprintf("/expectations/%d/name: %s has one of that name already", k, other)})
+					Why: fmt.Sprintf("/expectations/%d/name: %s already has an expectation of that name", k, other)})
 				continue
 			}
 			names[e.Name] = s.Name
@@ -107,7 +107,7 @@
 	defer func() {
 		out.Seconds = time.Since(began).Seconds()
 		if p := recover(); p != nil { // a panic in the module under test is a failure of the expectation and must not end the checker
-			out.Status, out.Why = Failed, fmt.Sprintf("the module failed: %v", p)
+			out.Status, out.Why = Failed, fmt.Sprintf("the router module panicked: %v", p)
 		}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(o.Bound, 30*time.Second))
@@ -132,7 +132,7 @@
 		out.Margin = min(out.Margin, r.margin)
 		if r.failure == "" && ctx.Err() != nil {
 			out.Status, out.Seed = Failed, seed
-			out.Why = fmt.Sprintf("it was stopped at its bound of %v", cmp.Or(o.Bound, 30*time.Second))
+			out.Why = fmt.Sprintf("stopped at the time limit of %v", cmp.Or(o.Bound, 30*time.Second))
 			return out
 		}
 		if r.failure != "" {
@@ -145,7 +145,7 @@
 		for _, h := range r.conditions {
 			if h.tested == 0 && !a.expectation.MayIdle {
 				out.Status, out.Seed = Idle, seed
-				out.Why = fmt.Sprintf("%s: no moment met its condition", h.path)
+				out.Why = fmt.Sprintf("%s: no event met its condition", h.path)
 				return out
 			}
 		}
--- a/internal/expect/cli.go
+++ b/internal/expect/cli.go
@@ -33,27 +33,27 @@
 	c := &cobra.Command{
 		Use:   "expect [FILE or FOLDER]...",
 		Short: "Check routing expectations without sending traffic",
-		Long: `Expect reads expectations (deploy/expectations where none are named) and tries each on virtual time: the module that serves
-against model engines and clients by chance, on the configuration and the operators' file that serve would read.
+		Long: `Expect reads expectations (from deploy/expectations by default) and checks each on virtual time: the router module runs
+against model engines and random clients, with the configuration and the operators' file that serve would read.
 
-Status 0: all hold. 1: some do not: failed, void (an engine that the list does not have), or never exercised. 2: something
-can't be read; the rest was tried.`,
+Status 0: all hold. 1: some do not: failed, void (an engine that is not in the server list), or never exercised. 2: something
+can't be read; the rest was checked.`,
 		RunE: func(_ *cobra.Command, args []string) error { return v.run(args) },
 	}
 	f := c.Flags()
 	f.StringVar(&v.configFile, "config", env("BALANCER_CONFIG"), "the configuration under test")
 	f.StringVar(&v.operatorFile, "operator", env("DUNEREACH_OPERATOR"), "the operators' file under test")
-	f.StringVar(&v.only, "run", "", "only expectations whose name holds this")
+	f.StringVar(&v.only, "run", "", "only expectations whose name contains this")
 	f.Uint64Var(&v.Seed, "seed", 0, "only this seed, for all of them")
 	f.DurationVar(&v.Bound, "bound", 30*time.Second, "longest time for one expectation")
-	f.IntVar(&v.Cores, "cores", 0, "expectations tried side by side (default: the machine's cores)")
+	f.IntVar(&v.Cores, "cores", 0, "expectations checked in parallel (default: the machine's cores)")
 	f.StringVar(&v.format, "format", "text", "text, json or junit")
-	f.BoolVarP(&v.verbose, "verbose", "v", false, "also name what passed")
-	f.StringVar(&v.recordFile, "record", "", "keep margins and how often each was put to the test in this file")
-	f.StringVar(&v.baselineFile, "against", "", "compare with figures kept by --record")
-	f.Float64Var(&v.allowedShrink, "shrink", 0.25, "share of its margin that an expectation may lose against the record")
-	f.StringVar(&v.oldConfigFile, "diff", "", "an older configuration: name the expectations that tell it from --config")
-	f.BoolVar(&v.mutate, "mutate", false, "break the configuration in each known way, and name the breaks that none notices")
+	f.BoolVarP(&v.verbose, "verbose", "v", false, "also print expectations that passed")
+	f.StringVar(&v.recordFile, "record", "", "save margins and numbers of checked events to this file")
+	f.StringVar(&v.baselineFile, "against", "", "compare with figures saved by --record")
+	f.Float64Var(&v.allowedShrink, "shrink", 0.25, "share of its recorded margin that an expectation may lose")
+	f.StringVar(&v.oldConfigFile, "diff", "", "an older configuration: print the expectations whose status differs from --config")
+	f.BoolVar(&v.mutate, "mutate", false, "break the configuration in each known way, and print the mutations that no expectation detects")
 	return c
 }
 
@@ -136,7 +136,7 @@
 	case "junit":
 		return JUnit(v.out, all)
 	default:
-		return fmt.Errorf("--format %s: it is text, json or junit", v.format)
+		return fmt.Errorf("--format %s: must be text, json or junit", v.format)
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 func runMutations(u Under, sources []Source, o Options, out io.Writer) error {
 	for _, r := range Check(u, sources, o) {
 		if !r.Good() {
-			return fmt.Errorf("%s does not hold unbroken: %s", r.Name, r.Why)
+			return fmt.Errorf("%s does not hold for the unmodified configuration: %s", r.Name, r.Why)
 		}
 	}
 	all, err := Mutate(u, sources, o, func(string) {})
@@ -159,7 +159,7 @@
 		return err
 	}
 	if unnoticed := Mutations(out, all); len(unnoticed) > 0 {
-		return fmt.Errorf("%w: %d of %d breaks were noticed by none", ErrNotHeld, len(unnoticed), len(all))
+		return fmt.Errorf("%w: %d of %d mutations were detected by none", ErrNotHeld, len(unnoticed), len(all))
 	}
 	return nil
 }
@@ -167,7 +167,7 @@
 // readConfigurations reads the router's configuration and the operators' file under test.
 func readConfigurations(config, operator string) (u Under, err error) {
 	if config == "" {
-		return u, errors.New("no configuration: --config or BALANCER_CONFIG names it")
+		return u, errors.New("no configuration: set --config or BALANCER_CONFIG")
 	}
 	if u.Config, err = os.ReadFile(config); err != nil {
 		return u, err
--- a/internal/expect/conditions.go
+++ b/internal/expect/conditions.go
@@ -21,7 +21,7 @@
 	}
 	v, _, err := p.Eval(values)
 	if err != nil {
-		return false, fmt.Errorf("the condition fails: %v", err)
+		return false, fmt.Errorf("the condition can't be evaluated: %v", err)
 	}
 	return v.Value().(bool), nil
 }
@@ -156,7 +156,7 @@
 			h.when, h.then = compile("within/when", r.When), compile("within/that", r.That)
 		}
 		if err == nil && kinds != 1 {
-			err = errorAt(h.path, "it has %d of never, always, within and at_least, and needs one", kinds)
+			err = errorAt(h.path, "%d of never, always, within and at_least are set, but exactly one is needed", kinds)
 		}
 		if err != nil {
 			return nil, err
@@ -186,7 +186,7 @@
 		return p, errorAt(place, "column %d: %s", e.Location.Column()+1, e.Message)
 	}
 	if tree.OutputType() != cel.BoolType {
-		return p, errorAt(place, "it is a %s, not true or false", tree.OutputType())
+		return p, errorAt(place, "the type is %s instead of bool", tree.OutputType())
 	}
 	const cost = 10000 // limit on the steps of one evaluation: hundreds of times the cost of an ordinary condition
 	if p.Program, err = env.Program(tree, cel.CostLimit(cost), cel.EvalOptions(cel.OptOptimize)); err != nil {
@@ -208,7 +208,7 @@
 					return
 				}
 			}
-			w.voidReasons = append(w.voidReasons, fmt.Sprintf("%s: it names the engine %q, which the list never has (its number: 1)", place, name))
+			w.voidReasons = append(w.voidReasons, fmt.Sprintf("%s: the server list never contains engine %q (list number: 1)", place, name))
 		}
 	}
 	ast.PostOrderVisit(tree.NativeRep().Expr(), ast.NewExprVisitor(func(e ast.Expr) {
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -51,7 +51,7 @@
 	}
 	again := expect.Check(example(t), read(), expect.Options{Cores: 1})
 	if diff := cmp.Diff(all, again, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")); diff != "" {
-		t.Errorf("on one core it comes to something else:\n%s", diff)
+		t.Errorf("the outcomes differ on one core:\n%s", diff)
 	}
 }
 
@@ -84,12 +84,12 @@
 	}
 	out := expect.Check(example(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true})[0]
 	if out.Status != expect.Failed || out.At < 5 || out.At > 6 || len(out.Trace) == 0 ||
-		out.Trace[0] != "it takes these events: drain at 5 s" || strings.Contains(strings.Join(out.Trace, " "), "and this traffic") {
+		out.Trace[0] != "needed events: drain at 5 s" || strings.Contains(strings.Join(out.Trace, " "), "needed traffic") {
 		t.Errorf("%+v", out)
 	}
 	again := expect.Check(example(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true, Seed: out.Seed})[0]
 	if diff := cmp.Diff(out, again, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")); diff != "" {
-		t.Errorf("with its seed it is another:\n%s", diff)
+		t.Errorf("with its seed the outcome differs:\n%s", diff)
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	got, err := expect.Against(path, []expect.Outcome{{Name: "a", Status: expect.Passed, Margin: 0.1, Exercised: 100},
 		{Name: "b", Status: expect.Passed, Margin: 0.35, Exercised: 10}}, 0.25)
-	want := []string{"a: its margin was 0.4 and is 0.1", "b: it was put to the test 100 times and is 10 times", "c: it is gone"}
+	want := []string{"a: its margin was 0.4 and is 0.1", "b: it was checked at 100 events and is checked at 10", "c: it is gone"}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Errorf("%v\n%s", err, diff)
 	}
--- a/internal/expect/hold.go
+++ b/internal/expect/hold.go
@@ -27,9 +27,9 @@
 	on := func(name string) bool { return m.On.String() == name }
 	switch {
 	case h.Never != nil && on(h.Never.On):
-		return h.checkRule(values, false, "it is so")
+		return h.checkRule(values, false, "the condition is met")
 	case h.Always != nil && on(h.Always.On):
-		return h.checkRule(values, true, "it is not so")
+		return h.checkRule(values, true, "the condition is not met")
 	case h.AtLeast != nil && on(h.AtLeast.On):
 		matches, err := h.when.matches(values)
 		if !matches || err != nil {
@@ -39,7 +39,7 @@
 		if matches, err = h.that.matches(values); matches {
 			h.satisfied++
 		} else if h.firstViolation == "" {
-			h.firstViolation = fmt.Sprintf("the first that was not so at %.3f s", m.Now)
+			h.firstViolation = fmt.Sprintf("first event that did not meet the condition at %.3f s", m.Now)
 		}
 		return "", err
 	case h.Within != nil && m.Try != nil:
@@ -81,7 +81,7 @@
 // lateViolation returns the violation by an event that came late, "" if the hold tolerates a share of them.
 func (h *hold) lateViolation(took float64) string {
 	if h.Within.Share == 0 || h.Within.Share == 1 {
-		return fmt.Sprintf("%.3f s, of %v at most", took, h.Within.Seconds)
+		return fmt.Sprintf("%.3f s, at most %v s allowed", took, h.Within.Seconds)
 	}
 	return ""
 }
@@ -110,7 +110,7 @@
 		h.tested -= len(h.openSince) // requests that have not ended are not counted
 	}
 	if h.tested > 0 && float64(h.satisfied) < share*float64(h.tested) && (h.AtLeast != nil || h.Within != nil) {
-		return fmt.Sprintf("%d of %d, %.4f, under %v", h.satisfied, h.tested, float64(h.satisfied)/float64(h.tested), share)
+		return fmt.Sprintf("%d of %d events, %.4f, less than %v", h.satisfied, h.tested, float64(h.satisfied)/float64(h.tested), share)
 	}
 	return ""
 }
--- a/internal/expect/report.go
+++ b/internal/expect/report.go
@@ -17,13 +17,13 @@
 		o := &all[k]
 		if o.Good() {
 			if verbose {
-				fmt.Fprintf(w, "%s  %s (%d moments, margin %.4g, %.2f s)\n", text.FgGreen.Sprint("passed"), o.Name, o.Exercised, o.Margin, o.Seconds)
+				fmt.Fprintf(w, "%s  %s (%d events, margin %.4g, %.2f s)\n", text.FgGreen.Sprint("passed"), o.Name, o.Exercised, o.Margin, o.Seconds)
 			}
 			continue
 		}
 		fmt.Fprintf(w, "%s  %s: %s\n    %s: %s\n", text.FgRed.Sprint(string(o.Status)), o.Name, o.Says, o.File, o.Why)
 		if o.Knew != "" {
-			fmt.Fprintf(w, "    first at %.3f s with seed %d; the router knew: %s\n", o.At, o.Seed, o.Knew)
+			fmt.Fprintf(w, "    first at %.3f s with seed %d; state of the router: %s\n", o.At, o.Seed, o.Knew)
 		} else if o.Seed != 0 {
 			fmt.Fprintf(w, "    with seed %d\n", o.Seed)
 		}
@@ -136,7 +136,7 @@
 		case o.Margin < r.Margin-share*max(r.Margin, 0):
 			shrunk = append(shrunk, fmt.Sprintf("%s: its margin was %.4g and is %.4g", o.Name, r.Margin, o.Margin))
 		case 2*o.Exercised < r.Exercised:
-			shrunk = append(shrunk, fmt.Sprintf("%s: it was put to the test %d times and is %d times", o.Name, r.Exercised, o.Exercised))
+			shrunk = append(shrunk, fmt.Sprintf("%s: it was checked at %d events and is checked at %d", o.Name, r.Exercised, o.Exercised))
 		}
 	}
 	for _, name := range sorted(recorded) {
@@ -166,11 +166,11 @@
 func Mutations(w io.Writer, all []Mutant) (unnoticed []string) {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
-	t.AppendHeader(table.Row{"configuration broken by", "noticed by", "for example"})
+	t.AppendHeader(table.Row{"mutation", "detected by", "for example"})
 	for _, m := range all {
 		switch {
 		case m.Err != nil:
-			t.AppendRow(table.Row{m.Name, "the configuration's own check", m.Err.Error()})
+			t.AppendRow(table.Row{m.Name, "the configuration's own validation", m.Err.Error()})
 		case len(m.Noticed) == 0:
 			t.AppendRow(table.Row{m.Name, "NONE", ""})
 			unnoticed = append(unnoticed, m.Name)
--- a/internal/expect/shrink.go
+++ b/internal/expect/shrink.go
@@ -123,13 +123,13 @@
 			lines = append(lines, what+": "+strings.Join(names, ", "))
 		}
 	}
-	list("it takes these events", c.omittedEvents, func(k int) string {
+	list("needed events", c.omittedEvents, func(k int) string {
 		return fmt.Sprintf("%s at %v s", a.expectation.Happens[k].What, a.expectation.Happens[k].At)
 	})
-	list("and this traffic", c.omittedStreams, func(k int) string { return r.simulation.setup.Streams[k].Name })
-	list("and these engines", c.omittedServers, func(k int) string { return r.simulation.serverNames[k] })
+	list("needed traffic", c.omittedStreams, func(k int) string { return r.simulation.setup.Streams[k].Name })
+	list("needed engines", c.omittedServers, func(k int) string { return r.simulation.serverNames[k] })
 	if c.lastClients > 0 {
-		lines = append(lines, fmt.Sprintf("and the last %d clients before", c.lastClients))
+		lines = append(lines, fmt.Sprintf("and the last %d clients before the failure", c.lastClients))
 	}
 	return lines
 }
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -144,12 +144,12 @@
 		kind, zone := 0, 0
 		if g.Kind != "" {
 			if kind = slices.Index(w.settings.Kinds, g.Kind); kind < 0 {
-				return errorAt(path+"/kind", "%q is no kind of the settings", g.Kind)
+				return errorAt(path+"/kind", "the settings have no kind %q", g.Kind)
 			}
 		}
 		if g.Zone != "" {
 			if zone = slices.Index(w.settings.Zones, g.Zone); zone < 0 {
-				return errorAt(path+"/zone", "%q is no zone of the settings", g.Zone)
+				return errorAt(path+"/zone", "the settings have no zone %q", g.Zone)
 			}
 		}
 		cores := 1.0
@@ -162,7 +162,7 @@
 				name = fmt.Sprintf("%s-%d", g.Name, k+1)
 			}
 			if slices.Contains(w.serverNames, name) {
-				return errorAt(path+"/name", "there are two engines %q", name)
+				return errorAt(path+"/name", "two engines are named %q", name)
 			}
 			if w.serverNames = append(w.serverNames, name); len(w.serverNames) > maxServers {
 				return errorAt(path, "more than %d engines", maxServers)
@@ -183,17 +183,17 @@
 		s := cluster.Stream{Name: g.Name, Work: g.Work, CV: g.Spread, Memory: g.Memory, Deadline: g.Deadline, Scatter: g.Scatter,
 			Bias: g.Bias, Blind: g.Blind, Keys: g.Keys, Tries: g.Tries, Ignores: g.Ignores}
 		if s.Profile = slices.Index(w.settings.Profiles, g.Profile); s.Profile < 0 {
-			return errorAt(path+"/profile", "%q is no profile of the settings", g.Profile)
+			return errorAt(path+"/profile", "the settings have no profile %q", g.Profile)
 		}
 		if g.Tenant != "" {
 			if s.Tenant = slices.Index(w.settings.Tenants, g.Tenant); s.Tenant < 0 {
-				return errorAt(path+"/tenant", "%q is no tenant of the settings", g.Tenant)
+				return errorAt(path+"/tenant", "the settings have no tenant %q", g.Tenant)
 			}
 		}
 		if tree != nil {
 			s.Team = tree.TeamOf(s.Tenant, []byte(g.Team))
 			if g.Team != "" && w.teamNames[s.Team] != g.Team {
-				return errorAt(path+"/team", "a call can't name the team %q", g.Team)
+				return errorAt(path+"/team", "a request can't name the team %q", g.Team)
 			}
 		}
 		if s.Deadline == 0 {
@@ -201,7 +201,7 @@
 		}
 		s.Rate, s.Peak = cluster.Steady(g.Rate)
 		if sum += g.Rate * w.setup.Length; sum > maxRequests {
-			return errorAt(path+"/rate", "more than %.0f commands in all", maxRequests)
+			return errorAt(path+"/rate", "more than %.0f requests in total", maxRequests)
 		}
 		w.setup.Streams = append(w.setup.Streams, s)
 	}
@@ -220,12 +220,12 @@
 	for n, g := range list {
 		path := fmt.Sprintf("/happens/%d", n)
 		if g.At < last {
-			return errorAt(path+"/at", "%v s comes before the event above it, at %v s", g.At, last)
+			return errorAt(path+"/at", "%v s is before the preceding event, at %v s", g.At, last)
 		}
 		last = g.At
 		act, ok := cluster.ActOf(g.What)
 		if !ok {
-			return errorAt(path+"/what", "%q is nothing that can happen", g.What)
+			return errorAt(path+"/what", "unknown event %q", g.What)
 		}
 		h := cluster.Happening{At: g.At, For: g.For, Act: act, Value: g.Value, Routers: g.Routers}
 		for _, r := range g.Routers {
@@ -236,7 +236,7 @@
 		for _, name := range g.Engines {
 			matching, known := w.matching(name)
 			if !known {
-				w.voidReasons = append(w.voidReasons, fmt.Sprintf("at %v s it names the engine %q, which the list never has (its number then: %d)", g.At, name, revision))
+				w.voidReasons = append(w.voidReasons, fmt.Sprintf("at %v s: the server list never contains engine %q (list number then: %d)", g.At, name, revision))
 				continue
 			}
 			h.Engines = append(h.Engines, matching...)
@@ -251,7 +251,7 @@
 		}
 		for _, k := range h.Engines {
 			if wasAbsent := absent[k]; wasAbsent && act != cluster.Back {
-				w.voidReasons = append(w.voidReasons, fmt.Sprintf("at %v s it names the engine %q, which is not in the list then (its number: %d): %s", g.At,
+				w.voidReasons = append(w.voidReasons, fmt.Sprintf("at %v s: engine %q is not in the server list then (list number: %d): %s", g.At,
 					w.serverNames[k], revision, w.absenceReason(list, n, k)))
 			}
 			if act == cluster.Gone && g.For == 0 {
@@ -274,10 +274,10 @@
 func (w *simulation) absenceReason(list []Event, n, k int) string {
 	for _, g := range list[n+1:] {
 		if g.What == "back" && slices.Contains(g.Engines, w.serverNames[k]) {
-			return fmt.Sprintf("the list brings it at %v s", g.At)
+			return fmt.Sprintf("it joins the list at %v s", g.At)
 		}
 	}
-	return "the list took it away"
+	return "it was removed from the list"
 }
 
 // matching returns the servers that a name stands for: one server, or all of a zone or kind.
--- a/internal/expect/trace.go
+++ b/internal/expect/trace.go
@@ -13,17 +13,17 @@
 func (w *simulation) traceLine(m *cluster.Moment) string {
 	s := fmt.Sprintf("%9.3f router %d %-8s", m.Now, m.Router, m.On)
 	if m.Try != nil {
-		s += fmt.Sprintf(" %s try %d", m.Stream.Name, m.Try.Number)
+		s += fmt.Sprintf(" %s attempt %d of the client", m.Stream.Name, m.Try.Number)
 	}
 	switch m.On {
 	case cluster.Sent:
-		s += fmt.Sprintf(" send %d to %s (told %s, level %d)", m.Number, w.serverNames[m.Engine], stateName(m.Told), m.Level)
+		s += fmt.Sprintf(" attempt %d to %s (reported %s, level %d)", m.Number, w.serverNames[m.Engine], stateName(m.Told), m.Level)
 	case cluster.SendEnded:
-		s += fmt.Sprintf(" send %d at %s: %s", m.Number, w.serverNames[m.Engine], endTexts[m.End])
+		s += fmt.Sprintf(" attempt %d at %s: %s", m.Number, w.serverNames[m.Engine], endTexts[m.End])
 	case cluster.Final:
 		s += " " + m.Try.How.String()
 	case cluster.Listed:
-		s += fmt.Sprintf(" number %d, %d engines ready", m.Rev, m.Listed)
+		s += fmt.Sprintf(" list number %d, %d engines ready", m.Rev, m.Listed)
 	}
 	return s
 }
@@ -32,11 +32,11 @@
 func (w *simulation) routerState(m *cluster.Moment) string {
 	s := fmt.Sprintf("list number %d", m.Rev)
 	if m.Engine >= 0 {
-		s += fmt.Sprintf("; engine %s told %s for %.3f s and %s, %d queries there", w.serverNames[m.Engine], stateName(m.Told), m.ToldFor,
+		s += fmt.Sprintf("; engine %s reported %s for %.3f s and truly %s, %d queries there", w.serverNames[m.Engine], stateName(m.Told), m.ToldFor,
 			stateName(m.True), m.EngineN)
 	}
 	if m.Try != nil {
-		s += fmt.Sprintf("; command of %s, waited %.3f s, send %d, %d out", m.Stream.Name, m.Waited, m.Number, m.Out)
+		s += fmt.Sprintf("; request of %s, waited %.3f s, attempt %d, %d open", m.Stream.Name, m.Waited, m.Number, m.Out)
 	}
 	return s
 }
