--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,5 @@
-// Package demo runs a router with stand-ins for all it talks to, for some seconds, and tells how two teams fared.
+// Package demo runs a router with fake servers, name server and clients for some seconds and prints the results of two
+// teams.
 package demo
 
 import (
@@ -29,30 +30,30 @@
 
 // Options of a demonstration.
 type Options struct {
-	Router  string  // the program
-	Seconds float64 // of load
+	Router  string  // path of the program
+	Seconds float64 // duration of the load
 	Engines int
-	Planner int // clients of the team that plans: a report at a time each
-	Flood   int // clients of the team that looks up, one after another each
+	Planner int // clients of the team planning, each with one report at a time
+	Flood   int // clients of the team clerks, each with one lookup at a time
 }
 
-// team is how one fared.
+// team is the results of one team.
 type team struct {
 	name                string
 	mu                  sync.Mutex
 	completed, rejected int
 	failed              int
-	waits, latency      []float64 // before the first send, and in all; ms
+	waits, latency      []float64 // before the first attempt, and in total; ms
 	inTime              int
 }
 
 const (
 	cores = 4
-	// The profiles, as the router's settings and the model's comments have them.
+	// Latency targets of the profiles.
 	lookupTarget, reportTarget = 800.0, 4000.0 // ms
 )
 
-// Run plays it and prints the table.
+// Run runs the demonstration and prints the table.
 func Run(ctx context.Context, o Options, out io.Writer) error {
 	d := &fake.Desk{}
 	defer d.End()
@@ -77,19 +78,19 @@
 	d.Cleanup(func() { log.Close() })
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %v (`make build` makes it)", o.Router, err)
+		return fmt.Errorf("%s: %v (run `make build` to build it)", o.Router, err)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	fmt.Fprintf(out, "A router at %s, %d model engines of %d cores, a name server; %.0f s of load by two teams of equal weight:\n"+
-		"planning asks for reports of 1 core second, %d at a time; clerks look up without end, %d at a time.\n\n",
+		"planning requests reports of 1 core second, %d at a time; clerks sends lookups continuously, %d at a time.\n\n",
 		f.addr, o.Engines, cores, o.Seconds, o.Planner, o.Flood)
 	planning, clerks := o.load(d, f.addr)
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err = <-ended:
 	case <-time.After(fake.Patience):
-		err = fmt.Errorf("the router did not end")
+		err = fmt.Errorf("the router did not exit in time")
 	}
 	if err != nil {
 		text, _ := os.ReadFile(log.Name())
@@ -98,7 +99,7 @@
 	return printTable(out, planning, clerks)
 }
 
-// files is where a demonstration's router finds what it reads, and listens.
+// files is the router's listen address and the paths of its files.
 type files struct{ addr, config, operators string }
 
 // setUp starts a name server and model servers, and writes the router's files to a folder.
@@ -106,14 +107,14 @@
 	nameServer := fake.NewNameServer(d, discovery.ServiceName)
 	var list, targets []string
 	for k := range o.Engines {
-		messages := make(chan fake.Said, 1000) // more than an engine has sessions: a reader waits for none
+		messages := make(chan fake.Said, 1000) // more than the sessions of a server, so that readers never block
 		e := fake.NewEngine(d, messages)
 		go fake.Model(ctx, engine.Settings{Cores: cores, Sessions: 64, Knee: 2, Thrash: 0.3, Notes: 2}, messages)
 		list = append(list, fmt.Sprintf("e-%d.hall 0 10 small 0 0 %s", k, e.Addr))
 		targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"hall","model":"small","state":"ready"}`, k, e.Addr))
 	}
 	nameServer.Set(1, list...)
-	f.addr = fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254)) // this router's own
+	f.addr = fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254)) // a random loopback address, used by this router only
 	f.config, f.operators = filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
 	if err := write(f.config, configuration(f.addr, nameServer.Addr, targets)); err != nil {
 		return f, err
@@ -124,7 +125,7 @@
 	return f, nil
 }
 
-// load has both teams' clients ask for as long as the options say, and returns how the teams fared.
+// load runs the clients of both teams for the configured time and returns the results of the teams.
 func (o *Options) load(d *fake.Desk, addr string) (planning, clerks *team) {
 	planning, clerks = &team{name: "planning"}, &team{name: "clerks"}
 	until := time.Now().Add(time.Duration(o.Seconds * 1e9))
@@ -145,7 +146,7 @@
 // printTable prints a line for each team.
 func printTable(out io.Writer, teams ...*team) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "team\tanswered\tin time\tshed\tfailed\twaited p50\tp90 (ms)\ttook p50\tp90 (ms)\t")
+	fmt.Fprintln(table, "team\tcompleted\tin time\trejected\tfailed\twaited p50\tp90 (ms)\ttook p50\tp90 (ms)\t")
 	for _, t := range teams {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", t.name, t.completed, t.inTime, t.rejected, t.failed,
 			quantile(t.waits, 0.5), quantile(t.waits, 0.9), quantile(t.latency, 0.5), quantile(t.latency, 0.9))
@@ -153,6 +154,7 @@
 	return table.Flush()
 }
 
+// quantile returns a quantile of x, NaN if x is empty. It sorts x.
 func quantile(x []float64, q float64) float64 {
 	if len(x) == 0 {
 		return math.NaN()
@@ -163,7 +165,7 @@
 
 var responseField = regexp.MustCompile(`(cooldown|waited)=(\d+)`)
 
-// client asks one thing after another until the time is over, and stays away as long as it is told.
+// client sends one request after another until the end of the load, and pauses for as long as a rejection asks for.
 func (t *team) client(d *fake.Desk, addr string, seed uint64, until time.Time, profile, tenant string, work, threads, target float64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	size := distuv.LogNormal{Mu: math.Log(work) - 0.2, Sigma: math.Sqrt(0.4), Src: rnd}
@@ -180,6 +182,7 @@
 	}
 }
 
+// recordAnswer counts an answer and returns the pause that a rejection asks for.
 func (t *team) recordAnswer(answer string, latency, target float64) (pause time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -215,6 +218,7 @@
   "waits": {"fields": true}
 }`
 
+// configuration returns the router's configuration file.
 func configuration(addr, nameServerAddr string, targets []string) string {
 	text, _ := json.Marshal(map[string]any{
 		"name": "demo", "listen": addr, "seed": "8c1f30d27a5be964", "nameserver": nameServerAddr,
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestRun: a short demonstration ends in a table in which both teams were answered and nothing failed.
+// TestRun guards against a demonstration that ends without a table, or in which a team gets no answers or failures.
 func TestRun(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-buildvcs=false", "-o", dir, "../../cmd/dunereach", "../../cmd/dunecheck").CombinedOutput(); err != nil {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -13,8 +13,8 @@
 	"dunereach/internal/faultrig"
 )
 
-// Fleet starts three keepers and four routers, takes two owners away, one by SIGKILL and one by SIGTERM, and prints who took
-// over and when.
+// Fleet starts three coordinators and four routers, ends two owners, one by SIGKILL and one by SIGTERM, and prints
+// which router takes over and when.
 func Fleet(bin string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "dunereach-demo")
 	if err != nil {
@@ -27,7 +27,7 @@
 		return err
 	}
 	defer r.Close()
-	fmt.Fprintf(out, "Three keepers and four routers in two zones, leases of %g s. Two engines are cold: each has a work, whose owner deals out\nits allowance (rule 4).\n\n", lease)
+	fmt.Fprintf(out, "Three coordinators and four routers in two zones, leases of %g s. Two servers are cold: each has a task, whose owner grants\nshares of its allowance (rule 4).\n\n", lease)
 	if err := r.Start(); err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 			return err
 		}
 	}
-	for _, removal := range []struct{ action, description string }{{"kill", "is killed (SIGKILL)"}, {"end", "is asked to end (SIGTERM)"}} {
+	for _, removal := range []struct{ action, description string }{{"kill", "is killed (SIGKILL)"}, {"end", "is asked to exit (SIGTERM)"}} {
 		owner := r.Note()
 		if owner == "" {
 			if err := r.Await("owned"); err != nil {
@@ -60,7 +60,7 @@
 		if err := r.Await("moved"); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s, the owner of the first work, %s; %s acts on it %.2f s later.\n\n", owner, removal.description, r.Owner(), time.Since(began).Seconds())
+		fmt.Fprintf(out, "%s, the owner of the first task, %s; %s acts on it %.2f s later.\n\n", owner, removal.description, r.Owner(), time.Since(began).Seconds())
 		if err := r.Await("owned"); err != nil {
 			return err
 		}
@@ -69,7 +69,7 @@
 		}
 	}
 	f := r.Figures()
-	fmt.Fprintf(out, "%d acts, %d of them under an old fence; at most %.2f of an allowance in use at any moment.\n", f.Acts, f.Old, f.Worst)
+	fmt.Fprintf(out, "%d acts, %d of them under a stale fence; at most %.2f of an allowance in use at any time.\n", f.Acts, f.Old, f.Worst)
 	if len(f.Wrong) > 0 {
 		return fmt.Errorf("%s", strings.Join(f.Wrong, "\n"))
 	}
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -1,5 +1,6 @@
-// Package fake has what a router talks to, for tests and the demonstration: a name server, engines and clients on
-// loopback, each as its published protocol has it. Tests say what they answer; Model has an engine answer by itself.
+// Package fake implements the peers of a router for tests and the demonstration: a name server, servers and clients on
+// loopback, which speak the published protocols. Tests determine the answers; ServeModel answers for a server by
+// itself.
 package fake
 
 import (
@@ -16,18 +17,18 @@
 	"dunereach/internal/thrift"
 )
 
-// Patience is how long tests wait for what must come; a good run waits for nothing near it.
+// Timeout limits the waits in tests for events that must happen; passing runs stay far below it.
 const Patience = 20 * time.Second
 
-// T is who uses a stand-in: a test, or a program that ends what it has begun.
+// T is the user of a fake: a test, or a program that runs the cleanups itself.
 type T interface {
 	Helper()
 	Fatal(args ...any)
 	Cleanup(func())
 }
 
-// Reply is an answer that lists engines, each "uid.zone priority weight kind cell started address:port", with
-// names compressed.
+// ListAnswer is a DNS answer that lists servers, each as "uid.zone priority weight kind cell started address:port",
+// with compressed names.
 func Reply(id uint16, serial uint32, name string, engines ...string) []byte {
 	b := dns.AppendQuery(nil, id, name)
 	b[2] |= 0x84
@@ -62,27 +63,27 @@
 	return b
 }
 
-// NameServer answers every question with the list as last set.
+// NameServer answers every query with the list as last set.
 type NameServer struct {
 	Addr          string
 	mu            sync.Mutex
 	rev           uint32
 	list          []string
-	ignored       map[string]bool // to these addresses
+	ignored       map[string]bool // addresses that get no answer
 	clients       map[string]bool
-	down          bool          // nobody is answered
-	firstQuery    chan struct{} // closed with the first question
-	sent          chan struct{} // closed with the first answer that holds the list as last set
-	queuedAnswers []serverList  // answers that go out before the list as last set
+	down          bool          // no query is answered
+	firstQuery    chan struct{} // closed at the first query
+	sent          chan struct{} // closed at the first answer with the list as last set
+	queuedAnswers []serverList  // answers to send before the list as last set
 }
 
-// serverList is a list of servers under a number.
+// serverList is a list of servers with its revision.
 type serverList struct {
 	rev  uint32
 	list []string
 }
 
-// NewNameServer starts a name server on loopback that answers for one name. It ends with the test.
+// NewNameServer starts a name server on loopback that answers for one name. It stops when the test ends.
 func NewNameServer(t T, name string) *NameServer {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -113,7 +114,7 @@
 	return n
 }
 
-// Set is a new event of the list.
+// SetList sets the list and its revision.
 func (n *NameServer) Set(rev uint32, engines ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,14 +122,15 @@
 	n.sent = make(chan struct{})
 }
 
-// Stray has the next answer hold another list than the one set, as one does that was meant for somebody else or is out of date.
+// QueueAnswer makes the next answer contain another list than the one set, like an answer that was meant for another
+// client or is out of date.
 func (n *NameServer) Stray(rev uint32, engines ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.queuedAnswers = append(n.queuedAnswers, serverList{rev, engines})
 }
 
-// Sent waits until an answer has gone out that holds the list as last set.
+// AwaitListSent waits until an answer with the list as last set has been sent.
 func (n *NameServer) Sent() {
 	n.mu.Lock()
 	sent := n.sent
@@ -136,7 +138,7 @@
 	<-sent
 }
 
-// nextAnswer is the list that goes out next. Its caller holds the lock.
+// nextAnswer returns the list to send next. The caller holds the lock.
 func (n *NameServer) nextAnswer() serverList {
 	if len(n.queuedAnswers) > 0 {
 		stray := n.queuedAnswers[0]
@@ -151,40 +153,40 @@
 	return serverList{n.rev, n.list}
 }
 
-// Asked waits for the first question.
+// AwaitQuery waits for the first query.
 func (n *NameServer) Asked() { <-n.firstQuery }
 
-// Down has the server answer nobody, or all again.
+// SetDown makes the server ignore all queries, or answer again.
 func (n *NameServer) Down(down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.down = down
 }
 
-// Forget answers nobody any more who has asked so far, as where a flow on the way is lost.
+// IgnoreClients stops answering all addresses that have sent queries so far, as if a network flow were lost on the way.
 func (n *NameServer) Forget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ignored, n.clients = n.clients, map[string]bool{}
 }
 
-// Said is one line that an engine was sent, with the bytes behind it.
+// Message is one line that a server received, with the body after it.
 type Said struct {
 	Words  []string
 	Body   string
 	Engine *Engine
-	At     time.Time // when it was read
+	At     time.Time // time of receipt
 	conn   net.Conn
 }
 
-// Engine hands all it is sent to a channel, which engines may share.
+// Server passes all messages that it receives to a channel, which servers may share.
 type Engine struct {
 	Addr     string
 	listener net.Listener
 	messages chan<- Said
 }
 
-// NewEngine starts a server on loopback that passes on what it receives. It ends with the test.
+// NewServer starts a server on loopback that passes on what it receives. It stops when the test ends.
 func NewEngine(t T, messages chan<- Said) *Engine {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -205,9 +207,10 @@
 	return e
 }
 
-// Close lets nobody connect any more.
+// Close stops accepting connections.
 func (e *Engine) Close() { e.listener.Close() }
 
+// read passes the messages of one connection to the channel.
 func (e *Engine) read(c net.Conn) {
 	for r := bufio.NewReader(c); ; {
 		line, err := r.ReadString('\n')
@@ -228,31 +231,31 @@
 	}
 }
 
-// Answer answers under the id of what was said.
+// Answer sends an answer with the id of the message.
 func (s Said) Answer(word, fields, body string) {
 	fmt.Fprintf(s.conn, "%s %s %s %d\r\n%s\r\n", s.Words[1], word, fields, len(body), body)
 }
 
-// Raw sends bytes as they are on the connection that it came on.
+// Write sends bytes unchanged on the connection of the message.
 func (s Said) Raw(text string) { io.WriteString(s.conn, text) }
 
-// Die resets the connection, as a dying process does.
+// Reset resets the connection, like a process that is killed.
 func (s Said) Die() {
 	s.conn.(*net.TCPConn).SetLinger(0)
 	s.conn.Close()
 }
 
-// Leave closes the connection, as an engine that holds it for idle.
+// CloseConnection closes the connection, like a server that considers it idle.
 func (s Said) Leave() { s.conn.Close() }
 
-// Client is one connection of a client.
+// Client is one client connection.
 type Client struct {
 	t    T
 	conn net.Conn
 	seq  int32
 }
 
-// NewClient connects to a router and waits until it listens. The connection is closed as the test ends.
+// NewClient connects to a router; it retries until the router listens. The connection is closed when the test ends.
 func NewClient(t T, addr string) *Client {
 	t.Helper()
 	for end := time.Now().Add(Patience); ; {
@@ -264,60 +267,60 @@
 		if time.Now().After(end) {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Millisecond) // not up yet
+		time.Sleep(time.Millisecond) // the router does not listen yet
 	}
 }
 
-// Call asks for a statement to be run, and gives the call's number.
+// Call requests the execution of a statement and returns the sequence number of the request.
 func (c *Client) Call(body string, fields ...string) int32 {
 	c.seq++
 	c.Raw(Call(c.seq, body, fields...))
 	return c.seq
 }
 
-// Call is the message that asks for a statement to be run.
+// Call returns the message that requests the execution of a statement.
 func Call(seq int32, body string, fields ...string) []byte {
 	b := thrift.BeginMessage(nil, thrift.Call, "call", seq)
 	b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), fields...)
 	return thrift.EndMessage(thrift.AppendBytes(thrift.AppendField(b, thrift.String, 2), body))
 }
 
-// Cancel stops waiting for a call.
+// Cancel cancels a request.
 func (c *Client) Cancel(seq int32) {
 	b := thrift.AppendField(thrift.BeginMessage(nil, thrift.Oneway, "cancel", 0), thrift.I32, 1)
 	c.Raw(thrift.EndMessage(binary.BigEndian.AppendUint32(b, uint32(seq))))
 }
 
-// Health asks whether the router is there.
+// Health sends a health check and reports whether the answer is right.
 func (c *Client) Health() bool {
 	c.t.Helper()
 	c.AskHealth()
 	return c.Next() == fmt.Sprintf(`%d/%d health{ 0={ 1="" 2=[ ] 3=1 } }`, thrift.Reply, c.seq)
 }
 
-// AskHealth is the question of Health, with its answer yet to be read.
+// SendHealthCheck sends the request of Health without reading its answer.
 func (c *Client) AskHealth() {
 	c.seq++
 	b := thrift.AppendField(thrift.BeginMessage(nil, thrift.Call, "health", c.seq), thrift.Bool, 1)
 	c.Raw(thrift.EndMessage(append(b, 1)))
 }
 
-// Raw sends bytes as they are. What can't be sent shows in what comes back.
+// Write sends bytes unchanged. A failed write shows in the next answer that is read.
 func (c *Client) Raw(b []byte) { c.conn.Write(b) }
 
-// HalfClose closes the sending half of the connection: nothing more will be asked.
+// HalfClose closes the sending half of the connection: there are no further requests.
 func (c *Client) HalfClose() { c.conn.(*net.TCPConn).CloseWrite() }
 
-// Leave closes the connection.
+// Close closes the connection.
 func (c *Client) Leave() { c.conn.Close() }
 
-// Reset cuts the connection, as a client's process that dies.
+// Reset resets the connection, like a client process that is killed.
 func (c *Client) Reset() {
 	c.conn.(*net.TCPConn).SetLinger(0)
 	c.conn.Close()
 }
 
-// Next is the next answer, or how the connection ended.
+// NextAnswer returns the next answer, or how the connection ended.
 func (c *Client) Next() string {
 	c.t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(Patience))
@@ -334,13 +337,14 @@
 	return Show(frame)
 }
 
-// Show prints a message.
+// Format formats a message as text.
 func Show(frame []byte) string {
 	r := thrift.NewReader(frame)
 	kind, name, seq := r.MessageHeader()
 	return fmt.Sprintf("%d/%d %s%s", kind, seq, name, formatValue(&r, thrift.Struct))
 }
 
+// formatValue formats one value of a message.
 func formatValue(r *thrift.Reader, t thrift.Type) (s string) {
 	switch t {
 	case thrift.Struct:
--- a/internal/fake/model.go
+++ b/internal/fake/model.go
@@ -11,11 +11,11 @@
 	"dunereach/emulator/engine"
 )
 
-// Model has one engine answer what it is sent as a model engine does, in real time, until the context ends. A statement
-// tells its true work in core seconds, its threads and its memory in a comment: /* work=0.2 threads=1 memory=50 */.
+// ServeModel answers a server's messages like a model server, in real time, until the context ends. A comment in a
+// statement states its true work in core seconds, its threads and its memory: /* work=0.2 threads=1 memory=50 */.
 func Model(ctx context.Context, set engine.Settings, inbox <-chan Said) { Paced(ctx, set, inbox, nil) }
 
-// Paced is Model with changes of the server's speed, each a factor on what was set.
+// ServeModelAtPace is ServeModel with changes of the server's speed, each a factor of the configured speed.
 func Paced(ctx context.Context, set engine.Settings, messages <-chan Said, pace <-chan float64) {
 	p := &modelServer{start: time.Now(), model: engine.New(set, 0), running: map[uint64]Said{}, queryIDs: map[requestID]uint64{}}
 	timer := time.NewTimer(time.Hour)
@@ -42,17 +42,17 @@
 	}
 }
 
-// requestID names a request: an id means something on its connection only.
+// requestID identifies a request; its id is unique only within its connection.
 type requestID struct {
 	conn net.Conn
 	id   string
 }
 
-// modelServer has a model run requests in real time.
+// modelServer runs requests on a model server in real time.
 type modelServer struct {
 	start    time.Time
 	model    *engine.Engine
-	running  map[uint64]Said // running requests, by the model's number
+	running  map[uint64]Said // running requests, by the model's query id
 	queryIDs map[requestID]uint64
 	lastID   uint64
 }
@@ -60,7 +60,7 @@
 // now returns the model's time in seconds.
 func (p *modelServer) now() float64 { return time.Since(p.start).Seconds() }
 
-// receive gives a message to the model.
+// receive passes a message to the model.
 func (p *modelServer) receive(s Said) {
 	switch id := (requestID{s.conn, s.Words[1]}); s.Words[0] {
 	case "fetch":
@@ -76,13 +76,13 @@
 		if n, err := strconv.Atoi(s.Words[2]); err == nil {
 			p.model.Renice(p.now(), p.queryIDs[id], n)
 		}
-	case "abort": // it runs on, but nobody waits
+	case "abort": // the query goes on running, but its result is dropped
 		delete(p.running, p.queryIDs[id])
 		delete(p.queryIDs, id)
 	}
 }
 
-// answer sends what an event of the model means to whoever waits for it.
+// answer sends the message for an event of the model to the router that waits for it.
 func (p *modelServer) answer(event engine.Event) {
 	s, waiting := p.running[event.ID]
 	if !waiting {
@@ -100,7 +100,7 @@
 	}
 }
 
-// parseQuery is what a statement's comment and the fields of its send ask of the model.
+// parseQuery reads a query from the comment in a statement and the fields of its request.
 func parseQuery(s Said) engine.Query {
 	q := engine.Query{Threads: 1, Level: 1}
 	for _, word := range strings.Fields(s.Body) {
--- a/internal/fake/standalone.go
+++ b/internal/fake/standalone.go
@@ -5,26 +5,27 @@
 	"sync"
 )
 
-// Desk is a program that uses stand-ins, in place of a test: what it has begun ends with End, the last first.
+// Standalone implements T for programs that use the fakes outside of tests. Close runs the registered cleanups, last
+// first.
 type Desk struct {
 	mu       sync.Mutex
 	cleanups []func()
 }
 
-// Helper does nothing: there is no test whose lines could be named.
+// Helper does nothing, since there is no test log with line numbers.
 func (d *Desk) Helper() {}
 
 // Fatal panics with its arguments as text.
 func (d *Desk) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
 
-// Cleanup registers a function that End calls.
+// Cleanup registers a function that Close calls.
 func (d *Desk) Cleanup(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cleanups = append(d.cleanups, f)
 }
 
-// End all.
+// Close runs all cleanups, the last registered first.
 func (d *Desk) End() {
 	d.mu.Lock()
 	cleanups := d.cleanups
