--- a/internal/faultrig/audit.go
+++ b/internal/faultrig/audit.go
@@ -15,25 +15,25 @@
 	"dunereach/internal/fake"
 )
 
-// audit looks at all processes from outside: at what they log of their acts, by the machine's one clock, at what engines were
-// sent and at what clients got. It knows none of their accounts.
+// audit observes all processes from outside: the acts that they log, on the machine's one clock, the requests that
+// servers receive and the answers that clients get. It does not use the processes' own accounting.
 type audit struct {
 	rig *Rig
 	mu  sync.Mutex
 
-	acts         map[string][]act        // by work
-	spans        map[string][]span       // by work
-	runs         map[string][][2]float64 // of each process: from, until
-	startupUntil map[string]float64      // of each life: until when it began with its parts laid down
+	acts         map[string][]act        // by task
+	spans        map[string][]span       // by task
+	runs         map[string][][2]float64 // runs of each process: from, until
+	startupUntil map[string]float64      // by run: the end of the time after the start in which it relinquishes its shares
 	refusals     int
-	ownerLostAt  map[string]float64 // works whose owner was taken away, since when
+	ownerLostAt  map[string]float64 // tasks whose owner was ended, with the time
 	ownerGaps    []float64
 	failedExits  []string
 
-	attemptsByServer  map[int]int    // sends by engine
-	probes            []Probe        // attempts at servers that answer nothing, the last ones
-	lowestLevel       int            // sends of the lowest level
-	runsByStatement   map[string]int // by statement
+	attemptsByServer  map[int]int    // attempts by server
+	probes            []Probe        // the latest attempts at servers that do not answer
+	lowestLevel       int            // attempts at the lowest priority level
+	runsByStatement   map[string]int // number of runs by statement
 	Asked, Answered   int
 	Shed, Failed, Cut int
 	Twice             int
@@ -41,6 +41,7 @@
 	slowest           float64
 }
 
+// act is an act on a task under a fence.
 type act struct {
 	at    float64
 	fence uint64
@@ -48,7 +49,7 @@
 	run   int
 }
 
-// span of time in which a process laid its part down, or may use one.
+// span is a time in which a process relinquished its share of an allowance, or may use a granted share.
 type span struct {
 	actor        string
 	run          int
@@ -57,16 +58,16 @@
 	relinquished bool
 }
 
-// Probe is an attempt that reached a server while it answered nothing.
+// Probe is an attempt that reached a server while it did not answer.
 type Probe struct {
 	Server int
 	Router string
-	At     float64 // seconds since the rig began
+	At     float64 // seconds since the start of the rig
 }
 
-const keptProbes = 1000 // the last ones
+const keptProbes = 1000 // number of latest probes that are kept
 
-// addHungProbe keeps an attempt at a server that answers nothing. Its statement names the router.
+// addHungProbe records an attempt at a server that does not answer. The statement contains the name of the router.
 func (a *audit) addHungProbe(server int, statement string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,7 +76,7 @@
 	}
 }
 
-// Probes is the attempts at a server while it answered nothing, in order.
+// Probes returns the attempts at a server while it did not answer, in order.
 func (r *Rig) Probes(server int) (probes []Probe) {
 	r.audit.mu.Lock()
 	defer r.audit.mu.Unlock()
@@ -92,12 +93,14 @@
 		runsByStatement: map[string]int{}, attemptsByServer: map[int]int{}, startupUntil: map[string]float64{}}
 }
 
+// processStarted records the start of a process.
 func (a *audit) processStarted(p *process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.runs[p.name] = append(a.runs[p.name], [2]float64{boottime.Now(), math.Inf(1)})
 }
 
+// processGone records the end of the current run of a process.
 func (a *audit) processGone(p *process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,15 +109,16 @@
 	}
 }
 
+// processExited records an unexpected exit with an error status.
 func (a *audit) processExited(p *process, run, status int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if status > 0 && !p.exitExpected { // a signal of ours is no status
+	if status > 0 && !p.exitExpected { // processes that the rig ended by a signal have no positive status
 		a.failedExits = append(a.failedExits, fmt.Sprintf("%s ended with status %d: %s", p.name, status, strings.Join(p.tail[max(len(p.tail)-1, 0):], "")))
 	}
 }
 
-// logLine of a process's log.
+// logLine evaluates one line of a process's log.
 func (a *audit) logLine(p *process, run int, text []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,7 +147,7 @@
 				delete(a.ownerLostAt, l.Task)
 			}
 		}
-	case "begins": // with its parts laid down until then
+	case "begins": // it relinquishes its shares until then
 		a.startupUntil[fmt.Sprint(p.name, "/", run)] = l.Until
 	case "laid", "part":
 		a.spans[l.Task] = append(a.spans[l.Task], span{p.name, run, l.At, l.Until, l.Share, l.What == "laid"})
@@ -152,25 +156,26 @@
 	}
 }
 
+// tail returns the last lines of a process's log.
 func (a *audit) tail(p *process) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(p.tail)
 }
 
-// latestAct act on a work, if it was of late.
+// latestAct returns the latest act on a task, and whether it is recent and by a process that still runs.
 func (a *audit) latestAct(task string) (act, bool) {
 	all := a.acts[task]
 	if len(all) == 0 {
 		return act{}, false
 	}
 	last := all[len(all)-1]
-	const late = 1.2 // two acts of half a second may be missed
+	const late = 1.2 // owners act every half second; two acts may be missed
 	p := a.rig.procs[last.actor]
 	return last, boottime.Now()-last.at < late && p.running && p.run == last.run && !p.stopped
 }
 
-// works of the scenario's engines that anybody has acted on, warmUpTasks only.
+// warmUpTasks returns the warm-up tasks that any owner has acted on, sorted by name.
 func (a *audit) warmUpTasks() (all []string) {
 	for w := range a.acts {
 		if strings.HasPrefix(w, "warmth/") {
@@ -181,7 +186,7 @@
 	return all
 }
 
-// firstTask of the works, by name.
+// firstTask returns the first warm-up task by name.
 func (a *audit) firstTask() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -191,6 +196,7 @@
 	return ""
 }
 
+// ownerOf returns the owner of the warm-up task with index n, "" if nobody acted on it recently.
 func (a *audit) ownerOf(n int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -204,7 +210,8 @@
 	return ""
 }
 
-// checkOwned tells which engine's warmth has no owner that acts, or no part in use.
+// checkOwned returns an error if a router has not begun, a server's warm-up task has no owner that acts or, if granted,
+// no share of it is in use.
 func (a *audit) checkOwned(granted bool) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -231,9 +238,10 @@
 	return nil
 }
 
+// checkGranted is checkOwned with granted shares.
 func (a *audit) checkGranted() error { return a.checkOwned(true) }
 
-// markOwnerLost notes the works of a process that is about to end.
+// markOwnerLost records the tasks of a process that is about to end.
 func (a *audit) markOwnerLost(p *process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -244,24 +252,24 @@
 	}
 }
 
-// Figures of a run.
+// Figures are the results of a run.
 type Figures struct {
-	Acts     int     // of owners
-	Old      int     // acts after one under a higher fence, or under a fence of another process
-	Refused  int     // letters under an old fence that a receiver refused
-	Worst    float64 // most of an allowance that may have been in use at a moment
+	Acts     int     // acts of owners
+	Old      int     // acts after an act under a higher fence, or under a fence of another process
+	Refused  int     // messages under a stale fence that a receiver rejected
+	Worst    float64 // largest share of an allowance that may have been in use at any time
 	Gaps     []float64
 	Asked    int
 	Answered int
 	Shed     int
 	Failed   int
-	Cut      int // connections that ended, as their router did
-	Twice    int // commands that ran twice
+	Cut      int // connections that ended when their router did
+	Twice    int // requests that ran twice
 	Slowest  float64
 	Wrong    []string
 }
 
-// Figures and what is wrong.
+// figures returns the results so far, with all violations.
 func (a *audit) figures() Figures {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -288,7 +296,8 @@
 	return f
 }
 
-// staleActs tells of each act on a task under a fence that was lower than an earlier act's, or another process's.
+// staleActs describes each act on a task under a fence that was lower than an earlier act's or belonged to another
+// process.
 func staleActs(task string, acts []act) (violations []string) {
 	sorted := slices.Clone(acts)
 	slices.SortStableFunc(sorted, func(x, y act) int { return cmp.Compare(x.at, y.at) })
@@ -303,16 +312,16 @@
 	return violations
 }
 
-const window = 1.0 // seconds of the cold engines' limit
+const window = 1.0 // length in seconds of the window over which attempts at cold servers are limited
 
-// maxInUse sum of parts over all routers within any window. A router's part is what was dealt to it, nothing while it lays its
-// own down, else the equal part.
+// maxInUse returns the largest sum of shares over all routers within any window, and its time. A router's share is the
+// granted one, none while it relinquishes its own, and the equal share otherwise.
 func (a *audit) maxInUse(spans []span) (maxInUse, maxAt float64) {
 	byRun := map[string][]span{}
 	var times []float64
 	for _, s := range spans {
 		key := fmt.Sprint(s.actor, "/", s.run)
-		byRun[key] = append(byRun[key], s) // in the order that they came
+		byRun[key] = append(byRun[key], s) // in the order of their arrival
 		times = append(times, s.at, s.until-1e-6, s.until+1e-6)
 	}
 	for _, ownSpans := range byRun {
@@ -337,7 +346,8 @@
 	return maxInUse, maxAt
 }
 
-// sample leaves so many of the moments that all of a short run's are looked at.
+// sample returns evenly spaced elements of times, all of them for a short run, so that the cost of long runs is
+// bounded.
 func sample(times []float64) []float64 {
 	const most = 1000
 	if len(times) <= most {
@@ -351,7 +361,8 @@
 	return thin
 }
 
-// shareInUse is the most of the allowance that a process, which lived from life[0] to life[1], may have used in the window before t.
+// shareInUse returns the largest share of the allowance that a process, which ran from run[0] to run[1], may have used
+// in the window before t.
 func (a *audit) shareInUse(key string, run [2]float64, ownSpans []span, t float64) float64 {
 	share := 0.0
 	for _, s := range spansNear(ownSpans, t) {
@@ -359,15 +370,15 @@
 			share = max(share, s.share)
 		}
 	}
-	// The equal part, at some moment of the window: only a life that goes on is counted, since a restart has its part twice
-	// without a fleet as well.
+	// The equal share at any time in the window. Only a run that continues after t is counted, since a restarted process
+	// uses its share twice without a fleet as well.
 	if run[1] > t && a.hadEqualShare(key, ownSpans, run[0], t) {
 		share = max(share, 1/float64(a.rig.file.Routers))
 	}
 	return share
 }
 
-// spansNear is the spans that can reach a moment: none is longer than that, and they lie in the order that they began.
+// spansNear returns the spans that can include t. Spans are at most 30 seconds long and sorted by their start.
 func spansNear(all []span, t float64) []span {
 	const longest = 30.0
 	from := sort.Search(len(all), func(k int) bool { return all[k].at >= t-longest })
@@ -375,13 +386,14 @@
 	return all[from:max(to, from)]
 }
 
-// hadEqualShare tells whether a process had its hadEqualShare part at some moment of the window before t: it lays it down from its start on for
-// a while, where an earlier process of its name may have done so, and with each pledge.
+// hadEqualShare reports whether a process had its equal share at any time in the window before t. A process
+// relinquishes it for a while after its start, since an earlier process of its name may have relinquished it, and with
+// each relinquish message.
 func (a *audit) hadEqualShare(key string, ownSpans []span, from, t float64) bool {
 	ownSpans = spansNear(ownSpans, t)
 	until, ok := a.startupUntil[key]
 	if !ok {
-		return false // it has only just been started: it takes no command before it has said that it begins
+		return false // it has just started and accepts no requests before it logs that it begins
 	}
 	covered := max(from, t-window, until)
 	for _, s := range ownSpans {
@@ -392,7 +404,7 @@
 	return covered < t
 }
 
-// attemptReceived tells that an engine got a statement.
+// attemptReceived records that a server received a statement.
 func (a *audit) attemptReceived(engine int, statement string, lowestLevel bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -406,7 +418,8 @@
 	}
 }
 
-// runClient of one router: one command after another, each of which must have one answer within its time while the router lives.
+// runClient is a client of one router. It sends one request after another and expects exactly one answer in time to
+// each, as long as the router runs.
 func (r *Rig) runClient(n, k int) {
 	p := r.procs[fmt.Sprint("n", n+1)]
 	a := r.audit
@@ -440,6 +453,7 @@
 	}
 }
 
+// dial connects to a router, once it runs. It returns false if the rig is closed first.
 func (r *Rig) dial(d *fake.Desk, p *process) (c *fake.Client, ok bool) {
 	for {
 		select {
@@ -451,7 +465,7 @@
 			continue
 		}
 		func() {
-			defer func() { recover() }() // it did not come up in time: asked again
+			defer func() { recover() }() // the router did not listen in time: try again
 			c = fake.NewClient(d, p.addr)
 		}()
 		if c != nil {
@@ -460,6 +474,7 @@
 	}
 }
 
+// running reports whether a process runs.
 func (a *audit) running(p *process) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -467,7 +482,7 @@
 	return len(l) > 0 && math.IsInf(l[len(l)-1][1], 1)
 }
 
-// addAnswer notes one; false: the connection is over.
+// addAnswer records an answer. It returns false if the connection has ended.
 func (a *audit) addAnswer(p *process, number int32, got string, took float64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/faultrig/events.go
+++ b/internal/faultrig/events.go
@@ -1,6 +1,6 @@
 package faultrig
 
-// This file plays a scenario's events.
+// This file applies a scenario's events.
 
 import (
 	"errors"
@@ -11,13 +11,13 @@
 	"dunereach/emulator/scenario"
 )
 
-// Play the scenario's events, and wait until all is as it should be again.
+// RunEvents applies the scenario's events and waits until the fleet has recovered.
 func (r *Rig) Play() error {
 	for k, e := range r.file.Events {
 		if err := r.waitFor(e.When); err != nil {
 			return fmt.Errorf("event %d, %s %s: %v", k, e.Do, e.Who, err)
 		}
-		time.Sleep(time.Duration(e.After * 1e9)) // the script's own time: nothing is waited for by it
+		time.Sleep(time.Duration(e.After * 1e9)) // a delay of the scenario, not a wait for a condition
 		if o := r.Owner(); o != "" {
 			r.lastOwner = o
 		}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// apply does an event to all whom it names.
+// apply applies an event to all processes that it names.
 func (r *Rig) apply(e scenario.Event) error {
 	targets := r.file.Whom(e.Who, r)
 	r.logf("%s %s %s", e.Do, strings.Join(targets, ","), e.To)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// applyToLinks does an event to the links from one process to all that it names.
+// applyToLinks applies an event to the links from one process to all others that it names.
 func (r *Rig) applyToLinks(e scenario.Event, from string) {
 	for _, to := range r.file.Whom(e.To, r) {
 		r.Link(e.Do, from, to, e.For)
@@ -63,7 +63,7 @@
 	}
 }
 
-// waitFor for what an event waits for.
+// waitFor waits for the condition of an event.
 func (r *Rig) waitFor(what string) error {
 	const longest = 60.0
 	reached := func() bool {
@@ -84,6 +84,7 @@
 	return nil
 }
 
+// waitUntil polls a condition until it holds or the time is over.
 func (r *Rig) waitUntil(seconds float64, reached func() bool) error {
 	for end := time.Now().Add(time.Duration(seconds * 1e9)); !reached(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/faultrig/observers.go
+++ b/internal/faultrig/observers.go
@@ -14,8 +14,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Observers are sessions beside the routers', one in each zone in turn, that tell the plan's owner what report says, true or not. They
-// speak to the keepers as routers do. Who owns the plan should be settled before: they would own works too.
+// Observers starts sessions beside the routers', spread evenly over the zones, that send the reports of the function
+// report, true or false, to the plan's owner. They connect to the coordinators as routers do. Start them after the plan
+// has an owner: they would own tasks as well otherwise.
 func (r *Rig) Observers(many int, report func(zone int) failover.Report) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
--- a/internal/faultrig/proxy.go
+++ b/internal/faultrig/proxy.go
@@ -1,5 +1,5 @@
-// Package faultrig starts several real processes of this program on loopback addresses of their own, puts faults between them, and
-// looks from outside at what they did.
+// Package faultrig starts several real processes of this program on separate loopback addresses, injects faults between
+// them, and checks their behaviour from outside.
 package faultrig
 
 import (
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// proxy stand before one process: whoever calls it is known by the address that the call comes from, and each direction of each
-// link can be cut, held, slowed or reset by itself.
+// proxy forwards connections to one process. It identifies callers by their source address, and can cut, hold, slow or
+// reset each direction of each link separately.
 type proxy struct {
 	listener   net.Listener
 	target     string
 	processAt  func(ip string) string
-	targetName string // of the target
+	targetName string // name of the process that it forwards to
 
 	mu        sync.Mutex
 	direction map[[2]string]*direction
@@ -23,29 +23,32 @@
 	closed    bool
 }
 
-// direction of one direction between two processes.
+// direction is the state of one direction between two processes.
 type direction struct {
 	mode    mode
 	until   time.Time
 	delay   time.Duration
-	changed chan struct{} // closed when it changes
+	changed chan struct{} // closed when the state changes
 }
 
+// mode is the fault in a direction.
 type mode int
 
 const (
 	open    mode = iota
-	cut          // nothing gets through; connections that lost something are reset when it ends
-	hold         // nothing gets through for now; all of it does later
-	trickle      // a byte at a time
+	cut          // bytes are dropped; connections that lost bytes are reset when the fault ends
+	hold         // bytes are delayed until the fault ends
+	trickle      // one byte at a time
 )
 
+// proxiedConn is one forwarded connection.
 type proxiedConn struct {
 	caller               string
 	fromCaller, toTarget net.Conn
-	stale                bool // bytes were lost on it
+	stale                bool // bytes were dropped on it
 }
 
+// newProxy listens on an address and forwards to a target.
 func newProxy(listen, target, targetName string, processAt func(ip string) string) (*proxy, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -67,7 +70,7 @@
 	}
 }
 
-// directionOf the state directionOf a direction.
+// directionOf returns the state of a direction. The caller holds the lock.
 func (p *proxy) directionOf(from, to string) *direction {
 	key := [2]string{from, to}
 	if p.direction[key] == nil {
@@ -76,7 +79,7 @@
 	return p.direction[key]
 }
 
-// set a direction's state.
+// set sets the state of a direction.
 func (p *proxy) set(from, to string, m mode, until time.Time, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +89,7 @@
 	s.changed = make(chan struct{})
 }
 
-// heal all directions; connections that lost bytes end, as they would by their own time-outs.
+// heal ends the faults in all directions, and resets connections that lost bytes, as their own timeouts would.
 func (p *proxy) heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,6 +105,7 @@
 	}
 }
 
+// close stops listening and resets all connections.
 func (p *proxy) close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -126,8 +130,9 @@
 	}
 }
 
+// forward connects to the target and copies both directions until they end.
 func (p *proxy) forward(fromCaller net.Conn, caller string) {
-	if !p.waitOpen(caller, p.targetName, nil) { // a call that is lost on its way never gets an answer
+	if !p.waitOpen(caller, p.targetName, nil) { // a connection attempt whose packets are dropped never succeeds
 		fromCaller.Close()
 		return
 	}
@@ -157,7 +162,7 @@
 	p.mu.Unlock()
 }
 
-// waitOpen waits until a direction is open; false: what came is lost.
+// waitOpen waits until a direction is open. It returns false if the bytes to send are lost.
 func (p *proxy) waitOpen(from, to string, c *proxiedConn) bool {
 	for {
 		p.mu.Lock()
@@ -190,7 +195,7 @@
 	}
 }
 
-// write gives a process what came for it, as late and as slowly as its direction is now.
+// write delivers bytes to a process with the current delay and speed of the direction.
 func (p *proxy) write(to net.Conn, text []byte, a, b string) error {
 	p.mu.Lock()
 	s := p.directionOf(a, b)
@@ -212,6 +217,7 @@
 	return nil
 }
 
+// copy copies one direction of a connection.
 func (p *proxy) copy(c *proxiedConn, from, to net.Conn, a, b string) {
 	buf := make([]byte, 32<<10)
 	for {
--- a/internal/faultrig/rig.go
+++ b/internal/faultrig/rig.go
@@ -27,22 +27,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Rig is one fleet of processes. Programs are those of one folder. Name server and engines are stand-ins in this process, which
-// is outside the fleet; their links are not put under faults.
+// Rig is one fleet of processes, whose programs are in one folder. The name server and the servers are fakes in this
+// process, outside the fleet.
 type Rig struct {
 	file             scenario.File
 	options          Options
-	hung             []atomic.Bool  // engines that answer nothing
-	paceChanges      []chan float64 // of model engines
+	hung             []atomic.Bool  // servers that do not answer
+	paceChanges      []chan float64 // changes of speed, by model server
 	bin              string
 	dir              string
 	addressPrefix    string // "127.a.b."
 	procs            map[string]*process
 	routerLists      []*routerList
-	proxies          map[string]*proxy // before each keeper
+	proxies          map[string]*proxy // by coordinator, and by router and server
 	fakes            *fake.Desk
 	nameServer       *fake.NameServer
-	serverAddrs      []string // their addresses
+	serverAddrs      []string // addresses of the servers
 	serversStartedMs int64
 	serverList       []string
 	audit            *audit
@@ -51,11 +51,12 @@
 	log              func(string)
 	registryToken    string
 	startRequests    chan func()
-	Load             bool // clients ask all the time
+	Load             bool // run clients that send requests all the time
 	stop             chan struct{}
 	clients          sync.WaitGroup
 }
 
+// process is one process of the fleet.
 type process struct {
 	name, zone   string
 	addr         string
@@ -67,13 +68,14 @@
 	exited       chan struct{}
 	running      bool
 	stopped      bool
-	exitExpected bool     // it is expected to end by itself
-	tail         []string // last lines of its log
+	exitExpected bool     // it is expected to exit by itself
+	tail         []string // the last lines of its log
 }
 
+// cores of each server by the settings of the routers.
 const cores = 8
 
-// Plan is the fleet's plan as the record has it.
+// Plan returns the fleet's plan from the registry.
 func (r *Rig) Plan() (p failover.PublishedPlan, err error) {
 	c := coordserver.NewClient(r.coordinatorAddrs(), "")
 	defer c.Close()
@@ -91,7 +93,7 @@
 	return p, errors.New("there is no plan")
 }
 
-// Start all processes, keepers first.
+// Start starts all processes, coordinators first, and the clients if there is load.
 func (r *Rig) Start() error {
 	for _, name := range r.processNames() {
 		if err := r.start(r.procs[name]); err != nil {
@@ -112,7 +114,7 @@
 	return nil
 }
 
-// Begin some of the processes only.
+// StartOnly starts only some of the processes.
 func (r *Rig) Begin(names ...string) error {
 	for _, name := range names {
 		if err := r.start(r.procs[name]); err != nil {
@@ -122,27 +124,27 @@
 	return nil
 }
 
-// Fronts are the keepers' addresses as all know them.
+// CoordinatorAddrs returns the coordinators' addresses as all processes use them.
 func (r *Rig) Fronts() []string { return r.coordinatorAddrs() }
 
-// Figures so far, and what was wrong.
+// Figures returns the results so far, with all violations.
 func (r *Rig) Figures() Figures { return r.audit.figures() }
 
-// Await what an event of a script would wait for: "owned", "dealt", "moved" (since Do) or "lost".
+// Await waits for the condition of a scenario's event: "owned", "dealt", "moved" (since Do) or "lost".
 func (r *Rig) Await(what string) error { return r.waitFor(what) }
 
-// Note who owns the first work now, for what is waited for next.
+// RememberOwner remembers and returns the current owner of the first task, so that Await can wait for another one.
 func (r *Rig) Note() string {
 	r.lastOwner = r.Owner()
 	return r.lastOwner
 }
 
-// CPU is the processor time, in seconds, that a process has used, and its memory at rest in MB.
+// CPU returns the processor time in seconds that a process has used, and its resident memory in MB.
 func (r *Rig) CPU(name string) (seconds, memory float64, err error) {
 	return Usage(r.procs[name].cmd.Process.Pid)
 }
 
-// Usage of a process: processor time in seconds, and memory in MB.
+// Usage returns the processor time of a process in seconds and its resident memory in MB.
 func Usage(pid int) (seconds, memory float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -151,7 +153,7 @@
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 22 {
-		return 0, 0, errors.New("a line of /proc that can't be read")
+		return 0, 0, errors.New("unexpected format of /proc/PID/stat")
 	}
 	var user, system, pages float64
 	fmt.Sscan(fields[11], &user)
@@ -161,6 +163,7 @@
 	return (user + system) / hertz, pages * float64(os.Getpagesize()) / (1 << 20), nil
 }
 
+// processNames returns the names of all processes, coordinators first.
 func (r *Rig) processNames() (names []string) {
 	for n := range r.file.Keepers {
 		names = append(names, fmt.Sprint("k", n+1))
@@ -171,10 +174,11 @@
 	return names
 }
 
+// start starts a process and follows its log.
 func (r *Rig) start(p *process) error {
 	p.cmd = exec.Command(filepath.Join(r.bin, p.args[0]), p.args[1:]...)
 	p.cmd.Env = p.env
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the rig
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives the rig
 	out, err := p.cmd.StderrPipe()
 	if err == nil {
 		done := make(chan error)
@@ -226,7 +230,7 @@
 	r.fakes.End()
 }
 
-// Do something to one process.
+// Do applies a fault or an action to one process.
 func (r *Rig) Do(what, name string) error {
 	p := r.procs[name]
 	switch what {
@@ -252,7 +256,7 @@
 		if p.running {
 			r.audit.markOwnerLost(p)
 			p.cmd.Process.Signal(syscall.SIGTERM)
-			p.cmd.Process.Signal(syscall.SIGCONT) // one that is stopped hears it when it goes on
+			p.cmd.Process.Signal(syscall.SIGCONT) // a stopped process handles the signal only when it continues
 			p.stopped = false
 			exited := p.exited
 			go func() {
@@ -270,7 +274,7 @@
 		}
 	case "full":
 		if p.running {
-			p.exitExpected = true // it is to end by itself
+			p.exitExpected = true // it is expected to exit by itself
 			return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: 4096}, nil)
 		}
 	case "release":
@@ -289,25 +293,26 @@
 	return nil
 }
 
-// Link between two processes, one of which is a keeper.
+// Link injects a fault into the direction between two processes, one of which is a coordinator or a server.
 func (r *Rig) Link(do, from, to string, seconds float64) {
 	m, until := cut, time.Time{}
 	if do == "hold" {
 		m, until = hold, time.Now().Add(time.Duration(seconds*1e9))
 	}
-	for _, pair := range [][2]string{{from, to}, {to, from}} { // a router and an engine
+	for _, pair := range [][2]string{{from, to}, {to, from}} { // a router and a server
 		if l := r.proxies[pair[0]+" "+pair[1]]; l != nil {
 			l.set(from, to, m, until, 0)
 		}
 	}
-	if l := r.proxies[to]; l != nil { // a call from one to the other, and what is said on it
+	if l := r.proxies[to]; l != nil { // connections from one to the other
 		l.set(from, to, m, until, 0)
 	}
-	if l := r.proxies[from]; l != nil { // answers on calls that the other made
+	if l := r.proxies[from]; l != nil { // answers on connections that the other one opened
 		l.set(from, to, m, until, 0)
 	}
 }
 
+// coordinatorAddrs returns the addresses of the coordinators.
 func (r *Rig) coordinatorAddrs() (addrs []string) {
 	for n := range r.file.Keepers {
 		addrs = append(addrs, r.procs[fmt.Sprint("k", n+1)].addr)
@@ -315,7 +320,7 @@
 	return addrs
 }
 
-// CutEngines of a zone (from 1) off from all routers, or from those (from 0) that from names.
+// CutServers cuts the servers of a zone (from 1) off from all routers, or from the routers (from 0) that from selects.
 func (r *Rig) CutEngines(zone int, from func(router int) bool) {
 	for e := range r.file.Engines {
 		if e%r.file.Zones != zone-1 {
@@ -331,7 +336,7 @@
 	}
 }
 
-// Pace of a zone's model engines (from 1), as a factor on what they were set.
+// SetZonePace sets the speed of a zone's model servers (zones from 1), as a factor of their configured speed.
 func (r *Rig) Pace(zone int, factor float64) {
 	for e, pace := range r.paceChanges {
 		if e%r.file.Zones == zone-1 {
@@ -340,7 +345,7 @@
 	}
 }
 
-// ZoneSent is how many statements engines of a zone (from 1) were sent.
+// ZoneAttempts returns how many statements the servers of a zone (from 1) have received.
 func (r *Rig) ZoneSent(zone int) (n int) {
 	for e := range r.file.Engines {
 		if e%r.file.Zones == zone-1 {
@@ -351,24 +356,25 @@
 	return n
 }
 
-// Hang has an engine answer nothing, or answer again.
+// SetHung makes a server stop answering, or answer again.
 func (r *Rig) Hang(engine int, on bool) { r.hung[engine].Store(on) }
 
-// Sent is how many sends an engine got so far, and how many of all engines' had the lowest level.
+// Attempts returns how many attempts a server has received, and how many attempts at all servers had the lowest
+// priority level.
 func (r *Rig) Sent(engine int) (sends, lowestLevel int) {
 	r.audit.mu.Lock()
 	defer r.audit.mu.Unlock()
 	return r.audit.attemptsByServer[engine], r.audit.lowestLevel
 }
 
-// Heal all links.
+// Heal ends the faults of all links.
 func (r *Rig) Heal() {
 	for _, l := range r.proxies {
 		l.heal()
 	}
 }
 
-// status of a keeper by its own word, past the links.
+// status returns the status that a coordinator reports, requested without the proxies.
 func (r *Rig) status(name string) (s coordinator.Status, err error) {
 	p := r.procs[name]
 	if !p.running || p.stopped {
@@ -383,7 +389,7 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// Leader is the keeper that leads by its own word and newest term.
+// Leader returns the coordinator that reports itself as leader, in the newest term.
 func (r *Rig) Leader() string {
 	name, term := "", uint64(0)
 	for n := range r.file.Keepers {
@@ -395,14 +401,16 @@
 	return name
 }
 
-// Owner of the first work: who acted on it last, if that was of late.
+// Owner returns the owner of the first task: the process that acted on it last, if that was recent.
 func (r *Rig) Owner() string { return r.audit.ownerOf(0) }
 
+// logf logs a message with the time since the start of the rig.
 func (r *Rig) logf(format string, args ...any) {
 	r.log(fmt.Sprintf("%7.3f ", time.Since(r.startedAt).Seconds()) + fmt.Sprintf(format, args...))
 }
 
-// Said is the last line of a process's log with that message, as its fields; nil: there is none among the last.
+// LastLogged returns the fields of the last line with a message among the latest lines of a process's log, nil if there
+// is none, and the number of such lines.
 func (r *Rig) Said(name, message string) (fields map[string]any, count int) {
 	for _, line := range r.audit.tail(r.procs[name]) {
 		var f map[string]any
@@ -414,10 +422,10 @@
 	return fields, count
 }
 
-// Folder of a process.
+// Folder returns the folder of a process.
 func (r *Rig) Folder(name string) string { return r.procs[name].folder }
 
-// Tail is the last lines of each process's log, for a run that failed.
+// LogTails returns the last lines of each process's log, for the report of a failed run.
 func (r *Rig) Tail() string {
 	var b bytes.Buffer
 	for _, name := range r.processNames() {
--- a/internal/faultrig/setup.go
+++ b/internal/faultrig/setup.go
@@ -1,6 +1,6 @@
 package faultrig
 
-// This file lays a fleet out: folders, addresses, links, configurations.
+// This file sets up a fleet: folders, addresses, proxies and configurations.
 
 import (
 	"cmp"
@@ -24,21 +24,21 @@
 	"dunereach/internal/fake"
 )
 
-// Options of a rig beside its scenario.
+// Options of a rig in addition to its scenario.
 type Options struct {
-	Warm    bool     // engines started long ago
-	Quota   float64  // commands a second of the tenant that all clients are of, 0: 1000
-	Clients []int    // of each router, where there is load; nil: one each
-	Works   []string // kinds that routers take part in, nil: all
-	Linked  bool     // links between routers and engines can be put under faults
-	Cores   float64  // of each engine, which then takes its time (a model engine); 0: it answers in 3 ms
-	Hidden  int      // zone (from 1) that no list names at first, 0: none; with Linked
-	Work    float64  // core seconds of each command, 0: 0.005
-	Target  int      // latency target in ms, 0: 1000
-	State   bool     // routers keep what they learn in a folder of their own
+	Warm    bool     // the servers started long ago
+	Quota   float64  // quota in requests per second of the tenant of all clients; 0: 1000
+	Clients []int    // clients of each router, if there is load; nil: one each
+	Works   []string // kinds of tasks that routers are candidates for; nil: all
+	Linked  bool     // proxies between routers and servers, for faults in these links
+	Cores   float64  // cores of each model server; 0: servers that answer in 3 ms instead
+	Hidden  int      // zone (from 1) that is not in the server lists at first; 0: none; requires LinkFaults
+	Work    float64  // core seconds of each request; 0: 0.005
+	Target  int      // latency target in ms; 0: 1000
+	State   bool     // routers save their learned state in a folder
 }
 
-// New fleet of a scenario: its processes are started by Start.
+// New returns a fleet for a scenario. Start starts its processes.
 func New(f scenario.File, bin, dir string, log func(string)) (*Rig, error) {
 	return NewWith(f, Options{}, bin, dir, log)
 }
@@ -51,7 +51,7 @@
 		r.log = func(string) {}
 	}
 	r.audit = newAudit(r)
-	// A process that is to end with its parent ends with the thread that started it: one that stays until the rig is closed.
+	// Pdeathsig ends a process with the thread that started it. Start all on one thread that lives until the rig is closed.
 	go func() {
 		runtime.LockOSThread()
 		for start := range r.startRequests {
@@ -60,7 +60,7 @@
 	}()
 	if len(f.Events) > 0 || f.Routers > 0 {
 		if f.Routers > 90 || f.Keepers > 9 {
-			return nil, errors.New("90 routers and nine keepers at most have addresses here")
+			return nil, errors.New("at most 90 routers and 9 coordinators are supported")
 		}
 	}
 	r.nameServer = fake.NewNameServer(r.fakes, discovery.ServiceName)
@@ -97,6 +97,7 @@
 	return r, nil
 }
 
+// configure creates the folders, proxies and configuration files of all processes.
 func (r *Rig) configure(targets []string) error {
 	var spec, addrs []string
 	for n := range r.file.Keepers {
@@ -182,14 +183,14 @@
 	return nil
 }
 
-// routerList is what one router is told of engines, by way of its own links.
+// routerList is the server list of one router, with the addresses of its own proxies.
 type routerList struct {
 	server     *fake.NameServer
-	proxyAddrs []string // by engine
+	proxyAddrs []string // by server
 	serial     uint32
 }
 
-// newRouterList list and engines' addresses of one router: links of its newRouterList before each.
+// newRouterList starts a name server and a proxy to each server for one router.
 func (r *Rig) newRouterList(name string) (targets []string, names string, err error) {
 	o := &routerList{server: fake.NewNameServer(r.fakes, discovery.ServiceName)}
 	for n, addr := range r.serverAddrs {
@@ -209,7 +210,8 @@
 	return targets, o.server.Addr, nil
 }
 
-// publish the list, but for a zone (from 1), and another one's engines as started at a time in milliseconds.
+// publish publishes the list without one zone (from 1), and with the servers of another zone as started at the given
+// time in milliseconds.
 func (o *routerList) publish(r *Rig, omittedZone, restartedZone int, serversStartedMs int64) {
 	var list []string
 	for n, front := range o.proxyAddrs {
@@ -226,14 +228,15 @@
 	o.server.Set(o.serial, list...)
 }
 
-// Relist tells all routers a list with all zones, one of which (from 1, 0: none) has just started.
+// PublishServerLists publishes a list with all zones to all routers. The servers of one zone (from 1, 0: none) have
+// just started by it.
 func (r *Rig) Relist(zone int) {
 	for _, o := range r.routerLists {
 		o.publish(r, 0, zone, time.Now().UnixMilli())
 	}
 }
 
-// forwardToModel what a model engine is sent.
+// forwardToModel records the messages of a model server and passes them on.
 func (r *Rig) forwardToModel(n int, messages <-chan fake.Said, model chan<- fake.Said) {
 	for {
 		select {
@@ -252,12 +255,13 @@
 	}
 }
 
+// host returns the host part of an address.
 func host(addr string) string {
 	h, _, _ := net.SplitHostPort(addr)
 	return h
 }
 
-// processAt an address is that a call comes from.
+// processAt returns the name of the process with a source address.
 func (r *Rig) processAt(ip string) string {
 	var n int
 	if _, err := fmt.Sscan(strings.TrimPrefix(ip, r.addressPrefix), &n); err != nil {
@@ -269,7 +273,7 @@
 	return fmt.Sprint("k", n-10)
 }
 
-// answerRequests answers all it is sent after some milliseconds, and counts what ran.
+// answerRequests answers all requests of a server after 3 ms, unless it is hung, and counts them.
 func (r *Rig) answerRequests(n int, messages <-chan fake.Said) {
 	for {
 		select {
