--- a/internal/faultrig/rig_test.go
+++ b/internal/faultrig/rig_test.go
@@ -21,7 +21,7 @@
 	script.BuildAndRun(m, func(dir string) { bin = dir }, "../../cmd/dunereach", "../../cmd/dunefleet", "../../cmd/dunekeep", "../../cmd/dunecheck")
 }
 
-// startRig is a fleet with load, closed when the test ends.
+// startRig starts a fleet with load that is closed when the test ends.
 func startRig(t *testing.T, f scenario.File, o Options) *Rig {
 	t.Helper()
 	r, err := NewWith(f, o, bin, t.TempDir(), nil)
@@ -36,7 +36,7 @@
 	return r
 }
 
-// playScenario a scenario over processes; more is checked by the one who calls.
+// playScenario runs a scenario with real processes and checks that nothing is violated. Callers check more.
 func playScenario(t *testing.T, f scenario.File) Figures {
 	t.Helper()
 	r, err := New(f, bin, t.TempDir(), func(s string) { t.Log(s) })
@@ -57,7 +57,7 @@
 	return figures
 }
 
-// TestScenarios plays every kept scenario over processes, some at a time.
+// TestScenarios runs every kept scenario with real processes, some in parallel.
 func TestScenarios(t *testing.T) {
 	all, err := scenario.All()
 	if err != nil {
@@ -68,17 +68,18 @@
 			t.Parallel()
 			f := playScenario(t, all[name])
 			if f.Acts == 0 || f.Answered == 0 {
-				t.Errorf("nothing was done: %+v", f)
+				t.Errorf("no acts or no completed requests: %+v", f)
 			}
 			if name == "keepers-lost" && f.Failed > 0 {
-				t.Errorf("%d commands failed as keepers were lost", f.Failed)
+				t.Errorf("%d requests failed when coordinators were lost", f.Failed)
 			}
 		})
 	}
 }
 
-// TestFolderLost: a keeper whose folder is lost does not run on an empty one, does not begin the record again, and comes back
-// under a number that none ever had; meanwhile and after it works go on being owned.
+// TestFolderLost guards against a coordinator that comes back with its old number after its folder was lost, and could
+// so vote twice. It must not run on an empty folder nor start the registry again, and must rejoin under a new number;
+// tasks must have owners meanwhile and afterwards.
 func TestFolderLost(t *testing.T) {
 	t.Parallel()
 	f := scenario.File{Name: "folder lost", Keepers: 3, Routers: 2, Zones: 1, Engines: 1, Lease: 1.5, Drift: 0.05, Settle: 25}
@@ -107,9 +108,9 @@
 		return string(out), err
 	}
 	if out, err := dunekeep("run", k2.folder); err == nil || !strings.Contains(out, "holds no record") {
-		t.Errorf("it runs on an empty folder: %s", out)
+		t.Errorf("the coordinator runs on an empty folder: %s", out)
 	}
-	// Someone begins it again as the record was begun: it must not take part under its old number.
+	// Initialising it again as at the start of the registry must not let it take part under its old number.
 	var spec []string
 	for n, addr := range r.Fronts() {
 		spec = append(spec, fmt.Sprintf("k%d=%s@z1", n+1, addr))
@@ -118,7 +119,7 @@
 		t.Fatal(out)
 	}
 	if out, err := dunekeep(k2.args[1:]...); err == nil || !strings.Contains(out, "use `dunekeep join`") {
-		t.Errorf("it votes again under its old number: %s", out)
+		t.Errorf("the coordinator votes again under its old number: %s", out)
 	}
 	do("wipe", "k2")
 	if out, err := dunekeep("join", k2.folder, "--name", "k2", "--listen", k2.addr, "--zone", "z1", "--ask", r.procs["k1"].addr); err != nil {
@@ -130,14 +131,14 @@
 		return err == nil && s.ID == 4 && s.Leader != 0 && s.Applied > 0 && s.State == "StateFollower"
 	}); err != nil {
 		s, err := r.status("k2")
-		t.Fatalf("it does not take part: %+v %v\n%s", s, err, r.Tail())
+		t.Fatalf("the coordinator does not take part: %+v %v\n%s", s, err, r.Tail())
 	}
-	// It has a vote: with one of the others gone the two decide.
+	// It has a vote: with one of the others ended, two are a quorum.
 	if err := r.waitUntil(20, func() bool {
 		out, err := exec.Command(bin+"/dunefleet", "fleet", "status", "--json", "--keepers", strings.Join(r.Fronts(), ",")).CombinedOutput()
 		return err == nil && strings.Contains(string(out), `"id": 4`)
 	}); err != nil {
-		t.Fatal("status does not show it")
+		t.Fatal("status does not list the new coordinator")
 	}
 	do("kill", r.Leader())
 	do("kill", "n1")
@@ -154,7 +155,7 @@
 	}
 }
 
-// TestWords: what people ask of a running fleet, and what they are told when nothing can be agreed.
+// TestWords checks the answers of the fleet commands on a running fleet, and their errors without a quorum.
 func TestWords(t *testing.T) {
 	t.Parallel()
 	f := scenario.File{Name: "words", Keepers: 3, Routers: 2, Zones: 2, Engines: 1, Lease: 1.5, Drift: 0.05}
@@ -176,7 +177,7 @@
 		return string(out), err
 	}
 	for _, c := range []struct{ word, want string }{{"status", "2 routers take part"}, {"sessions", "n2"}, {"owners", "warmth/"}} {
-		// dunereach becomes dunefleet for it.
+		// dunereach runs dunefleet for this command.
 		if out, err := runCommand("dunereach", c.word); err != nil || !strings.Contains(out, c.want) {
 			t.Errorf("%s: %v\n%s", c.word, err, out)
 		}
@@ -186,7 +187,7 @@
 	}
 	checkStoppedCoordinators(t, r, runCommand)
 	if out, err := runCommand("dunereach", "release", "warmth/none"); err == nil || !strings.Contains(out, "no such work") {
-		t.Errorf("a work that is none: %s", out)
+		t.Errorf("an unknown task: %s", out)
 	}
 	if out, err := exec.Command(bin+"/dunefleet", "fleet", "status", "--keepers", "8.8.8.8:7000").CombinedOutput(); err == nil || !strings.Contains(string(out), "neither a loopback nor a private") {
 		t.Errorf("a public address: %s", out)
@@ -197,12 +198,12 @@
 		}
 	}
 	if out, err := runCommand("dunereach", "status"); err == nil || !strings.Contains(out, "routers serve on without it") {
-		t.Errorf("with two of three gone: %s", out)
+		t.Errorf("without a quorum: %s", out)
 	}
 }
 
-// checkStoppedCoordinators stops one coordinator after the other, also the one that leads. What people ask is answered all the same, well before
-// the five seconds for which the stopped one would be waited for; owners go by name in JSON.
+// checkStoppedCoordinators stops one coordinator after the other, also the leader. Commands must be answered all the
+// same, well before the time limit of five seconds for the stopped one; owners are listed by name in JSON.
 func checkStoppedCoordinators(t *testing.T, r *Rig, runCommand func(program string, args ...string) (string, error)) {
 	t.Helper()
 	leader := r.Leader()
@@ -210,9 +211,9 @@
 		if err := r.Do("stop", k); err != nil {
 			t.Fatal(err)
 		}
-		if k == leader { // another has to lead first: how long that takes is not the command's
+		if k == leader { // a new leader is needed first; the election time does not count for the command
 			if err := r.waitUntil(20, func() bool { other := r.Leader(); return other != "" && other != k }); err != nil {
-				t.Fatal("nobody else leads")
+				t.Fatal("no other coordinator becomes leader")
 			}
 		}
 		checkCommandsWithout(t, k, runCommand)
@@ -229,7 +230,7 @@
 	}
 }
 
-// checkCommandsWithout checks that people's questions are answered soon while a coordinator is stopped.
+// checkCommandsWithout checks that commands are answered soon while a coordinator is stopped.
 func checkCommandsWithout(t *testing.T, stopped string, runCommand func(program string, args ...string) (string, error)) {
 	t.Helper()
 	for _, word := range []string{"owners", "sessions", "status"} {
@@ -245,15 +246,15 @@
 }
 
 const (
-	suspectDelay           = 4 * time.Second  // until all that use the hung server suspect it
-	measuredSpan           = 16 * time.Second // what is measured
-	maxPostponement        = 8.0              // seconds for which findings postpone a router's probe, as in probing
-	maxProbesInSpan        = 2                // as more would be closer than that
-	firstSuspicionAttempts = 1                // further attempt of a router that comes to suspect the server within the span
+	suspectDelay           = 4 * time.Second  // until all routers that use the hung server suspect it
+	measuredSpan           = 16 * time.Second // time in which attempts are counted
+	maxPostponement        = 8.0              // seconds for which findings postpone a router's probe, as in the package probing
+	maxProbesInSpan        = 2                // more would be closer together than maxPostponement
+	firstSuspicionAttempts = 1                // additional attempt of a router that begins to suspect the server within the span
 )
 
-// TestTrials guards against probes of a hung server that the fleet should have postponed: with the fleet no router attempts it more often
-// than the design lets it, alone they do, and it is used again by all soon after it answers.
+// TestTrials guards against probes of a hung server that the fleet should have postponed. With the fleet no router
+// attempts it more often than the design allows, without the fleet they do, and all use it again soon after it answers.
 func TestTrials(t *testing.T) {
 	t.Parallel()
 	var minInterval [2]float64
@@ -272,7 +273,7 @@
 		r.Hang(0, false)
 		if err := r.waitUntil(12, func() bool { n, _ := r.Sent(0); return n > after+400 }); err != nil {
 			n, _ := r.Sent(0)
-			t.Errorf("%d sends in the 12 s since it answers", n-after)
+			t.Errorf("%d attempts in the 12 s after it answers again", n-after)
 		}
 		if f := r.Figures(); len(f.Wrong) > 0 || f.Failed > f.Asked/20 {
 			t.Errorf("%+v", f)
@@ -284,18 +285,19 @@
 		}
 	})
 	if minInterval[0] >= maxPostponement {
-		t.Errorf("alone no router probes within %v s, so the check could not fail", minInterval[0])
+		t.Errorf("without the fleet no router probes again within %v s, so the check could not fail", minInterval[0])
 	}
 }
 
-// attempts is what routers sent to a hung server.
+// attempts counts the attempts of routers at a hung server.
 type attempts struct {
-	beforeSpan  map[string]int // by router, before the span
+	beforeSpan  map[string]int // by router, before the measured span
 	withinSpan  map[string]int
-	total       int     // within
-	minInterval float64 // seconds between two attempts of one router, the last of them within, infinite: there are none
+	total       int     // in the measured span
+	minInterval float64 // smallest number of seconds between two attempts of one router, the later one in the span; infinite if there are none
 }
 
+// attemptsFrom counts probes before and after the start of the measured span.
 func attemptsFrom(probes []Probe, from float64) attempts {
 	a := attempts{beforeSpan: map[string]int{}, withinSpan: map[string]int{}, minInterval: math.Inf(1)}
 	last := map[string]float64{}
@@ -314,11 +316,11 @@
 	return a
 }
 
-// checkBounds holds the bound of the design.
+// checkBounds checks that no router attempts the server more often than the design allows.
 func (a attempts) checkBounds(t *testing.T) {
 	t.Helper()
 	if a.total == 0 {
-		t.Error("nobody finds out whether it answers")
+		t.Error("no router probes whether it answers")
 	}
 	for router, n := range a.withinSpan {
 		most := maxProbesInSpan
@@ -331,8 +333,9 @@
 	}
 }
 
-// TestQuotas: all of a tenant's commands come to one of four routers, within the fleet's quota but well over that router's part.
-// With the fleet its commands keep their level.
+// TestQuotas guards against requests that lose their priority level although their tenant is within its quota: all of
+// its requests arrive at one of four routers, and exceed that router's equal share. With the fleet the router gets a
+// larger share and the requests keep their level.
 func TestQuotas(t *testing.T) {
 	t.Parallel()
 	var share [2]float64
@@ -344,15 +347,15 @@
 			b, _ := r.Sent(1)
 			return a + b, low
 		}
-		time.Sleep(12 * time.Second) // parts laid down at the start are over, and dealt anew
-		// What is measured is a rate. A part that came late on a busy machine shows in one span and not in all of them.
+		time.Sleep(12 * time.Second) // shares relinquished at the start have expired and are granted again
+		// The measured value is a rate. A share that arrives late on a busy machine affects one span, but not all of them.
 		share[k] = 1
 		for span := 0; span < 2 || k == 1 && span < 5 && share[k] > 0.1; span++ {
 			n0, low0 := sent()
 			time.Sleep(6 * time.Second)
 			n1, low1 := sent()
 			if n1-n0 < 100 {
-				t.Errorf("%d sends", n1-n0)
+				t.Errorf("only %d attempts", n1-n0)
 			}
 			share[k] = min(share[k], float64(low1-low0)/float64(max(n1-n0, 1)))
 		}
@@ -360,13 +363,13 @@
 			t.Errorf("%+v", f)
 		}
 	})
-	t.Logf("of the lowest level: %.2f alone, %.2f with the fleet", share[0], share[1])
+	t.Logf("at the lowest level: %.2f without the fleet, %.2f with it", share[0], share[1])
 	if share[0] < 0.3 || share[1] > 0.1 {
-		t.Errorf("of the lowest level: %.2f alone, %.2f with the fleet", share[0], share[1])
+		t.Errorf("at the lowest level: %.2f without the fleet, %.2f with it", share[0], share[1])
 	}
 }
 
-// runBoth runs the same beside each other with two works.
+// runBoth runs the same test with two kinds of tasks in parallel.
 func runBoth(t *testing.T, taskKinds [2]string, run func(t *testing.T, k int, work string)) {
 	t.Run("both", func(t *testing.T) {
 		for k, work := range taskKinds {
--- a/internal/faultrig/slowzone_test.go
+++ b/internal/faultrig/slowzone_test.go
@@ -7,48 +7,49 @@
 	"dunereach/fleet/failover"
 )
 
-// TestSlowZone: a zone's engines run at a tenth of their pace and answer everything, too late. Most of its work goes elsewhere, and comes
-// home once they run as before.
+// TestSlowZone guards against work that stays in a slow zone: its servers run at a tenth of their speed and answer
+// everything, but too late. Most of its work must be served elsewhere, and return once the servers run at full speed.
 func TestSlowZone(t *testing.T) {
 	t.Parallel()
 	r := startZonesWith(t, 8, 6, Options{Warm: true, Linked: true, Cores: 8, Work: 0.02, Works: []string{"plan"}, Target: 100})
 	awaitDemand(t, r)
 	r.Pace(1, 0.1)
-	await(t, r, 30, "a plan that takes work off zone 1", func() bool {
+	await(t, r, 30, "a plan that moves work out of zone 1", func() bool {
 		p, err := r.Plan()
 		return err == nil && p.Plan.Share[0][0] < 0.5 && p.Plan.Share[1][0] == 0 && p.Plan.Share[2][0] == 0
 	})
-	time.Sleep(3 * time.Second) // all routers have it
+	time.Sleep(3 * time.Second) // all routers have received the plan
 	answered, asked := completedDuring(r, 5)
 	if p, err := r.Plan(); err != nil || p.Plan.Share[0][0] >= 0.6 {
-		t.Errorf("its work is back while it is slow: %+v %v", p, err)
+		t.Errorf("its work returned while it is slow: %+v %v", p, err)
 	}
 	if answered < asked*95/100 {
 		t.Errorf("%d of %d answered", answered, asked)
 	}
 	r.Pace(1, 1)
-	await(t, r, 90, "the way home", func() bool {
+	await(t, r, 90, "the return of the work", func() bool {
 		p, err := r.Plan()
 		return err == nil && p.Plan.Share[0][0] > 0.9
 	})
 	checkFigures(t, r, 0.05)
 }
 
-// TestSlowInTime: a zone's engines run at a third of their pace, and its targets are met all the same. Its work stays near.
+// TestSlowInTime guards against moving work away from a zone whose servers run at a third of their speed and still meet
+// the latency targets.
 func TestSlowInTime(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 2, 0.02)
 	awaitDemand(t, r)
 	r.Pace(1, 0.3)
-	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(300 * time.Millisecond) { // nothing is to come
+	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(300 * time.Millisecond) { // no change is expected
 		if p, err := r.Plan(); err == nil && p.Plan.Share[0][0] < 0.9 {
-			t.Fatalf("it was planned away from, though it meets its targets: %+v", p)
+			t.Fatalf("its work was moved away although it meets its targets: %+v", p)
 		}
 	}
 	checkFigures(t, r, 0.02)
 }
 
-// falseReport are what a lying observer says: a zone is lost that is well, or well that is lost.
+// falseReport is the report of a lying observer: that a working zone is lost, or that a lost zone works.
 func falseReport(zone, of int, lost bool) failover.Report {
 	p := failover.Report{Zone: zone, Demand: 0.1, Observations: make([]failover.ZoneObservation, 3)}
 	for z := range p.Observations {
@@ -61,7 +62,7 @@
 	return p
 }
 
-// TestHalfLie: as many observers as there are routers say that a zone is lost. It is not given up.
+// TestHalfLie guards against giving up a zone on the reports of lying observers that are as many as the routers.
 func TestHalfLie(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 4, 0.01)
@@ -69,10 +70,10 @@
 	planOwner(t, r)
 	stop := r.Observers(6, func(zone int) failover.Report { return falseReport(zone, 0, true) })
 	defer stop()
-	time.Sleep(2 * time.Second)                                                                               // their sessions are open
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(300 * time.Millisecond) { // nothing is to come
+	time.Sleep(2 * time.Second)                                                                               // the sessions of the observers are open
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(300 * time.Millisecond) { // no change is expected
 		if p, err := r.Plan(); err == nil && p.Plan.Share[0][0] < 0.9 {
-			t.Fatalf("it was given up on liars' word: %+v", p)
+			t.Fatalf("it was given up because of false reports: %+v", p)
 		}
 	}
 	if answered, asked := completedDuring(r, 2); answered < asked*95/100 {
@@ -81,8 +82,9 @@
 	checkFigures(t, r, 0.02)
 }
 
-// TestThirdHides: a third of all observers say that a zone is well which no router reaches any more. They outweigh the two that see it,
-// so it is not given up, but its own routers' word has its work go elsewhere.
+// TestThirdHides guards against requests that fail because a third of all observers reports that an unreachable zone
+// works. They outweigh the two routers that see the loss, so the zone is not given up, but its own routers' reports
+// must move its work elsewhere.
 func TestThirdHides(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -90,10 +92,10 @@
 	planOwner(t, r)
 	stop := r.Observers(3, func(zone int) failover.Report { return falseReport(zone, 0, false) })
 	defer stop()
-	time.Sleep(2 * time.Second) // their sessions are open
+	time.Sleep(2 * time.Second) // the sessions of the observers are open
 	r.CutEngines(1, nil)
-	await(t, r, 20, "a plan that takes its work off zone 1", func() bool { p, err := r.Plan(); return err == nil && p.Plan.Share[0][0] == 0 })
-	time.Sleep(3 * time.Second) // all routers have it
+	await(t, r, 20, "a plan that moves its work out of zone 1", func() bool { p, err := r.Plan(); return err == nil && p.Plan.Share[0][0] == 0 })
+	time.Sleep(3 * time.Second) // all routers have received the plan
 	if answered, asked := completedDuring(r, 4); answered < asked*95/100 {
 		t.Errorf("%d of %d answered", answered, asked)
 	}
--- a/internal/faultrig/state_test.go
+++ b/internal/faultrig/state_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// startWithState is a fleet of routers with no keepers, each with a folder.
+// startWithState starts a fleet of routers without coordinators, each with a folder for its state.
 func startWithState(t *testing.T, routers int) *Rig {
 	t.Helper()
 	clients := make([]int, routers)
@@ -25,20 +25,20 @@
 	return startRig(t, scenario.File{Name: "state", Routers: routers, Zones: 1, Engines: 3, Lease: 2, Drift: 0.05}, Options{Warm: true, Cores: 8, Clients: clients, State: true})
 }
 
-// awaitJournal waits until a router's folder has a snapshot with records after it.
+// awaitJournal waits until a router's folder contains a snapshot followed by journal records.
 func awaitJournal(t *testing.T, r *Rig, name string) {
 	t.Helper()
-	await(t, r, 20, name+"'s records", func() bool {
+	await(t, r, 20, name+"'s journal records", func() bool {
 		got, _, err := store.Load(filepath.Join(r.Folder(name), "kept"), name)
 		return err == nil && len(got.Records) > 1
 	})
 }
 
-// awaitRestored waits for the line that a router's new process says, and gives its fields.
+// awaitRestored waits for the log line of a restarted router about its restored state and returns its fields.
 func awaitRestored(t *testing.T, r *Rig, name string, times int) map[string]any {
 	t.Helper()
 	var fields map[string]any
-	await(t, r, 20, fmt.Sprint(name, " remembering, time ", times), func() bool {
+	await(t, r, 20, fmt.Sprint(name, " restoring its state, time ", times), func() bool {
 		f, n := r.Said(name, "remembered")
 		fields = f
 		return n >= times
@@ -46,8 +46,8 @@
 	return fields
 }
 
-// TestRemembered: a router that is ended, one that is killed, and all of them killed at once know what they knew: of the last second, and
-// each its own. Commands are answered as ever.
+// TestRemembered guards against lost or mixed-up state: a router that exits, one that is killed, and all routers killed
+// at once must restore their own state, as of a second before, while requests are answered.
 func TestRemembered(t *testing.T) {
 	t.Parallel()
 	r := startWithState(t, 4)
@@ -89,8 +89,9 @@
 	}
 }
 
-// TestFolderGone: a folder that is taken away under a running router is made anew, and one that is damaged is passed over with a word.
-// Nobody's commands wait for it. What people ask of a running router's folder is answered, and what would change it refused.
+// TestFolderGone guards against a router that stops serving because its state folder was removed or damaged. A removed
+// folder must be created again and damaged files be skipped with a log line. Commands that read a running router's
+// folder must work, and those that change it be refused.
 func TestFolderGone(t *testing.T) {
 	t.Parallel()
 	r := startWithState(t, 1)
@@ -125,10 +126,10 @@
 	if err := r.Do("start", "n1"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, r, 20, "a start from nothing, told", func() bool {
+	await(t, r, 20, "the log lines of a start without state", func() bool {
 		_, passed := r.Said("n1", "state passed over")
 		_, none := r.Said("n1", "nothing is remembered")
-		return passed >= len(snaps) && none >= 2 // the first was its first start
+		return passed >= len(snaps) && none >= 2 // the first one is from the first start
 	})
 	awaitJournal(t, r, "n1")
 	if f := r.Figures(); len(f.Wrong) > 0 || f.Twice > 0 || f.Answered < f.Asked*9/10 {
@@ -136,7 +137,8 @@
 	}
 }
 
-// TestDiskFull: a disk that takes nothing more is said once, commands are answered meanwhile, and it is kept again once there is room.
+// TestDiskFull guards against a full disk that delays requests or fills the log. The router must log it once, go on
+// serving, and save its state again when there is space.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
 	r := startWithState(t, 1)
@@ -149,23 +151,23 @@
 	}
 	const suspended, resumed = "state is not kept: served without, and tried again", "state is kept again"
 	limitFileSize(64)
-	await(t, r, 20, "word of it", func() bool { _, n := r.Said("n1", suspended); return n >= 1 })
+	await(t, r, 20, "the log line about the full disk", func() bool { _, n := r.Said("n1", suspended); return n >= 1 })
 	if answered, asked := completedDuring(r, 3); answered < asked*9/10 || asked < 50 {
 		t.Errorf("%d of %d answered with a full disk", answered, asked)
 	}
 	if _, n := r.Said("n1", suspended); n > 2 {
-		t.Errorf("said %d times of two jobs", n)
+		t.Errorf("logged %d times by two jobs", n)
 	}
 	limitFileSize(unix.RLIM_INFINITY)
-	await(t, r, 30, "word that there is room", func() bool { _, n := r.Said("n1", resumed); return n >= 1 })
+	await(t, r, 30, "the log line about saved state", func() bool { _, n := r.Said("n1", resumed); return n >= 1 })
 	awaitJournal(t, r, "n1")
 	if f := r.Figures(); len(f.Wrong) > 0 || f.Twice > 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
-// TestDiskStuck: a disk that never answers again (a pipe that nobody reads stands for it) holds up no command, and no end of the process
-// for longer than its patience. The next process finds what was written before.
+// TestDiskStuck guards against a disk that never answers (a pipe without a reader stands for it) and delays requests,
+// or the exit of the process beyond its time limit. The next process must restore the state written before.
 func TestDiskStuck(t *testing.T) {
 	t.Parallel()
 	r := startWithState(t, 1)
@@ -175,13 +177,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range uint64(8) { // snapshots go on meanwhile: one of them meets a pipe
+	for n := range uint64(8) { // snapshots continue meanwhile, and one of their journals is a pipe
 		unix.Mkfifo(filepath.Join(folder, fmt.Sprintf("n1.%d.log", newest+1+n)), 0o600)
 	}
-	await(t, r, 30, "a writer that waits", func() bool {
+	await(t, r, 30, "a blocked writer", func() bool {
 		got, _, err := store.Load(folder, "n1")
 		size := len(got.Records)
-		time.Sleep(1500 * time.Millisecond) // three records' time
+		time.Sleep(1500 * time.Millisecond) // time of three journal records
 		later, _, err2 := store.Load(folder, "n1")
 		return err == nil && err2 == nil && later.Generation == got.Generation && len(later.Records) == size
 	})
@@ -192,11 +194,11 @@
 	if err := r.Do("end", "n1"); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Do("start", "n1"); err != nil { // once the old one has ended
+	if err := r.Do("start", "n1"); err != nil { // waits until the old process has exited
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took > 8*time.Second {
-		t.Errorf("it took %v to end", took)
+		t.Errorf("the exit took %v", took)
 	}
 	awaitRestored(t, r, "n1", 1)
 	await(t, r, 20, "a generation of the new process", func() bool {
--- a/internal/faultrig/zonefaults_test.go
+++ b/internal/faultrig/zonefaults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// completedDuring is how many more commands were answered in so many seconds.
+// completedDuring returns how many requests completed, and how many were sent, in the given time.
 func completedDuring(r *Rig, seconds float64) (answered, asked int) {
 	f := r.Figures()
 	time.Sleep(time.Duration(seconds * float64(time.Second)))
@@ -14,8 +14,8 @@
 	return g.Answered - f.Answered, g.Asked - f.Asked
 }
 
-// TestOneWay: what routers of one zone send to another does not arrive, though answers would. Nothing is given up, and nobody else
-// notices.
+// TestOneWay guards against a zone that is given up although only one direction between two zones is cut: requests from
+// routers of one zone to servers of another are lost, while answers would arrive. Other zones must not be affected.
 func TestOneWay(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -27,7 +27,7 @@
 			}
 		}
 	}
-	answered, asked := completedDuring(r, 8) // nothing is to come
+	answered, asked := completedDuring(r, 8) // no change is expected
 	if p, err := r.Plan(); err != nil || p.Plan.Share[0][0] < 0.9 || p.Plan.Share[1][1] < 0.9 {
 		t.Errorf("a zone was given up: %+v %v", p, err)
 	}
@@ -37,8 +37,8 @@
 	checkFigures(t, r, 0.02)
 }
 
-// TestTwoZonesLost: two of three zones' engines vanish together. The third one goes on serving, and no more than it can: what fits
-// nowhere is shed where it comes.
+// TestTwoZonesLost guards against an overload of the last zone when the servers of two of three zones fail together.
+// Requests beyond its capacity must be rejected by the routers that receive them.
 func TestTwoZonesLost(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 16, 0.02)
@@ -49,23 +49,24 @@
 		p, err := r.Plan()
 		return err == nil && maxShareTo(p, 0) == 0 && maxShareTo(p, 1) == 0
 	})
-	time.Sleep(3 * time.Second) // all routers have it
+	time.Sleep(3 * time.Second) // all routers have received the plan
 	before := r.ZoneSent(3)
 	answered, _ := completedDuring(r, 4)
 	sent := r.ZoneSent(3) - before
-	t.Logf("zone 3 is sent %d in 4 s, %d are answered", sent, answered)
+	t.Logf("zone 3 received %d attempts in 4 s, %d requests completed", sent, answered)
 	if answered < sent*9/10 || answered < 200 {
-		t.Errorf("the third zone falls: %d of %d answered", answered, sent)
+		t.Errorf("the third zone is overloaded: %d of %d completed", answered, sent)
 	}
 	r.Heal()
-	await(t, r, 100, "the way back", func() bool { // three quarters of all work may move in a minute
+	await(t, r, 100, "the return of the work", func() bool { // at most three quarters of all work may be moved in a minute
 		p, err := r.Plan()
 		return err == nil && p.Plan.Share[0][0] > 0.9 && p.Plan.Share[1][1] > 0.9
 	})
 	checkFigures(t, r, 0.1)
 }
 
-// TestPlannersZoneLost: the router that makes plans is lost with all of its zone's routers and engines. Another one plans without it.
+// TestPlannersZoneLost guards against a fleet that stays without plans when the plan's owner is lost with all routers
+// and servers of its zone. Another router must plan without that zone.
 func TestPlannersZoneLost(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -81,28 +82,28 @@
 		}
 	}
 	newOwner := ""
-	await(t, r, 20, "another owner", func() bool {
+	await(t, r, 20, "another owner of the plan", func() bool {
 		newOwner = planOwner(t, r)
 		return r.procs[newOwner].zone != r.procs[owner].zone
 	})
 	if answered, asked := completedDuring(r, 3); answered < asked*97/100 {
-		t.Errorf("%d of %d answered elsewhere", answered, asked)
+		t.Errorf("%d of %d completed in other zones", answered, asked)
 	}
-	// A zone more, which only the new owner can plan for.
+	// Another zone is lost, and only the new owner can plan for that.
 	anotherZone := zone%3 + 1
 	if r.procs[newOwner].zone == fmt.Sprint("z", anotherZone) {
 		anotherZone = anotherZone%3 + 1
 	}
 	r.CutEngines(anotherZone, nil)
-	await(t, r, 20, "its plan", func() bool {
+	await(t, r, 20, "the new owner's plan", func() bool {
 		p, err := r.Plan()
 		return err == nil && maxShareTo(p, anotherZone-1) == 0
 	})
 	checkFigures(t, r, 0.1)
 }
 
-// TestFlapping: a zone's engines go and come every five seconds. It is left alone after a while, plans are few, and its work is served
-// elsewhere.
+// TestFlapping guards against a plan that follows servers of a zone which fail and recover every five seconds. The zone
+// must be avoided after a while, with few plans, and its work be served elsewhere.
 func TestFlapping(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -127,19 +128,20 @@
 	checkFigures(t, r, 0.05)
 }
 
-// awaitDemand waits until the record has what zones ask for.
+// awaitDemand waits until the plan in the registry contains the demand of all zones.
 func awaitDemand(t *testing.T, r *Rig) {
 	t.Helper()
-	await(t, r, 30, "a note of what is asked for", func() bool { p, err := r.Plan(); return err == nil && len(p.LastDemand) == 3 })
+	await(t, r, 30, "a plan with the demand of all zones", func() bool { p, err := r.Plan(); return err == nil && len(p.LastDemand) == 3 })
 }
 
-// sever or join what two processes say to each other.
+// sever cuts both directions between two processes.
 func (r *Rig) sever(a, b string) {
 	r.Link("cut", a, b, 0)
 	r.Link("cut", b, a, 0)
 }
 
-// TestZoneWithoutEngines: a zone in the settings has routers and no engine. Its work is served elsewhere, and a plan says so.
+// TestZoneWithoutEngines guards against requests that fail in a zone of the settings with routers and without servers.
+// The plan must send its work to other zones.
 func TestZoneWithoutEngines(t *testing.T) {
 	t.Parallel()
 	r := startZonesWith(t, 4, 2, Options{Warm: true, Linked: true, Cores: 8, Work: 0.01, Works: []string{"plan"}})
@@ -153,7 +155,7 @@
 	checkFigures(t, r, 0.02)
 }
 
-// TestNewZone: a zone that no list named before comes, and is used.
+// TestNewZone guards against a zone that stays unused, or is used too early, when server lists name it only later.
 func TestNewZone(t *testing.T) {
 	t.Parallel()
 	r := startZonesWith(t, 4, 6, Options{Warm: true, Linked: true, Cores: 8, Work: 0.01, Works: []string{"plan"}, Hidden: 3})
@@ -162,19 +164,20 @@
 		return err == nil && len(p.Plan.Share) == 3 && maxShareTo(p, 2) == 0 && p.Plan.Share[2][0]+p.Plan.Share[2][1] > 0.9
 	})
 	if n := r.ZoneSent(3); n > 0 {
-		t.Errorf("%d sends to a zone that no list names", n)
+		t.Errorf("%d attempts in a zone that no list contains", n)
 	}
 	r.Relist(0)
 	await(t, r, 60, "zone 3 in use", func() bool {
 		p, err := r.Plan()
 		return err == nil && p.Plan.Share[2][2] > 0.9
 	})
-	await(t, r, 10, "work there", func() bool { return r.ZoneSent(3) > 200 })
+	await(t, r, 10, "attempts in zone 3", func() bool { return r.ZoneSent(3) > 200 })
 	checkFigures(t, r, 0.02)
 }
 
-// TestColdStillAway: a lost zone comes back with engines that have just started, while it is planned away from. All routers together
-// send them no more than they bear (rule 4), and what does not fit is served elsewhere.
+// TestColdStillAway guards against an overload of servers that have just started, in a lost zone that comes back while
+// the plan avoids it. All routers together must send them no more than they can serve (rule 4); other requests must be
+// served elsewhere.
 func TestColdStillAway(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -183,7 +186,7 @@
 	await(t, r, 20, "a plan without zone 1", func() bool { p, err := r.Plan(); return err == nil && maxShareTo(p, 0) == 0 })
 	r.Relist(1)
 	r.Heal()
-	const bears = 2 * 2 * 8 * 0.35 / 0.01 // commands a second: two engines, twice what a cold one serves
+	const bears = 2 * 2 * 8 * 0.35 / 0.01 // requests per second: two servers, twice the capacity of a cold one
 	worst, before := 0, r.ZoneSent(1)
 	var answered, asked int
 	for range 15 {
@@ -191,9 +194,9 @@
 		n := r.ZoneSent(1)
 		worst, before, answered, asked = max(worst, n-before), n, answered+a, asked+b
 	}
-	t.Logf("at most %d sends a second to the cold zone, %d of %d answered", worst, answered, asked)
+	t.Logf("at most %d attempts per second in the cold zone, %d of %d completed", worst, answered, asked)
 	if float64(worst) > bears {
-		t.Errorf("%d sends a second, %.0f are borne", worst, bears)
+		t.Errorf("%d attempts per second, at most %.0f allowed", worst, bears)
 	}
 	if answered < asked*95/100 {
 		t.Errorf("%d of %d answered", answered, asked)
@@ -201,13 +204,14 @@
 	checkFigures(t, r, 0.1)
 }
 
-// TestMinorityRegion: a zone with its keeper is cut off from the others, which lose another zone meanwhile and plan without it. The side
-// without a majority goes on from its own zone, and learns of the plan when it is joined again.
+// TestMinorityRegion guards against a minority that stops serving: a zone with its coordinator is cut off from the
+// others, which lose another zone meanwhile and plan without it. The minority must go on serving in its own zone and
+// follow the plan after the network heals.
 func TestMinorityRegion(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
 	awaitDemand(t, r)
-	inside := func(n int) bool { return n%3 == 0 } // of zone 1: k1, n1 and n4
+	inside := func(n int) bool { return n%3 == 0 } // in zone 1: k1, n1 and n4
 	for k := range 3 {
 		for n := range 6 {
 			if inside(k) != inside(n) {
@@ -218,7 +222,7 @@
 			r.sever("k1", fmt.Sprint("k", k+1))
 		}
 	}
-	time.Sleep(4 * time.Second) // a plan's life is over there
+	time.Sleep(4 * time.Second) // the plan has expired in the minority
 	r.CutEngines(2, func(n int) bool { return !inside(n) })
 	await(t, r, 30, "the majority's plan", func() bool { p, err := r.Plan(); return err == nil && maxShareTo(p, 1) == 0 })
 	p1, _ := r.Plan()
@@ -226,15 +230,16 @@
 		t.Errorf("%d of %d answered while cut off", answered, asked)
 	}
 	r.Heal()
-	await(t, r, 90, "all near again", func() bool {
+	await(t, r, 90, "all work in its own zone", func() bool {
 		p, err := r.Plan()
 		return err == nil && p.Epoch > p1.Epoch && p.Plan.Share[0][0] > 0.9 && p.Plan.Share[1][1] > 0.9
 	})
 	checkFigures(t, r, 0.05)
 }
 
-// TestThreeEpochs: two routers stop hearing the keepers at different times, with a plan of its own in force each time. Whatever each
-// follows, all is served and no zone falls.
+// TestThreeEpochs guards against a zone that fails because routers follow different plans: two routers lose the
+// coordinators at different times, with a different plan in force each time. All requests must be served, by whichever
+// plan a router follows.
 func TestThreeEpochs(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -247,14 +252,14 @@
 	cutFromCoordinators("n1")
 	r.CutEngines(3, nil)
 	await(t, r, 30, "a plan without zone 3", func() bool { p, err := r.Plan(); return err == nil && maxShareTo(p, 2) == 0 })
-	time.Sleep(2 * time.Second) // all others have it
+	time.Sleep(2 * time.Second) // all other routers have received the plan
 	cutFromCoordinators("n2")
 	r.Heal()
 	cutFromCoordinators("n1")
 	cutFromCoordinators("n2")
 	await(t, r, 60, "a third plan", func() bool { p, err := r.Plan(); return err == nil && p.Plan.Share[2][2] > 0 })
 	if answered, asked := completedDuring(r, 5); answered < asked*95/100 {
-		t.Errorf("%d of %d answered with three epochs at work", answered, asked)
+		t.Errorf("%d of %d completed with three epochs in use", answered, asked)
 	}
 	checkFigures(t, r, 0.05)
 }
--- a/internal/faultrig/zones_test.go
+++ b/internal/faultrig/zones_test.go
@@ -10,7 +10,8 @@
 	"dunereach/fleet/failover"
 )
 
-// startZones is a fleet of three zones with links between routers and engines, model engines, and load.
+// startZones starts a fleet of three zones with proxies between routers and model servers, and waits for load in all
+// zones.
 func startZones(t *testing.T, clients int, work float64) *Rig {
 	t.Helper()
 	r := startZonesWith(t, clients, 6, Options{Warm: true, Linked: true, Cores: 8, Work: work, Works: []string{"plan"}})
@@ -20,6 +21,7 @@
 	return r
 }
 
+// startZonesWith starts a fleet of three zones with load.
 func startZonesWith(t *testing.T, clients, engines int, o Options) *Rig {
 	t.Helper()
 	f := scenario.File{Name: "zones", Keepers: 3, Routers: 6, Zones: 3, Engines: engines, Lease: 2, Drift: 0.05}
@@ -43,15 +45,16 @@
 	return r
 }
 
+// await waits for a condition and fails the test if it is not met in time.
 func await(t *testing.T, r *Rig, seconds float64, what string, reached func() bool) {
 	t.Helper()
 	if err := r.waitUntil(seconds, reached); err != nil {
 		p, err := r.Plan()
-		t.Fatalf("%s does not come; the plan is %+v (%v)", what, p, err)
+		t.Fatalf("%s: not in time; the plan is %+v (%v)", what, p, err)
 	}
 }
 
-// maxShareTo is the most that any origin gives a zone by the fleet's plan.
+// maxShareTo returns the largest share of any origin zone's work that the fleet's plan sends to a zone.
 func maxShareTo(p failover.PublishedPlan, zone int) (most float64) {
 	for _, row := range p.Plan.Share {
 		most = max(most, row[zone])
@@ -59,20 +62,22 @@
 	return most
 }
 
+// checkFigures checks that nothing was violated and at most the given share of requests failed.
 func checkFigures(t *testing.T, r *Rig, failed float64) {
 	t.Helper()
 	f := r.Figures()
-	t.Logf("asked %d, answered %d, shed %d, failed %d, cut %d", f.Asked, f.Answered, f.Shed, f.Failed, f.Cut)
+	t.Logf("%d requests, %d completed, %d rejected, %d failed, %d disconnected", f.Asked, f.Answered, f.Shed, f.Failed, f.Cut)
 	if len(f.Wrong) > 0 || f.Twice > 0 {
 		t.Error(f.Wrong)
 	}
 	if float64(f.Failed) > failed*float64(f.Asked) {
-		t.Errorf("%d of %d commands failed", f.Failed, f.Asked)
+		t.Errorf("%d of %d requests failed", f.Failed, f.Asked)
 	}
 }
 
-// TestZoneLost: a zone's engines vanish for all. It is given up within seconds, gets next to nothing while it is away, and its work
-// returns when it is back, without anybody's word.
+// TestZoneLost guards against requests that are sent to a lost zone. When its servers fail for all routers, the zone
+// must be given up within seconds and receive next to no attempts; its work must return by itself when the servers are
+// back.
 func TestZoneLost(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -82,37 +87,37 @@
 		p, err := r.Plan()
 		return err == nil && maxShareTo(p, 0) == 0
 	})
-	t.Logf("planned away after %.1f s", time.Since(began).Seconds())
-	time.Sleep(3 * time.Second) // all routers have it
+	t.Logf("given up after %.1f s", time.Since(began).Seconds())
+	time.Sleep(3 * time.Second) // all routers have received the plan
 	before, all := r.ZoneSent(1), r.ZoneSent(2)+r.ZoneSent(3)
 	time.Sleep(4 * time.Second)
 	if in, out := r.ZoneSent(1)-before, r.ZoneSent(2)+r.ZoneSent(3)-all; in > out/50 {
-		t.Errorf("%d sends reached the lost zone, %d the others", in, out)
+		t.Errorf("%d attempts in the lost zone, %d in the others", in, out)
 	}
 	r.Heal()
-	await(t, r, 60, "the way back", func() bool {
+	await(t, r, 60, "the return of the work", func() bool {
 		p, err := r.Plan()
 		return err == nil && p.Plan.Share[0][0] > 0.9
 	})
 	at := r.ZoneSent(1)
-	await(t, r, 20, "work in zone 1", func() bool { return r.ZoneSent(1) > at+200 })
+	await(t, r, 20, "attempts in zone 1", func() bool { return r.ZoneSent(1) > at+200 })
 	checkFigures(t, r, 0.05)
 }
 
-// TestLinkCut: the link between two zones is cut. Neither is given up.
+// TestLinkCut guards against giving up a zone when only the link between two zones is cut.
 func TestLinkCut(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
 	r.CutEngines(2, func(n int) bool { return n%3 == 0 })
 	r.CutEngines(1, func(n int) bool { return n%3 == 1 })
-	time.Sleep(10 * time.Second) // nothing is to come
+	time.Sleep(10 * time.Second) // no change is expected
 	if p, err := r.Plan(); err == nil && (p.Plan.Share[0][0] < 0.9 || p.Plan.Share[1][1] < 0.9) {
 		t.Errorf("a zone was given up: %+v", p)
 	}
 	checkFigures(t, r, 0.05)
 }
 
-// planOwner is the router that makes the fleet's plan.
+// planOwner waits until the fleet's plan has an owner and returns it.
 func planOwner(t *testing.T, r *Rig) (owner string) {
 	t.Helper()
 	await(t, r, 20, "an owner of the plan", func() bool {
@@ -127,7 +132,8 @@
 	return owner
 }
 
-// TestPlannerStopped: the plan's owner is stopped, a zone is lost while it sleeps, another makes the plan, and the old one wakes up.
+// TestPlannerStopped guards against a stale plan: the plan's owner is stopped, a zone is lost meanwhile, another router
+// makes a plan, and the old owner continues.
 func TestPlannerStopped(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -135,12 +141,12 @@
 	if err := r.Do("stop", owner); err != nil {
 		t.Fatal(err)
 	}
-	zone := 1 // one that its owner is not in
+	zone := 1 // not the zone of the plan's owner
 	if r.procs[owner].zone == "z1" {
 		zone = 2
 	}
 	r.CutEngines(zone, nil)
-	await(t, r, 30, "another's plan", func() bool {
+	await(t, r, 30, "a plan of another owner", func() bool {
 		p, err := r.Plan()
 		return err == nil && maxShareTo(p, zone-1) == 0
 	})
@@ -148,15 +154,16 @@
 	if err := r.Do("continue", owner); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(4 * time.Second) // it would act now
+	time.Sleep(4 * time.Second) // time for the old owner to act
 	if p2, err := r.Plan(); err != nil || p2.Epoch < p1.Epoch || maxShareTo(p2, zone-1) > 0 {
-		t.Errorf("after it woke: %+v %v, before %+v", p2, err, p1)
+		t.Errorf("after it continued: %+v %v, before %+v", p2, err, p1)
 	}
 	checkFigures(t, r, 0.1)
 }
 
-// TestEvacuate: an operator empties a zone under load: nothing fails, next to nothing goes there, and it returns on his word. What
-// others can't carry is refused with the numbers.
+// TestEvacuate guards against failures while an operator evacuates a zone under load. Nothing may fail, next to nothing
+// may be sent there, and work must return on the operator's command. An evacuation beyond the capacity of the other
+// zones is refused with the numbers.
 func TestEvacuate(t *testing.T) {
 	t.Parallel()
 	r := startZones(t, 8, 0.01)
@@ -164,12 +171,12 @@
 		out, err := exec.Command(bin+"/dunefleet", append([]string{"fleet", "--keepers", strings.Join(r.Fronts(), ",")}, args...)...).CombinedOutput()
 		return string(out), err
 	}
-	await(t, r, 20, "a note of what is asked for", func() bool { p, err := r.Plan(); return err == nil && len(p.LastDemand) == 3 })
+	await(t, r, 20, "a plan with the demand of all zones", func() bool { p, err := r.Plan(); return err == nil && len(p.LastDemand) == 3 })
 	if out, err := runCommand("evacuate", "z9"); err == nil || !strings.Contains(out, "no zone is called") {
-		t.Errorf("a zone that is none: %s", out)
+		t.Errorf("an unknown zone: %s", out)
 	}
 	if out, err := runCommand("evacuate", "z1", "--dry-run"); err != nil || !strings.Contains(out, "nothing was done") {
-		t.Fatalf("rehearsed: %v %s", err, out)
+		t.Fatalf("dry run: %v %s", err, out)
 	}
 	failed := r.Figures().Failed
 	if out, err := runCommand("evacuate", "z1"); err != nil {
@@ -183,7 +190,7 @@
 	before := r.ZoneSent(1)
 	time.Sleep(3 * time.Second)
 	if n := r.ZoneSent(1) - before; n > 30 {
-		t.Errorf("%d sends to an evacuated zone", n)
+		t.Errorf("%d attempts in an evacuated zone", n)
 	}
 	if out, err := runCommand("evacuate", "z2", "--dry-run"); err == nil && strings.Contains(out, "would be shed") {
 		t.Logf("two zones: %s", out)
@@ -191,12 +198,12 @@
 	if out, err := runCommand("restore", "z1"); err != nil {
 		t.Fatalf("%v %s", err, out)
 	}
-	await(t, r, 60, "the way back", func() bool {
+	await(t, r, 60, "the return of the work", func() bool {
 		p, err := r.Plan()
 		return err == nil && p.Plan.Share[0][0] > 0.9
 	})
 	if n := r.Figures().Failed - failed; n > 0 {
-		t.Errorf("%d commands failed", n)
+		t.Errorf("%d requests failed", n)
 	}
 	checkFigures(t, r, 0.05)
 }
--- a/internal/knownred/list_test.go
+++ b/internal/knownred/list_test.go
@@ -1,4 +1,4 @@
-// Package knownred has only a test: of the script by which CI passes over tests that are known to fail.
+// Package knownred contains only a test of the script by which CI skips tests that are known to fail.
 package knownred
 
 import (
@@ -9,12 +9,13 @@
 	"testing"
 )
 
-// TestKnownRed: what the list may hold, what is passed over, and what is said of a test that passes.
+// TestKnownRed guards against a list that skips more than it should: it checks which entries the script accepts, which
+// tests it skips, and what it prints for a listed test that passes.
 func TestKnownRed(t *testing.T) {
 	const here = "./internal/knownred "
 	for name, c := range map[string]struct {
-		list, skip, run string // what is printed
-		wrong           string // what is said where the list can't be used
+		list, skip, run string // expected output
+		wrong           string // expected error for a list that can't be used
 	}{
 		"none":           {list: ""},
 		"comments":       {list: "# nothing\n\n"},
@@ -40,14 +41,14 @@
 					want = c.wrong
 				}
 				if (err != nil) != (c.wrong != "") || !strings.Contains(string(out), want) || want == "" && len(out) > 0 {
-					t.Errorf("%s: %v: it said %q, want %q", verb, err, out, want)
+					t.Errorf("%s: %v: it printed %q, want %q", verb, err, out, want)
 				}
 			}
 		})
 	}
 }
 
-// TestRed fails where TestKnownRed has it listed.
+// TestRed fails when TestKnownRed runs it as a listed test.
 func TestRed(t *testing.T) {
 	if os.Getenv("PLANTED_RED") != "" {
 		t.Error("planted")
--- a/internal/lintbaseline/lint_test.go
+++ b/internal/lintbaseline/lint_test.go
@@ -1,4 +1,5 @@
-// Package lintbaseline has only a test: of the script by which CI compares the linters' findings with those that are counted.
+// Package lintbaseline contains only a test of the script by which CI compares the linters' findings with the counts of
+// a baseline.
 package lintbaseline
 
 import (
@@ -9,21 +10,23 @@
 	"testing"
 )
 
-// clean is a package in which the linters find nothing.
+// clean is a package without findings.
 const clean = "// Package planted is clean.\npackage planted\n\n// One is one.\nfunc One() int { return 1 }\n"
 
-// longFunction returns one that has the given number of lines between its braces.
+// longFunction returns a function with the given number of lines between its braces.
 func longFunction(name string, lines int) string {
 	return "\nfunc " + name + "() {\n" + strings.Repeat("\tprintln()\n", lines) + "}\n\nvar _ = " + name + "\n"
 }
 
-// branches returns a function whose cognitive complexity is 15, of five nested branches, and one for each further branch.
+// branches returns a function with a cognitive complexity of 15, from five nested branches, plus one for each extra
+// branch.
 func branches(extra int) string {
 	nested := "\tif n > 1 {\n\t\tif n > 2 {\n\t\t\tif n > 3 {\n\t\t\t\tif n > 4 {\n\t\t\t\t\tif n > 5 {\n\t\t\t\t\t\tprintln()\n\t\t\t\t\t}\n\t\t\t\t}\n\t\t\t}\n\t\t}\n\t}\n"
 	return "\nfunc branches(n int) {\n" + nested + strings.Repeat("\tif n > 6 {\n\t\tprintln()\n\t}\n", extra) + "}\n\nvar _ = branches\n"
 }
 
-// lint runs the script on a module with one file and the given baseline, and returns what it printed and the baseline then.
+// lint runs the script on a module with one file and the given baseline. It returns the output and the baseline
+// afterwards.
 func lint(t *testing.T, source, baseline string, args ...string) (printed, baselineAfter string, err error) {
 	t.Helper()
 	script, err := filepath.Abs("../../.ci/lint")
@@ -47,7 +50,8 @@
 	return string(out), string(baselineText), err
 }
 
-// TestPlantedFindings: a finding of each rule fails the script and is printed, and passes where the baseline counts it.
+// TestPlantedFindings guards against a script that lets findings pass: a finding of each rule must fail it and be
+// printed, and must pass if the baseline counts it.
 func TestPlantedFindings(t *testing.T) {
 	for name, c := range map[string]struct{ source, finding, baseline string }{
 		"clean":             {source: clean},
@@ -84,7 +88,8 @@
 	}
 }
 
-// TestLower: a count that has fallen is said and, if asked for, written; one is never raised, and a bad line is an error.
+// TestLower guards against a baseline that grows or stays too high: a count that has fallen is reported and, with
+// "lower", written; a count is never raised, and an invalid line is an error.
 func TestLower(t *testing.T) {
 	const baseline = "# Counts.\nU1000 . 3\nexported . 1\n"
 	source := clean + "\nfunc unused() {}\n"
--- a/internal/mutation/planted_test.go
+++ b/internal/mutation/planted_test.go
@@ -1,5 +1,5 @@
-// Package mutation shows that checks can fail: each bug is put into a scratch copy of one file, and some test has to catch
-// it.
+// Package mutation checks that tests can fail: each planted bug is built into a copy of one file, and some test has to
+// fail.
 package mutation
 
 import (
@@ -11,6 +11,8 @@
 	"testing"
 )
 
+// bugs are the planted bugs: each replaces the text right, which occurs exactly once in the file, by wrong, and one of
+// the tests of the package must fail.
 var bugs = []struct {
 	name, file, right, wrong, tests string
 }{
@@ -112,7 +114,7 @@
 	{"a connection with unread input makes room", "internal/router/arrivals.go", "if !best.session.InTransit() {", "if true {", "./internal/router"},
 }
 
-// usesRapid tells whether a package's tests draw cases.
+// usesRapid reports whether a package's tests generate cases with rapid.
 func usesRapid(t *testing.T, dir string) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
@@ -127,6 +129,7 @@
 	return false
 }
 
+// TestCaught plants each bug and guards against tests that pass all the same.
 func TestCaught(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -150,16 +153,16 @@
 			os.WriteFile(overlay, replacements, 0o600)
 			args := []string{"test", "-short", "-timeout", "180s", "-overlay", overlay, "-vet=off", b.tests}
 			if usesRapid(t, filepath.Join(root, b.tests)) {
-				args = append(args, "-args", "-rapid.nofailfile") // what a planted bug fails by is no case to keep
+				args = append(args, "-args", "-rapid.nofailfile") // keep no failing cases of planted bugs
 			}
 			c := exec.Command("go", args...)
 			c.Dir = root
 			out, err := c.CombinedOutput()
 			switch {
 			case err == nil:
-				t.Errorf("no test catches it")
-			case !strings.Contains(string(out), "--- FAIL") && !strings.Contains(string(out), "panic: test timed out"): // a bug may go round for ever
-				t.Errorf("it was not tried:\n%s", out)
+				t.Errorf("no test detects the bug")
+			case !strings.Contains(string(out), "--- FAIL") && !strings.Contains(string(out), "panic: test timed out"): // a bug may loop forever
+				t.Errorf("the tests did not run:\n%s", out)
 			}
 		})
 	}
