--- a/internal/faultrig/audit.go
+++ b/internal/faultrig/audit.go
@@ -217,21 +217,21 @@
 	defer a.mu.Unlock()
 	all := a.warmUpTasks()
 	if len(all) < a.rig.file.Engines {
-		return fmt.Errorf("%d of %d engines have ever had an owner", len(all), a.rig.file.Engines)
+		return fmt.Errorf("only %d of %d servers have had an owner so far", len(all), a.rig.file.Engines)
 	}
 	for name, runs := range a.runs {
 		if _, ok := a.startupUntil[fmt.Sprint(name, "/", len(runs))]; !ok && name[0] == 'n' && math.IsInf(runs[len(runs)-1][1], 1) {
-			return fmt.Errorf("%s has not begun", name)
+			return fmt.Errorf("%s has not begun to serve", name)
 		}
 	}
 	for _, w := range all {
 		if _, ok := a.latestAct(w); !ok {
-			return fmt.Errorf("%s has no owner that acts", w)
+			return fmt.Errorf("%s has no acting owner", w)
 		}
 		if granted {
 			spans := a.spans[w]
 			if !slices.ContainsFunc(spans, func(s span) bool { return !s.relinquished && s.share > 0 && s.until > boottime.Now() }) {
-				return fmt.Errorf("nothing of %s is dealt", w)
+				return fmt.Errorf("no share of %s is granted", w)
 			}
 		}
 	}
@@ -289,7 +289,7 @@
 		}
 		if sum, at := a.maxInUse(spans); sum > f.Worst {
 			if f.Worst = sum; sum > 1+1e-9 {
-				f.Wrong = append(f.Wrong, fmt.Sprintf("%s: %.4f of the allowance may have been in use at %.3f", work, sum, at))
+				f.Wrong = append(f.Wrong, fmt.Sprintf("%s: a share of %.4f of the allowance may have been in use at %.3f", work, sum, at))
 			}
 		}
 	}
@@ -414,7 +414,7 @@
 	}
 	if a.runsByStatement[statement]++; a.runsByStatement[statement] > 1 && strings.Contains(statement, "order") {
 		a.Twice++
-		a.violations = append(a.violations, fmt.Sprintf("%q, which may run once, ran %d times", statement, a.runsByStatement[statement]))
+		a.violations = append(a.violations, fmt.Sprintf("%q is not idempotent and ran %d times", statement, a.runsByStatement[statement]))
 	}
 }
 
@@ -495,7 +495,7 @@
 	case strings.HasPrefix(got, fmt.Sprintf("2/%d call{", number)):
 		a.Failed++
 	case strings.HasPrefix(got, "2/"):
-		a.violations = append(a.violations, fmt.Sprintf("%s: answer %q to call %d", p.name, got, number))
+		a.violations = append(a.violations, fmt.Sprintf("%s: answer %q to request %d", p.name, got, number))
 		return false
 	default:
 		a.Cut++
--- a/internal/faultrig/events.go
+++ b/internal/faultrig/events.go
@@ -29,7 +29,7 @@
 		return nil
 	}
 	if err := r.waitUntil(r.file.Settle, func() bool { return r.audit.checkGranted() == nil }); err != nil {
-		return fmt.Errorf("after the last fault: %v", r.audit.checkGranted())
+		return fmt.Errorf("not recovered after the last fault: %v", r.audit.checkGranted())
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 		return true
 	}
 	if err := r.waitUntil(longest, reached); err != nil {
-		return fmt.Errorf("what it waits for (%s) does not come: %v", what, r.audit.checkOwned(false))
+		return fmt.Errorf("condition %s not met: %v", what, r.audit.checkOwned(false))
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 func (r *Rig) waitUntil(seconds float64, reached func() bool) error {
 	for end := time.Now().Add(time.Duration(seconds * 1e9)); !reached(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return errors.New("not in time")
+			return errors.New("time limit exceeded")
 		}
 	}
 	return nil
--- a/internal/faultrig/rig.go
+++ b/internal/faultrig/rig.go
@@ -90,7 +90,7 @@
 			return p, json.Unmarshal(w.Annotation, &p)
 		}
 	}
-	return p, errors.New("there is no plan")
+	return p, errors.New("the registry has no plan")
 }
 
 // Start starts all processes, coordinators first, and the clients if there is load.
