--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -64,12 +64,12 @@
 	d.Cleanup(func() { os.RemoveAll(dir) })
 	ctx, cancel := context.WithCancel(ctx)
 	d.Cleanup(cancel)
-	f, err := o.setUp(ctx, d, dir)
+	routerFiles, err := o.setUp(ctx, d, dir)
 	if err != nil {
 		return err
 	}
 	cmd := exec.CommandContext(ctx, o.Router, "serve")
-	cmd.Env = append(os.Environ(), "BALANCER_NAME=demo", "BALANCER_LISTEN="+f.addr, "BALANCER_CONFIG="+f.config, "DUNEREACH_OPERATOR="+f.operators)
+	cmd.Env = append(os.Environ(), "BALANCER_NAME=demo", "BALANCER_LISTEN="+routerFiles.addr, "BALANCER_CONFIG="+routerFiles.config, "DUNEREACH_OPERATOR="+routerFiles.operators)
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
 	log, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
@@ -80,15 +80,15 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %v (run `make build` to build it)", o.Router, err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
 	fmt.Fprintf(out, "A router at %s, %d model engines of %d cores, a name server; %.0f s of load by two teams of equal weight:\n"+
 		"planning requests reports of 1 core second, %d at a time; clerks sends lookups continuously, %d at a time.\n\n",
-		f.addr, o.Engines, cores, o.Seconds, o.Planner, o.Flood)
-	planning, clerks := o.load(d, f.addr)
+		routerFiles.addr, o.Engines, cores, o.Seconds, o.Planner, o.Flood)
+	planning, clerks := o.load(d, routerFiles.addr)
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case err = <-ended:
+	case err = <-exited:
 	case <-time.After(fake.Patience):
 		err = fmt.Errorf("the router did not exit in time")
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -40,8 +40,8 @@
 	if err := r.Await("dealt"); err != nil {
 		return fmt.Errorf("%v\n%s", err, r.Tail())
 	}
-	for _, w := range []string{"status", "sessions", "owners"} {
-		if err := runCommand(w); err != nil {
+	for _, subcommand := range []string{"status", "sessions", "owners"} {
+		if err := runCommand(subcommand); err != nil {
 			return err
 		}
 	}
--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -72,7 +72,7 @@
 		}
 		for k := range s.File.Expectations {
 			e := &s.File.Expectations[k]
-			if other, twice := names[e.Name]; twice {
+			if other, duplicate := names[e.Name]; duplicate {
 				out = append(out, Outcome{File: s.Name, Name: e.Name, Says: e.Says, Status: Broken,
 					Why: fmt.Sprintf("/expectations/%d/name: %s already has an expectation of that name", k, other)})
 				continue
@@ -81,14 +81,14 @@
 			all = append(all, expectationCheck{s, s.File, e})
 		}
 	}
-	first := len(out)
+	broken := len(out)
 	out = append(out, make([]Outcome, len(all))...)
 	var group errgroup.Group
 	group.SetLimit(cmp.Or(o.Cores, runtime.GOMAXPROCS(0)))
 	done := make(chan struct{}, len(all))
 	for k, a := range all {
 		group.Go(func() error {
-			out[first+k] = a.check(u, o)
+			out[broken+k] = a.check(u, o)
 			done <- struct{}{}
 			if o.Seen != nil {
 				o.Seen(len(done))
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-func example(t *testing.T) expect.Under {
+func exampleDeployment(t *testing.T) expect.Under {
 	t.Helper()
 	config, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
@@ -37,7 +37,7 @@
 		}
 		return s
 	}
-	all := expect.Check(example(t), read(), expect.Options{})
+	all := expect.Check(exampleDeployment(t), read(), expect.Options{})
 	for _, o := range all {
 		if !o.Good() {
 			t.Errorf("%s: %s: %s", o.Name, o.Status, o.Why)
@@ -49,8 +49,8 @@
 	if testing.Short() || t.Failed() {
 		return
 	}
-	again := expect.Check(example(t), read(), expect.Options{Cores: 1})
-	if diff := cmp.Diff(all, again, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")); diff != "" {
+	onOneCore := expect.Check(exampleDeployment(t), read(), expect.Options{Cores: 1})
+	if diff := cmp.Diff(all, onOneCore, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")); diff != "" {
 		t.Errorf("the outcomes differ on one core:\n%s", diff)
 	}
 }
@@ -58,16 +58,16 @@
 // TestFiles compares the outcome of each file of expectations in the scripts: unreadable files, unknown servers and
 // violated holds must be reported with their place.
 func TestFiles(t *testing.T) {
-	u := example(t)
+	u := exampleDeployment(t)
 	script.Compare(t, func(t *testing.T, text string) string {
 		return script.Annotate(text, func(line string) string {
 			f, err := expect.Parse([]byte(line), schema.CheckExpectations)
 			all := expect.Check(u, []expect.Source{{Name: "file", File: f, Err: err}}, expect.Options{})
-			var said []string
+			var results []string
 			for _, o := range all {
-				said = append(said, strings.TrimSpace(fmt.Sprintf("%s: %s", o.Status, o.Why)))
+				results = append(results, strings.TrimSpace(fmt.Sprintf("%s: %s", o.Status, o.Why)))
 			}
-			return strings.Join(said, " | ")
+			return strings.Join(results, " | ")
 		})
 	})
 }
@@ -82,12 +82,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := expect.Check(example(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true})[0]
+	out := expect.Check(exampleDeployment(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true})[0]
 	if out.Status != expect.Failed || out.At < 5 || out.At > 6 || len(out.Trace) == 0 ||
 		out.Trace[0] != "needed events: drain at 5 s" || strings.Contains(strings.Join(out.Trace, " "), "needed traffic") {
 		t.Errorf("%+v", out)
 	}
-	again := expect.Check(example(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true, Seed: out.Seed})[0]
+	again := expect.Check(exampleDeployment(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true, Seed: out.Seed})[0]
 	if diff := cmp.Diff(out, again, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")); diff != "" {
 		t.Errorf("with its seed the outcome differs:\n%s", diff)
 	}
--- a/internal/expect/hold.go
+++ b/internal/expect/hold.go
@@ -24,13 +24,13 @@
 
 // observe checks the hold at an event. It returns how the event violates the hold, "" if it does not.
 func (h *hold) observe(m *cluster.Moment, values map[string]any) (violation string, err error) {
-	on := func(name string) bool { return m.On.String() == name }
+	isOn := func(name string) bool { return m.On.String() == name }
 	switch {
-	case h.Never != nil && on(h.Never.On):
+	case h.Never != nil && isOn(h.Never.On):
 		return h.checkRule(values, false, "the condition is met")
-	case h.Always != nil && on(h.Always.On):
+	case h.Always != nil && isOn(h.Always.On):
 		return h.checkRule(values, true, "the condition is not met")
-	case h.AtLeast != nil && on(h.AtLeast.On):
+	case h.AtLeast != nil && isOn(h.AtLeast.On):
 		matches, err := h.when.matches(values)
 		if !matches || err != nil {
 			return "", err
@@ -44,7 +44,7 @@
 		return "", err
 	case h.Within != nil && m.Try != nil:
 		client := m.Try.Mark<<8 | uint64(m.Try.Number&0xff)
-		if on(h.Within.Then) {
+		if isOn(h.Within.Then) {
 			if from, ok := h.openSince[client]; ok {
 				matches, err := h.then.matches(values)
 				if err != nil {
@@ -60,7 +60,7 @@
 				}
 			}
 		}
-		if on(h.Within.On) {
+		if isOn(h.Within.On) {
 			matches, err := h.when.matches(values)
 			if matches {
 				h.tested++
--- a/internal/expect/mutate.go
+++ b/internal/expect/mutate.go
@@ -167,17 +167,17 @@
 		if broken.Operator, err = json.Marshal(operator); err != nil {
 			return nil, err
 		}
-		found := Mutant{Name: m.name}
+		mutant := Mutant{Name: m.name}
 		if _, err := newSimulation(broken, &File{}, &Expectation{}, 1); err != nil {
-			found.Err = err
+			mutant.Err = err
 		} else {
 			for _, r := range Check(broken, sources, o) {
 				if !r.Good() {
-					found.Noticed = append(found.Noticed, r.Name)
+					mutant.Noticed = append(mutant.Noticed, r.Name)
 				}
 			}
 		}
-		all = append(all, found)
+		all = append(all, mutant)
 	}
 	return all, nil
 }
--- a/internal/expect/shrink.go
+++ b/internal/expect/shrink.go
@@ -62,18 +62,18 @@
 // returns the trace of the remaining parts.
 func (a expectationCheck) shortestTrace(ctx context.Context, u Under, seed uint64, r *run) []string {
 	c := &reduction{omittedEvents: make([]bool, len(r.simulation.setup.Happens)), omittedServers: make([]bool, len(r.simulation.setup.Engines)), omittedStreams: make([]bool, len(r.simulation.setup.Streams)), until: r.violatedAt + 1e-6}
-	best := r
+	shortest := r
 	runs := 0
 	stillFails := func() bool {
 		const limit = 80 // simulations: about a second
 		if runs++; runs > limit || ctx.Err() != nil {
 			return false
 		}
-		again, err := a.play(ctx, u, seed, c)
-		if err != nil || again.path != r.path {
+		reduced, err := a.play(ctx, u, seed, c)
+		if err != nil || reduced.path != r.path {
 			return false
 		}
-		best = again
+		shortest = reduced
 		return true
 	}
 	if !stillFails() { // shares are checked at the end, so the whole run is needed
@@ -97,7 +97,7 @@
 		}
 		c.lastClients = 0
 	}
-	c.trace, c.tracedClient = true, best.client
+	c.trace, c.tracedClient = true, shortest.client
 	last, err := a.play(ctx, u, seed, c)
 	if err != nil {
 		return nil
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -141,9 +141,9 @@
 // nextAnswer returns the list to send next. The caller holds the lock.
 func (n *NameServer) nextAnswer() serverList {
 	if len(n.queuedAnswers) > 0 {
-		stray := n.queuedAnswers[0]
+		next := n.queuedAnswers[0]
 		n.queuedAnswers = n.queuedAnswers[1:]
-		return stray
+		return next
 	}
 	select {
 	case <-n.sent:
--- a/internal/fake/model.go
+++ b/internal/fake/model.go
@@ -21,8 +21,8 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		const longest = 3600.0
-		timer.Reset(time.Duration(min(max(p.model.Next()-p.now(), 0), longest) * 1e9))
+		const maxDelay = 3600.0
+		timer.Reset(time.Duration(min(max(p.model.Next()-p.now(), 0), maxDelay) * 1e9))
 		select {
 		case s, ok := <-messages:
 			if !ok {
--- a/internal/faultrig/audit.go
+++ b/internal/faultrig/audit.go
@@ -170,9 +170,9 @@
 		return act{}, false
 	}
 	last := all[len(all)-1]
-	const late = 1.2 // owners act every half second; two acts may be missed
+	const maxActAge = 1.2 // owners act every half second; two acts may be missed
 	p := a.rig.procs[last.actor]
-	return last, boottime.Now()-last.at < late && p.running && p.run == last.run && !p.stopped
+	return last, boottime.Now()-last.at < maxActAge && p.running && p.run == last.run && !p.stopped
 }
 
 // warmUpTasks returns the warm-up tasks that any owner has acted on, sorted by name.
@@ -277,19 +277,19 @@
 		Twice: a.Twice, Slowest: a.slowest}
 	f.Wrong = append(f.Wrong, a.violations...)
 	f.Wrong = append(f.Wrong, a.failedExits...)
-	for work, all := range a.acts {
-		f.Acts += len(all)
-		stale := staleActs(work, all)
+	for task, taskActs := range a.acts {
+		f.Acts += len(taskActs)
+		stale := staleActs(task, taskActs)
 		f.Old += len(stale)
 		f.Wrong = append(f.Wrong, stale...)
 	}
-	for work, spans := range a.spans {
-		if !strings.HasPrefix(work, "warmth/") {
+	for task, spans := range a.spans {
+		if !strings.HasPrefix(task, "warmth/") {
 			continue
 		}
 		if sum, at := a.maxInUse(spans); sum > f.Worst {
 			if f.Worst = sum; sum > 1+1e-9 {
-				f.Wrong = append(f.Wrong, fmt.Sprintf("%s: a share of %.4f of the allowance may have been in use at %.3f", work, sum, at))
+				f.Wrong = append(f.Wrong, fmt.Sprintf("%s: a share of %.4f of the allowance may have been in use at %.3f", task, sum, at))
 			}
 		}
 	}
@@ -349,11 +349,11 @@
 // sample returns evenly spaced elements of times, all of them for a short run, so that the cost of long runs is
 // bounded.
 func sample(times []float64) []float64 {
-	const most = 1000
-	if len(times) <= most {
+	const maxTimes = 1000
+	if len(times) <= maxTimes {
 		return times
 	}
-	step := len(times) / most
+	step := len(times) / maxTimes
 	thin := times[:0]
 	for k := 0; k < len(times); k += step + 1 {
 		thin = append(thin, times[k])
@@ -395,13 +395,13 @@
 	if !ok {
 		return false // it has just started and accepts no requests before it logs that it begins
 	}
-	covered := max(from, t-window, until)
+	coveredUntil := max(from, t-window, until)
 	for _, s := range ownSpans {
-		if s.relinquished && s.at <= covered+1e-6 {
-			covered = max(covered, s.until)
+		if s.relinquished && s.at <= coveredUntil+1e-6 {
+			coveredUntil = max(coveredUntil, s.until)
 		}
 	}
-	return covered < t
+	return coveredUntil < t
 }
 
 // attemptReceived records that a server received a statement.
@@ -442,10 +442,10 @@
 				profile = "order"
 			}
 			began := time.Now()
-			number := c.Call(fmt.Sprintf("/* %s %s %d %d work=%.4f threads=1 */", profile, p.name, k, seq, cmp.Or(r.options.Work, 0.005)), "service", profile, "project", "acme", "allow", "5000",
+			requestSeq := c.Call(fmt.Sprintf("/* %s %s %d %d work=%.4f threads=1 */", profile, p.name, k, seq, cmp.Or(r.options.Work, 0.005)), "service", profile, "project", "acme", "allow", "5000",
 				"ref", fmt.Sprintf("%04x%04x%08x", n, k, seq))
-			got := c.Next()
-			if !a.addAnswer(p, number, got, time.Since(began).Seconds()) {
+			answer := c.Next()
+			if !a.addAnswer(p, requestSeq, answer, time.Since(began).Seconds()) {
 				break
 			}
 		}
@@ -483,19 +483,19 @@
 }
 
 // addAnswer records an answer. It returns false if the connection has ended.
-func (a *audit) addAnswer(p *process, number int32, got string, took float64) bool {
+func (a *audit) addAnswer(p *process, requestSeq int32, answer string, took float64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Asked++
 	switch {
-	case strings.HasPrefix(got, fmt.Sprintf("2/%d call{ 0={", number)):
+	case strings.HasPrefix(answer, fmt.Sprintf("2/%d call{ 0={", requestSeq)):
 		a.Answered++
-	case strings.HasPrefix(got, fmt.Sprintf("2/%d call{ 1={", number)):
+	case strings.HasPrefix(answer, fmt.Sprintf("2/%d call{ 1={", requestSeq)):
 		a.Shed++
-	case strings.HasPrefix(got, fmt.Sprintf("2/%d call{", number)):
+	case strings.HasPrefix(answer, fmt.Sprintf("2/%d call{", requestSeq)):
 		a.Failed++
-	case strings.HasPrefix(got, "2/"):
-		a.violations = append(a.violations, fmt.Sprintf("%s: answer %q to request %d", p.name, got, number))
+	case strings.HasPrefix(answer, "2/"):
+		a.violations = append(a.violations, fmt.Sprintf("%s: answer %q to request %d", p.name, answer, requestSeq))
 		return false
 	default:
 		a.Cut++
--- a/internal/faultrig/events.go
+++ b/internal/faultrig/events.go
@@ -64,12 +64,12 @@
 }
 
 // waitFor waits for the condition of an event.
-func (r *Rig) waitFor(what string) error {
-	const longest = 60.0
+func (r *Rig) waitFor(condition string) error {
+	const maxWait = 60.0
 	reached := func() bool {
-		switch what {
+		switch condition {
 		case "owned", "dealt":
-			return r.audit.checkOwned(what == "dealt") == nil
+			return r.audit.checkOwned(condition == "dealt") == nil
 		case "moved":
 			o := r.Owner()
 			return o != "" && o != r.lastOwner
@@ -78,8 +78,8 @@
 		}
 		return true
 	}
-	if err := r.waitUntil(longest, reached); err != nil {
-		return fmt.Errorf("condition %s not met: %v", what, r.audit.checkOwned(false))
+	if err := r.waitUntil(maxWait, reached); err != nil {
+		return fmt.Errorf("condition %s not met: %v", condition, r.audit.checkOwned(false))
 	}
 	return nil
 }
--- a/internal/faultrig/rig.go
+++ b/internal/faultrig/rig.go
@@ -102,11 +102,11 @@
 	}
 	if r.Load {
 		for n := range r.file.Routers {
-			many := 1
+			clientCount := 1
 			if r.options.Clients != nil {
-				many = r.options.Clients[n]
+				clientCount = r.options.Clients[n]
 			}
-			for k := range many {
+			for k := range clientCount {
 				r.clients.Go(func() { r.runClient(n, k) })
 			}
 		}
@@ -231,9 +231,9 @@
 }
 
 // Do applies a fault or an action to one process.
-func (r *Rig) Do(what, name string) error {
+func (r *Rig) Do(action, name string) error {
 	p := r.procs[name]
-	switch what {
+	switch action {
 	case "stop":
 		if p.running {
 			p.stopped = true
@@ -278,8 +278,8 @@
 			return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: 4096}, nil)
 		}
 	case "release":
-		work := r.audit.firstTask()
-		out, err := exec.Command(filepath.Join(r.bin, "dunefleet"), "fleet", "release", work, "--keepers", strings.Join(r.coordinatorAddrs(), ",")).CombinedOutput()
+		task := r.audit.firstTask()
+		out, err := exec.Command(filepath.Join(r.bin, "dunefleet"), "fleet", "release", task, "--keepers", strings.Join(r.coordinatorAddrs(), ",")).CombinedOutput()
 		if err != nil {
 			return fmt.Errorf("%v: %s", err, out)
 		}
@@ -294,9 +294,9 @@
 }
 
 // Link injects a fault into the direction between two processes, one of which is a coordinator or a server.
-func (r *Rig) Link(do, from, to string, seconds float64) {
+func (r *Rig) Link(fault, from, to string, seconds float64) {
 	m, until := cut, time.Time{}
-	if do == "hold" {
+	if fault == "hold" {
 		m, until = hold, time.Now().Add(time.Duration(seconds*1e9))
 	}
 	for _, pair := range [][2]string{{from, to}, {to, from}} { // a router and a server
--- a/internal/faultrig/slowzone_test.go
+++ b/internal/faultrig/slowzone_test.go
@@ -50,12 +50,12 @@
 }
 
 // falseReport is the report of a lying observer: that a working zone is lost, or that a lost zone works.
-func falseReport(zone, of int, lost bool) failover.Report {
+func falseReport(zone, lostZone int, lost bool) failover.Report {
 	p := failover.Report{Zone: zone, Demand: 0.1, Observations: make([]failover.ZoneObservation, 3)}
 	for z := range p.Observations {
 		s := &p.Observations[z]
 		*s = failover.ZoneObservation{Attempts: 50, Work: 0.4, Slow: 1.2, Ready: 16}
-		if z == of && lost {
+		if z == lostZone && lost {
 			s.Failed, s.Work, s.SuspectCores = 50, 0, 16
 		}
 	}
