--- a/internal/expect/report.go
+++ b/internal/expect/report.go
@@ -36,7 +36,7 @@
 		n[Void], n[Idle], n[Broken])
 }
 
-// WriteJSON writes the outcomes as JSON.
+// WriteJSON encodes the outcomes, with indentation.
 func JSON(w io.Writer, all []Outcome) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
@@ -65,7 +65,7 @@
 	Text    string `xml:",chardata"`
 }
 
-// WriteJUnit writes the outcomes as JUnit XML, for CI systems.
+// WriteJUnit writes the outcomes in the XML format of test reports that CI systems read.
 func JUnit(w io.Writer, all []Outcome) error {
 	s := junitSuite{Name: "expectations", Tests: len(all)}
 	for k := range all {
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -1,6 +1,5 @@
 // Package fake implements the peers of a router for tests and the demonstration: a name server, servers and clients on
-// loopback, which speak the published protocols. Tests determine the answers; ServeModel answers for a server by
-// itself.
+// loopback, which speak the published protocols. Tests determine the answers; RunModel answers for a server by itself.
 package fake
 
 import (
@@ -236,7 +235,7 @@
 	fmt.Fprintf(s.conn, "%s %s %s %d\r\n%s\r\n", s.Words[1], word, fields, len(body), body)
 }
 
-// Write sends bytes unchanged on the connection of the message.
+// SendRaw sends bytes unchanged on the connection of the message.
 func (s Said) Raw(text string) { io.WriteString(s.conn, text) }
 
 // Reset resets the connection, like a process that is killed.
@@ -245,7 +244,7 @@
 	s.conn.Close()
 }
 
-// CloseConnection closes the connection, like a server that considers it idle.
+// Disconnect closes the connection, like a server that considers it idle.
 func (s Said) Leave() { s.conn.Close() }
 
 // Client is one client connection.
@@ -305,13 +304,13 @@
 	c.Raw(thrift.EndMessage(append(b, 1)))
 }
 
-// Write sends bytes unchanged. A failed write shows in the next answer that is read.
+// SendRaw sends bytes unchanged. A failed write shows in the next answer that is read.
 func (c *Client) Raw(b []byte) { c.conn.Write(b) }
 
 // HalfClose closes the sending half of the connection: there are no further requests.
 func (c *Client) HalfClose() { c.conn.(*net.TCPConn).CloseWrite() }
 
-// Close closes the connection.
+// Disconnect closes the connection.
 func (c *Client) Leave() { c.conn.Close() }
 
 // Reset resets the connection, like a client process that is killed.
--- a/internal/fake/model.go
+++ b/internal/fake/model.go
@@ -11,11 +11,11 @@
 	"dunereach/emulator/engine"
 )
 
-// ServeModel answers a server's messages like a model server, in real time, until the context ends. A comment in a
+// RunModel answers a server's messages like a model server, in real time, until the context ends. A comment in a
 // statement states its true work in core seconds, its threads and its memory: /* work=0.2 threads=1 memory=50 */.
-func Model(ctx context.Context, set engine.Settings, inbox <-chan Said) { Paced(ctx, set, inbox, nil) }
+func Model(ctx context.Context, set engine.Settings, in <-chan Said) { Paced(ctx, set, in, nil) }
 
-// ServeModelAtPace is ServeModel with changes of the server's speed, each a factor of the configured speed.
+// RunPaced is RunModel with changes of the server's speed, each a factor of the configured speed.
 func Paced(ctx context.Context, set engine.Settings, messages <-chan Said, pace <-chan float64) {
 	p := &modelServer{start: time.Now(), model: engine.New(set, 0), running: map[uint64]Said{}, queryIDs: map[requestID]uint64{}}
 	timer := time.NewTimer(time.Hour)
--- a/internal/fake/standalone.go
+++ b/internal/fake/standalone.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Standalone implements T for programs that use the fakes outside of tests. Close runs the registered cleanups, last
-// first.
+// Standalone implements T for programs that use the fakes outside of tests. RunCleanups runs the registered cleanups,
+// last first.
 type Desk struct {
 	mu       sync.Mutex
 	cleanups []func()
@@ -18,14 +18,14 @@
 // Fatal panics with its arguments as text.
 func (d *Desk) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
 
-// Cleanup registers a function that Close calls.
+// Cleanup registers a function that RunCleanups calls.
 func (d *Desk) Cleanup(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cleanups = append(d.cleanups, f)
 }
 
-// Close runs all cleanups, the last registered first.
+// RunCleanups runs all cleanups, the last registered first.
 func (d *Desk) End() {
 	d.mu.Lock()
 	cleanups := d.cleanups
