--- a/internal/expect/shrink.go
+++ b/internal/expect/shrink.go
@@ -114,8 +114,8 @@
 func (a expectationCheck) describeRemaining(c *reduction, r *run) (lines []string) {
 	list := func(what string, omitted []bool, name func(int) string) {
 		var names []string
-		for k, out := range omitted {
-			if !out {
+		for k, isOmitted := range omitted {
+			if !isOmitted {
 				names = append(names, name(k))
 			}
 		}
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -212,7 +212,7 @@
 func (w *simulation) addEvents(list []Event, seed uint64) error {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	last := 0.0
-	absent := make([]bool, len(w.serverNames)) // in the server list at the time of the event
+	absent := make([]bool, len(w.serverNames)) // by server: not in the server list at the time of the event
 	for k, e := range w.setup.Engines {
 		absent[k] = e.Absent
 	}
--- a/internal/faultrig/proxy.go
+++ b/internal/faultrig/proxy.go
@@ -195,10 +195,10 @@
 	}
 }
 
-// write delivers bytes to a process with the current delay and speed of the direction.
-func (p *proxy) write(to net.Conn, text []byte, a, b string) error {
+// write delivers bytes from sender to receiver with the current delay and speed of the direction.
+func (p *proxy) write(to net.Conn, text []byte, sender, receiver string) error {
 	p.mu.Lock()
-	s := p.directionOf(a, b)
+	s := p.directionOf(sender, receiver)
 	delay, slow := s.delay, s.mode == trickle
 	p.mu.Unlock()
 	if delay > 0 {
@@ -218,15 +218,15 @@
 }
 
 // copy copies one direction of a connection.
-func (p *proxy) copy(c *proxiedConn, from, to net.Conn, a, b string) {
+func (p *proxy) copy(c *proxiedConn, from, to net.Conn, sender, receiver string) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !p.waitOpen(a, b, c) {
+			if !p.waitOpen(sender, receiver, c) {
 				return
 			}
-			if p.write(to, buf[:n], a, b) != nil {
+			if p.write(to, buf[:n], sender, receiver) != nil {
 				return
 			}
 		}
--- a/internal/faultrig/rig.go
+++ b/internal/faultrig/rig.go
@@ -28,7 +28,8 @@
 )
 
 // Rig is one fleet of processes, whose programs are in one folder. The name server and the servers are fakes in this
-// process, outside the fleet.
+// process, outside the fleet. There are no faults in links to the name server, and in links to the servers only with
+// Options.LinkFaults.
 type Rig struct {
 	file             scenario.File
 	options          Options
--- a/internal/faultrig/setup.go
+++ b/internal/faultrig/setup.go
@@ -191,7 +191,7 @@
 }
 
 // newRouterList starts a name server and a proxy to each server for one router.
-func (r *Rig) newRouterList(name string) (targets []string, names string, err error) {
+func (r *Rig) newRouterList(name string) (targets []string, nameServerAddr string, err error) {
 	o := &routerList{server: fake.NewNameServer(r.fakes, discovery.ServiceName)}
 	for n, addr := range r.serverAddrs {
 		e := fmt.Sprint("e", n+1)
@@ -214,7 +214,7 @@
 // time in milliseconds.
 func (o *routerList) publish(r *Rig, omittedZone, restartedZone int, serversStartedMs int64) {
 	var list []string
-	for n, front := range o.proxyAddrs {
+	for n, proxyAddr := range o.proxyAddrs {
 		if n%r.file.Zones == omittedZone-1 {
 			continue
 		}
@@ -222,7 +222,7 @@
 		if n%r.file.Zones == restartedZone-1 {
 			start = serversStartedMs
 		}
-		list = append(list, fmt.Sprintf("e-%d.%s 0 10 std 0 %d %s", n+1, r.file.Zone(n), start, front))
+		list = append(list, fmt.Sprintf("e-%d.%s 0 10 std 0 %d %s", n+1, r.file.Zone(n), start, proxyAddr))
 	}
 	o.serial++
 	o.server.Set(o.serial, list...)
