--- a/internal/faultrig/slowzone_test.go
+++ b/internal/faultrig/slowzone_test.go
@@ -19,12 +19,12 @@
 		return err == nil && p.Plan.Share[0][0] < 0.5 && p.Plan.Share[1][0] == 0 && p.Plan.Share[2][0] == 0
 	})
 	time.Sleep(3 * time.Second) // all routers have received the plan
-	answered, asked := completedDuring(r, 5)
+	completed, requests := completedDuring(r, 5)
 	if p, err := r.Plan(); err != nil || p.Plan.Share[0][0] >= 0.6 {
 		t.Errorf("its work returned while it is slow: %+v %v", p, err)
 	}
-	if answered < asked*95/100 {
-		t.Errorf("%d of %d answered", answered, asked)
+	if completed < requests*95/100 {
+		t.Errorf("%d of %d completed", completed, requests)
 	}
 	r.Pace(1, 1)
 	await(t, r, 90, "the return of the work", func() bool {
@@ -76,8 +76,8 @@
 			t.Fatalf("it was given up because of false reports: %+v", p)
 		}
 	}
-	if answered, asked := completedDuring(r, 2); answered < asked*95/100 {
-		t.Errorf("%d of %d answered", answered, asked)
+	if completed, requests := completedDuring(r, 2); completed < requests*95/100 {
+		t.Errorf("%d of %d completed", completed, requests)
 	}
 	checkFigures(t, r, 0.02)
 }
@@ -96,8 +96,8 @@
 	r.CutEngines(1, nil)
 	await(t, r, 20, "a plan that moves its work out of zone 1", func() bool { p, err := r.Plan(); return err == nil && p.Plan.Share[0][0] == 0 })
 	time.Sleep(3 * time.Second) // all routers have received the plan
-	if answered, asked := completedDuring(r, 4); answered < asked*95/100 {
-		t.Errorf("%d of %d answered", answered, asked)
+	if completed, requests := completedDuring(r, 4); completed < requests*95/100 {
+		t.Errorf("%d of %d completed", completed, requests)
 	}
 	checkFigures(t, r, 0.05)
 }
--- a/internal/faultrig/state_test.go
+++ b/internal/faultrig/state_test.go
@@ -152,8 +152,8 @@
 	const suspended, resumed = "state is not kept: served without, and tried again", "state is kept again"
 	limitFileSize(64)
 	await(t, r, 20, "the log line about the full disk", func() bool { _, n := r.Said("n1", suspended); return n >= 1 })
-	if answered, asked := completedDuring(r, 3); answered < asked*9/10 || asked < 50 {
-		t.Errorf("%d of %d answered with a full disk", answered, asked)
+	if completed, requests := completedDuring(r, 3); completed < requests*9/10 || requests < 50 {
+		t.Errorf("%d of %d completed with a full disk", completed, requests)
 	}
 	if _, n := r.Said("n1", suspended); n > 2 {
 		t.Errorf("logged %d times by two jobs", n)
@@ -187,8 +187,8 @@
 		later, _, err2 := store.Load(folder, "n1")
 		return err == nil && err2 == nil && later.Generation == got.Generation && len(later.Records) == size
 	})
-	if answered, asked := completedDuring(r, 3); answered < asked*9/10 || asked < 50 {
-		t.Errorf("%d of %d answered while the disk is stuck", answered, asked)
+	if completed, requests := completedDuring(r, 3); completed < requests*9/10 || requests < 50 {
+		t.Errorf("%d of %d completed while the disk is stuck", completed, requests)
 	}
 	began := time.Now()
 	if err := r.Do("end", "n1"); err != nil {
--- a/internal/faultrig/zonefaults_test.go
+++ b/internal/faultrig/zonefaults_test.go
@@ -7,7 +7,7 @@
 )
 
 // completedDuring returns how many requests completed, and how many were sent, in the given time.
-func completedDuring(r *Rig, seconds float64) (answered, asked int) {
+func completedDuring(r *Rig, seconds float64) (completed, requests int) {
 	f := r.Figures()
 	time.Sleep(time.Duration(seconds * float64(time.Second)))
 	g := r.Figures()
@@ -27,12 +27,12 @@
 			}
 		}
 	}
-	answered, asked := completedDuring(r, 8) // no change is expected
+	completed, requests := completedDuring(r, 8) // no change is expected
 	if p, err := r.Plan(); err != nil || p.Plan.Share[0][0] < 0.9 || p.Plan.Share[1][1] < 0.9 {
 		t.Errorf("a zone was given up: %+v %v", p, err)
 	}
-	if answered < asked*95/100 {
-		t.Errorf("%d of %d answered", answered, asked)
+	if completed < requests*95/100 {
+		t.Errorf("%d of %d completed", completed, requests)
 	}
 	checkFigures(t, r, 0.02)
 }
@@ -51,11 +51,11 @@
 	})
 	time.Sleep(3 * time.Second) // all routers have received the plan
 	before := r.ZoneSent(3)
-	answered, _ := completedDuring(r, 4)
+	completed, _ := completedDuring(r, 4)
 	sent := r.ZoneSent(3) - before
-	t.Logf("zone 3 received %d attempts in 4 s, %d requests completed", sent, answered)
-	if answered < sent*9/10 || answered < 200 {
-		t.Errorf("the third zone is overloaded: %d of %d completed", answered, sent)
+	t.Logf("zone 3 received %d attempts in 4 s, %d requests completed", sent, completed)
+	if completed < sent*9/10 || completed < 200 {
+		t.Errorf("the third zone is overloaded: %d of %d completed", completed, sent)
 	}
 	r.Heal()
 	await(t, r, 100, "the return of the work", func() bool { // at most three quarters of all work may be moved in a minute
@@ -86,8 +86,8 @@
 		newOwner = planOwner(t, r)
 		return r.procs[newOwner].zone != r.procs[owner].zone
 	})
-	if answered, asked := completedDuring(r, 3); answered < asked*97/100 {
-		t.Errorf("%d of %d completed in other zones", answered, asked)
+	if completed, requests := completedDuring(r, 3); completed < requests*97/100 {
+		t.Errorf("%d of %d completed in other zones", completed, requests)
 	}
 	// Another zone is lost, and only the new owner can plan for that.
 	anotherZone := zone%3 + 1
@@ -121,10 +121,10 @@
 	if err != nil || p.Epoch > first.Epoch+6 {
 		t.Errorf("%d plans in 50 s (%v)", p.Epoch-first.Epoch, err)
 	}
-	if answered, asked := after.Answered-before.Answered, after.Asked-before.Asked; answered < asked*95/100 {
-		t.Errorf("%d of %d answered", answered, asked)
+	if completed, requests := after.Answered-before.Answered, after.Asked-before.Asked; completed < requests*95/100 {
+		t.Errorf("%d of %d completed", completed, requests)
 	}
-	t.Logf("%d plans; asked %d, answered %d; %+v", p.Epoch-first.Epoch, after.Asked-before.Asked, after.Answered-before.Answered, p)
+	t.Logf("%d plans; %d requests, %d completed; %+v", p.Epoch-first.Epoch, after.Asked-before.Asked, after.Answered-before.Answered, p)
 	checkFigures(t, r, 0.05)
 }
 
@@ -149,8 +149,8 @@
 		p, err := r.Plan()
 		return err == nil && len(p.Plan.Share) == 3 && maxShareTo(p, 2) == 0 && p.Plan.Share[2][0]+p.Plan.Share[2][1] > 0.9
 	})
-	if answered, asked := completedDuring(r, 4); answered < asked*95/100 {
-		t.Errorf("%d of %d answered", answered, asked)
+	if completed, requests := completedDuring(r, 4); completed < requests*95/100 {
+		t.Errorf("%d of %d completed", completed, requests)
 	}
 	checkFigures(t, r, 0.02)
 }
@@ -188,18 +188,18 @@
 	r.Heal()
 	const bears = 2 * 2 * 8 * 0.35 / 0.01 // requests per second: two servers, twice the capacity of a cold one
 	worst, before := 0, r.ZoneSent(1)
-	var answered, asked int
+	var completed, requests int
 	for range 15 {
 		a, b := completedDuring(r, 1)
 		n := r.ZoneSent(1)
-		worst, before, answered, asked = max(worst, n-before), n, answered+a, asked+b
+		worst, before, completed, requests = max(worst, n-before), n, completed+a, requests+b
 	}
-	t.Logf("at most %d attempts per second in the cold zone, %d of %d completed", worst, answered, asked)
+	t.Logf("at most %d attempts per second in the cold zone, %d of %d completed", worst, completed, requests)
 	if float64(worst) > bears {
 		t.Errorf("%d attempts per second, at most %.0f allowed", worst, bears)
 	}
-	if answered < asked*95/100 {
-		t.Errorf("%d of %d answered", answered, asked)
+	if completed < requests*95/100 {
+		t.Errorf("%d of %d completed", completed, requests)
 	}
 	checkFigures(t, r, 0.1)
 }
@@ -226,8 +226,8 @@
 	r.CutEngines(2, func(n int) bool { return !inside(n) })
 	await(t, r, 30, "the majority's plan", func() bool { p, err := r.Plan(); return err == nil && maxShareTo(p, 1) == 0 })
 	p1, _ := r.Plan()
-	if answered, asked := completedDuring(r, 4); answered < asked*95/100 {
-		t.Errorf("%d of %d answered while cut off", answered, asked)
+	if completed, requests := completedDuring(r, 4); completed < requests*95/100 {
+		t.Errorf("%d of %d completed while cut off", completed, requests)
 	}
 	r.Heal()
 	await(t, r, 90, "all work in its own zone", func() bool {
@@ -258,8 +258,8 @@
 	cutFromCoordinators("n1")
 	cutFromCoordinators("n2")
 	await(t, r, 60, "a third plan", func() bool { p, err := r.Plan(); return err == nil && p.Plan.Share[2][2] > 0 })
-	if answered, asked := completedDuring(r, 5); answered < asked*95/100 {
-		t.Errorf("%d of %d completed with three epochs in use", answered, asked)
+	if completed, requests := completedDuring(r, 5); completed < requests*95/100 {
+		t.Errorf("%d of %d completed with three epochs in use", completed, requests)
 	}
 	checkFigures(t, r, 0.05)
 }
