--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -13,55 +13,56 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Status of an expectation.
+// Status is the result of checking an expectation.
 type Status string
 
-// The statuses, as reports show them.
+// The statuses. Their values appear in reports.
 const (
 	Passed Status = "passed"
 	Failed Status = "failed"
-	Void   Status = "void"            // it names what the list does not have
-	Idle   Status = "never exercised" // no moment met its conditions
+	Void   Status = "void"            // the expectation names a server that is not in the server list
+	Idle   Status = "never exercised" // no observed event met the conditions
 	Broken Status = "can't be read"
 )
 
-// Outcome of one expectation.
+// Outcome is the result of checking one expectation.
 type Outcome struct {
 	File      string   `json:"file"`
 	Name      string   `json:"name"`
 	Says      string   `json:"says"`
 	Status    Status   `json:"status"`
 	Why       string   `json:"why,omitempty"`
-	Seed      uint64   `json:"seed,omitempty"` // that it failed with
-	At        float64  `json:"at,omitempty"`   // the first moment at which it was broken
-	Knew      string   `json:"knew,omitempty"` // what the router knew then
+	Seed      uint64   `json:"seed,omitempty"` // the seed that it failed with
+	At        float64  `json:"at,omitempty"`   // time of the first violation, in seconds
+	Knew      string   `json:"knew,omitempty"` // the router's state at that time
 	Exercised int      `json:"exercised"`
-	Margin    float64  `json:"margin"` // the least, over holds and seeds: share over the least, seconds to spare; 1 where there is none
+	Margin    float64  `json:"margin"` // smallest over holds and seeds: share above the required share, or seconds to spare; 1 if neither applies
 	Trace     []string `json:"trace,omitempty"`
 	Seconds   float64  `json:"seconds"`
 }
 
-// Good tells whether it counts as held.
+// Held reports whether the expectation passed.
 func (o *Outcome) Good() bool { return o.Status == Passed }
 
 // Options of a check.
 type Options struct {
-	Seed  uint64        // only this one, 0: those that each names
-	Trace bool          // keep the trace of what fails, cut short
-	Bound time.Duration // of one expectation, 0: half a minute
-	Cores int           // 0: all
+	Seed  uint64        // the only seed to use; 0: the seeds of each expectation
+	Trace bool          // keep a reduced trace of failures
+	Bound time.Duration // time limit of one expectation; 0: half a minute
+	Cores int           // expectations checked in parallel; 0: one per core of the machine
 	Seen  func(done int)
 }
 
-type one struct {
-	source Source
-	file   *File
-	e      *Expectation
+// expectationCheck is one expectation with the file that it comes from.
+type expectationCheck struct {
+	source      Source
+	file        *File
+	expectation *Expectation
 }
 
-// Check tries all expectations of the sources. The outcomes stand in the order of the sources, whatever the cores.
+// Check checks all expectations of the sources. The outcomes are in the order of the sources, for any number of cores.
 func Check(u Under, sources []Source, o Options) []Outcome {
-	var all []one
+	var all []expectationCheck
 	var out []Outcome
 	names := map[string]string{}
 	for _, s := range sources {
@@ -71,23 +72,23 @@
 		}
 		for k := range s.File.Expectations {
 			e := &s.File.Expectations[k]
-			if other, twice := names[e.Name]; twice {
+			if other, duplicate := names[e.Name]; duplicate {
 				out = append(out, Outcome{File: s.Name, Name: e.Name, Says: e.Says, Status: Broken,
-					Why: fmt.Sprintf("/expectations/%d/name: %s has one of that name already", k, other)})
+					Why: fmt.Sprintf("/expectations/%d/name: %s already has an expectation of that name", k, other)})
 				continue
 			}
 			names[e.Name] = s.Name
-			all = append(all, one{s, s.File, e})
+			all = append(all, expectationCheck{s, s.File, e})
 		}
 	}
-	first := len(out)
+	broken := len(out)
 	out = append(out, make([]Outcome, len(all))...)
 	var group errgroup.Group
 	group.SetLimit(cmp.Or(o.Cores, runtime.GOMAXPROCS(0)))
 	done := make(chan struct{}, len(all))
 	for k, a := range all {
 		group.Go(func() error {
-			out[first+k] = a.check(u, o)
+			out[broken+k] = a.check(u, o)
 			done <- struct{}{}
 			if o.Seen != nil {
 				o.Seen(len(done))
@@ -99,18 +100,19 @@
 	return out
 }
 
-func (a one) check(u Under, o Options) (out Outcome) {
+// check simulates the expectation with each seed until one fails.
+func (a expectationCheck) check(u Under, o Options) (out Outcome) {
 	began := time.Now()
-	out = Outcome{File: a.source.Name, Name: a.e.Name, Says: a.e.Says, Status: Passed, Margin: 1}
+	out = Outcome{File: a.source.Name, Name: a.expectation.Name, Says: a.expectation.Says, Status: Passed, Margin: 1}
 	defer func() {
 		out.Seconds = time.Since(began).Seconds()
-		if p := recover(); p != nil { // of the module: that is a finding, not the checker's end
-			out.Status, out.Why = Failed, fmt.Sprintf("the module failed: %v", p)
+		if p := recover(); p != nil { // a panic in the module under test is a failure of the expectation and must not end the checker
+			out.Status, out.Why = Failed, fmt.Sprintf("the router module panicked: %v", p)
 		}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(o.Bound, 30*time.Second))
 	defer cancel()
-	seeds := a.e.Seeds
+	seeds := a.expectation.Seeds
 	if o.Seed != 0 {
 		seeds = []uint64{o.Seed}
 	} else if len(seeds) == 0 {
@@ -122,28 +124,28 @@
 			out.Status, out.Why = Broken, err.Error()
 			return out
 		}
-		if len(r.world.notes) > 0 {
-			out.Status, out.Why, out.Seed = Void, r.world.notes[0], seed
+		if len(r.simulation.voidReasons) > 0 {
+			out.Status, out.Why, out.Seed = Void, r.simulation.voidReasons[0], seed
 			return out
 		}
 		out.Exercised += r.exercised
 		out.Margin = min(out.Margin, r.margin)
-		if r.broken == "" && ctx.Err() != nil {
+		if r.failure == "" && ctx.Err() != nil {
 			out.Status, out.Seed = Failed, seed
-			out.Why = fmt.Sprintf("it was stopped at its bound of %v", cmp.Or(o.Bound, 30*time.Second))
+			out.Why = fmt.Sprintf("stopped at the time limit of %v", cmp.Or(o.Bound, 30*time.Second))
 			return out
 		}
-		if r.broken != "" {
-			out.Status, out.Why, out.Seed, out.At, out.Knew = Failed, r.broken, seed, r.at, r.knew
+		if r.failure != "" {
+			out.Status, out.Why, out.Seed, out.At, out.Knew = Failed, r.failure, seed, r.violatedAt, r.routerState
 			if o.Trace {
-				out.Trace = a.shortest(ctx, u, seed, r)
+				out.Trace = a.shortestTrace(ctx, u, seed, r)
 			}
 			return out
 		}
-		for _, h := range r.holds {
-			if h.n == 0 && !a.e.MayIdle {
+		for _, h := range r.conditions {
+			if h.tested == 0 && !a.expectation.MayIdle {
 				out.Status, out.Seed = Idle, seed
-				out.Why = fmt.Sprintf("%s: no moment met its condition", h.place)
+				out.Why = fmt.Sprintf("%s: no event met its condition", h.path)
 				return out
 			}
 		}
@@ -151,46 +153,47 @@
 	return out
 }
 
-// run is what playing an expectation once came to.
+// run is the result of simulating an expectation once.
 type run struct {
-	world     *world
-	holds     []*hold
-	exercised int
-	margin    float64
-	broken    string // the hold that broke and how, "": none
-	place     string
-	at        float64
-	knew      string
-	client    uint64
-	lines     []string
+	simulation  *simulation
+	conditions  []*hold
+	exercised   int
+	margin      float64
+	failure     string // the hold that was violated and how; "": none
+	path        string
+	violatedAt  float64
+	routerState string
+	client      uint64
+	lines       []string
 }
 
-func (a one) play(ctx context.Context, u Under, seed uint64, c *cut) (*run, error) {
-	w, err := build(u, a.file, a.e, seed)
+// play simulates the expectation with one seed, without the parts that c omits.
+func (a expectationCheck) play(ctx context.Context, u Under, seed uint64, c *reduction) (*run, error) {
+	w, err := newSimulation(u, a.file, a.expectation, seed)
 	if err != nil {
 		return nil, err
 	}
-	r := &run{world: w, margin: 1}
-	if r.holds, err = a.holds(w); err != nil || len(w.notes) > 0 {
+	r := &run{simulation: w, margin: 1}
+	if r.conditions, err = a.conditions(w); err != nil || len(w.voidReasons) > 0 {
 		return r, err
 	}
 	if c != nil {
 		c.apply(w)
 	}
 	values := w.values()
-	w.set.Stop = func() bool { return ctx.Err() != nil }
-	w.set.Watch = func(m *cluster.Moment) bool {
-		w.fill(values, m)
-		if c != nil && c.trace && (m.Try == nil || m.Try.Mark == c.keep) {
-			r.note(w, m)
+	w.setup.Stop = func() bool { return ctx.Err() != nil }
+	w.setup.Watch = func(m *cluster.Moment) bool {
+		w.setValues(values, m)
+		if c != nil && c.trace && (m.Try == nil || m.Try.Mark == c.tracedClient) {
+			r.record(w, m)
 		}
-		for _, h := range r.holds {
-			why, err := h.see(m, values)
+		for _, h := range r.conditions {
+			violation, err := h.observe(m, values)
 			if err != nil {
-				why = err.Error()
+				violation = err.Error()
 			}
-			if why != "" {
-				r.broken, r.place, r.at, r.knew = h.place+": "+why, h.place, m.Now, w.knew(m)
+			if violation != "" {
+				r.failure, r.path, r.violatedAt, r.routerState = h.path+": "+violation, h.path, m.Now, w.routerState(m)
 				if m.Try != nil {
 					r.client = m.Try.Mark
 				}
@@ -199,27 +202,28 @@
 		}
 		return true
 	}
-	result, err := cluster.Run(w.set)
+	result, err := cluster.Run(w.setup)
 	if err != nil {
 		return nil, err
 	}
 	if c != nil {
-		c.count = result.Clients
+		c.clientCount = result.Clients
 	}
-	for _, h := range r.holds {
-		if why := h.over(); why != "" && r.broken == "" {
-			r.broken, r.place, r.at = h.place+": "+why, h.place, w.set.Length
-			r.knew = h.worst
+	for _, h := range r.conditions {
+		if violation := h.finalViolation(); violation != "" && r.failure == "" {
+			r.failure, r.path, r.violatedAt = h.path+": "+violation, h.path, w.setup.Length
+			r.routerState = h.firstViolation
 		}
-		r.exercised += h.n
+		r.exercised += h.tested
 		r.margin = min(r.margin, h.margin())
 	}
 	return r, nil
 }
 
-func (r *run) note(w *world, m *cluster.Moment) { r.lines = append(r.lines, w.line(m)) }
+// record adds an event to the trace.
+func (r *run) record(w *simulation, m *cluster.Moment) { r.lines = append(r.lines, w.traceLine(m)) }
 
-// Count outcomes by status.
+// Count counts outcomes by status.
 func Count(all []Outcome) map[Status]int {
 	n := map[Status]int{}
 	for k := range all {
@@ -228,6 +232,7 @@
 	return n
 }
 
+// sorted returns the keys of a map in ascending order.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/expect/cli.go
+++ b/internal/expect/cli.go
@@ -11,48 +11,49 @@
 	"github.com/spf13/cobra"
 )
 
-// ErrNotHeld is returned where all expectations were read and some do not hold.
+// ErrNotHeld is returned if all expectations could be read and some do not hold.
 var ErrNotHeld = errors.New("not all expectations hold")
 
-// invocation is one call of the command `expect`: its flags.
+// invocation holds the flags of one run of the command `expect`.
 type invocation struct {
 	Options
-	out                      io.Writer
-	operatorFile, configFile string
-	only, format             string
-	record, against, diff    string
-	verbose, mutate          bool
-	allowedShrink            float64
-	checkSchema              func([]byte) error
+	out                                     io.Writer
+	operatorFile, configFile                string
+	only, format                            string
+	recordFile, baselineFile, oldConfigFile string
+	verbose, mutate                         bool
+	allowedShrink                           float64
+	checkSchema                             func([]byte) error
 }
 
-// Command returns the command `expect`, as dunereach and dunecheck have it. It prints to out; check checks a text against the schema.
+// Command returns the command `expect` of dunereach and dunecheck. It prints to out; check validates a text against the
+// schema.
 func Command(env func(string) string, out io.Writer, check func([]byte) error) *cobra.Command {
 	v := &invocation{out: out, checkSchema: check}
 	c := &cobra.Command{
 		Use:   "expect [FILE or FOLDER]...",
 		Short: "Check routing expectations without sending traffic",
-		Long: `Expect reads expectations (deploy/expectations where none are named) and tries each on virtual time: the module that serves
-against model engines and clients by chance, on the configuration and the operators' file that serve would read.
+		Long: `Expect reads expectations (from deploy/expectations by default) and checks each on virtual time: the router module runs
+against model engines and random clients, with the configuration and the operators' file that serve would read.
 
-Status 0: all hold. 1: some do not: failed, void (an engine that the list does not have), or never exercised. 2: something
-can't be read; the rest was tried.`,
+Status 0: all hold. 1: some do not: failed, void (an engine that is not in the server list), or never exercised. 2: something
+can't be read; the rest was checked.`,
 		RunE: func(_ *cobra.Command, args []string) error { return v.run(args) },
 	}
 	f := c.Flags()
 	f.StringVar(&v.configFile, "config", env("BALANCER_CONFIG"), "the configuration under test")
 	f.StringVar(&v.operatorFile, "operator", env("DUNEREACH_OPERATOR"), "the operators' file under test")
-	f.StringVar(&v.only, "run", "", "only expectations whose name holds this")
+	f.StringVar(&v.only, "run", "", "only expectations whose name contains this")
 	f.Uint64Var(&v.Seed, "seed", 0, "only this seed, for all of them")
 	f.DurationVar(&v.Bound, "bound", 30*time.Second, "longest time for one expectation")
-	f.IntVar(&v.Cores, "cores", 0, "expectations tried side by side (default: the machine's cores)")
+	f.IntVar(&v.Cores, "cores", 0, "expectations checked in parallel (default: the machine's cores)")
 	f.StringVar(&v.format, "format", "text", "text, json or junit")
-	f.BoolVarP(&v.verbose, "verbose", "v", false, "also name what passed")
-	f.StringVar(&v.record, "record", "", "keep margins and how often each was put to the test in this file")
-	f.StringVar(&v.against, "against", "", "compare with figures kept by --record")
-	f.Float64Var(&v.allowedShrink, "shrink", 0.25, "share of its margin that an expectation may lose against the record")
-	f.StringVar(&v.diff, "diff", "", "an older configuration: name the expectations that tell it from --config")
-	f.BoolVar(&v.mutate, "mutate", false, "break the configuration in each known way, and name the breaks that none notices")
+	f.BoolVarP(&v.verbose, "verbose", "v", false, "also print expectations that passed")
+	f.StringVar(&v.recordFile, "record", "", "save margins and numbers of checked events to this file")
+	f.StringVar(&v.baselineFile, "against", "", "compare with figures saved by --record")
+	f.Float64Var(&v.allowedShrink, "shrink", 0.25, "share of its recorded margin that an expectation may lose")
+	f.StringVar(&v.oldConfigFile, "diff", "", "an older configuration: print the expectations whose status differs from --config")
+	f.BoolVar(&v.mutate, "mutate", false, "break the configuration in each known way, and print the mutations that no expectation detects")
 	return c
 }
 
@@ -61,7 +62,7 @@
 	if len(args) == 0 {
 		args = []string{"deploy/expectations"}
 	}
-	u, err := under(v.configFile, v.operatorFile)
+	u, err := readConfigurations(v.configFile, v.operatorFile)
 	if err != nil {
 		return err
 	}
@@ -73,24 +74,24 @@
 	if f, ok := v.out.(*os.File); !ok || !terminal(f) {
 		text.DisableColors()
 	}
-	v.Trace = !v.mutate && v.diff == ""
+	v.Trace = !v.mutate && v.oldConfigFile == ""
 	if v.mutate {
-		return mutated(u, sources, v.Options, v.out)
+		return runMutations(u, sources, v.Options, v.out)
 	}
-	if terminal(os.Stderr) { // progress
+	if terminal(os.Stderr) { // report progress
 		v.Seen = func(done int) { fmt.Fprintf(os.Stderr, "\r%d done ", done) }
 		defer fmt.Fprint(os.Stderr, "\r")
 	}
 	all := Check(u, sources, v.Options)
-	if v.diff != "" {
-		return v.differ(sources, all)
+	if v.oldConfigFile != "" {
+		return v.printDifferences(sources, all)
 	}
-	return v.conclude(all)
+	return v.reportOutcomes(all)
 }
 
-// differ prints how the outcomes differ from those under an older configuration.
-func (v *invocation) differ(sources []Source, all []Outcome) error {
-	old, err := under(v.diff, v.operatorFile)
+// printDifferences prints how the outcomes differ from those under an older configuration.
+func (v *invocation) printDifferences(sources []Source, all []Outcome) error {
+	old, err := readConfigurations(v.oldConfigFile, v.operatorFile)
 	if err != nil {
 		return err
 	}
@@ -100,15 +101,15 @@
 	return nil
 }
 
-// conclude prints the outcomes, keeps or compares their figures, and returns ErrNotHeld where some do not hold.
-func (v *invocation) conclude(all []Outcome) error {
+// reportOutcomes prints the outcomes, saves or compares their figures, and returns ErrNotHeld if some do not hold.
+func (v *invocation) reportOutcomes(all []Outcome) error {
 	err := v.print(all)
-	if err == nil && v.record != "" {
-		err = Save(v.record, all)
+	if err == nil && v.recordFile != "" {
+		err = Save(v.recordFile, all)
 	}
 	shrunk := []string(nil)
-	if err == nil && v.against != "" {
-		shrunk, err = Against(v.against, all, v.allowedShrink)
+	if err == nil && v.baselineFile != "" {
+		shrunk, err = Against(v.baselineFile, all, v.allowedShrink)
 		for _, line := range shrunk {
 			fmt.Fprintln(v.out, "shrank  "+line)
 		}
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// print writes the outcomes in the format that was asked for.
+// print writes the outcomes in the requested format.
 func (v *invocation) print(all []Outcome) error {
 	switch v.format {
 	case "text":
@@ -135,38 +136,38 @@
 	case "junit":
 		return JUnit(v.out, all)
 	default:
-		return fmt.Errorf("--format %s: it is text, json or junit", v.format)
+		return fmt.Errorf("--format %s: must be text, json or junit", v.format)
 	}
 	return nil
 }
 
-// terminal reports whether a file is one.
+// terminal reports whether a file is a terminal.
 func terminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// mutated breaks the configuration in each known way and prints the breaks that no expectation notices.
-func mutated(u Under, sources []Source, o Options, out io.Writer) error {
+// runMutations breaks the configuration in each known way and prints the mutations that no expectation detects.
+func runMutations(u Under, sources []Source, o Options, out io.Writer) error {
 	for _, r := range Check(u, sources, o) {
 		if !r.Good() {
-			return fmt.Errorf("%s does not hold unbroken: %s", r.Name, r.Why)
+			return fmt.Errorf("%s does not hold for the unmodified configuration: %s", r.Name, r.Why)
 		}
 	}
 	all, err := Mutate(u, sources, o, func(string) {})
 	if err != nil {
 		return err
 	}
-	if left := Mutations(out, all); len(left) > 0 {
-		return fmt.Errorf("%w: %d of %d breaks were noticed by none", ErrNotHeld, len(left), len(all))
+	if unnoticed := Mutations(out, all); len(unnoticed) > 0 {
+		return fmt.Errorf("%w: %d of %d mutations were detected by none", ErrNotHeld, len(unnoticed), len(all))
 	}
 	return nil
 }
 
-// under reads the files under test.
-func under(config, operator string) (u Under, err error) {
+// readConfigurations reads the router's configuration and the operators' file under test.
+func readConfigurations(config, operator string) (u Under, err error) {
 	if config == "" {
-		return u, errors.New("no configuration: --config or BALANCER_CONFIG names it")
+		return u, errors.New("no configuration: set --config or BALANCER_CONFIG")
 	}
 	if u.Config, err = os.ReadFile(config); err != nil {
 		return u, err
--- a/internal/expect/expect_test.go
+++ b/internal/expect/expect_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-func example(t *testing.T) expect.Under {
+func exampleDeployment(t *testing.T) expect.Under {
 	t.Helper()
 	config, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
@@ -27,7 +27,8 @@
 	return expect.Under{Config: config, Operator: operator}
 }
 
-// TestSuite: the example deployment holds all its expectations, and they come to the same on one core and on all.
+// TestSuite guards against an example deployment that violates its own expectations, and against outcomes that depend
+// on the number of cores.
 func TestSuite(t *testing.T) {
 	read := func() []expect.Source {
 		s, err := expect.Read([]string{"../../deploy/expectations"}, schema.CheckExpectations)
@@ -36,7 +37,7 @@
 		}
 		return s
 	}
-	all := expect.Check(example(t), read(), expect.Options{})
+	all := expect.Check(exampleDeployment(t), read(), expect.Options{})
 	for _, o := range all {
 		if !o.Good() {
 			t.Errorf("%s: %s: %s", o.Name, o.Status, o.Why)
@@ -48,29 +49,31 @@
 	if testing.Short() || t.Failed() {
 		return
 	}
-	again := expect.Check(example(t), read(), expect.Options{Cores: 1})
-	if diff := cmp.Diff(all, again, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")); diff != "" {
-		t.Errorf("on one core it comes to something else:\n%s", diff)
+	onOneCore := expect.Check(exampleDeployment(t), read(), expect.Options{Cores: 1})
+	if diff := cmp.Diff(all, onOneCore, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")); diff != "" {
+		t.Errorf("the outcomes differ on one core:\n%s", diff)
 	}
 }
 
-// TestFiles prints what comes of each line of the scripts as a file of expectations.
+// TestFiles compares the outcome of each file of expectations in the scripts: unreadable files, unknown servers and
+// violated holds must be reported with their place.
 func TestFiles(t *testing.T) {
-	u := example(t)
+	u := exampleDeployment(t)
 	script.Compare(t, func(t *testing.T, text string) string {
 		return script.Annotate(text, func(line string) string {
 			f, err := expect.Parse([]byte(line), schema.CheckExpectations)
 			all := expect.Check(u, []expect.Source{{Name: "file", File: f, Err: err}}, expect.Options{})
-			var said []string
+			var results []string
 			for _, o := range all {
-				said = append(said, strings.TrimSpace(fmt.Sprintf("%s: %s", o.Status, o.Why)))
+				results = append(results, strings.TrimSpace(fmt.Sprintf("%s: %s", o.Status, o.Why)))
 			}
-			return strings.Join(said, " | ")
+			return strings.Join(results, " | ")
 		})
 	})
 }
 
-// TestShortest: the trace of a failure leaves out what it does not take, and is found again with its seed.
+// TestShortest guards against a trace that keeps parts which the failure does not need, and against a failure that its
+// seed does not reproduce.
 func TestShortest(t *testing.T) {
 	f, err := expect.Parse([]byte(`{"expectations":[{"name":"x","says":"Nothing goes to e-1 once it drains.","given":{"traffic":[
 		{"name":"a","profile":"quick","tenant":"depot","rate":20,"work":0.1},{"name":"b","profile":"long","tenant":"house","rate":1,"work":2}]},
@@ -79,18 +82,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := expect.Check(example(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true})[0]
+	out := expect.Check(exampleDeployment(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true})[0]
 	if out.Status != expect.Failed || out.At < 5 || out.At > 6 || len(out.Trace) == 0 ||
-		out.Trace[0] != "it takes these events: drain at 5 s" || strings.Contains(strings.Join(out.Trace, " "), "and this traffic") {
+		out.Trace[0] != "needed events: drain at 5 s" || strings.Contains(strings.Join(out.Trace, " "), "needed traffic") {
 		t.Errorf("%+v", out)
 	}
-	again := expect.Check(example(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true, Seed: out.Seed})[0]
+	again := expect.Check(exampleDeployment(t), []expect.Source{{Name: "file", File: f}}, expect.Options{Trace: true, Seed: out.Seed})[0]
 	if diff := cmp.Diff(out, again, cmpopts.IgnoreFields(expect.Outcome{}, "Seconds")); diff != "" {
-		t.Errorf("with its seed it is another:\n%s", diff)
+		t.Errorf("with its seed the outcome differs:\n%s", diff)
 	}
 }
 
-// TestRecords: figures that shrank, and expectations that are gone, are named although all pass.
+// TestRecords guards against margins that shrink, and expectations that disappear, unnoticed because all others pass.
 func TestRecords(t *testing.T) {
 	path := t.TempDir() + "/record.json"
 	before := []expect.Outcome{{Name: "a", Status: expect.Passed, Margin: 0.4, Exercised: 100}, {Name: "b", Status: expect.Passed, Margin: 0.4, Exercised: 100},
@@ -100,7 +103,7 @@
 	}
 	got, err := expect.Against(path, []expect.Outcome{{Name: "a", Status: expect.Passed, Margin: 0.1, Exercised: 100},
 		{Name: "b", Status: expect.Passed, Margin: 0.35, Exercised: 10}}, 0.25)
-	want := []string{"a: its margin was 0.4 and is 0.1", "b: it was put to the test 100 times and is 10 times", "c: it is gone"}
+	want := []string{"a: its margin was 0.4 and is 0.1", "b: it was checked at 100 events and is checked at 10", "c: it is gone"}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Errorf("%v\n%s", err, diff)
 	}
--- a/internal/expect/report.go
+++ b/internal/expect/report.go
@@ -11,19 +11,19 @@
 	"github.com/jedib0t/go-pretty/v6/text"
 )
 
-// Text writes a plain message for each that does not hold, all where asked, and a count.
+// WriteText writes a message for each expectation that does not hold, all expectations if verbose, and a summary.
 func Text(w io.Writer, all []Outcome, verbose bool) {
 	for k := range all {
 		o := &all[k]
 		if o.Good() {
 			if verbose {
-				fmt.Fprintf(w, "%s  %s (%d moments, margin %.4g, %.2f s)\n", text.FgGreen.Sprint("passed"), o.Name, o.Exercised, o.Margin, o.Seconds)
+				fmt.Fprintf(w, "%s  %s (%d events, margin %.4g, %.2f s)\n", text.FgGreen.Sprint("passed"), o.Name, o.Exercised, o.Margin, o.Seconds)
 			}
 			continue
 		}
 		fmt.Fprintf(w, "%s  %s: %s\n    %s: %s\n", text.FgRed.Sprint(string(o.Status)), o.Name, o.Says, o.File, o.Why)
 		if o.Knew != "" {
-			fmt.Fprintf(w, "    first at %.3f s with seed %d; the router knew: %s\n", o.At, o.Seed, o.Knew)
+			fmt.Fprintf(w, "    first at %.3f s with seed %d; state of the router: %s\n", o.At, o.Seed, o.Knew)
 		} else if o.Seed != 0 {
 			fmt.Fprintf(w, "    with seed %d\n", o.Seed)
 		}
@@ -36,42 +36,42 @@
 		n[Void], n[Idle], n[Broken])
 }
 
-// JSON writes the outcomes.
+// WriteJSON encodes the outcomes, with indentation.
 func JSON(w io.Writer, all []Outcome) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(all)
 }
 
-type suite struct {
-	XMLName  xml.Name   `xml:"testsuite"`
-	Name     string     `xml:"name,attr"`
-	Tests    int        `xml:"tests,attr"`
-	Failures int        `xml:"failures,attr"`
-	Errors   int        `xml:"errors,attr"`
-	Cases    []testCase `xml:"testcase"`
+type junitSuite struct {
+	XMLName  xml.Name    `xml:"testsuite"`
+	Name     string      `xml:"name,attr"`
+	Tests    int         `xml:"tests,attr"`
+	Failures int         `xml:"failures,attr"`
+	Errors   int         `xml:"errors,attr"`
+	Cases    []junitCase `xml:"testcase"`
 }
 
-type testCase struct {
-	Name    string  `xml:"name,attr"`
-	Class   string  `xml:"classname,attr"`
-	Time    float64 `xml:"time,attr"`
-	Failure *reason `xml:"failure,omitempty"`
-	Error   *reason `xml:"error,omitempty"`
+type junitCase struct {
+	Name    string        `xml:"name,attr"`
+	Class   string        `xml:"classname,attr"`
+	Time    float64       `xml:"time,attr"`
+	Failure *junitMessage `xml:"failure,omitempty"`
+	Error   *junitMessage `xml:"error,omitempty"`
 }
 
-type reason struct {
+type junitMessage struct {
 	Message string `xml:"message,attr"`
 	Text    string `xml:",chardata"`
 }
 
-// JUnit writes the outcomes as other tools take them.
+// WriteJUnit writes the outcomes in the XML format of test reports that CI systems read.
 func JUnit(w io.Writer, all []Outcome) error {
-	s := suite{Name: "expectations", Tests: len(all)}
+	s := junitSuite{Name: "expectations", Tests: len(all)}
 	for k := range all {
 		o := &all[k]
-		c := testCase{Name: o.Name, Class: o.File, Time: o.Seconds}
-		why := &reason{Message: string(o.Status) + ": " + o.Why, Text: o.Says + "\n" + o.Knew}
+		c := junitCase{Name: o.Name, Class: o.File, Time: o.Seconds}
+		why := &junitMessage{Message: string(o.Status) + ": " + o.Why, Text: o.Says + "\n" + o.Knew}
 		switch {
 		case o.Good():
 		case o.Status == Broken:
@@ -95,13 +95,13 @@
 	return err
 }
 
-// Record is what an expectation came to in an earlier run.
+// Figures are the saved results of an expectation in an earlier run.
 type Record struct {
 	Margin    float64 `json:"margin"`
 	Exercised int     `json:"exercised"`
 }
 
-// Save keeps figures of all that passed.
+// SaveFigures saves the figures of all expectations that passed.
 func Save(path string, all []Outcome) error {
 	m := map[string]Record{}
 	for _, o := range all {
@@ -116,60 +116,61 @@
 	return err
 }
 
-// Against names the expectations that still pass, but by less: the margin shrank by more than a share of what it was, or
-// they were put to the test less than half as often.
+// CompareFigures returns the expectations that still pass, but by less: the margin shrank by more than a share of its
+// earlier value, or fewer than half as many events were checked. It also returns those that are missing.
 func Against(path string, all []Outcome, share float64) (shrunk []string, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var was map[string]Record
-	if err := json.Unmarshal(b, &was); err != nil {
+	var recorded map[string]Record
+	if err := json.Unmarshal(b, &recorded); err != nil {
 		return nil, fmt.Errorf("%s: %v", path, err)
 	}
-	now := map[string]bool{}
+	present := map[string]bool{}
 	for _, o := range all {
-		now[o.Name] = true
-		r, ok := was[o.Name]
+		present[o.Name] = true
+		r, ok := recorded[o.Name]
 		switch {
 		case !ok || !o.Good():
 		case o.Margin < r.Margin-share*max(r.Margin, 0):
 			shrunk = append(shrunk, fmt.Sprintf("%s: its margin was %.4g and is %.4g", o.Name, r.Margin, o.Margin))
 		case 2*o.Exercised < r.Exercised:
-			shrunk = append(shrunk, fmt.Sprintf("%s: it was put to the test %d times and is %d times", o.Name, r.Exercised, o.Exercised))
+			shrunk = append(shrunk, fmt.Sprintf("%s: it was checked at %d events and is checked at %d", o.Name, r.Exercised, o.Exercised))
 		}
 	}
-	for _, name := range sorted(was) {
-		if !now[name] {
+	for _, name := range sorted(recorded) {
+		if !present[name] {
 			shrunk = append(shrunk, name+": it is gone")
 		}
 	}
 	return shrunk, nil
 }
 
-// Differ names the expectations that tell two configurations apart.
-func Differ(old, new []Outcome) (apart []string) {
-	was := map[string]Status{}
+// Differences returns the expectations whose status differs between two configurations.
+func Differ(old, new []Outcome) (differences []string) {
+	oldStatus := map[string]Status{}
 	for _, o := range old {
-		was[o.Name] = o.Status
+		oldStatus[o.Name] = o.Status
 	}
 	for _, o := range new {
-		if s := was[o.Name]; s != o.Status {
-			apart = append(apart, fmt.Sprintf("%s: %s before, %s now. %s", o.Name, s, o.Status, o.Why))
+		if s := oldStatus[o.Name]; s != o.Status {
+			differences = append(differences, fmt.Sprintf("%s: %s before, %s now. %s", o.Name, s, o.Status, o.Why))
 		}
 	}
-	return apart
+	return differences
 }
 
-// Mutations writes which expectations notice each broken configuration, and gives those that none does.
+// WriteMutations writes which expectations detect each broken configuration and returns the mutations that none
+// detects.
 func Mutations(w io.Writer, all []Mutant) (unnoticed []string) {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
-	t.AppendHeader(table.Row{"configuration broken by", "noticed by", "for example"})
+	t.AppendHeader(table.Row{"mutation", "detected by", "for example"})
 	for _, m := range all {
 		switch {
 		case m.Err != nil:
-			t.AppendRow(table.Row{m.Name, "the configuration's own check", m.Err.Error()})
+			t.AppendRow(table.Row{m.Name, "the configuration's own validation", m.Err.Error()})
 		case len(m.Noticed) == 0:
 			t.AppendRow(table.Row{m.Name, "NONE", ""})
 			unnoticed = append(unnoticed, m.Name)
