--- a/emulator/cluster/clients.go
+++ b/emulator/cluster/clients.go
@@ -33,87 +33,87 @@
 	return func(float64) float64 { return rate }, rate
 }
 
-// next draws a stream's next arrival, by thinning (Lewis and Shedler, 1979).
-func (t *Town) next(k int, from float64) {
-	s := &t.set.Streams[k]
-	_, most := t.burst(k, from)
+// scheduleArrival draws a stream's scheduleArrival arrival, by thinning (Lewis and Shedler, 1979).
+func (t *Town) scheduleArrival(k int, from float64) {
+	s := &t.settings.Streams[k]
+	_, most := t.rateFactor(k, from)
 	peak := s.Peak * most
 	if peak <= 0 {
 		return
 	}
-	gap := distuv.Exponential{Rate: peak, Src: t.rnd}
+	gap := distuv.Exponential{Rate: peak, Src: t.clientRand}
 	for at := from; ; {
-		if at += gap.Rand(); at > t.set.Length {
+		if at += gap.Rand(); at > t.settings.Length {
 			return
 		}
-		if factor, _ := t.burst(k, at); t.rnd.Float64()*peak <= s.Rate(at)*factor {
-			work := t.draw(s.Work, s.CV)
-			try := Try{Stream: k, Number: 1, First: at, Mark: t.seq + 1, Work: work, Guess: t.guess(s, work),
-				Ignores: t.rnd.Float64() < s.Ignores}
+		if factor, _ := t.rateFactor(k, at); t.clientRand.Float64()*peak <= s.Rate(at)*factor {
+			work := t.drawLogNormal(s.Work, s.CV)
+			request := Try{Stream: k, Number: 1, First: at, Mark: t.lastSeq + 1, Work: work, Guess: t.estimate(s, work),
+				Ignores: t.clientRand.Float64() < s.Ignores}
 			if s.Keys > 0 {
-				try.Key = 1 + uint64(t.rnd.IntN(s.Keys))
+				request.Key = 1 + uint64(t.clientRand.IntN(s.Keys))
 			}
-			t.push(event{at: at, what: arrive, try: try})
+			t.push(event{at: at, kind: arrivalEvent, request: request})
 			return
 		}
 	}
 }
 
-func (t *Town) guess(s *Stream, work float64) float64 {
+func (t *Town) estimate(s *Stream, work float64) float64 {
 	if s.Blind {
 		return 0
 	}
 	if s.Bias > 0 {
 		work *= s.Bias
 	}
-	return work * t.draw(1, s.Scatter)
+	return work * t.drawLogNormal(1, s.Scatter)
 }
 
-func (t *Town) draw(mean, cv float64) float64 {
+func (t *Town) drawLogNormal(mean, cv float64) float64 {
 	if cv == 0 {
 		return mean
 	}
-	v := math.Log(1 + cv*cv)
-	return distuv.LogNormal{Mu: math.Log(mean) - v/2, Sigma: math.Sqrt(v), Src: t.rnd}.Rand()
+	variance := math.Log(1 + cv*cv)
+	return distuv.LogNormal{Mu: math.Log(mean) - variance/2, Sigma: math.Sqrt(variance), Src: t.clientRand}.Rand()
 }
 
-// take brings a try to a router that is up: to the key's own, or to the next in turn.
-func (t *Town) take(try Try) {
+// routeRequest brings a try to a router that is up: to the key's own, or to the next in turn.
+func (t *Town) routeRequest(request Try) {
 	r := t.routers[0]
 	for n := range t.routers {
-		k := t.turn + n
-		if try.Key != 0 {
-			k = int(try.Key) + n
+		k := t.nextRouter + n
+		if request.Key != 0 {
+			k = int(request.Key) + n
 		}
 		if r = t.routers[k%len(t.routers)]; r.up {
 			break
 		}
 	}
-	t.turn = (t.turn + 1) % len(t.routers)
-	s := &t.set.Streams[try.Stream]
-	p := &t.set.Brain.Profiles[s.Profile]
-	try.Taken, try.Sent, try.Router = t.now, math.NaN(), r.me
-	try.Target = p.Target + p.Stretch*try.Work/max(float64(p.Threads), 1)
+	t.nextRouter = (t.nextRouter + 1) % len(t.routers)
+	s := &t.settings.Streams[request.Stream]
+	p := &t.settings.Brain.Profiles[s.Profile]
+	request.Taken, request.Sent, request.Router = t.now, math.NaN(), r.index
+	request.Target = p.Target + p.Stretch*request.Work/max(float64(p.Threads), 1)
 	if !r.up {
-		try.Ended, try.How = t.now, Lost
-		t.Tries = append(t.Tries, try)
+		request.Ended, request.How = t.now, Lost
+		t.Tries = append(t.Tries, request)
 		return
 	}
-	r.lastID++
-	f := &flight{try: len(t.Tries), router: r.me, id: r.lastID, number: -1, level: 1, engine: -1, first: -1}
-	t.Tries = append(t.Tries, try)
-	r.flights[f.id] = f
-	r.taken = append(r.taken, t.now)
-	f.ask = admission.Request{ID: f.id, Profile: s.Profile, Tenant: s.Tenant, Team: s.Team, Key: try.Key,
-		TimeLeft: s.Deadline, RequestKey: try.Mark, Cost: try.Guess, Memory: s.Memory}
-	t.show(Taken, f)
-	r.mind.Request(t.now, f.ask)
+	r.lastRequestID++
+	f := &activeRequest{requestIndex: len(t.Tries), router: r.index, id: r.lastRequestID, attempt: -1, priority: 1, server: -1, firstServer: -1}
+	t.Tries = append(t.Tries, request)
+	r.requests[f.id] = f
+	r.requestTimes = append(r.requestTimes, t.now)
+	f.request = admission.Request{ID: f.id, Profile: s.Profile, Tenant: s.Tenant, Team: s.Team, Key: request.Key,
+		TimeLeft: s.Deadline, RequestKey: request.Mark, Cost: request.Guess, Memory: s.Memory}
+	t.observe(Taken, f)
+	r.controller.Request(t.now, f.request)
 }
 
-// burst is the factor on a stream's rate at a time; most, the most that it comes to.
-func (t *Town) burst(stream int, at float64) (factor, most float64) {
+// rateFactor is the factor on a stream's rate at a time; most, the most that it comes to.
+func (t *Town) rateFactor(stream int, at float64) (factor, most float64) {
 	factor, most = 1, 1
-	for _, h := range t.set.Happens {
+	for _, h := range t.settings.Happens {
 		if h.Act != Burst || h.Stream != stream {
 			continue
 		}
--- a/emulator/cluster/cold_test.go
+++ b/emulator/cluster/cold_test.go
@@ -11,26 +11,26 @@
 	"pgregory.net/rapid"
 )
 
-// coldSend is one attempt at a cold server.
-type coldSend struct {
-	at   float64
-	work float64 // mean of its kind, core seconds
-	told bool    // its router knew of the start
+// coldAttempt is one attempt at a cold server.
+type coldAttempt struct {
+	at          float64
+	work        float64 // mean of its kind, core seconds
+	startListed bool    // its router knew of the start
 }
 
 // coldWatch holds what all routers send to one cold server against what it bears in any window.
 type coldWatch struct {
-	settings Settings
-	server   int
-	start    float64
-	sends    []coldSend
-	most     float64 // of what routers that were told sent, over what is borne
-	worst    string
+	settings  Settings
+	server    int
+	start     float64
+	attempts  []coldAttempt
+	maxRatio  float64 // of what routers that were told sent, over what is borne
+	worstCase string
 }
 
-// bears is how many requests of a mean work a cold server bears in a window, chance included (docs/design.md, Turns on cold engines). The
+// coldCapacity is how many requests of a mean work a cold server coldCapacity in a window, chance included (docs/design.md, Turns on cold engines). The
 // ramp is the later of those that the settings allow.
-func bears(settings *Settings, server int, age, work float64) float64 {
+func coldCapacity(settings *Settings, server int, age, work float64) float64 {
 	b := &settings.Brain
 	ramp := b.ColdFrom + (1-b.ColdFrom)*math.Pow(min(age/b.WarmUp, 1), 2)
 	n := b.FallMultiple * settings.Engines[server].Cores * ramp * b.FallWindow / work
@@ -42,28 +42,28 @@
 	if m.On != Sent || m.Engine != w.server || m.Now < w.start || m.Now >= w.start+b.WarmUp {
 		return true
 	}
-	w.sends = append(w.sends, coldSend{m.Now, m.Stream.Work, m.Age >= 0})
-	for w.sends[0].at <= m.Now-b.FallWindow {
-		w.sends = w.sends[1:]
+	w.attempts = append(w.attempts, coldAttempt{m.Now, m.Stream.Work, m.Age >= 0})
+	for w.attempts[0].at <= m.Now-b.FallWindow {
+		w.attempts = w.attempts[1:]
 	}
-	told, all, mean := 0.0, 0.0, 0.0
-	for _, s := range w.sends {
-		if all += s.work; s.told {
-			told += s.work
+	listed, all, mean := 0.0, 0.0, 0.0
+	for _, s := range w.attempts {
+		if all += s.work; s.startListed {
+			listed += s.work
 		}
 	}
-	mean = all / float64(len(w.sends))
-	bound := bears(&w.settings, w.server, m.Now-w.start, mean) * mean
-	if told/bound > w.most {
-		w.most = told / bound
-		w.worst = fmt.Sprintf("%.2f s after the start: %.1f requests of mean work %.4f s from routers that were told, %.1f are borne", m.Now-w.start,
-			told/mean, mean, bound/mean)
+	mean = all / float64(len(w.attempts))
+	bound := coldCapacity(&w.settings, w.server, m.Now-w.start, mean) * mean
+	if listed/bound > w.maxRatio {
+		w.maxRatio = listed / bound
+		w.worstCase = fmt.Sprintf("%.2f s after the start: %.1f requests of mean work %.4f s from routers that were told, %.1f are borne", m.Now-w.start,
+			listed/mean, mean, bound/mean)
 	}
 	return true
 }
 
-// coldDay draws a day on which a server comes back cold under very unequal traffic, while some routers restart and some hear of it late.
-func coldDay(t *rapid.T) (Settings, *coldWatch) {
+// drawColdScenario draws a day on which a server comes back cold under very unequal traffic, while some routers restart and some hear of it late.
+func drawColdScenario(t *rapid.T) (Settings, *coldWatch) {
 	const back, cold = 1.0, 1
 	work := rapid.SampledFrom([]float64{0.005, 0.02, 0.08, 0.3}).Draw(t, "work")
 	target := rapid.SampledFrom([]float64{0.1, 0.4, 1.5}).Draw(t, "target")
@@ -76,17 +76,17 @@
 		s.Engines = append(s.Engines, Engine{Settings: engine.Settings{Cores: cores, Knee: 2, Thrash: 0.3}})
 	}
 	load := rapid.Float64Range(0.3, 1.5).Draw(t, "load")
-	const most = 2500 // requests a second, so that a day is played within a second or two
-	rate := min(3*cores*load/(1.3*work), most)
+	const maxRate = 2500 // requests a second, so that a day is played within a second or two
+	rate := min(3*cores*load/(1.3*work), maxRate)
 	for k, keys := range []int{0, 1, 3} { // spread evenly, to one router, to three
-		st := Stream{Work: work, CV: 1, Deadline: 4, Scatter: 0.3, Keys: keys, Tries: 2, Ignores: 0.3}
+		stream := Stream{Work: work, CV: 1, Deadline: 4, Scatter: 0.3, Keys: keys, Tries: 2, Ignores: 0.3}
 		if k == 2 {
-			st.Work, st.Profile = 4*work, 1
+			stream.Work, stream.Profile = 4*work, 1
 		}
-		st.Rate, st.Peak = Steady(rate * []float64{0.5, 0.4, 0.1}[k])
-		s.Streams = append(s.Streams, st)
+		stream.Rate, stream.Peak = Steady(rate * []float64{0.5, 0.4, 0.1}[k])
+		s.Streams = append(s.Streams, stream)
 	}
-	some := func(name string, share int) (routers []int) {
+	pickRouters := func(name string, share int) (routers []int) {
 		for k := range s.Routers {
 			if rapid.IntRange(0, 9).Draw(t, name) < share {
 				routers = append(routers, k)
@@ -95,10 +95,10 @@
 		return routers
 	}
 	s.Happens = []Happening{{At: 0.5, For: back - 0.5, Act: Gone, Engines: []int{cold}}}
-	if late := some("told late", 2); late != nil {
+	if late := pickRouters("told late", 2); late != nil {
 		s.Happens = append(s.Happens, Happening{At: 0.2, For: rapid.Float64Range(0.5, 3).Draw(t, "for"), Act: ListLost, Routers: late})
 	}
-	if restart := some("restarted", 2); restart != nil {
+	if restart := pickRouters("restarted", 2); restart != nil {
 		s.Happens = append(s.Happens, Happening{At: back + rapid.Float64Range(0.1, 2).Draw(t, "at"), For: 0.2, Act: Restart, Routers: restart})
 	}
 	w := &coldWatch{settings: s, server: cold, start: back}
@@ -106,20 +106,20 @@
 	return s, w
 }
 
-// TestColdUnderAll: what all routers that were told of a cold server's start send it stays, in any window, under what the settings allow it and
+// TestColdServerLoadFromAllRouters: what all routers that were told of a cold server's start send it stays, in any window, under what the settings allow it and
 // chance, whatever their traffic, and while some restart.
-func TestColdUnderAll(t *testing.T) {
-	most, days := 0.0, 0
+func TestColdServerLoadFromAllRouters(t *testing.T) {
+	maxRatio, runs := 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		s, w := coldDay(t)
+		s, w := drawColdScenario(t)
 		if _, err := Run(s); err != nil {
 			t.Fatal(err)
 		}
-		days++
-		most = max(most, w.most)
-		if w.most > 1 {
-			t.Fatal(w.worst)
+		runs++
+		maxRatio = max(maxRatio, w.maxRatio)
+		if w.maxRatio > 1 {
+			t.Fatal(w.worstCase)
 		}
 	})
-	t.Logf("%d days, %.2f of the bound at most", days, most)
+	t.Logf("%d days, %.2f of the bound at most", runs, maxRatio)
 }
--- a/emulator/cluster/events.go
+++ b/emulator/cluster/events.go
@@ -8,32 +8,32 @@
 	"dunereach/admission"
 )
 
-type what uint8
+type eventKind uint8
 
 const (
-	wake what = iota
-	arrive
-	look
-	outcome
-	limit
-	poll
-	news
-	happen
-	calm
+	wakeEvent eventKind = iota
+	arrivalEvent
+	shadowEvent
+	outcomeEvent
+	timeoutEvent
+	pollEvent
+	listAnswerEvent
+	faultStartEvent
+	faultEndEvent
 )
 
 type event struct {
-	at     float64
-	seq    uint64
-	what   what
-	router int
-	life   int // of the router that it was for: one that ended hears nothing more
-	token  uint64
-	number int
-	try    Try
-	end    admission.End
-	text   []byte
-	h      Happening
+	at          float64
+	seq         uint64
+	kind        eventKind
+	router      int
+	incarnation int // of the router that it was for: one that ended hears nothing more
+	token       uint64
+	attempt     int
+	request     Try
+	end         admission.End
+	answer      []byte
+	fault       Happening
 }
 
 type events []event
@@ -52,7 +52,7 @@
 }
 
 func (t *Town) push(e event) {
-	t.seq++
-	e.seq = t.seq
-	heap.Push(&t.todo, e)
+	t.lastSeq++
+	e.seq = t.lastSeq
+	heap.Push(&t.queue, e)
 }
--- a/emulator/cluster/host.go
+++ b/emulator/cluster/host.go
@@ -8,95 +8,95 @@
 	"dunereach/waittime"
 )
 
-func (r *router) Send(id, to uint32, after, _ float64) {
-	t, f := r.t, r.flights[id]
-	k := t.engineOf(to)
-	f.number++
-	if f.number > 0 {
-		r.further = append(r.further, t.now)
+func (r *router) Send(id, serverID uint32, timeout, _ float64) {
+	t, f := r.sim, r.requests[id]
+	k := t.serverIndex(serverID)
+	f.attempt++
+	if f.attempt > 0 {
+		r.retryTimes = append(r.retryTimes, t.now)
 	}
-	f.engine, f.sent = k, t.now
-	t.show(Sent, f) // before it counts as out: one that is out already shows
-	if f.out = true; f.first < 0 {
-		f.first, f.firstAt = k, t.now
+	f.server, f.sentAt = k, t.now
+	t.observe(Sent, f) // before it counts as out: one that is out already shows
+	if f.outstanding = true; f.firstServer < 0 {
+		f.firstServer, f.firstSentAt = k, t.now
 	}
-	try := &t.Tries[f.try]
-	if f.number == 0 {
-		try.Sent = t.now
+	request := &t.Tries[f.requestIndex]
+	if f.attempt == 0 {
+		request.Sent = t.now
 	}
-	if after <= 0 {
-		after = try.Taken + t.set.Streams[try.Stream].Deadline - t.now
+	if timeout <= 0 {
+		timeout = request.Taken + t.settings.Streams[request.Stream].Deadline - t.now
 	}
-	s := &t.set.Streams[try.Stream]
-	p := &t.set.Brain.Profiles[s.Profile]
-	e := event{what: outcome, router: r.me, life: r.life, token: uint64(id), number: f.number}
-	house := t.engines[k]
-	t.lastRun++
-	f.run = t.lastRun
-	q := engine.Query{ID: t.lastRun, Work: try.Work, Threads: float64(p.Threads), Memory: s.Memory, Level: f.level}
+	s := &t.settings.Streams[request.Stream]
+	p := &t.settings.Brain.Profiles[s.Profile]
+	result := event{kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(id), attempt: f.attempt}
+	server := t.servers[k]
+	t.lastQueryID++
+	f.queryID = t.lastQueryID
+	q := engine.Query{ID: t.lastQueryID, Work: request.Work, Threads: float64(p.Threads), Memory: s.Memory, Level: f.priority}
 	switch {
-	case house.state == admission.Gone:
-		e.at, e.end = t.now+trip, admission.Unreachable
-	case house.errs > 0 && t.luck.Float64() < house.errs:
-		e.at, e.end = t.now+trip, admission.Errored
-	case !house.Submit(t.now, q):
-		e.at, e.end = t.now+trip, admission.Rejected
+	case server.state == admission.Gone:
+		result.at, result.end = t.now+roundTrip, admission.Unreachable
+	case server.errorShare > 0 && t.serverRand.Float64() < server.errorShare:
+		result.at, result.end = t.now+roundTrip, admission.Errored
+	case !server.Submit(t.now, q):
+		result.at, result.end = t.now+roundTrip, admission.Rejected
 	default:
-		t.running[t.lastRun] = query{f, f.number, try.Stream}
-		e.at, e.what, e.end = t.now+after, limit, admission.TimedOut
+		t.running[t.lastQueryID] = query{f, f.attempt, request.Stream}
+		result.at, result.kind, result.end = t.now+timeout, timeoutEvent, admission.TimedOut
 	}
-	t.push(e)
+	t.push(result)
 }
 
 func (r *router) Reject(id uint32, pause float64) {
-	t, f := r.t, r.flights[id]
-	t.Tries[f.try].Pause = pause
-	t.final(f, Shed)
-	try := t.Tries[f.try]
-	if t.set.Shadows > 0 && r.me == 0 && t.now == try.Taken && try.HasTold[waittime.RetryAdmission] {
-		if t.refused++; t.refused%t.set.Shadows == 0 {
-			t.push(event{at: t.now + lookEvery, what: look, token: uint64(len(t.Shadows))})
-			t.Shadows = append(t.Shadows, Shadow{Stream: try.Stream, At: t.now, Told: try.Told[waittime.RetryAdmission], ask: f.ask})
+	t, f := r.sim, r.requests[id]
+	t.Tries[f.requestIndex].Pause = pause
+	t.finish(f, Shed)
+	request := t.Tries[f.requestIndex]
+	if t.settings.Shadows > 0 && r.index == 0 && t.now == request.Taken && request.HasTold[waittime.RetryAdmission] {
+		if t.rejected++; t.rejected%t.settings.Shadows == 0 {
+			t.push(event{at: t.now + shadowInterval, kind: shadowEvent, token: uint64(len(t.Shadows))})
+			t.Shadows = append(t.Shadows, Shadow{Stream: request.Stream, At: t.now, Told: request.Told[waittime.RetryAdmission], request: f.request})
 		}
 	}
-	if s := &t.set.Streams[try.Stream]; try.Number < s.Tries {
-		if try.Ignores {
+	if s := &t.settings.Streams[request.Stream]; request.Number < s.Tries {
+		if request.Ignores {
 			pause = 0
 		}
-		again := Try{Stream: try.Stream, Number: try.Number + 1, Mark: try.Mark, Key: try.Key, First: try.First, Work: try.Work,
-			Guess: try.Guess, Ignores: try.Ignores}
-		t.push(event{at: t.now + trip + pause, what: arrive, try: again})
+		retry := Try{Stream: request.Stream, Number: request.Number + 1, Mark: request.Mark, Key: request.Key, First: request.First, Work: request.Work,
+			Guess: request.Guess, Ignores: request.Ignores}
+		t.push(event{at: t.now + roundTrip + pause, kind: arrivalEvent, request: retry})
 	}
-	r.forget(f)
+	r.removeIfDone(f)
 }
 
 func (r *router) Fail(id uint32) {
-	f := r.flights[id]
-	r.t.final(f, Failed)
-	r.forget(f)
+	f := r.requests[id]
+	r.sim.finish(f, Failed)
+	r.removeIfDone(f)
 }
 
 func (r *router) Priority(id uint32, level int, _ float64) {
-	t, f := r.t, r.flights[id]
-	if f.level = level; f.out {
+	t, f := r.sim, r.requests[id]
+	if f.priority = level; f.outstanding {
 		t.Changes = append(t.Changes, t.now)
-		t.engines[f.engine].Renice(t.now, f.run, level)
-		t.show(Reniced, f)
+		t.servers[f.server].Renice(t.now, f.queryID, level)
+		t.observe(Reniced, f)
 	}
 }
 
 func (r *router) ReportEstimate(id uint32, k waittime.TimeKind, e waittime.Estimate) {
-	try := &r.t.Tries[r.flights[id].try]
-	try.Told[k], try.HasTold[k] = e, true
+	request := &r.sim.Tries[r.requests[id].requestIndex]
+	request.Told[k], request.HasTold[k] = e, true
 }
 
 func (r *router) Wake(after float64, token uint64) {
-	r.t.push(event{at: r.t.now + max(after, 0), what: wake, router: r.me, life: r.life, token: token})
+	r.sim.push(event{at: r.sim.now + max(after, 0), kind: wakeEvent, router: r.index, incarnation: r.incarnation, token: token})
 }
 
 // Cancel gives a send up; the engine goes on with it all the same.
-func (r *router) Cancel(id uint32, send int) {
-	r.t.push(event{at: r.t.now + trip, what: outcome, router: r.me, life: r.life, token: uint64(id), number: send, end: admission.Cancelled})
+func (r *router) Cancel(id uint32, attempt int) {
+	r.sim.push(event{at: r.sim.now + roundTrip, kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(id), attempt: attempt, end: admission.Cancelled})
 }
 
 func (r *router) Withdraw(uint32, int)   {} // what is sent has left
--- a/emulator/cluster/moments.go
+++ b/emulator/cluster/moments.go
@@ -22,13 +22,13 @@
 	Listed
 )
 
-var onNames = [...]string{"take", "send", "end", "answer", "priority", "list"}
+var decisionNames = [...]string{"take", "send", "end", "answer", "priority", "list"}
 
-func (o On) String() string { return onNames[o] }
+func (o On) String() string { return decisionNames[o] }
 
 // OnOf is a kind of moment by its name.
 func OnOf(name string) (On, bool) {
-	k := slices.Index(onNames[:], name)
+	k := slices.Index(decisionNames[:], name)
 	return On(max(k, 0)), k >= 0
 }
 
@@ -62,60 +62,60 @@
 	Listed   int           // engines ready there
 }
 
-// show lets the watcher see a moment.
-func (t *Town) show(on On, f *flight, end ...admission.End) {
-	if t.set.Watch == nil {
+// observe lets the watcher see a moment.
+func (t *Town) observe(on On, f *activeRequest, end ...admission.End) {
+	if t.settings.Watch == nil {
 		return
 	}
 	r := t.routers[f.router]
-	try := &t.Tries[f.try]
-	m := Moment{On: on, Now: t.now, Router: f.router, Try: try, Stream: &t.set.Streams[try.Stream], Engine: f.engine,
-		Number: f.number, Level: f.level, Waited: t.now - try.Taken, Age: -1, Rev: r.follower.Revision()}
-	if f.out {
+	request := &t.Tries[f.requestIndex]
+	m := Moment{On: on, Now: t.now, Router: f.router, Try: request, Stream: &t.settings.Streams[request.Stream], Engine: f.server,
+		Number: f.attempt, Level: f.priority, Waited: t.now - request.Taken, Age: -1, Rev: r.follower.Revision()}
+	if f.outstanding {
 		m.Out = 1
 	}
 	if len(end) > 0 {
 		m.End = end[0]
 	}
-	if k := f.engine; k >= 0 {
-		h := t.engines[k]
-		m.Told, m.True, m.EngineN = r.told[k].state, h.state, h.Running()
-		if at := r.told[k].at; !math.IsInf(at, -1) {
+	if k := f.server; k >= 0 {
+		h := t.servers[k]
+		m.Told, m.True, m.EngineN = r.serverStates[k].state, h.state, h.Running()
+		if at := r.serverStates[k].since; !math.IsInf(at, -1) {
 			m.ToldFor = t.now - at
 		}
 		for _, e := range r.follower.List() {
-			if e.Server == h.id && e.ReadyAt > 0 {
+			if e.Server == h.discoveryID && e.ReadyAt > 0 {
 				m.Age = t.now - e.ReadyAt
 			}
 		}
 	}
-	m.LastEnd, m.First, m.Since = f.ended, f.first, t.now-f.firstAt
+	m.LastEnd, m.First, m.Since = f.lastEnd, f.firstServer, t.now-f.firstSentAt
 	if on == Sent {
-		h := t.engines[f.engine]
-		h.given = append(h.given, given{t.now, try.Work})
-		m.Recent = h.recent(t.now - t.set.Brain.FallWindow)
+		h := t.servers[f.server]
+		h.recentWork = append(h.recentWork, sentWork{t.now, request.Work})
+		m.Recent = h.recentWorkSince(t.now - t.settings.Brain.FallWindow)
 	}
-	if window := t.set.Brain.BudgetWindow; window > 0 {
-		m.Further, m.Commands = since(&r.further, t.now-window), since(&r.taken, t.now-window)
+	if window := t.settings.Brain.BudgetWindow; window > 0 {
+		m.Further, m.Commands = countSince(&r.retryTimes, t.now-window), countSince(&r.requestTimes, t.now-window)
 	}
-	if try.Key != 0 && on == Sent {
-		for _, o := range r.flights {
-			other := &t.Tries[o.try]
-			m.KeyOpen = m.KeyOpen || o.id < f.id && other.Key == try.Key && (!o.over || o.out)
+	if request.Key != 0 && on == Sent {
+		for _, active := range r.requests {
+			other := &t.Tries[active.requestIndex]
+			m.KeyOpen = m.KeyOpen || active.id < f.id && other.Key == request.Key && (!active.finished || active.outstanding)
 		}
 	}
-	t.watch(&m)
+	t.callWatch(&m)
 }
 
-func (t *Town) watch(m *Moment) {
-	if !t.ended {
-		t.ended = !t.set.Watch(m)
+func (t *Town) callWatch(m *Moment) {
+	if !t.stopped {
+		t.stopped = !t.settings.Watch(m)
 	}
 }
 
-// since counts what came after a time and forgets the rest.
-func since(all *[]float64, from float64) int {
-	n, _ := slices.BinarySearch(*all, from)
-	*all = (*all)[n:]
-	return len(*all)
+// countSince counts what came after a time and forgets the rest.
+func countSince(times *[]float64, from float64) int {
+	n, _ := slices.BinarySearch(*times, from)
+	*times = (*times)[n:]
+	return len(*times)
 }
--- a/emulator/cluster/recall_test.go
+++ b/emulator/cluster/recall_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// believed is what a restarted router of the town believes: engines' starts are by the same clock here.
-func believed(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
+// discounted is what a restarted router of the town believes: engines' starts are by the same clock here.
+func discounted(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
 	b := warmstart.Discount(k, age, true, admission.Fingerprints(s.Profiles), s.TenantRates())
 	return &b
 }
 
-// peak is a day at the pool's limit whose estimates are wrong by half, with an engine that hangs; all routers restart at 40 s.
-func peak(seed uint64, restart bool, recall Recall) Settings {
-	s := small()
+// peakScenario is a day at the pool's limit whose estimates are wrong by half, with an engine that hangs; all routers restart at 40 s.
+func peakScenario(seed uint64, restart bool, recall Recall) Settings {
+	s := smallScenario()
 	s.Seed, s.Length, s.Routers, s.Recall = seed, 60, 3, recall
 	s.Brain.Profiles = append(s.Brain.Profiles, admission.Profile{Target: 3, Stretch: 2, Benefit: 1, Threads: 1})
 	long := Stream{Work: 0.8, CV: 1, Deadline: 8, Scatter: 0.3, Bias: 0.4, Profile: 1}
@@ -33,99 +33,99 @@
 	return s
 }
 
-// worthIn is the share of commands taken in a span that were answered in time.
-func worthIn(t *testing.T, s Settings, from, to float64) float64 {
+// inTimeShare is the share of commands taken in a span that were answered in time.
+func inTimeShare(t *testing.T, s Settings, from, to float64) float64 {
 	t.Helper()
 	r, err := Run(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, all := 0.0, 0.0
+	inTime, all := 0.0, 0.0
 	for k := range r.Tries {
 		if x := &r.Tries[k]; x.Taken >= from && x.Taken < to {
 			all++
 			if x.InTime() {
-				got++
+				inTime++
 			}
 		}
 	}
-	return got / max(all, 1)
+	return inTime / max(all, 1)
 }
 
 // TestRestartInPeak: a router that comes back in the peak with what it knew serves better than one that starts from nothing.
 func TestRestartInPeak(t *testing.T) {
-	const days = 12
-	var none, knew, never [2]float64
-	for seed := range uint64(days) {
+	const seeds = 12
+	var withoutMemory, withMemory, notRestarted [2]float64
+	for seed := range uint64(seeds) {
 		for k, to := range []float64{43, 50} {
-			none[k] += worthIn(t, peak(seed, true, nil), 40.5, to) / days
-			knew[k] += worthIn(t, peak(seed, true, believed), 40.5, to) / days
-			never[k] += worthIn(t, peak(seed, false, nil), 40.5, to) / days
+			withoutMemory[k] += inTimeShare(t, peakScenario(seed, true, nil), 40.5, to) / seeds
+			withMemory[k] += inTimeShare(t, peakScenario(seed, true, discounted), 40.5, to) / seeds
+			notRestarted[k] += inTimeShare(t, peakScenario(seed, false, nil), 40.5, to) / seeds
 		}
 	}
-	t.Logf("in time over 2.5 s and 9.5 s after the restart: %.3f from nothing, %.3f with what it knew, %.3f never stopped", none, knew, never)
-	if knew[0] < none[0] || knew[1] < none[1] {
-		t.Errorf("with what it knew %.3f, from nothing %.3f", knew, none)
+	t.Logf("in time over 2.5 s and 9.5 s after the restart: %.3f from nothing, %.3f with what it knew, %.3f never stopped", withoutMemory, withMemory, notRestarted)
+	if withMemory[0] < withoutMemory[0] || withMemory[1] < withoutMemory[1] {
+		t.Errorf("with what it knew %.3f, from nothing %.3f", withMemory, withoutMemory)
 	}
 }
 
-// rules watches those that a belief might touch, over all routers at once, and says what was broken first.
-type rules struct {
-	s      Settings
-	grace  float64
-	broken string
+// ruleChecker watches those that a belief might touch, over all routers at once, and says what was broken first.
+type ruleChecker struct {
+	s         Settings
+	grace     float64
+	violation string
 }
 
-func (w *rules) watch(m *Moment) bool {
-	if m.On != Sent || w.broken != "" {
-		return w.broken == ""
+func (w *ruleChecker) watch(m *Moment) bool {
+	if m.On != Sent || w.violation != "" {
+		return w.violation == ""
 	}
 	p := &w.s.Brain.Profiles[m.Stream.Profile]
-	say := func(format string, a ...any) {
-		w.broken = fmt.Sprintf("at %.3f, send %d: ", m.Now, m.Number) + fmt.Sprintf(format, a...)
+	fail := func(format string, a ...any) {
+		w.violation = fmt.Sprintf("at %.3f, send %d: ", m.Now, m.Number) + fmt.Sprintf(format, a...)
 	}
 	b := w.s.Brain
 	// Of mean works in the window, a cold engine bears what the settings allow, and chance (the protocol's measure).
-	allows := func(age float64) float64 {
+	coldLimit := func(age float64) float64 {
 		cores := w.s.Engines[m.Engine].Cores
 		n := b.FallMultiple * cores * (b.ColdFrom + (1-b.ColdFrom)*age/b.WarmUp) * b.FallWindow / m.Stream.Work
 		return (n + 3*math.Sqrt(n) + 3) * m.Stream.Work
 	}
 	switch {
 	case m.Number > 0 && m.Out > 1: // this one counts
-		say("another of the command is out")
+		fail("another of the command is out")
 	case m.Number > 0 && p.Effect == admission.NonIdempotent && !m.LastEnd.NeverRan():
-		say("a command that may have run, and may not run twice, is sent again")
+		fail("a command that may have run, and may not run twice, is sent again")
 	case m.Told != admission.Ready && m.ToldFor > w.grace:
-		say("to an engine that it knew for %.2f s to be no more ready", m.ToldFor)
+		fail("to an engine that it knew for %.2f s to be no more ready", m.ToldFor)
 	case p.Ordered && m.KeyOpen:
-		say("an earlier command of its key is open")
+		fail("an earlier command of its key is open")
 	case m.Number > 0 && float64(m.Further) > b.BudgetFree+b.BudgetShare*float64(m.Commands)+1:
-		say("%d further sends of %d commands", m.Further, m.Commands)
-	case m.Age >= 0 && m.Age < b.WarmUp && m.Recent > allows(m.Age):
-		say("%.1f core seconds in a window to an engine of age %.1f, %.1f are borne", m.Recent, m.Age, allows(m.Age))
+		fail("%d further sends of %d commands", m.Further, m.Commands)
+	case m.Age >= 0 && m.Age < b.WarmUp && m.Recent > coldLimit(m.Age):
+		fail("%.1f core seconds in a window to an engine of age %.1f, %.1f are borne", m.Recent, m.Age, coldLimit(m.Age))
 	}
-	return w.broken == ""
+	return w.violation == ""
 }
 
-// rough is a day with every kind of trouble, ordered commands and a budget on further sends; routers restart while an engine is cold.
-func rough() (Settings, *rules) {
-	s := small()
+// faultyScenario is a day with every kind of trouble, ordered commands and a budget on further sends; routers restart while an engine is cold.
+func faultyScenario() (Settings, *ruleChecker) {
+	s := smallScenario()
 	s.Length = 16
 	s.Brain.Profiles[0].Effect = admission.NonIdempotent
 	s.Brain.Profiles = append(s.Brain.Profiles, admission.Profile{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1, Ordered: true})
 	s.Brain.KeyRest, s.Brain.BudgetFree, s.Brain.BudgetShare, s.Brain.BudgetWindow = 0.5, 3, 0.1, 5
-	st := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Profile: 1, Keys: 6}
-	st.Rate, st.Peak = Steady(20)
-	s.Streams = append(s.Streams, st)
+	stream := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Profile: 1, Keys: 6}
+	stream.Rate, stream.Peak = Steady(20)
+	s.Streams = append(s.Streams, stream)
 	s.Happens = append(s.Happens, Happening{At: 7.2, For: 0.3, Act: Restart, Routers: []int{0, 1}})
-	w := &rules{s: s, grace: 0.25}
+	w := &ruleChecker{s: s, grace: 0.25}
 	s.Watch = w.watch
 	return s, w
 }
 
-// ended looks for commands without one answer in their time.
-func ended(t *rapid.T, r Result) {
+// checkCompleted looks for commands without one answer in their time.
+func checkCompleted(t *rapid.T, r Result) {
 	for _, try := range r.Tries {
 		switch {
 		case try.How == Open && try.Taken < 11:
@@ -139,7 +139,7 @@
 // TestRulesWithKnowledge: a module that believes what it knew keeps the rules over days of trouble, rule 4 among them, whatever the age.
 func TestRulesWithKnowledge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, w := rough()
+		s, w := faultyScenario()
 		age := rapid.SampledFrom([]float64{0.1, 5, 60, 1e4}).Draw(t, "age")
 		sure := rapid.Bool().Draw(t, "sure")
 		s.Seed = rapid.Uint64().Draw(t, "seed")
@@ -151,51 +151,51 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if w.broken != "" {
-			t.Fatal(w.broken)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
-		ended(t, r)
+		checkCompleted(t, r)
 	})
 }
 
-// TestHostile: whatever a module is made to believe, past what Believe would let through, every command has one answer in its time, and
+// TestHostileMemory: whatever a module is made to believe, past what Believe would let through, every command has one answer in its time, and
 // the rules hold but the fourth, whose margin a belief may use up (docs/design/memory.md).
-func TestHostile(t *testing.T) {
+func TestHostileMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		any := func(name string) float64 {
+		drawValue := func(name string) float64 {
 			return rapid.OneOf(rapid.Float64Range(0, 100), rapid.SampledFrom([]float64{0, 1e-9, 1e9, 1e12})).Draw(t, name)
 		}
 		hostile := func(k warmstart.Knowledge, _ float64, _ *admission.Settings) *warmstart.DiscountedKnowledge {
 			b := &warmstart.DiscountedKnowledge{}
 			for _, p := range k.Profiles {
-				p.Work, p.Seen, p.Hinted, p.Worked, p.Slow = any("work"), any("seen"), any("hinted"), any("worked"), 1+any("slow")
+				p.Work, p.Seen, p.Hinted, p.Worked, p.Slow = drawValue("work"), drawValue("seen"), drawValue("hinted"), drawValue("worked"), 1+drawValue("slow")
 				for n := range p.Times.Counts {
-					p.Times.Counts[n] = any("count")
+					p.Times.Counts[n] = drawValue("count")
 				}
-				p.Times.Sum = any("sum")
+				p.Times.Sum = drawValue("sum")
 				b.Profiles = append(b.Profiles, p)
 			}
 			for n := range 3 {
 				for _, e := range []uint32{1, 2, 3, 1 << 30} {
-					b.Engines = append(b.Engines, warmstart.Server{ID: e + uint32(n), Slow: 1 + any("slow"), Fails: rapid.Float64Range(0, 1).Draw(t, "fails"), Ill: true, Pause: rapid.Float64Range(0, 60).Draw(t, "pause")})
+					b.Engines = append(b.Engines, warmstart.Server{ID: e + uint32(n), Slow: 1 + drawValue("slow"), Fails: rapid.Float64Range(0, 1).Draw(t, "fails"), Ill: true, Pause: rapid.Float64Range(0, 60).Draw(t, "pause")})
 				}
 			}
 			for range k.Tenants {
-				b.Tenants = append(b.Tenants, warmstart.Tenant{Left: -any("left")})
+				b.Tenants = append(b.Tenants, warmstart.Tenant{Left: -drawValue("left")})
 			}
-			b.Cut, b.Pace, b.Asked, b.Span = any("cut"), 1+any("pace"), any("asked"), any("span")
+			b.Cut, b.Pace, b.Asked, b.Span = drawValue("cut"), 1+drawValue("pace"), drawValue("asked"), drawValue("span")
 			return b
 		}
-		s, w := rough()
+		s, w := faultyScenario()
 		s.Recall, s.Brain.WarmUp = hostile, 0
 		w.s.Brain.WarmUp = 0 // no engine is cold for the rules
 		r, err := Run(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if w.broken != "" {
-			t.Fatal(w.broken)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
-		ended(t, r)
+		checkCompleted(t, r)
 	})
 }
--- a/emulator/cluster/town.go
+++ b/emulator/cluster/town.go
@@ -54,17 +54,17 @@
 
 // Shadow is a refused command that nobody sends again: the module is asked every 50 ms whether it would let it in.
 type Shadow struct {
-	Stream int
-	At     float64
-	Told   waittime.Estimate
-	Took   float64
-	In     bool // false: it was given up looking
-	ask    admission.Request
+	Stream  int
+	At      float64
+	Told    waittime.Estimate
+	Took    float64
+	In      bool // false: it was given up looking
+	request admission.Request
 }
 
 const (
-	lookEvery = 0.05
-	lookFor   = 40.0
+	shadowInterval = 0.05
+	shadowTimeout  = 40.0
 )
 
 // How a try ended.
@@ -123,85 +123,85 @@
 	Clients int // that came, or would have
 }
 
-type flight struct {
-	try     int
-	router  int
-	id      uint32
-	number  int // of its latest send, -1: none
-	out     bool
-	engine  int
-	sent    float64
-	ended   admission.End // of its latest send that ended
-	first   int           // engine of its first send, -1: none yet
-	firstAt float64
-	run     uint64 // the engine's number for it
-	level   int
-	over    bool
-	ask     admission.Request
+type activeRequest struct {
+	requestIndex int
+	router       int
+	id           uint32
+	attempt      int // of its latest send, -1: none
+	outstanding  bool
+	server       int
+	sentAt       float64
+	lastEnd      admission.End // of its latest send that ended
+	firstServer  int           // engine of its first send, -1: none yet
+	firstSentAt  float64
+	queryID      uint64 // the engine's number for it
+	priority     int
+	finished     bool
+	request      admission.Request
 }
 
 // Town is one run.
 type Town struct {
-	set     Settings
-	now     float64
-	seq     uint64
-	todo    events
-	routers []*router
-	engines []*house
-	list    list
-	rnd     *rand.Rand       // the clients' chance
-	luck    *rand.Rand       // the engines': so clients come alike whatever befalls those
-	running map[uint64]query // by the engines' number
-	lastRun uint64
-	turn    int // router that the next client comes to
-	refused int
-	ended   bool // the watcher has seen enough
+	settings    Settings
+	now         float64
+	lastSeq     uint64
+	queue       events
+	routers     []*router
+	servers     []*server
+	list        serverList
+	clientRand  *rand.Rand       // the clients' chance
+	serverRand  *rand.Rand       // the engines': so clients come alike whatever befalls those
+	running     map[uint64]query // by the engines' number
+	lastQueryID uint64
+	nextRouter  int // router that the next client comes to
+	rejected    int
+	stopped     bool // the watcher has seen enough
 	Result
 }
 
 type query struct {
-	f      *flight
-	number int
-	stream int
+	request *activeRequest
+	attempt int
+	stream  int
 }
 
 // router is one module with what is told to it.
 type router struct {
-	t        *Town
-	me       int
-	life     int
-	up       bool
-	mind     *admission.Controller
-	follower *discovery.Follower
-	flights  map[uint32]*flight
-	lastID   uint32
-	told     []told // by engine
-	further  []float64
-	taken    []float64
-	knew     warmstart.Knowledge // by the process that ended last, and when that was
-	diedAt   float64
+	sim           *Town
+	index         int
+	incarnation   int
+	up            bool
+	controller    *admission.Controller
+	follower      *discovery.Follower
+	requests      map[uint32]*activeRequest
+	lastRequestID uint32
+	serverStates  []listedState // by engine
+	retryTimes    []float64
+	requestTimes  []float64
+	learned       warmstart.Knowledge // by the process that ended last, and when that was
+	stoppedAt     float64
 }
 
-const trip = 0.0005 // seconds to an engine or a client and back
+const roundTrip = 0.0005 // seconds to an engine or a client and back
 
 // Run plays a day.
 func Run(set Settings) (Result, error) {
-	t := &Town{set: set, rnd: rand.New(rand.NewPCG(set.Seed, 1)), luck: rand.New(rand.NewPCG(set.Seed, 3)), running: map[uint64]query{}}
-	if err := t.build(); err != nil {
+	t := &Town{settings: set, clientRand: rand.New(rand.NewPCG(set.Seed, 1)), serverRand: rand.New(rand.NewPCG(set.Seed, 3)), running: map[uint64]query{}}
+	if err := t.setUp(); err != nil {
 		return t.Result, err
 	}
-	for k := range t.set.Streams {
-		t.next(k, 0)
+	for k := range t.settings.Streams {
+		t.scheduleArrival(k, 0)
 	}
-	t.play()
-	for _, e := range t.engines {
+	t.runEvents()
+	for _, e := range t.servers {
 		t.Wasted += e.Wasted
 	}
 	return t.Result, nil
 }
 
-func (t *Town) build() error {
-	s := &t.set
+func (t *Town) setUp() error {
+	s := &t.settings
 	s.Routers = max(s.Routers, 1)
 	if s.Zones == nil {
 		s.Zones = []string{"here"}
@@ -215,186 +215,186 @@
 		}
 	}
 	for k := range s.Engines {
-		t.engines = append(t.engines, newHouse(s, k))
+		t.servers = append(t.servers, newServer(s, k))
 	}
-	t.list.change(t)
+	t.list.update(t)
 	for me := range s.Routers {
-		r := &router{t: t, me: me}
+		r := &router{sim: t, index: me}
 		t.routers = append(t.routers, r)
 		if err := r.start(); err != nil {
 			return err
 		}
 	}
 	for _, h := range s.Happens {
-		t.push(event{at: h.At, what: happen, h: h})
+		t.push(event{at: h.At, kind: faultStartEvent, fault: h})
 	}
 	return nil
 }
 
 // start brings a router to life with the list of now.
 func (r *router) start() error {
-	t := r.t
-	b := t.set.Brain
-	b.Seed, b.Me, b.Routers = t.set.Seed+uint64(r.me)<<32+uint64(r.life)<<48, r.me, t.set.Routers
-	if t.set.Sharers > 0 {
-		b.Me, b.Routers = r.me%t.set.Sharers, t.set.Sharers
+	t := r.sim
+	settings := t.settings.Brain
+	settings.Seed, settings.Me, settings.Routers = t.settings.Seed+uint64(r.index)<<32+uint64(r.incarnation)<<48, r.index, t.settings.Routers
+	if t.settings.Sharers > 0 {
+		settings.Me, settings.Routers = r.index%t.settings.Sharers, t.settings.Sharers
 	}
-	if t.set.Teams != nil {
-		tree, err := fairshare.New(*t.set.Teams, t.now)
+	if t.settings.Teams != nil {
+		tree, err := fairshare.New(*t.settings.Teams, t.now)
 		if err != nil {
 			return err
 		}
-		b.Teams, b.Ageing = tree, t.set.Teams.Ageing
-		if r.me == 0 {
+		settings.Teams, settings.Ageing = tree, t.settings.Teams.Ageing
+		if r.index == 0 {
 			t.Teams = tree
 		}
 	}
-	if t.set.Waits {
-		b.Waits = waittime.New(len(b.Profiles), b.MaxPause)
+	if t.settings.Waits {
+		settings.Waits = waittime.New(len(settings.Profiles), settings.MaxPause)
 	}
-	r.up, r.flights, r.lastID = true, map[uint32]*flight{}, 0
-	r.told = make([]told, len(t.engines))
-	r.further, r.taken = nil, nil
-	r.follower = discovery.New(t.set.Zones, t.set.Kinds)
-	if _, err := r.follower.ApplyConfig(t.list.known(t)); err != nil {
+	r.up, r.requests, r.lastRequestID = true, map[uint32]*activeRequest{}, 0
+	r.serverStates = make([]listedState, len(t.servers))
+	r.retryTimes, r.requestTimes = nil, nil
+	r.follower = discovery.New(t.settings.Zones, t.settings.Kinds)
+	if _, err := r.follower.ApplyConfig(t.list.asConfig(t)); err != nil {
 		return err
 	}
-	if t.set.Recall != nil && r.life > 0 {
-		b.Memory = t.set.Recall(r.knew, t.now-r.diedAt, &b)
+	if t.settings.Recall != nil && r.incarnation > 0 {
+		settings.Memory = t.settings.Recall(r.learned, t.now-r.stoppedAt, &settings)
 	}
-	r.mind = admission.New(b, t.now, r)
-	r.members(admission.Cached)
+	r.controller = admission.New(settings, t.now, r)
+	r.updateServers(admission.Cached)
 	r.poll(t.now)
 	return nil
 }
 
-func (t *Town) play() {
+func (t *Town) runEvents() {
 	for n := 1; ; n++ {
-		const now = 4096 // steps: some milliseconds
-		if n%now == 0 && t.set.Stop != nil && t.set.Stop() {
+		const stopCheckInterval = 4096 // steps: some milliseconds
+		if n%stopCheckInterval == 0 && t.settings.Stop != nil && t.settings.Stop() {
 			return
 		}
 		at, k := math.Inf(1), -1
-		if len(t.todo) > 0 {
-			at = t.todo[0].at
+		if len(t.queue) > 0 {
+			at = t.queue[0].at
 		}
-		for i, e := range t.engines {
+		for i, e := range t.servers {
 			if n := e.Next(); n < at {
 				at, k = n, i
 			}
 		}
-		if at > t.set.Length || t.ended {
+		if at > t.settings.Length || t.stopped {
 			return
 		}
 		t.now = max(t.now, at)
 		if k >= 0 {
-			t.engines[k].Advance(at)
-			for _, ev := range t.engines[k].Events() {
-				t.said(k, ev)
+			t.servers[k].Advance(at)
+			for _, ev := range t.servers[k].Events() {
+				t.handleServerEvent(k, ev)
 			}
 			continue
 		}
-		t.one(heap.Pop(&t.todo).(event))
+		t.handleEvent(heap.Pop(&t.queue).(event))
 	}
 }
 
-func (t *Town) one(e event) {
-	switch e.what {
-	case arrive:
-		if e.try.Number == 1 {
-			t.next(e.try.Stream, t.now)
-			if t.Clients++; t.set.Keep != nil && !t.set.Keep(t.Clients-1) {
+func (t *Town) handleEvent(e event) {
+	switch e.kind {
+	case arrivalEvent:
+		if e.request.Number == 1 {
+			t.scheduleArrival(e.request.Stream, t.now)
+			if t.Clients++; t.settings.Keep != nil && !t.settings.Keep(t.Clients-1) {
 				return
 			}
 		}
-		t.take(e.try)
+		t.routeRequest(e.request)
 		return
-	case look:
+	case shadowEvent:
 		s := &t.Shadows[e.token]
-		if s.Took = t.now - s.At; t.routers[0].mind.WouldAdmit(t.now, s.ask) {
+		if s.Took = t.now - s.At; t.routers[0].controller.WouldAdmit(t.now, s.request) {
 			s.In = true
-		} else if s.Took < lookFor {
-			t.push(event{at: t.now + lookEvery, what: look, token: e.token})
+		} else if s.Took < shadowTimeout {
+			t.push(event{at: t.now + shadowInterval, kind: shadowEvent, token: e.token})
 		}
 		return
-	case happen:
-		t.happen(e.h)
+	case faultStartEvent:
+		t.startFault(e.fault)
 		return
-	case calm:
-		t.calm(e.h)
+	case faultEndEvent:
+		t.endFault(e.fault)
 		return
 	}
 	r := t.routers[e.router]
-	if !r.up || r.life != e.life {
+	if !r.up || r.incarnation != e.incarnation {
 		return
 	}
-	switch e.what {
-	case wake:
-		r.mind.Woken(t.now, e.token)
-	case poll:
+	switch e.kind {
+	case wakeEvent:
+		r.controller.Woken(t.now, e.token)
+	case pollEvent:
 		r.poll(t.now)
-	case news:
-		if fresh, _ := r.follower.HandleAnswer(e.text); fresh {
-			r.members(admission.Full)
+	case listAnswerEvent:
+		if fresh, _ := r.follower.HandleAnswer(e.answer); fresh {
+			r.updateServers(admission.Full)
 		}
-	case outcome, limit:
-		if f := r.flights[uint32(e.token)]; f != nil && f.out && f.number == e.number {
-			t.end(f, e.end, 0)
+	case outcomeEvent, timeoutEvent:
+		if f := r.requests[uint32(e.token)]; f != nil && f.outstanding && f.attempt == e.attempt {
+			t.endAttempt(f, e.end, 0)
 		}
 	}
 }
 
-// said takes what an engine tells.
-func (t *Town) said(k int, ev engine.Event) {
+// handleServerEvent takes what an engine tells.
+func (t *Town) handleServerEvent(k int, ev engine.Event) {
 	q, ok := t.running[ev.ID]
 	if ev.What == engine.Done {
 		t.Ran = append(t.Ran, Ran{t.now, q.stream, ev.Value})
 		delete(t.running, ev.ID)
 	}
-	f := q.f
-	if !ok || f == nil || !f.out || f.number != q.number {
+	f := q.request
+	if !ok || f == nil || !f.outstanding || f.attempt != q.attempt {
 		return // nobody waits for it any more
 	}
-	house := t.engines[k]
-	note := admission.Progress{ID: f.id, Server: house.id, Attempt: f.number, Value: ev.Value}
-	mind := t.routers[f.router].mind
+	server := t.servers[k]
+	progress := admission.Progress{ID: f.id, Server: server.discoveryID, Attempt: f.attempt, Value: ev.Value}
+	controller := t.routers[f.router].controller
 	switch ev.What {
 	case engine.Done:
-		if house.loses > 0 && t.luck.Float64() < house.loses {
+		if server.lossShare > 0 && t.serverRand.Float64() < server.lossShare {
 			return // its answer is lost on the way: the send's limit ends it
 		}
-		t.end(f, admission.Completed, ev.Value)
+		t.endAttempt(f, admission.Completed, ev.Value)
 	case engine.Progress:
-		note.Kind = admission.ShareDone
-		mind.Progress(t.now, note)
+		progress.Kind = admission.ShareDone
+		controller.Progress(t.now, progress)
 	case engine.Spills:
-		note.Kind = admission.Spilling
-		mind.Progress(t.now, note)
+		progress.Kind = admission.Spilling
+		controller.Progress(t.now, progress)
 	}
 }
 
-func (t *Town) end(f *flight, end admission.End, work float64) {
-	f.out = false
-	t.show(SendEnded, f, end)
-	f.ended = end
-	if end == admission.Completed && !f.over {
-		t.final(f, Answered)
+func (t *Town) endAttempt(f *activeRequest, end admission.End, work float64) {
+	f.outstanding = false
+	t.observe(SendEnded, f, end)
+	f.lastEnd = end
+	if end == admission.Completed && !f.finished {
+		t.finish(f, Answered)
 	}
-	o := admission.Outcome{ID: f.id, Server: t.engines[f.engine].id, Attempt: f.number, End: end, Latency: t.now - f.sent, Final: f.over, Work: work}
+	outcome := admission.Outcome{ID: f.id, Server: t.servers[f.server].discoveryID, Attempt: f.attempt, End: end, Latency: t.now - f.sentAt, Final: f.finished, Work: work}
 	r := t.routers[f.router]
-	r.mind.Outcome(t.now, o)
-	r.forget(f)
+	r.controller.Outcome(t.now, outcome)
+	r.removeIfDone(f)
 }
 
-func (t *Town) final(f *flight, how How) {
-	f.over = true
-	try := &t.Tries[f.try]
-	try.Ended, try.How = t.now, how
-	t.show(Final, f)
+func (t *Town) finish(f *activeRequest, how How) {
+	f.finished = true
+	request := &t.Tries[f.requestIndex]
+	request.Ended, request.How = t.now, how
+	t.observe(Final, f)
 }
 
-func (r *router) forget(f *flight) {
-	if f.over && !f.out {
-		delete(r.flights, f.id)
+func (r *router) removeIfDone(f *activeRequest) {
+	if f.finished && !f.outstanding {
+		delete(r.requests, f.id)
 	}
 }
--- a/emulator/cluster/town_test.go
+++ b/emulator/cluster/town_test.go
@@ -9,15 +9,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func small() Settings {
+func smallScenario() Settings {
 	s := Settings{Seed: 7, Length: 20, Routers: 2, Brain: admission.Settings{Tick: 0.005, MaxSends: 4, Priorities: true, MaxPause: 0.5,
 		ColdFrom: 0.35, WarmUp: 15, FallMultiple: 2, FallWindow: 1, Profiles: []admission.Profile{{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1}}}}
 	for range 3 {
 		s.Engines = append(s.Engines, Engine{Settings: engine.Settings{Cores: 4, Knee: 2, Thrash: 0.3, Notes: 2}})
 	}
-	st := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Tries: 2, Ignores: 0.3}
-	st.Rate, st.Peak = Steady(60)
-	s.Streams = []Stream{st}
+	stream := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Tries: 2, Ignores: 0.3}
+	stream.Rate, stream.Peak = Steady(60)
+	s.Streams = []Stream{stream}
 	s.Happens = []Happening{{At: 2, For: 3, Act: Silent, Engines: []int{0}}, {At: 3, For: 4, Act: Gone, Engines: []int{1}},
 		{At: 6, For: 4, Act: Errors, Engines: []int{2}, Value: 0.5}, {At: 8, For: 3, Act: Lose, Engines: []int{0}, Value: 0.5},
 		{At: 9, For: 1, Act: Restart, Routers: []int{1}}, {At: 11, For: 3, Act: Drain, Engines: []int{2}}}
@@ -26,8 +26,8 @@
 
 // TestSame: equal settings and seed give the same run, whatever befalls it; another seed gives another.
 func TestSame(t *testing.T) {
-	play := func(seed uint64) []Try {
-		s := small()
+	run := func(seed uint64) []Try {
+		s := smallScenario()
 		s.Seed = seed
 		r, err := Run(s)
 		if err != nil {
@@ -35,7 +35,7 @@
 		}
 		return r.Tries
 	}
-	one, two := play(7), play(7)
+	one, two := run(7), run(7)
 	for k := range one { // NaN is not itself
 		if one[k].Sent != one[k].Sent {
 			one[k].Sent, two[k].Sent = 0, 0
@@ -44,7 +44,7 @@
 	if diff := cmp.Diff(one, two); diff != "" {
 		t.Errorf("the same run is another:\n%s", diff)
 	}
-	if len(play(8)) == len(one) {
+	if len(run(8)) == len(one) {
 		t.Error("another seed gives as many commands: chance has no part")
 	}
 }
@@ -52,7 +52,7 @@
 // TestAccounted: every command comes to an end in time, through silence, death, errors, lost answers, restarts and drains;
 // what a killed router had is lost and nothing else is.
 func TestAccounted(t *testing.T) {
-	r, err := Run(small())
+	r, err := Run(smallScenario())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,11 +76,11 @@
 
 // TestKeep: who is left out changes nothing about when the others come.
 func TestKeep(t *testing.T) {
-	all, err := Run(small())
+	all, err := Run(smallScenario())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := small()
+	s := smallScenario()
 	s.Keep = func(client int) bool { return client >= 100 }
 	some, err := Run(s)
 	if err != nil {
@@ -97,7 +97,7 @@
 // TestSubset: a router sends to nothing but what it is told of, through silence, death and restarts, and databases that one
 // router does not hold are used by others that do.
 func TestSubset(t *testing.T) {
-	s := small()
+	s := smallScenario()
 	s.Sharers = 1
 	s.Subset = func(router, database int) bool { return database == 0 || database == 1+router }
 	sent := map[[2]int]bool{}
--- a/emulator/cluster/world.go
+++ b/emulator/cluster/world.go
@@ -34,14 +34,14 @@
 	Reload                 // a router reads its configuration again, with the list of now
 )
 
-var actNames = [...]string{"drain", "gone", "back", "pace", "silent", "errors", "lose", "list_late", "list_lost", "list_old",
+var faultKindNames = [...]string{"drain", "gone", "back", "pace", "silent", "errors", "lose", "list_late", "list_lost", "list_old",
 	"list_damaged", "burst", "restart", "reload"}
 
-func (a Act) String() string { return actNames[a] }
+func (a Act) String() string { return faultKindNames[a] }
 
 // ActOf is an act by its name.
 func ActOf(name string) (Act, bool) {
-	k := slices.Index(actNames[:], name)
+	k := slices.Index(faultKindNames[:], name)
 	return Act(max(k, 0)), k >= 0
 }
 
@@ -55,45 +55,45 @@
 	Value   float64
 }
 
-type told struct {
+type listedState struct {
 	state admission.State
-	at    float64
+	since float64
 }
 
-// house is an engine with what befalls it.
-type house struct {
+// server is an engine with what befalls it.
+type server struct {
 	*engine.Engine
-	set   Engine
-	id    uint32 // the routers' number of it
-	state admission.State
-	born  float64
-	errs  float64
-	loses float64
-	given []given
+	settings    Engine
+	discoveryID uint32 // the routers' number of it
+	state       admission.State
+	startedAt   float64
+	errorShare  float64
+	lossShare   float64
+	recentWork  []sentWork
 }
 
-// given is work that an engine was sent.
-type given struct{ at, work float64 }
+// sentWork is work that an engine was sent.
+type sentWork struct{ at, work float64 }
 
-// recent sums what was sent after a time, and forgets the rest.
-func (h *house) recent(from float64) (sum float64) {
+// recentWorkSince sums what was sent after a time, and forgets the rest.
+func (h *server) recentWorkSince(from float64) (sum float64) {
 	n := 0
-	for n < len(h.given) && h.given[n].at < from {
+	for n < len(h.recentWork) && h.recentWork[n].at < from {
 		n++
 	}
-	h.given = h.given[n:]
-	for _, g := range h.given {
-		sum += g.work
+	h.recentWork = h.recentWork[n:]
+	for _, sent := range h.recentWork {
+		sum += sent.work
 	}
 	return sum
 }
 
-func newHouse(s *Settings, k int) *house {
+func newServer(s *Settings, k int) *server {
 	e := s.Engines[k]
 	if e.Name == "" {
 		e.Name = fmt.Sprintf("e-%d", k)
 	}
-	h := &house{Engine: engine.New(e.Settings, 0), set: e, state: admission.Ready, born: e.Born}
+	h := &server{Engine: engine.New(e.Settings, 0), settings: e, state: admission.Ready, startedAt: e.Born}
 	if e.Absent {
 		h.state = admission.Gone
 	}
@@ -102,24 +102,24 @@
 
 func kindName(k int) string { return fmt.Sprintf("kind-%d", k) }
 
-// list is what the name server tells, as it stands and as it stood before.
-type list struct {
-	rev        uint32
-	lines, was []string
-	late       []float64 // by router
-	lost, old  []bool
-	damaged    []bool
+// serverList is what the name server tells, as it stands and as it stood before.
+type serverList struct {
+	revision             uint32
+	lines, previousLines []string
+	delays               []float64 // by router
+	lost, stale          []bool
+	damaged              []bool
 }
 
-// change notes a new event of the list.
-func (l *list) change(t *Town) {
-	if l.late == nil {
-		n := t.set.Routers
-		l.late, l.lost, l.old, l.damaged = make([]float64, n), make([]bool, n), make([]bool, n), make([]bool, n)
+// update notes a new event of the list.
+func (l *serverList) update(t *Town) {
+	if l.delays == nil {
+		n := t.settings.Routers
+		l.delays, l.lost, l.stale, l.damaged = make([]float64, n), make([]bool, n), make([]bool, n), make([]bool, n)
 	}
-	l.rev++
-	l.was, l.lines = l.lines, nil
-	for k, e := range t.engines {
+	l.revision++
+	l.previousLines, l.lines = l.lines, nil
+	for k, e := range t.servers {
 		if e.state == admission.Gone {
 			continue
 		}
@@ -127,112 +127,112 @@
 		if e.state == admission.Draining {
 			priority = 1
 		}
-		l.lines = append(l.lines, fmt.Sprintf("%s.%s %d %.0f %s %d %.0f 127.0.%d.%d:4100", e.set.Name, t.set.Zones[e.set.Zone],
-			priority, 10*max(e.set.Cores, 1), t.set.Kinds[e.set.Kind], e.set.Cell, e.born*1000, k/250, 1+k%250))
+		l.lines = append(l.lines, fmt.Sprintf("%s.%s %d %.0f %s %d %.0f 127.0.%d.%d:4100", e.settings.Name, t.settings.Zones[e.settings.Zone],
+			priority, 10*max(e.settings.Cores, 1), t.settings.Kinds[e.settings.Kind], e.settings.Cell, e.startedAt*1000, k/250, 1+k%250))
 	}
 }
 
-// known is the list of now as a configuration has it.
-func (l *list) known(t *Town) discovery.ConfiguredList {
-	n := discovery.Event{Rev: l.rev}
+// asConfig is the list of now as a configuration has it.
+func (l *serverList) asConfig(t *Town) discovery.ConfiguredList {
+	n := discovery.Event{Rev: l.revision}
 	n.Pool = &struct {
 		All     bool               `json:"all"`
 		Targets []discovery.Target `json:"targets"`
 	}{All: true}
-	for k, e := range t.engines {
+	for k, e := range t.servers {
 		if e.state == admission.Gone {
 			continue
 		}
-		n.Pool.Targets = append(n.Pool.Targets, discovery.Target{UID: e.set.Name, Endpoint: fmt.Sprintf("127.0.%d.%d:4100", k/250, 1+k%250),
-			Zone: t.set.Zones[e.set.Zone], Kind: t.set.Kinds[e.set.Kind], Cell: e.set.Cell, State: map[admission.State]string{
-				admission.Ready: "ready", admission.Draining: "draining"}[e.state], Weight: e.set.Cores, BootMs: e.born * 1000})
+		n.Pool.Targets = append(n.Pool.Targets, discovery.Target{UID: e.settings.Name, Endpoint: fmt.Sprintf("127.0.%d.%d:4100", k/250, 1+k%250),
+			Zone: t.settings.Zones[e.settings.Zone], Kind: t.settings.Kinds[e.settings.Kind], Cell: e.settings.Cell, State: map[admission.State]string{
+				admission.Ready: "ready", admission.Draining: "draining"}[e.state], Weight: e.settings.Cores, BootMs: e.startedAt * 1000})
 	}
-	return discovery.ConfiguredList{Rev: l.rev, Notices: []discovery.Event{n}}
+	return discovery.ConfiguredList{Rev: l.revision, Notices: []discovery.Event{n}}
 }
 
 // poll asks for the list, as the driver does.
 func (r *router) poll(now float64) {
-	const settled, unsettled = 0.3, 0.1 // seconds between questions
-	t := r.t
+	const confirmedInterval, unconfirmedInterval = 0.3, 0.1 // seconds between questions
+	t := r.sim
 	l := &t.list
-	every := settled
+	interval := confirmedInterval
 	if r.follower.Unconfirmed() {
-		every = unsettled
+		interval = unconfirmedInterval
 	}
-	t.push(event{at: now + every, what: poll, router: r.me, life: r.life})
-	nothingNew := l.rev == r.follower.Revision() && !r.follower.Unconfirmed()
-	if l.lost[r.me] || nothingNew && !l.old[r.me] && !l.damaged[r.me] {
+	t.push(event{at: now + interval, kind: pollEvent, router: r.index, incarnation: r.incarnation})
+	nothingNew := l.revision == r.follower.Revision() && !r.follower.Unconfirmed()
+	if l.lost[r.index] || nothingNew && !l.stale[r.index] && !l.damaged[r.index] {
 		return
 	}
 	id := binary.BigEndian.Uint16(r.follower.AppendQuery(nil))
-	rev, lines := l.rev, l.lines
-	if l.old[r.me] {
-		rev, lines = rev-1, l.was
+	revision, lines := l.revision, l.lines
+	if l.stale[r.index] {
+		revision, lines = revision-1, l.previousLines
 	}
-	text := fake.Reply(id, rev, discovery.ServiceName, lines...)
-	if l.damaged[r.me] {
-		text = text[:len(text)*2/3]
+	answer := fake.Reply(id, revision, discovery.ServiceName, lines...)
+	if l.damaged[r.index] {
+		answer = answer[:len(answer)*2/3]
 	}
-	t.push(event{at: now + trip + l.late[r.me], what: news, router: r.me, life: r.life, text: text})
+	t.push(event{at: now + roundTrip + l.delays[r.index], kind: listAnswerEvent, router: r.index, incarnation: r.incarnation, answer: answer})
 }
 
-// members hands the list in hand to the module.
-func (r *router) members(scope admission.Scope) {
-	t := r.t
-	ready := map[uint32]admission.State{}
+// updateServers hands the list in hand to the module.
+func (r *router) updateServers(scope admission.Scope) {
+	t := r.sim
+	states := map[uint32]admission.State{}
 	for _, e := range r.follower.List() {
-		ready[e.Server] = e.State
+		states[e.Server] = e.State
 	}
-	for k, h := range t.engines {
-		if h.id == 0 {
+	for k, h := range t.servers {
+		if h.discoveryID == 0 {
 			for _, e := range r.follower.List() {
-				if strings.EqualFold(r.follower.Name(e.Server), h.set.Name) {
-					h.id = e.Server
+				if strings.EqualFold(r.follower.Name(e.Server), h.settings.Name) {
+					h.discoveryID = e.Server
 				}
 			}
 		}
-		state := ready[h.id] // gone where it is not listed
+		state := states[h.discoveryID] // gone where it is not listed
 		if scope == admission.Cached {
-			r.told[k] = told{state, math.Inf(-1)}
-		} else if r.told[k].state != state {
-			r.told[k] = told{state, t.now}
+			r.serverStates[k] = listedState{state, math.Inf(-1)}
+		} else if r.serverStates[k].state != state {
+			r.serverStates[k] = listedState{state, t.now}
 		}
 	}
-	if t.set.Watch != nil {
-		m := Moment{On: Listed, Now: t.now, Router: r.me, Engine: -1, Rev: r.follower.Revision()}
-		for _, s := range ready {
+	if t.settings.Watch != nil {
+		m := Moment{On: Listed, Now: t.now, Router: r.index, Engine: -1, Rev: r.follower.Revision()}
+		for _, s := range states {
 			if s == admission.Ready {
 				m.Listed++
 			}
 		}
-		t.watch(&m)
+		t.callWatch(&m)
 	}
-	r.mind.UpdateServers(t.now, scope, r.subset())
+	r.controller.UpdateServers(t.now, scope, r.subset())
 }
 
 // subset is the part of the list in hand that the module is told of.
 func (r *router) subset() []admission.Entry {
 	all := r.follower.List()
-	if r.t.set.Subset == nil {
+	if r.sim.settings.Subset == nil {
 		return all
 	}
 	var held []admission.Entry
 	for _, entry := range all {
-		if r.t.set.Subset(r.me, r.t.engineOf(entry.Server)) {
+		if r.sim.settings.Subset(r.index, r.sim.serverIndex(entry.Server)) {
 			held = append(held, entry)
 		}
 	}
 	return held
 }
 
-func (t *Town) engineOf(id uint32) int {
-	return slices.IndexFunc(t.engines, func(h *house) bool { return h.id == id })
+func (t *Town) serverIndex(id uint32) int {
+	return slices.IndexFunc(t.servers, func(h *server) bool { return h.discoveryID == id })
 }
 
-// happen begins an act.
-func (t *Town) happen(h Happening) {
+// startFault begins an act.
+func (t *Town) startFault(h Happening) {
 	for _, k := range h.Engines {
-		e := t.engines[k]
+		e := t.servers[k]
 		e.Advance(t.now)
 		switch h.Act {
 		case Drain:
@@ -240,51 +240,51 @@
 				e.state = admission.Draining
 			}
 		case Gone:
-			t.die(k)
+			t.killServer(k)
 		case Back:
-			e.Engine, e.state, e.born = engine.New(e.set.Settings, t.now), admission.Ready, t.now
+			e.Engine, e.state, e.startedAt = engine.New(e.settings.Settings, t.now), admission.Ready, t.now
 		case Pace:
 			e.Pace(t.now, h.Value)
 		case Silent:
 			e.Paused = true
 		case Errors:
-			e.errs = h.Value
+			e.errorShare = h.Value
 		case Lose:
-			e.loses = h.Value
+			e.lossShare = h.Value
 		}
 	}
 	switch h.Act {
 	case Drain, Gone, Back:
-		t.list.change(t)
+		t.list.update(t)
 	case Burst: // the arrivals know of it
 	case Reload:
-		for _, me := range t.whose(h) {
+		for _, me := range t.affectedRouters(h) {
 			r := t.routers[me]
 			if !r.up {
 				continue
 			}
-			if fresh, err := r.follower.ApplyConfig(t.list.known(t)); err == nil && fresh {
-				r.members(admission.Full)
+			if fresh, err := r.follower.ApplyConfig(t.list.asConfig(t)); err == nil && fresh {
+				r.updateServers(admission.Full)
 			}
 		}
 	case Restart:
-		for _, me := range t.whose(h) {
-			t.kill(t.routers[me])
+		for _, me := range t.affectedRouters(h) {
+			t.killRouter(t.routers[me])
 		}
 	default:
-		for _, me := range t.whose(h) {
-			t.list.set(me, h.Act, h.Value, true)
+		for _, me := range t.affectedRouters(h) {
+			t.list.setFault(me, h.Act, h.Value, true)
 		}
 	}
 	if h.For > 0 {
-		t.push(event{at: t.now + h.For, what: calm, h: h})
+		t.push(event{at: t.now + h.For, kind: faultEndEvent, fault: h})
 	}
 }
 
-// calm ends it.
-func (t *Town) calm(h Happening) {
+// endFault ends it.
+func (t *Town) endFault(h Happening) {
 	for _, k := range h.Engines {
-		e := t.engines[k]
+		e := t.servers[k]
 		e.Advance(t.now)
 		switch h.Act {
 		case Pace:
@@ -292,47 +292,47 @@
 		case Silent:
 			e.Paused = false
 		case Errors:
-			e.errs = 0
+			e.errorShare = 0
 		case Lose:
-			e.loses = 0
+			e.lossShare = 0
 		case Drain, Gone: // it starts anew
-			e.Engine, e.state, e.born = engine.New(e.set.Settings, t.now), admission.Ready, t.now
+			e.Engine, e.state, e.startedAt = engine.New(e.settings.Settings, t.now), admission.Ready, t.now
 		}
 	}
 	switch h.Act {
 	case Drain, Gone:
-		t.list.change(t)
+		t.list.update(t)
 	case Burst, Reload:
 	case Restart:
-		for _, me := range t.whose(h) {
+		for _, me := range t.affectedRouters(h) {
 			if r := t.routers[me]; !r.up {
-				r.life++
+				r.incarnation++
 				if err := r.start(); err != nil {
 					panic(err) // the same settings did at the start
 				}
 			}
 		}
 	default:
-		for _, me := range t.whose(h) {
-			t.list.set(me, h.Act, 0, false)
+		for _, me := range t.affectedRouters(h) {
+			t.list.setFault(me, h.Act, 0, false)
 		}
 	}
 }
 
-func (l *list) set(me int, a Act, value float64, on bool) {
-	switch a {
+func (l *serverList) setFault(me int, kind Act, value float64, on bool) {
+	switch kind {
 	case ListLate:
-		l.late[me] = value
+		l.delays[me] = value
 	case ListLost:
 		l.lost[me] = on
 	case ListOld:
-		l.old[me] = on
+		l.stale[me] = on
 	case ListDamaged:
 		l.damaged[me] = on
 	}
 }
 
-func (t *Town) whose(h Happening) []int {
+func (t *Town) affectedRouters(h Happening) []int {
 	if h.Routers != nil {
 		return h.Routers
 	}
@@ -343,41 +343,41 @@
 	return all
 }
 
-// die ends an engine: what is out there is cut.
-func (t *Town) die(k int) {
-	e := t.engines[k]
+// killServer ends an engine: what is out there is cut.
+func (t *Town) killServer(k int) {
+	e := t.servers[k]
 	e.state = admission.Gone
-	e.Engine = engine.New(e.set.Settings, t.now)
-	var cut []uint64
+	e.Engine = engine.New(e.settings.Settings, t.now)
+	var interrupted []uint64
 	for n, q := range t.running {
-		if q.f.engine == k && q.f.run == n {
-			cut = append(cut, n)
+		if q.request.server == k && q.request.queryID == n {
+			interrupted = append(interrupted, n)
 		}
 	}
-	slices.Sort(cut) // equal input must act alike
-	for _, n := range cut {
+	slices.Sort(interrupted) // equal input must act alike
+	for _, n := range interrupted {
 		q := t.running[n]
 		delete(t.running, n)
-		r := t.routers[q.f.router]
-		t.push(event{at: t.now + trip, what: outcome, router: r.me, life: r.life, token: uint64(q.f.id), number: q.number, end: admission.ConnectionLost})
+		r := t.routers[q.request.router]
+		t.push(event{at: t.now + roundTrip, kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(q.request.id), attempt: q.attempt, end: admission.ConnectionLost})
 	}
 }
 
-// kill ends a router at once: what it had is lost, what is out at engines runs on.
-func (t *Town) kill(r *router) {
-	if t.set.Recall != nil {
-		r.knew, r.diedAt = r.mind.Learned(), t.now
+// killRouter ends a router at once: what it had is lost, what is out at engines runs on.
+func (t *Town) killRouter(r *router) {
+	if t.settings.Recall != nil {
+		r.learned, r.stoppedAt = r.controller.Learned(), t.now
 	}
 	r.up = false
-	ids := make([]uint32, 0, len(r.flights))
-	for id := range r.flights {
+	ids := make([]uint32, 0, len(r.requests))
+	for id := range r.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if f := r.flights[id]; !f.over {
-			f.out = false
-			t.final(f, Lost)
+		if f := r.requests[id]; !f.finished {
+			f.outstanding = false
+			t.finish(f, Lost)
 		}
 	}
 }
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -56,94 +56,94 @@
 
 type running struct {
 	Query
-	left   float64
-	rate   float64
-	holds  float64 // MB
-	spills float64 // MB that it wanted and did not get
-	told   bool    // that it spills
-	noteAt float64
+	remaining      float64
+	rate           float64
+	memoryHeld     float64 // MB
+	memorySpilled  float64 // MB that it wanted and did not get
+	spillReported  bool    // that it spills
+	nextProgressAt float64
 }
 
 // Engine is one engine's state.
 type Engine struct {
-	set    Settings
-	now    float64
-	runs   []running // in the order that they came
-	events []Event
-	stale  bool // rates have to be worked out anew
-	order  []int
-	Did    float64 // core seconds done, spilling left out
-	Wasted float64 // by spilling
-	pace   float64
-	Paused bool // it does nothing and says nothing
+	settings    Settings
+	now         float64
+	queries     []running // in the order that they came
+	events      []Event
+	ratesStale  bool // rates have to be worked out anew
+	order       []int
+	Did         float64 // core seconds done, spilling left out
+	Wasted      float64 // by spilling
+	speedFactor float64
+	Paused      bool // it does nothing and says nothing
 
-	next       float64 // what Next worked out last
-	nextHolds  bool    // nothing has changed since
-	nextPaused bool    // what Paused was then
+	cachedNext       float64 // what Next worked out last
+	cachedNextValid  bool    // nothing has changed since
+	cachedNextPaused bool    // what Paused was then
 }
 
 // New is an idle engine.
 func New(set Settings, now float64) *Engine {
 	set.Speed = cmp.Or(set.Speed, 1)
-	return &Engine{set: set, now: now, pace: 1}
+	return &Engine{settings: set, now: now, speedFactor: 1}
 }
 
 // Running is how many queries it has.
-func (e *Engine) Running() int { return len(e.runs) }
+func (e *Engine) Running() int { return len(e.queries) }
 
 // Submit gives it a query, unless it is full.
 func (e *Engine) Submit(now float64, q Query) bool {
 	e.Advance(now)
-	if e.set.Sessions > 0 && len(e.runs) >= e.set.Sessions {
+	if e.settings.Sessions > 0 && len(e.queries) >= e.settings.Sessions {
 		return false
 	}
 	q.Threads = max(q.Threads, 1)
-	e.runs = append(e.runs, running{Query: q, left: max(q.Work, 1e-6), noteAt: now + cmp.Or(e.set.Notes, math.Inf(1))})
-	e.stale = true
+	e.queries = append(e.queries, running{Query: q, remaining: max(q.Work, 1e-6), nextProgressAt: now + cmp.Or(e.settings.Notes, math.Inf(1))})
+	e.ratesStale = true
 	return true
 }
 
 // Pace changes the speed, as a factor on what was set.
 func (e *Engine) Pace(now, factor float64) {
 	e.Advance(now)
-	e.pace, e.stale = factor, true
+	e.speedFactor, e.ratesStale = factor, true
 }
 
 // Renice gives a query another level. One that is not there is no fault.
 func (e *Engine) Renice(now float64, id uint64, level int) {
 	e.Advance(now)
-	for k := range e.runs {
-		if r := &e.runs[k]; r.ID == id {
-			r.Level, e.stale = min(max(level, 0), 3), true
+	for k := range e.queries {
+		if r := &e.queries[k]; r.ID == id {
+			r.Level, e.ratesStale = min(max(level, 0), 3), true
 		}
 	}
 }
 
 // Next is when it has something to tell, if nothing else comes; +Inf: never.
 func (e *Engine) Next() float64 {
-	e.share()
+	e.updateRates()
 	if len(e.events) > 0 {
 		return e.now
 	}
-	if e.nextHolds && e.nextPaused == e.Paused {
-		return e.next
+	if e.cachedNextValid && e.cachedNextPaused == e.Paused {
+		return e.cachedNext
 	}
-	e.next, e.nextHolds, e.nextPaused = e.soonest(), true, e.Paused
-	return e.next
+	e.cachedNext, e.cachedNextValid, e.cachedNextPaused = e.nextEventTime(), true, e.Paused
+	return e.cachedNext
 }
 
-// soonest works out what Next tells where no event waits.
-func (e *Engine) soonest() float64 {
+// nextEventTime works out what Next tells where no event waits.
+func (e *Engine) nextEventTime() float64 {
 	next := math.Inf(1)
 	if e.Paused {
 		return next
 	}
-	for k := range e.runs {
-		r := &e.runs[k]
+	for k := range e.queries {
+		r := &e.queries[k]
 		if r.rate > 0 {
-			next = min(next, e.now+r.left/r.rate)
+			next = min(next, e.now+r.remaining/r.rate)
 		}
-		next = min(next, r.noteAt)
+		next = min(next, r.nextProgressAt)
 	}
 	return next
 }
@@ -151,18 +151,18 @@
 // Advance runs it up to a time.
 func (e *Engine) Advance(now float64) {
 	for e.now < now {
-		e.share()
+		e.updateRates()
 		step := now
 		if !e.Paused {
-			for k := range e.runs {
-				r := &e.runs[k]
+			for k := range e.queries {
+				r := &e.queries[k]
 				if r.rate > 0 {
-					step = min(step, e.now+r.left/r.rate)
+					step = min(step, e.now+r.remaining/r.rate)
 				}
-				step = min(step, max(r.noteAt, e.now))
+				step = min(step, max(r.nextProgressAt, e.now))
 			}
 		}
-		e.run(step)
+		e.runUntil(step)
 	}
 }
 
@@ -173,118 +173,118 @@
 	return all
 }
 
-func (e *Engine) run(to float64) {
-	d := to - e.now
-	e.now, e.nextHolds = to, false
+func (e *Engine) runUntil(to float64) {
+	elapsed := to - e.now
+	e.now, e.cachedNextValid = to, false
 	if e.Paused {
-		for k := range e.runs {
-			e.runs[k].noteAt += d // or it would lie behind
+		for k := range e.queries {
+			e.queries[k].nextProgressAt += elapsed // or it would lie behind
 		}
 		return
 	}
-	e.stale = e.stale || e.set.Memory > 0
-	const none = 1e-9 // core seconds: rounding
-	kept := e.runs[:0]
-	for k := range e.runs {
-		r := e.runs[k]
-		did := r.rate * d
-		r.left -= did
-		e.Did += did
-		if r.spills > 0 {
-			e.Wasted += did * e.set.Spill * r.spills / r.Memory
-			if !r.told {
-				r.told = true
-				e.events = append(e.events, Event{to, r.ID, Spills, r.spills})
+	e.ratesStale = e.ratesStale || e.settings.Memory > 0
+	const roundingError = 1e-9 // core seconds: rounding
+	kept := e.queries[:0]
+	for k := range e.queries {
+		r := e.queries[k]
+		done := r.rate * elapsed
+		r.remaining -= done
+		e.Did += done
+		if r.memorySpilled > 0 {
+			e.Wasted += done * e.settings.Spill * r.memorySpilled / r.Memory
+			if !r.spillReported {
+				r.spillReported = true
+				e.events = append(e.events, Event{to, r.ID, Spills, r.memorySpilled})
 			}
 		}
-		if r.left <= none {
+		if r.remaining <= roundingError {
 			e.events = append(e.events, Event{to, r.ID, Done, r.Work})
-			e.stale = true
+			e.ratesStale = true
 			continue
 		}
-		if to >= r.noteAt {
-			r.noteAt += e.set.Notes
-			e.events = append(e.events, Event{to, r.ID, Progress, 1 - r.left/r.Work})
+		if to >= r.nextProgressAt {
+			r.nextProgressAt += e.settings.Notes
+			e.events = append(e.events, Event{to, r.ID, Progress, 1 - r.remaining/r.Work})
 		}
 		kept = append(kept, r)
 	}
-	e.runs = kept
+	e.queries = kept
 }
 
 var weights = [...]float64{1, 4, 8, 16}
 
-// share gives each query its rate.
-func (e *Engine) share() {
-	if !e.stale {
+// updateRates gives each query its rate.
+func (e *Engine) updateRates() {
+	if !e.ratesStale {
 		return
 	}
-	e.stale, e.nextHolds = false, false
+	e.ratesStale, e.cachedNextValid = false, false
 	threads := 0.0
-	for k := range e.runs {
-		threads += e.runs[k].Threads
+	for k := range e.queries {
+		threads += e.queries[k].Threads
 	}
-	e.grow()
-	whole := e.set.Cores
-	if over := threads/(max(e.set.Knee, 1e-9)*e.set.Cores) - 1; e.set.Knee > 0 && over > 0 {
-		whole /= 1 + e.set.Thrash*over
+	e.allocateMemory()
+	coresLeft := e.settings.Cores
+	if crowding := threads/(max(e.settings.Knee, 1e-9)*e.settings.Cores) - 1; e.settings.Knee > 0 && crowding > 0 {
+		coresLeft /= 1 + e.settings.Thrash*crowding
 	}
 	// Filled like water: those whose threads are fewer than their share leave the rest to the others.
 	e.order = e.order[:0]
-	sum := 0.0
-	for k := range e.runs {
+	weightSum := 0.0
+	for k := range e.queries {
 		e.order = append(e.order, k)
-		sum += weights[e.runs[k].Level] * e.runs[k].Threads
+		weightSum += weights[e.queries[k].Level] * e.queries[k].Threads
 	}
-	slices.SortStableFunc(e.order, func(a, b int) int { return weightsOf(&e.runs[b]) - weightsOf(&e.runs[a]) })
+	slices.SortStableFunc(e.order, func(a, b int) int { return levelWeight(&e.queries[b]) - levelWeight(&e.queries[a]) })
 	for _, k := range e.order {
-		r := &e.runs[k]
+		r := &e.queries[k]
 		w := weights[r.Level] * r.Threads
-		cores := min(r.Threads, whole*w/sum)
-		whole, sum = whole-cores, sum-w
-		r.rate = cores * e.set.Speed * e.pace
-		if r.spills > 0 {
-			r.rate /= 1 + e.set.Spill*r.spills/r.Memory
+		cores := min(r.Threads, coresLeft*w/weightSum)
+		coresLeft, weightSum = coresLeft-cores, weightSum-w
+		r.rate = cores * e.settings.Speed * e.speedFactor
+		if r.memorySpilled > 0 {
+			r.rate /= 1 + e.settings.Spill*r.memorySpilled/r.Memory
 		}
 	}
 }
 
-func weightsOf(r *running) int { return int(weights[r.Level]) }
+func levelWeight(r *running) int { return int(weights[r.Level]) }
 
-// grow gives queries the memory that they want by now, the highest level first, and there the earliest. Where there is none
+// allocateMemory gives queries the memory that they want by now, the highest level first, and there the earliest. Where there is none
 // left, lower levels lose what they hold to higher ones.
-func (e *Engine) grow() {
-	if e.set.Memory <= 0 {
+func (e *Engine) allocateMemory() {
+	if e.settings.Memory <= 0 {
 		return
 	}
-	free := e.set.Memory
-	for k := range e.runs {
-		free -= e.runs[k].holds
+	free := e.settings.Memory
+	for k := range e.queries {
+		free -= e.queries[k].memoryHeld
 	}
 	for level := len(weights) - 1; level >= 0; level-- {
-		for k := range e.runs {
-			r := &e.runs[k]
+		for k := range e.queries {
+			r := &e.queries[k]
 			if r.Level != level {
 				continue
 			}
-			const whole = 0.5 // of the work, by when it has all its memory
-			wants := max(r.Memory*min(1, (1-r.left/r.Work)/whole)-r.holds-r.spills, 0)
-			gets := max(min(wants, free), 0)
-			free -= gets
-			gets += e.steal(level, wants-gets)
-			r.holds, r.spills = r.holds+gets, r.spills+wants-gets
+			const fullMemoryShare = 0.5 // of the work, by when it has all its memory
+			missing := max(r.Memory*min(1, (1-r.remaining/r.Work)/fullMemoryShare)-r.memoryHeld-r.memorySpilled, 0)
+			granted := max(min(missing, free), 0)
+			free -= granted
+			granted += e.reclaimMemory(level, missing-granted)
+			r.memoryHeld, r.memorySpilled = r.memoryHeld+granted, r.memorySpilled+missing-granted
 		}
 	}
 }
 
-// steal takes memory from lower levels, the latest first.
-func (e *Engine) steal(level int, wants float64) (gets float64) {
-	for below := 0; below < level && gets < wants; below++ {
-		for k := len(e.runs) - 1; k >= 0 && gets < wants; k-- {
-			if r := &e.runs[k]; r.Level == below {
-				some := min(r.holds, wants-gets)
-				r.holds, r.spills, gets = r.holds-some, r.spills+some, gets+some
+// reclaimMemory takes memory from lower levels, the latest first.
+func (e *Engine) reclaimMemory(level int, missing float64) (reclaimed float64) {
+	for below := 0; below < level && reclaimed < missing; below++ {
+		for k := len(e.queries) - 1; k >= 0 && reclaimed < missing; k-- {
+			if r := &e.queries[k]; r.Level == below {
+				taken := min(r.memoryHeld, missing-reclaimed)
+				r.memoryHeld, r.memorySpilled, reclaimed = r.memoryHeld-taken, r.memorySpilled+taken, reclaimed+taken
 			}
 		}
 	}
-	return gets
+	return reclaimed
 }
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -15,37 +15,37 @@
 	os.Exit(m.Run())
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
 
-// ends plays queries given at the start and tells when each ends.
-func ends(e *Engine, qs ...Query) map[uint64]float64 {
+// endTimes plays queries given at the start and tells when each endTimes.
+func endTimes(e *Engine, qs ...Query) map[uint64]float64 {
 	for _, q := range qs {
 		e.Submit(0, q)
 	}
-	out := map[uint64]float64{}
+	ended := map[uint64]float64{}
 	for e.Running() > 0 {
 		e.Advance(e.Next())
 		for _, ev := range e.Events() {
 			if ev.What == Done {
-				out[ev.ID] = ev.At
+				ended[ev.ID] = ev.At
 			}
 		}
 	}
-	return out
+	return ended
 }
 
 // TestShares: one core, two queries of levels 0 and 1 share it 1 : 4; the one left has it whole.
 func TestShares(t *testing.T) {
-	got := ends(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
-	if !near(got[2], 1.25) || !near(got[1], 2) {
+	got := endTimes(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
+	if !almostEqual(got[2], 1.25) || !almostEqual(got[1], 2) {
 		t.Errorf("ended at %v, wanted 1.25 and 2", got)
 	}
 }
 
 // TestThreads: a query has no more cores than threads.
 func TestThreads(t *testing.T) {
-	got := ends(New(Settings{Cores: 8}, 0), Query{ID: 1, Work: 4, Threads: 2}, Query{ID: 2, Work: 1, Threads: 1})
-	if !near(got[1], 2) || !near(got[2], 1) {
+	got := endTimes(New(Settings{Cores: 8}, 0), Query{ID: 1, Work: 4, Threads: 2}, Query{ID: 2, Work: 1, Threads: 1})
+	if !almostEqual(got[1], 2) || !almostEqual(got[2], 1) {
 		t.Errorf("ended at %v, wanted 2 and 1", got)
 	}
 }
@@ -56,13 +56,13 @@
 	set := Settings{Cores: 2, Memory: 100, Spill: 2, Notes: 0.01}
 	first, second := Query{ID: 1, Work: 1, Level: 1, Memory: 100}, Query{ID: 2, Work: 1, Level: 0, Memory: 100}
 	e := New(set, 0)
-	got := ends(e, first, second)
-	if !near(got[1], 1) || got[2] < 1.2 || e.Wasted < 0.2 {
+	got := endTimes(e, first, second)
+	if !almostEqual(got[1], 1) || got[2] < 1.2 || e.Wasted < 0.2 {
 		t.Errorf("ended at %v with %v wasted", got, e.Wasted)
 	}
 	second.Level = 1
 	set.Memory = 200
-	if e = New(set, 0); !near(ends(e, first, second)[2], 1) || e.Wasted != 0 {
+	if e = New(set, 0); !almostEqual(endTimes(e, first, second)[2], 1) || e.Wasted != 0 {
 		t.Errorf("%v wasted with memory for both", e.Wasted)
 	}
 }
@@ -80,10 +80,10 @@
 			qs = append(qs, q)
 		}
 		last := 0.0
-		for _, at := range ends(e, qs...) {
+		for _, at := range endTimes(e, qs...) {
 			last = max(last, at)
 		}
-		if !near(last, sum/4) || !near(e.Did, sum) {
+		if !almostEqual(last, sum/4) || !almostEqual(e.Did, sum) {
 			t.Fatalf("%v of work were done by %v, wanted %v by %v", e.Did, last, sum, sum/4)
 		}
 	})
@@ -112,7 +112,7 @@
 				e.Events()
 			}
 			remembered := e.Next()
-			if e.nextHolds = false; e.Next() != remembered {
+			if e.cachedNextValid = false; e.Next() != remembered {
 				t.Fatalf("Next was %v, and is %v worked out anew", remembered, e.Next())
 			}
 		}
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -35,70 +35,70 @@
 	Long   = Bounds{Time: 6, Lease: 2, Beats: [2]int{2, 2}, Acts: 1, Restarts: 1, Repeats: 1, Most: 20_000_000}
 )
 
-const work = "w/1"
+const task = "w/1"
 
-var names = [2]string{"a", "b"}
+var ownerNames = [2]string{"a", "b"}
 
-// mine is an owner's reading of its clock: nothing but lengths on it counts.
-func mine(t int) float64 { return float64(t) + 100 }
+// ownerClock is an owner's reading of its clock: nothing but lengths on it counts.
+func ownerClock(t int) float64 { return float64(t) + 100 }
 
 type message struct {
-	kind    byte // 'b'eat, 'v'iew, 'a'ct, 'r'elease
-	who     int
-	sent    int
-	session uint64
-	fence   uint64
-	number  int  // of a view
-	again   bool // it has come once already
+	kind     byte // 'b'eat, 'v'iew, 'a'ct, 'r'elease
+	owner    int
+	sent     int
+	session  uint64
+	fence    uint64
+	number   int  // of a view
+	repeated bool // it has come once already
 }
 
 func (m message) String() string {
-	return fmt.Sprintf("%c%d.%d.%d.%d.%d.%v", m.kind, m.who, m.sent, m.session, m.fence, m.number, m.again)
+	return fmt.Sprintf("%c%d.%d.%d.%d.%d.%v", m.kind, m.owner, m.sent, m.session, m.fence, m.number, m.repeated)
 }
 
 type owner struct {
-	o       *lease.Owner
-	beats   int
-	acts    int
-	lets    int
-	loses   int
-	session uint64
+	lease         *lease.Owner
+	heartbeats    int
+	actions       int
+	releases      int
+	sessionLosses int
+	session       uint64
 }
 
 // state of everything. Values are copied on each step; what is shared is never changed.
 type state struct {
-	t        int
-	rec      []byte // the record's snapshot
-	index    uint64
-	heard    [2]int // by the keeper, of each owner's session
-	owners   [2]owner
-	gate     *lease.FenceChecker
-	flight   []message
-	restarts int
-	repeats  int
-	shown    int            // views so far
-	accepted uint64         // highest fence that the receiver took
-	of       map[uint64]int // who was given each fence
-	trail    *step
-	decoded  map[string]*registry.Registry
+	now              int
+	registrySnapshot []byte // the record's snapshot
+	index            uint64
+	lastHeartbeat    [2]int // by the keeper, of each owner's session
+	owners           [2]owner
+	receiver         *lease.FenceChecker
+	inFlight         []message
+	restarts         int
+	repeats          int
+	confirmations    int            // views so far
+	accepted         uint64         // highest fence that the receiver took
+	fenceOwner       map[uint64]int // who was given each fence
+	trail            *step
+	decoded          map[string]*registry.Registry
 }
 
 type step struct {
-	what string
-	last *step
+	action   string
+	previous *step
 }
 
 func (s *state) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.t, s.shown, s.heard, s.restarts, s.repeats, s.accepted, "|")
-	b.Write(s.rec)
+	fmt.Fprint(&b, s.now, s.confirmations, s.lastHeartbeat, s.restarts, s.repeats, s.accepted, "|")
+	b.Write(s.registrySnapshot)
 	for _, o := range s.owners {
-		fmt.Fprint(&b, "|", o.beats, o.acts, o.lets, o.loses, o.session, o.o.State())
+		fmt.Fprint(&b, "|", o.heartbeats, o.actions, o.releases, o.sessionLosses, o.session, o.lease.State())
 	}
-	marks, floor := s.gate.Export()
+	marks, floor := s.receiver.Export()
 	fmt.Fprint(&b, "|", marks, floor, "|")
-	all := make([]string, len(s.flight))
-	for k, m := range s.flight {
+	all := make([]string, len(s.inFlight))
+	for k, m := range s.inFlight {
 		all[k] = m.String()
 	}
 	sort.Strings(all)
@@ -109,9 +109,9 @@
 func (s *state) copy(what string) *state {
 	c := *s
 	for k := range c.owners {
-		c.owners[k].o = s.owners[k].o.Clone()
+		c.owners[k].lease = s.owners[k].lease.Clone()
 	}
-	c.flight = append([]message(nil), s.flight...)
+	c.inFlight = append([]message(nil), s.inFlight...)
 	c.trail = &step{what, s.trail}
 	return &c
 }
@@ -124,27 +124,27 @@
 
 func (f *Found) Error() string { return f.What + ":\n  " + strings.Join(f.Trail, "\n  ") }
 
-func (s *state) found(format string, args ...any) error {
-	f := &Found{What: fmt.Sprintf(format, args...)}
-	for x := s.trail; x != nil; x = x.last {
-		f.Trail = append([]string{x.what}, f.Trail...)
+func (s *state) violation(format string, args ...any) error {
+	found := &Found{What: fmt.Sprintf(format, args...)}
+	for x := s.trail; x != nil; x = x.previous {
+		found.Trail = append([]string{x.action}, found.Trail...)
 	}
-	return f
+	return found
 }
 
 // Walk through all states within the bounds. whole is false where there were more than Most.
-func Walk(b Bounds) (states int, whole bool, err error) {
+func Walk(b Bounds) (states int, complete bool, err error) {
 	terms := lease.Terms{Lease: float64(b.Lease), Drift: 0}
-	first := &state{decoded: map[string]*registry.Registry{}, gate: lease.NewFenceChecker(), of: map[uint64]int{}}
-	rec := registry.New()
-	for k := range names {
+	first := &state{decoded: map[string]*registry.Registry{}, receiver: lease.NewFenceChecker(), fenceOwner: map[uint64]int{}}
+	initial := registry.New()
+	for k := range ownerNames {
 		first.index++
-		if _, err := rec.Apply(first.index, registry.Entry{Version: registry.Version, Kind: registry.Open, Name: names[k], Incarnation: 1}); err != nil {
+		if _, err := initial.Apply(first.index, registry.Entry{Version: registry.Version, Kind: registry.Open, Name: ownerNames[k], Incarnation: 1}); err != nil {
 			return 0, false, err
 		}
-		first.owners[k] = owner{o: lease.NewOwner(terms), session: first.index}
+		first.owners[k] = owner{lease: lease.NewOwner(terms), session: first.index}
 	}
-	if first.rec, err = rec.Snapshot(); err != nil {
+	if first.registrySnapshot, err = initial.Snapshot(); err != nil {
 		return 0, false, err
 	}
 	seen := map[string]bool{first.key(): true}
@@ -153,7 +153,7 @@
 		s := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
 		states++
-		next, err := s.steps(b)
+		next, err := s.successors(b)
 		if err != nil {
 			return states, false, err
 		}
@@ -177,97 +177,97 @@
 
 // check that at no moment both may act.
 func (s *state) check() error {
-	f0, a := s.owners[0].o.Permit(mine(s.t), work, 0)
-	f1, b := s.owners[1].o.Permit(mine(s.t), work, 0)
+	f0, a := s.owners[0].lease.Permit(ownerClock(s.now), task, 0)
+	f1, b := s.owners[1].lease.Permit(ownerClock(s.now), task, 0)
 	if a && b {
-		return s.found("both may act, under fences %d and %d", f0, f1)
+		return s.violation("both may act, under fences %d and %d", f0, f1)
 	}
 	return nil
 }
 
 func (s *state) apply(e registry.Entry) (uint64, error) {
-	r, err := registry.Restore(s.rec)
+	r, err := registry.Restore(s.registrySnapshot)
 	if err != nil {
 		return 0, err
 	}
 	e.Version = registry.Version
 	s.index++
 	fence, refused := r.Apply(s.index, e)
-	if s.rec, err = r.Snapshot(); err != nil {
+	if s.registrySnapshot, err = r.Snapshot(); err != nil {
 		return 0, err
 	}
 	return fence, refused
 }
 
-// read the record of a state. Records are only read, and a walk has some hundred.
-func (s *state) read() (*registry.Registry, error) {
-	if r := s.decoded[string(s.rec)]; r != nil {
+// registry the record of a state. Records are only registry, and a walk has some hundred.
+func (s *state) registry() (*registry.Registry, error) {
+	if r := s.decoded[string(s.registrySnapshot)]; r != nil {
 		return r, nil
 	}
-	r, err := registry.Restore(s.rec)
+	r, err := registry.Restore(s.registrySnapshot)
 	if err == nil {
-		s.decoded[string(s.rec)] = r
+		s.decoded[string(s.registrySnapshot)] = r
 	}
 	return r, err
 }
 
-// steps returns every state that may come next.
-func (s *state) steps(b Bounds) (all []*state, err error) {
-	if s.t < b.Time {
-		n := s.copy(fmt.Sprint("time ", s.t+1))
-		n.t++
-		all = append(all, n)
+// successors returns every state that may come next.
+func (s *state) successors(b Bounds) (next []*state, err error) {
+	if s.now < b.Time {
+		n := s.copy(fmt.Sprint("time ", s.now+1))
+		n.now++
+		next = append(next, n)
 	}
-	r, err := s.read()
+	r, err := s.registry()
 	if err != nil {
 		return nil, err
 	}
 	for k := range s.owners {
-		all = append(all, s.ownerSteps(b, k)...)
-		more, err := s.coordinatorSteps(b, r, k)
+		next = append(next, s.ownerSteps(b, k)...)
+		coordinatorNext, err := s.coordinatorSteps(b, r, k)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, more...)
+		next = append(next, coordinatorNext...)
 	}
 	if s.restarts < b.Restarts {
 		n := s.copy("the receiver starts again")
 		n.restarts++
-		marks, floor := s.gate.Export()
-		n.gate = lease.NewFenceChecker()
-		n.gate.Import(marks, floor)
-		all = append(all, n)
+		marks, floor := s.receiver.Export()
+		n.receiver = lease.NewFenceChecker()
+		n.receiver.Import(marks, floor)
+		next = append(next, n)
 	}
-	more, err := s.arrivals(b, r)
-	return append(all, more...), err
+	more, err := s.deliveries(b, r)
+	return append(next, more...), err
 }
 
 // ownerSteps returns what an owner may do: send a heartbeat, act, lose its session, release the task.
 func (s *state) ownerSteps(b Bounds, k int) (all []*state) {
 	o := &s.owners[k]
-	if o.beats < b.Beats[k] {
-		n := s.copy(names[k] + " beats")
-		n.owners[k].beats++
-		n.flight = append(n.flight, message{kind: 'b', who: k, sent: s.t, session: o.session})
+	if o.heartbeats < b.Beats[k] {
+		n := s.copy(ownerNames[k] + " beats")
+		n.owners[k].heartbeats++
+		n.inFlight = append(n.inFlight, message{kind: 'b', owner: k, sent: s.now, session: o.session})
 		all = append(all, n)
 	}
-	if fence, ok := o.o.Permit(mine(s.t), work, 0); ok && o.acts < b.Acts {
-		n := s.copy(fmt.Sprint(names[k], " acts under ", fence))
-		n.owners[k].acts++
-		n.flight = append(n.flight, message{kind: 'a', who: k, sent: s.t, fence: fence})
+	if fence, ok := o.lease.Permit(ownerClock(s.now), task, 0); ok && o.actions < b.Acts {
+		n := s.copy(fmt.Sprint(ownerNames[k], " acts under ", fence))
+		n.owners[k].actions++
+		n.inFlight = append(n.inFlight, message{kind: 'a', owner: k, sent: s.now, fence: fence})
 		all = append(all, n)
 	}
-	if o.loses < b.Loses && o.o.SessionID() != 0 {
-		n := s.copy(names[k] + " is told that its session is over")
-		n.owners[k].loses++
-		n.owners[k].o.EndSession()
+	if o.sessionLosses < b.Loses && o.lease.SessionID() != 0 {
+		n := s.copy(ownerNames[k] + " is told that its session is over")
+		n.owners[k].sessionLosses++
+		n.owners[k].lease.EndSession()
 		all = append(all, n)
 	}
-	if o.lets < b.Lets {
-		n := s.copy(names[k] + " lets go")
-		if c, ok := n.owners[k].o.Release(work); ok {
-			n.owners[k].lets++
-			n.flight = append(n.flight, message{kind: 'r', who: k, sent: s.t, session: o.session, fence: c.Fence})
+	if o.releases < b.Lets {
+		n := s.copy(ownerNames[k] + " lets go")
+		if c, ok := n.owners[k].lease.Release(task); ok {
+			n.owners[k].releases++
+			n.inFlight = append(n.inFlight, message{kind: 'r', owner: k, sent: s.now, session: o.session, fence: c.Fence})
 			all = append(all, n)
 		}
 	}
@@ -278,87 +278,87 @@
 // give it the task if that is free.
 func (s *state) coordinatorSteps(b Bounds, r *registry.Registry, k int) (all []*state, err error) {
 	o := &s.owners[k]
-	if r.Session(o.session) != nil && s.t-s.heard[k] > b.Lease {
-		n := s.copy(fmt.Sprint("the session of ", names[k], " is over"))
+	if r.Session(o.session) != nil && s.now-s.lastHeartbeat[k] > b.Lease {
+		n := s.copy(fmt.Sprint("the session of ", ownerNames[k], " is over"))
 		if _, err := n.apply(registry.Entry{Kind: registry.Close, Session: o.session}); err != nil {
 			return nil, err
 		}
 		all = append(all, n)
 	}
-	w := r.Task(work)
+	w := r.Task(task)
 	if r.Session(o.session) == nil || w != nil && w.Owner != 0 {
 		return all, nil
 	}
-	n := s.copy("the work is given to " + names[k])
-	fence, err := n.apply(registry.Entry{Kind: registry.Assign, Task: work, Session: o.session})
+	n := s.copy("the work is given to " + ownerNames[k])
+	fence, err := n.apply(registry.Entry{Kind: registry.Assign, Task: task, Session: o.session})
 	if err != nil {
 		return nil, err
 	}
-	n.of = map[uint64]int{fence: k}
-	for f, who := range s.of {
+	n.fenceOwner = map[uint64]int{fence: k}
+	for f, who := range s.fenceOwner {
 		if f == fence {
-			return nil, n.found("fence %d is given twice", f)
+			return nil, n.violation("fence %d is given twice", f)
 		}
-		n.of[f] = who
+		n.fenceOwner[f] = who
 	}
 	return append(all, n), nil
 }
 
-// arrivals returns the states after each message that is on its way has arrived, once or, within the bound, twice.
-func (s *state) arrivals(b Bounds, r *registry.Registry) (all []*state, err error) {
-	for k, m := range s.flight {
+// deliveries returns the states after each message that is on its way has arrived, once or, within the bound, twice.
+func (s *state) deliveries(b Bounds, r *registry.Registry) (all []*state, err error) {
+	for k, m := range s.inFlight {
 		n := s.copy(fmt.Sprint("arrives: ", m))
-		n.flight = append(n.flight[:k:k], n.flight[k+1:]...)
-		if err := n.arrive(r, m); err != nil {
+		n.inFlight = append(n.inFlight[:k:k], n.inFlight[k+1:]...)
+		if err := n.deliver(r, m); err != nil {
 			return nil, err
 		}
 		all = append(all, n)
-		if s.repeats < b.Repeats && !m.again {
-			again := n.copy("and is on its way once more")
-			again.repeats++
-			m.again = true
-			again.flight = append(again.flight, m)
-			all = append(all, again)
+		if s.repeats < b.Repeats && !m.repeated {
+			second := n.copy("and is on its way once more")
+			second.repeats++
+			m.repeated = true
+			second.inFlight = append(second.inFlight, m)
+			all = append(all, second)
 		}
 	}
 	return all, nil
 }
 
-func (s *state) arrive(r *registry.Registry, m message) error {
+func (s *state) deliver(r *registry.Registry, m message) error {
 	switch m.kind {
 	case 'b':
 		if r.Session(m.session) == nil {
 			return nil
 		}
-		s.heard[m.who] = s.t
-		s.shown++
-		v := message{kind: 'v', who: m.who, sent: m.sent, session: m.session, number: s.shown}
-		if w := r.Task(work); w != nil && w.Owner == m.session {
-			v.fence = w.Fence
+		s.lastHeartbeat[m.owner] = s.now
+		s.confirmations++
+		confirmation := message{kind: 'v', owner: m.owner, sent: m.sent, session: m.session, number: s.confirmations}
+		if w := r.Task(task); w != nil && w.Owner == m.session {
+			confirmation.fence = w.Fence
 		}
-		s.flight = append(s.flight, v)
+		s.inFlight = append(s.inFlight, confirmation)
 	case 'r':
-		if _, err := s.apply(registry.Entry{Kind: registry.Release, Task: work, Session: m.session, Fence: m.fence}); err != nil && err != registry.ErrFence {
+		if _, err := s.apply(registry.Entry{Kind: registry.Release, Task: task, Session: m.session, Fence: m.fence}); err != nil && err != registry.ErrFence {
 			return err
 		}
 	case 'v':
 		var claims []lease.Claim
 		if m.fence > 0 {
-			claims = append(claims, lease.Claim{Task: work, Fence: m.fence})
+			claims = append(claims, lease.Claim{Task: task, Fence: m.fence})
 		}
-		s.owners[m.who].o.ApplyConfirmation(mine(m.sent), uint64(m.number), m.session, claims)
+		s.owners[m.owner].lease.ApplyConfirmation(ownerClock(m.sent), uint64(m.number), m.session, claims)
 	case 'a':
-		gate := lease.NewFenceChecker()
-		gate.Import(s.gate.Export())
-		s.gate = gate
-		if _, err := gate.Accept(work, m.fence); err != nil {
+		receiver := lease.NewFenceChecker()
+		receiver.Import(s.receiver.Export())
+		s.receiver = receiver
+		if _, err := receiver.Accept(task, m.fence); err != nil {
 			return nil
 		}
 		if m.fence < s.accepted {
-			return s.found("the receiver took an act under fence %d after %d", m.fence, s.accepted)
+			return s.violation("the receiver took an act under fence %d after %d", m.fence, s.accepted)
 		}
-		if s.of[m.fence] != m.who {
-			return s.found("%s acted under another's fence %d", names[m.who], m.fence)
+		if s.fenceOwner[m.fence] != m.owner {
+			return s.violation("%s acted under another's fence %d", ownerNames[m.owner], m.fence)
 		}
 		s.accepted = m.fence
 	}
