--- a/emulator/fleet/audit.go
+++ b/emulator/fleet/audit.go
@@ -18,41 +18,41 @@
 
 // audit sees all processes at once, in true time, and knows none of their accounts.
 type audit struct {
-	w        *World
-	err      error
-	looks    int
-	raft     int                          // messages between keepers
-	requests int                          // of members
-	acts     int                          // of owners, sent to keepers
-	owners   map[string]map[uint64]string // who acted under each fence of a work
-	highest  map[string]uint64
-	inUse    map[string][]use   // by process and engine: in the last second
-	dealt    map[uint32]float64 // when a part of an engine's was last in use
-	worst    float64
-	lostAt   map[string]float64 // work whose owner was lost, since when
-	gaps     []float64
-	prints   map[uint64][]byte
-	twice    int
-	history  []porcupine.Operation
-	clients  int
-	oldActs  int // notes under old fences that were refused
-	gained   map[string]map[uint64]bool
-	notes    map[string]noted // by keeper and work: as its record had them last
+	w            *World
+	err          error
+	checks       int
+	raftMessages int                          // messages between keepers
+	requests     int                          // of members
+	actions      int                          // of owners, sent to keepers
+	fenceOwners  map[string]map[uint64]string // who acted under each fence of a work
+	highestFence map[string]uint64
+	recentShares map[string][]shareUse // by process and engine: in the last second
+	lastGrantAt  map[uint32]float64    // when a part of an engine's was last in use
+	maxAllowance float64
+	lostAt       map[string]float64 // work whose owner was lost, since when
+	gaps         []float64
+	snapshots    map[uint64][]byte
+	doubleOwners int
+	history      []porcupine.Operation
+	lastClient   int
+	staleActions int // notes under old fences that were refused
+	gainedFences map[string]map[uint64]bool
+	annotations  map[string]annotation // by keeper and work: as its record had them last
 }
 
-type noted struct{ index, fence uint64 }
+type annotation struct{ index, fence uint64 }
 
-type use struct {
-	part  float64
-	dealt bool
+type shareUse struct {
+	share   float64
+	granted bool
 }
 
-func (a *audit) begin(w *World) {
-	a.w, a.owners, a.highest, a.inUse = w, map[string]map[uint64]string{}, map[string]uint64{}, map[string][]use{}
-	a.dealt = map[uint32]float64{}
-	a.notes = map[string]noted{}
-	a.gained = map[string]map[uint64]bool{}
-	a.lostAt, a.prints = map[string]float64{}, map[uint64][]byte{}
+func (a *audit) init(w *World) {
+	a.w, a.fenceOwners, a.highestFence, a.recentShares = w, map[string]map[uint64]string{}, map[string]uint64{}, map[string][]shareUse{}
+	a.lastGrantAt = map[uint32]float64{}
+	a.annotations = map[string]annotation{}
+	a.gainedFences = map[string]map[uint64]bool{}
+	a.lostAt, a.snapshots = map[string]float64{}, map[uint64][]byte{}
 }
 
 func (a *audit) fail(format string, args ...any) {
@@ -61,237 +61,237 @@
 	}
 }
 
-// op is one operation on a work as processes saw it: a gain of it under a fence, or a note under one.
-type op struct {
+// operation is one operation on a work as processes saw it: a gain of it under a fence, or a note under one.
+type operation struct {
 	gain  bool
-	work  string
+	task  string
 	fence uint64
 }
 
-// act notes that a note is on its way; acted what was said of it. One that nobody heard of again may have come at any time.
-func (a *audit) act(c *call) {
-	c.act = -1
-	if c.req.Action == nil || c.req.Action.Kind != "note" {
+// recordRequest notes that a note is on its way; acted what was said of it. One that nobody heard of again may have come at any time.
+func (a *audit) recordRequest(c *request) {
+	c.operation = -1
+	if c.body.Action == nil || c.body.Action.Kind != "note" {
 		return
 	}
-	a.acts++
-	a.gain(c.req.Action.Task, c.req.Action.Fence)
-	c.act = len(a.history)
-	a.history = append(a.history, porcupine.Operation{ClientId: a.client(), Input: op{work: c.req.Action.Task, fence: c.req.Action.Fence}, Call: ticks(a.w.now),
+	a.actions++
+	a.recordGain(c.body.Action.Task, c.body.Action.Fence)
+	c.operation = len(a.history)
+	a.history = append(a.history, porcupine.Operation{ClientId: a.newClient(), Input: operation{task: c.body.Action.Task, fence: c.body.Action.Fence}, Call: microseconds(a.w.now),
 		Output: "unknown", Return: math.MaxInt64})
 }
 
-func (a *audit) acted(c *call, err error) {
-	var old *lease.StaleFenceError
-	if c.act < 0 {
+func (a *audit) recordResult(c *request, err error) {
+	var stale *lease.StaleFenceError
+	if c.operation < 0 {
 		return
 	}
-	h := &a.history[c.act]
+	h := &a.history[c.operation]
 	switch {
 	case err == nil:
-		h.Output, h.Return = "taken", ticks(a.w.now)
-	case errors.As(err, &old) || errors.Is(err, registry.ErrFence):
-		a.oldActs++
-		h.Output, h.Return = "refused", ticks(a.w.now)
+		h.Output, h.Return = "taken", microseconds(a.w.now)
+	case errors.As(err, &stale) || errors.Is(err, registry.ErrFence):
+		a.staleActions++
+		h.Output, h.Return = "refused", microseconds(a.w.now)
 	}
 }
 
-// client of an operation: each its own, since a process may have several out.
-func (a *audit) client() int {
-	a.clients++
-	return a.clients
+// newClient of an operation: each its own, since a process may have several out.
+func (a *audit) newClient() int {
+	a.lastClient++
+	return a.lastClient
 }
 
-func ticks(t float64) int64 { return int64(t * 1e6) }
+func microseconds(t float64) int64 { return int64(t * 1e6) }
 
-// gains notes works that processes have under fences that were not seen before.
-func (a *audit) gains() {
-	for _, r := range a.w.members {
-		if !r.up || r.m == nil {
+// recordGains notes works that processes have under fences that were not seen before.
+func (a *audit) recordGains() {
+	for _, r := range a.w.routers {
+		if !r.up || r.member == nil {
 			continue
 		}
-		for _, c := range r.m.Held() {
-			a.gain(c.Task, c.Fence)
+		for _, c := range r.member.Held() {
+			a.recordGain(c.Task, c.Fence)
 		}
 	}
 }
 
-func (a *audit) gain(work string, fence uint64) {
-	if a.gained[work] == nil {
-		a.gained[work] = map[uint64]bool{}
+func (a *audit) recordGain(task string, fence uint64) {
+	if a.gainedFences[task] == nil {
+		a.gainedFences[task] = map[uint64]bool{}
 	}
-	if a.gained[work][fence] {
+	if a.gainedFences[task][fence] {
 		return
 	}
-	a.gained[work][fence] = true
-	a.history = append(a.history, porcupine.Operation{ClientId: a.client(), Input: op{true, work, fence}, Call: 0, // given at some time
-		Output: "taken", Return: ticks(a.w.now)}) // before: its process may hear of it late
+	a.gainedFences[task][fence] = true
+	a.history = append(a.history, porcupine.Operation{ClientId: a.newClient(), Input: operation{true, task, fence}, Call: 0, // given at some time
+		Output: "taken", Return: microseconds(a.w.now)}) // before: its process may hear of it late
 }
 
-// model of one work: its fence. A note is taken under that one alone; a refusal is always right, as works are let go of too.
-var model = porcupine.Model{
+// taskModel of one work: its fence. A note is taken under that one alone; a refusal is always right, as works are let go of too.
+var taskModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) (parts [][]porcupine.Operation) {
-		by := map[string][]porcupine.Operation{}
+		byTask := map[string][]porcupine.Operation{}
 		for _, o := range all {
-			w := o.Input.(op).work
-			by[w] = append(by[w], o)
+			task := o.Input.(operation).task
+			byTask[task] = append(byTask[task], o)
 		}
-		for _, w := range slices.Sorted(maps.Keys(by)) {
-			parts = append(parts, by[w])
+		for _, w := range slices.Sorted(maps.Keys(byTask)) {
+			parts = append(parts, byTask[w])
 		}
 		return parts
 	},
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		s, o := state.(uint64), input.(op)
+		fence, o := state.(uint64), input.(operation)
 		switch {
 		case o.gain:
-			return o.fence > s, o.fence
+			return o.fence > fence, o.fence
 		case output == "taken":
-			return o.fence == s, s
+			return o.fence == fence, fence
 		}
-		return true, s
+		return true, fence
 	},
 }
 
-// linear checks the history of all works.
-func (a *audit) linear() error {
-	if result := porcupine.CheckOperationsTimeout(model, a.history, 20*time.Second); result != porcupine.Ok {
+// checkLinearizable checks the history of all works.
+func (a *audit) checkLinearizable() error {
+	if result := porcupine.CheckOperationsTimeout(taskModel, a.history, 20*time.Second); result != porcupine.Ok {
 		return fmt.Errorf("seed %d: the history of %d operations can't have happened one after another (%v)", a.w.file.Seed, len(a.history), result)
 	}
 	return nil
 }
 
-// traced sees acts at the moment that they are done.
-func (a *audit) traced(r *router, t agent.Trace) {
+// recordTrace sees acts at the moment that they are done.
+func (a *audit) recordTrace(r *routerProcess, t agent.Trace) {
 	if t.Event != "act" {
 		return
 	}
-	if t.Fence < a.highest[t.Task] {
-		a.fail("%s/%d acts on %s under fence %d after %d", r.name, r.life, t.Task, t.Fence, a.highest[t.Task])
+	if t.Fence < a.highestFence[t.Task] {
+		a.fail("%s/%d acts on %s under fence %d after %d", r.name, r.incarnation, t.Task, t.Fence, a.highestFence[t.Task])
 	}
-	a.highest[t.Task] = t.Fence
+	a.highestFence[t.Task] = t.Fence
 }
 
-// died tells that a process that owns works is being taken away.
-func (a *audit) died(r *router) {
-	if r == nil || r.m == nil || !r.up {
+// recordOwnerStop tells that a process that owns works is being taken away.
+func (a *audit) recordOwnerStop(r *routerProcess) {
+	if r == nil || r.member == nil || !r.up {
 		return
 	}
-	for _, work := range a.w.works() {
-		if a.w.owns(r, work) {
-			a.lostAt[work] = a.w.now
+	for _, task := range a.w.tasks() {
+		if a.w.owns(r, task) {
+			a.lostAt[task] = a.w.now
 		}
 	}
 }
 
 const (
-	lookEvery = 0.05
-	window    = 1.0 // seconds of a cold engine's limit
+	checkInterval   = 0.05
+	allowanceWindow = 1.0 // seconds of a cold engine's limit
 )
 
-// look at everything once.
-func (a *audit) look() {
+// check at everything once.
+func (a *audit) check() {
 	w := a.w
-	a.looks++
-	a.gains()
-	for _, work := range w.works() {
+	a.checks++
+	a.recordGains()
+	for _, task := range w.tasks() {
 		owner := ""
-		for _, r := range w.members {
+		for _, r := range w.routers {
 			// A stopped one too: what it would do on waking it would do by its clock of now.
-			if !r.up || r.m == nil {
+			if !r.up || r.member == nil {
 				continue
 			}
-			fence, ok := r.m.Permit(r.clock.at(w.now), work)
+			fence, ok := r.member.Permit(r.clock.at(w.now), task)
 			if !ok {
 				continue
 			}
 			if owner != "" {
-				a.twice++
-				a.fail("%s: both %s and %s may act", work, owner, r.name)
+				a.doubleOwners++
+				a.fail("%s: both %s and %s may act", task, owner, r.name)
 			}
 			owner = r.name
-			life := fmt.Sprint(r.name, "/", r.life)
-			if a.owners[work] == nil {
-				a.owners[work] = map[uint64]string{}
+			process := fmt.Sprint(r.name, "/", r.incarnation)
+			if a.fenceOwners[task] == nil {
+				a.fenceOwners[task] = map[uint64]string{}
 			}
-			if was := a.owners[work][fence]; was != "" && was != life {
-				a.fail("%s: fence %d was %s's and is %s's", work, fence, was, life)
+			if previous := a.fenceOwners[task][fence]; previous != "" && previous != process {
+				a.fail("%s: fence %d was %s's and is %s's", task, fence, previous, process)
 			}
-			a.owners[work][fence] = life
-			if fence < a.highest[work] {
-				a.fail("%s: %s acts under fence %d after %d", work, life, fence, a.highest[work])
+			a.fenceOwners[task][fence] = process
+			if fence < a.highestFence[task] {
+				a.fail("%s: %s acts under fence %d after %d", task, process, fence, a.highestFence[task])
 			}
-			if at, lost := a.lostAt[work]; lost && !r.stopped {
+			if at, lost := a.lostAt[task]; lost && !r.stopped {
 				a.gaps = append(a.gaps, w.now-at)
-				delete(a.lostAt, work)
+				delete(a.lostAt, task)
 			}
-			a.highest[work] = fence
+			a.highestFence[task] = fence
 		}
 	}
-	for _, e := range w.engines {
+	for _, e := range w.servers {
 		sum := 0.0
-		for _, r := range w.members {
-			key := fmt.Sprint(r.name, "/", e.ID, "/", r.life)
-			if r.up && r.m != nil {
-				part, ok := r.m.WarmUpShare(r.clock.at(w.now), e.ID, e.Start)
+		for _, r := range w.routers {
+			key := fmt.Sprint(r.name, "/", e.ID, "/", r.incarnation)
+			if r.up && r.member != nil {
+				share, ok := r.member.WarmUpShare(r.clock.at(w.now), e.ID, e.Start)
 				if !ok {
-					part = 1 / float64(w.file.Routers)
+					share = 1 / float64(w.file.Routers)
 				}
-				if ok && part > 0 {
-					a.dealt[e.ID] = w.now
+				if ok && share > 0 {
+					a.lastGrantAt[e.ID] = w.now
 				}
-				a.inUse[key] = append(a.inUse[key], use{part, ok})
+				a.recentShares[key] = append(a.recentShares[key], shareUse{share, ok})
 			}
-			for life := r.life; life > 0 && life+2 > r.life; life-- {
-				key := fmt.Sprint(r.name, "/", e.ID, "/", life)
-				used := a.inUse[key]
-				if life < r.life || !r.up {
-					used = append(used, use{}) // it is dead: what was dealt to it counts for the window
+			for incarnation := r.incarnation; incarnation > 0 && incarnation+2 > r.incarnation; incarnation-- {
+				key := fmt.Sprint(r.name, "/", e.ID, "/", incarnation)
+				used := a.recentShares[key]
+				if incarnation < r.incarnation || !r.up {
+					used = append(used, shareUse{}) // it is dead: what was dealt to it counts for the window
 				}
-				if n := int(math.Ceil(window / lookEvery)); len(used) > n {
+				if n := int(math.Ceil(allowanceWindow / checkInterval)); len(used) > n {
 					used = used[len(used)-n:]
 				}
-				a.inUse[key] = used
-				most := 0.0
+				a.recentShares[key] = used
+				largest := 0.0
 				for _, u := range used {
 					// That a router which is killed and back within the window has its equal part twice is so without a
 					// fleet as well: the module's margin is for it.
-					if u.dealt || life == r.life {
-						most = max(most, u.part)
+					if u.granted || incarnation == r.incarnation {
+						largest = max(largest, u.share)
 					}
 				}
-				sum += most
+				sum += largest
 			}
 		}
-		if a.worst = max(a.worst, sum); sum > 1+1e-9 {
-			for _, r := range w.members {
-				w.log("%s %v", r.name, a.inUse[fmt.Sprint(r.name, "/", e.ID, "/", r.life)])
+		if a.maxAllowance = max(a.maxAllowance, sum); sum > 1+1e-9 {
+			for _, r := range w.routers {
+				w.log("%s %v", r.name, a.recentShares[fmt.Sprint(r.name, "/", e.ID, "/", r.incarnation)])
 			}
 			a.fail("engine %d: %.4f of its allowance may be in use", e.ID, sum)
 		}
 	}
-	for _, k := range w.keepers {
-		if !k.up || a.looks%4 != 0 {
+	for _, k := range w.coordinators {
+		if !k.up || a.checks%4 != 0 {
 			continue
 		}
-		r := k.k.Registry()
+		r := k.node.Registry()
 		for _, x := range r.Tasks() { // a note under an old fence that was taken shows here, whoever heard of it
 			key := k.name + x.Name
-			if was := a.notes[key]; x.AnnotatedAt > was.index && x.AnnotationFence < was.fence {
-				a.fail("%s: %s has a note under fence %d after %d", k.name, x.Name, x.AnnotationFence, was.fence)
+			if previous := a.annotations[key]; x.AnnotatedAt > previous.index && x.AnnotationFence < previous.fence {
+				a.fail("%s: %s has a note under fence %d after %d", k.name, x.Name, x.AnnotationFence, previous.fence)
 			}
-			a.notes[key] = noted{x.AnnotatedAt, x.Fence}
+			a.annotations[key] = annotation{x.AnnotatedAt, x.Fence}
 		}
-		text, err := r.Snapshot()
+		snapshot, err := r.Snapshot()
 		if err != nil {
 			a.fail("%s: %v", k.name, err)
 			continue
 		}
-		if was := a.prints[r.Index()]; was != nil && !bytes.Equal(was, text) {
+		if previous := a.snapshots[r.Index()]; previous != nil && !bytes.Equal(previous, snapshot) {
 			a.fail("%s: another record than others had after entry %d", k.name, r.Index())
 		}
-		a.prints[r.Index()] = text
+		a.snapshots[r.Index()] = snapshot
 	}
 }
 
@@ -310,16 +310,16 @@
 // Figures so far.
 func (w *World) Figures() Figures {
 	a := &w.audit
-	f := Figures{Seconds: w.now, Worst: a.worst, Twice: a.twice, Looks: a.looks, Raft: a.raft, Requests: a.requests, Acts: a.acts, Gaps: a.gaps}
-	f.OldTried, f.Operations = a.oldActs, len(a.history)
-	for _, k := range w.keepers {
-		f.OldTried += k.k.RejectedStale
+	f := Figures{Seconds: w.now, Worst: a.maxAllowance, Twice: a.doubleOwners, Looks: a.checks, Raft: a.raftMessages, Requests: a.requests, Acts: a.actions, Gaps: a.gaps}
+	f.OldTried, f.Operations = a.staleActions, len(a.history)
+	for _, k := range w.coordinators {
+		f.OldTried += k.node.RejectedStale
 	}
-	for _, r := range w.members {
-		if r.m == nil {
+	for _, r := range w.routers {
+		if r.member == nil {
 			continue
 		}
-		s := r.m.Stats
+		s := r.member.Stats
 		f.OldTried += s.RejectedStale
 		f.Refused, f.Late, f.ToldOld, f.Dealt = f.Refused+s.RejectedStale, f.Late+s.LateGrants, f.ToldOld+s.StaleNotices, f.Dealt+s.Granted
 		f.Gained, f.Lost = f.Gained+s.Gained, f.Lost+s.Lost
@@ -332,24 +332,24 @@
 	if w.audit.err != nil {
 		return w.audit.err
 	}
-	if err := w.audit.linear(); err != nil {
+	if err := w.audit.checkLinearizable(); err != nil {
 		return err
 	}
-	if len(w.keepers) == 0 {
+	if len(w.coordinators) == 0 {
 		return nil
 	}
-	for _, work := range w.works() {
-		held := false
-		for _, r := range w.members {
-			held = held || r.up && !r.stopped && w.owns(r, work)
+	for _, work := range w.tasks() {
+		owned := false
+		for _, r := range w.routers {
+			owned = owned || r.up && !r.stopped && w.owns(r, work)
 		}
-		if !held {
+		if !owned {
 			return fmt.Errorf("seed %d: %s has no owner %.1f s after the last fault", w.file.Seed, work, w.file.Settle)
 		}
 	}
-	for _, e := range w.engines {
-		const late = 5.0 // seconds: a part that someone waits for stands empty until the last one's use has settled
-		if w.now-w.audit.dealt[e.ID] > late {
+	for _, e := range w.servers {
+		const grantTimeout = 5.0 // seconds: a part that someone waits for stands empty until the last one's use has settled
+		if w.now-w.audit.lastGrantAt[e.ID] > grantTimeout {
 			return fmt.Errorf("seed %d: no part of engine %d's allowance is dealt", w.file.Seed, e.ID)
 		}
 	}
--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -91,12 +91,12 @@
 	flapping := func(name string) bool {
 		return strings.HasSuffix(name, "0") || strings.HasSuffix(name, "3") || strings.HasSuffix(name, "7")
 	}
-	for _, r := range w.members {
+	for _, r := range w.routers {
 		if !flapping(r.name) {
 			continue
 		}
-		w.after(5+2*w.rnd.Float64(), func() {
-			w.every(2+2*w.rnd.Float64(), func() {
+		w.after(5+2*w.random.Float64(), func() {
+			w.every(2+2*w.random.Float64(), func() {
 				if r.up {
 					w.Do("kill", r.name)
 				} else {
@@ -105,7 +105,7 @@
 			})
 		})
 	}
-	stays, looks := 0, 0
+	stable, samples := 0, 0
 	for w.now < 40 {
 		if err := w.Run(w.now + 0.5); err != nil {
 			t.Fatal(err)
@@ -113,21 +113,21 @@
 		if w.now < 25 {
 			continue
 		}
-		for _, work := range w.works() {
-			for _, r := range w.members {
-				if r.up && w.owns(r, work) {
-					if looks++; !flapping(r.name) {
-						stays++
+		for _, task := range w.tasks() {
+			for _, r := range w.routers {
+				if r.up && w.owns(r, task) {
+					if samples++; !flapping(r.name) {
+						stable++
 					}
 				}
 			}
 		}
 	}
-	if err := w.audit.linear(); err != nil {
+	if err := w.audit.checkLinearizable(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%+v; %d of %d times the owner is one that stays", w.Figures(), stays, looks)
-	if looks < 60 || float64(stays) < 0.8*float64(looks) {
-		t.Errorf("%d of %d times the owner is one that stays", stays, looks)
+	t.Logf("%+v; %d of %d times the owner is one that stays", w.Figures(), stable, samples)
+	if samples < 60 || float64(stable) < 0.8*float64(samples) {
+		t.Errorf("%d of %d times the owner is one that stays", stable, samples)
 	}
 }
--- a/emulator/fleet/play.go
+++ b/emulator/fleet/play.go
@@ -16,8 +16,8 @@
 	}
 	defer w.Close()
 	w.Log = log
-	const longest = 600 // seconds of virtual time: a script waits for what does not come
-	for !w.Quiet && w.now < longest {
+	const maxSeconds = 600 // seconds of virtual time: a script waits for what does not come
+	for !w.Quiet && w.now < maxSeconds {
 		if err := w.Run(w.now + 0.5); err != nil {
 			return w.Figures(), err
 		}
@@ -33,7 +33,7 @@
 	r := rand.New(rand.NewPCG(seed, 21))
 	f := scenario.File{Name: fmt.Sprint("drawn ", seed), Keepers: 1 + 2*r.IntN(3), Routers: 2 + r.IntN(5), Zones: 1 + r.IntN(3),
 		Engines: 1 + r.IntN(3), Lease: 1 + 3*r.Float64(), Drift: 0.05, Folders: r.IntN(2) == 0, Seed: seed}
-	who := func() string {
+	process := func() string {
 		switch r.IntN(7) {
 		case 0:
 			return "leader"
@@ -47,14 +47,14 @@
 			return fmt.Sprint("router:", 1+r.IntN(f.Routers))
 		}
 	}
-	one := func() string { // one end of a link
+	linkEnd := func() string { // one end of a link
 		switch r.IntN(4) {
 		case 0:
 			return "keepers"
 		case 1:
 			return "leader"
 		default:
-			return who()
+			return process()
 		}
 	}
 	add := func(e scenario.Event) { f.Events = append(f.Events, e) }
@@ -65,24 +65,24 @@
 		case 6:
 			e.Do, e.Who = "release", "owner"
 		case 0:
-			e.Do, e.Who = "stop", who()
+			e.Do, e.Who = "stop", process()
 		case 1:
-			e.Do, e.Who = "kill", who()
+			e.Do, e.Who = "kill", process()
 		case 2:
-			e.Do, e.Who = "end", who()
+			e.Do, e.Who = "end", process()
 		case 3, 4:
-			e.Do, e.Who, e.To, e.Both = "cut", one(), one(), r.IntN(2) == 0
+			e.Do, e.Who, e.To, e.Both = "cut", linkEnd(), linkEnd(), r.IntN(2) == 0
 		case 5:
-			e.Do, e.Who, e.To, e.For = "hold", one(), one(), r.Float64()*30
+			e.Do, e.Who, e.To, e.For = "hold", linkEnd(), linkEnd(), r.Float64()*30
 		}
 		add(e)
 		if r.IntN(3) == 0 { // back again in the midst of it
 			add(scenario.Event{After: r.Float64() * 2 * f.Lease, Do: []string{"continue", "start", "heal"}[r.IntN(3)], Who: "routers"})
 		}
 	}
-	for _, who := range []string{"keepers", "routers"} {
-		add(scenario.Event{After: r.Float64() * 2 * f.Lease, Do: "continue", Who: who})
-		add(scenario.Event{Do: "start", Who: who})
+	for _, group := range []string{"keepers", "routers"} {
+		add(scenario.Event{After: r.Float64() * 2 * f.Lease, Do: "continue", Who: group})
+		add(scenario.Event{Do: "start", Who: group})
 	}
 	add(scenario.Event{Do: "heal"})
 	f.Settle = 6*f.Lease + 12
--- a/emulator/fleet/script.go
+++ b/emulator/fleet/script.go
@@ -15,9 +15,9 @@
 // Leader is the keeper that leads by its own word and newest term.
 func (w *World) Leader() string {
 	name, term := "", uint64(0)
-	for _, k := range w.keepers {
-		if k.up && !k.stopped && k.k.IsLeader() && k.k.Status().Term > term {
-			name, term = k.name, k.k.Status().Term
+	for _, k := range w.coordinators {
+		if k.up && !k.stopped && k.node.IsLeader() && k.node.Status().Term > term {
+			name, term = k.name, k.node.Status().Term
 		}
 	}
 	return name
@@ -25,91 +25,91 @@
 
 // Owner of the first work, by its own belief.
 func (w *World) Owner() string {
-	for _, r := range w.members {
-		if r.up && r.m != nil && w.owns(r, w.works()[0]) {
+	for _, r := range w.routers {
+		if r.up && r.member != nil && w.owns(r, w.tasks()[0]) {
 			return r.name
 		}
 	}
 	return ""
 }
 
-func (w *World) owns(r *router, work string) bool {
-	_, ok := r.m.Permit(r.clock.at(w.now), work)
+func (w *World) owns(r *routerProcess, task string) bool {
+	_, ok := r.member.Permit(r.clock.at(w.now), task)
 	return ok
 }
 
-func (w *World) works() (all []string) {
-	for _, e := range w.engines {
+func (w *World) tasks() (all []string) {
+	for _, e := range w.servers {
 		all = append(all, fmt.Sprintf("%s/%d@%.3f", agent.WarmUpKind, e.ID, e.Start))
 	}
 	return all
 }
 
-func (w *World) next() {
-	if len(w.scripts) == 0 {
+func (w *World) scheduleNextEvent() {
+	if len(w.pendingEvents) == 0 {
 		w.Quiet = true
 		w.log("the script is over")
 		return
 	}
-	e := w.scripts[0]
-	began := w.now
-	var wait func()
-	wait = func() {
-		if !w.seen(e.When) {
-			if w.now-began > 60 {
+	e := w.pendingEvents[0]
+	started := w.now
+	var poll func()
+	poll = func() {
+		if !w.conditionMet(e.When) {
+			if w.now-started > 60 {
 				w.audit.fail("event %q %q: what it waits for (%s) does not come", e.Do, e.Who, e.When)
 				return
 			}
-			w.after(0.01, wait)
+			w.after(0.01, poll)
 			return
 		}
 		w.after(e.After, func() {
-			w.scripts = w.scripts[1:]
-			w.play(e)
-			w.script()
+			w.pendingEvents = w.pendingEvents[1:]
+			w.playEvent(e)
+			w.playNextEvent()
 		})
 	}
-	wait()
+	poll()
 }
 
-func (w *World) seen(what string) bool {
-	switch what {
+func (w *World) conditionMet(condition string) bool {
+	switch condition {
 	case "owned", "dealt":
-		for _, work := range w.works() {
-			if !slices.ContainsFunc(w.members, func(r *router) bool {
-				return r.up && r.m != nil && w.owns(r, work) && (what == "owned" || r.m.SharesInUse(r.clock.at(w.now), work) > 0)
+		for _, task := range w.tasks() {
+			if !slices.ContainsFunc(w.routers, func(r *routerProcess) bool {
+				return r.up && r.member != nil && w.owns(r, task) && (condition == "owned" || r.member.SharesInUse(r.clock.at(w.now), task) > 0)
 			}) {
 				return false
 			}
 		}
 	case "moved":
 		o := w.Owner()
-		return o != "" && o != w.last
+		return o != "" && o != w.previousOwner
 	case "lost":
 		return w.Leader() == ""
 	}
 	return true
 }
 
-func (w *World) play(e scenario.Event) {
+func (w *World) playEvent(e scenario.Event) {
 	if o := w.Owner(); o != "" {
-		w.last = o
+		w.previousOwner = o
 	}
-	whom := w.file.Whom(e.Who, w)
-	if len(whom) == 0 && e.Do != "heal" {
-		whom = nil
+	targets := w.file.Whom(e.Who, w)
+	if len(targets) == 0 && e.Do != "heal" {
+		targets = nil
 		w.log("%s %s: nobody now", e.Do, e.Who)
 	}
-	w.log("%s %s %s", e.Do, strings.Join(whom, ","), e.To)
-	for _, name := range whom {
+	w.log("%s %s %s", e.Do, strings.Join(targets, ","), e.To)
+	for _, name := range targets {
 		w.Do(e.Do, name)
 	}
 	switch e.Do {
 	case "heal":
-		clear(w.cut)
-		clear(w.held)
+		clear(w.linksCut)
+		clear(w.linksHeldUntil)
 	case "cut", "hold":
-		for _, a := range whom {
+		for _, a := range targets {
 			for _, b := range w.file.Whom(e.To, w) {
 				w.Link(e.Do, a, b, e.For)
 				if e.Both {
@@ -123,23 +123,23 @@
 // Link from one to another is cut, or holds what comes.
 func (w *World) Link(do, from, to string, seconds float64) {
 	if do == "cut" {
-		w.cut[[2]string{from, to}] = true
+		w.linksCut[[2]string{from, to}] = true
 	} else {
-		w.held[[2]string{from, to}] = w.now + seconds
+		w.linksHeldUntil[[2]string{from, to}] = w.now + seconds
 	}
 }
 
 // Do something to one process.
 func (w *World) Do(what, name string) {
-	p := w.byName[name]
-	var k *keeper
-	var r *router
-	for _, x := range w.keepers {
+	p := w.processes[name]
+	var k *coordinatorProcess
+	var r *routerProcess
+	for _, x := range w.coordinators {
 		if x.process == p {
 			k = x
 		}
 	}
-	for _, x := range w.members {
+	for _, x := range w.routers {
 		if x.process == p {
 			r = x
 		}
@@ -150,23 +150,23 @@
 	case "continue":
 		if p.stopped {
 			p.stopped = false
-			all := p.backlog
+			backlog := p.backlog
 			p.backlog = nil
-			for _, do := range all {
-				w.in(p, p.life, do)
+			for _, run := range backlog {
+				w.runWhenActive(p, p.incarnation, run)
 			}
 		}
 	case "kill":
-		w.audit.died(r)
+		w.audit.recordOwnerStop(r)
 		p.up, p.stopped = false, false
 	case "end":
 		if r != nil && p.up {
-			w.audit.died(r)
-			w.put(r, r.m.Close(r.clock.at(w.now)))
-			life := p.life
-			p.leaves = true
+			w.audit.recordOwnerStop(r)
+			w.sendRequests(r, r.member.Close(r.clock.at(w.now)))
+			life := p.incarnation
+			p.exiting = true
 			w.after(0.2, func() {
-				if p.life == life {
+				if p.incarnation == life {
 					p.up = false
 				}
 			})
@@ -175,25 +175,25 @@
 		p.up = false
 	case "start":
 		if p.up {
-			if p.leaves { // as soon as it has ended
+			if p.exiting { // as soon as it has ended
 				w.after(0.05, func() { w.Do("start", name) })
 			}
 			return
 		}
 		if k != nil {
-			w.startKeeper(k)
+			w.startCoordinator(k)
 		} else {
 			w.startRouter(r)
 		}
 	case "full": // its next write fails, so it ends
 		p.up, p.stopped = false, false
 	case "release":
-		w.callSeq++
-		id, work := w.callSeq, w.works()[0]
-		for _, x := range w.keepers {
-			if x.up && !x.stopped && x.k.IsLeader() {
-				x.k.ExecuteOrder(x.clock.at(w.now), id, &coordinator.Order{Kind: "release", Task: work})
-				w.carry(x)
+		w.lastRequestID++
+		id, task := w.lastRequestID, w.tasks()[0]
+		for _, x := range w.coordinators {
+			if x.up && !x.stopped && x.node.IsLeader() {
+				x.node.ExecuteOrder(x.clock.at(w.now), id, &coordinator.Order{Kind: "release", Task: task})
+				w.processOutput(x)
 			}
 		}
 	case "wipe":
--- a/emulator/scenario/scenario.go
+++ b/emulator/scenario/scenario.go
@@ -86,15 +86,15 @@
 		return fmt.Errorf("%q: name, routers, engines, keepers or lease", f.Name)
 	}
 	for k, e := range f.Events {
-		links := e.Do == "cut" || e.Do == "hold"
+		isLink := e.Do == "cut" || e.Do == "hold"
 		switch {
 		case !slices.Contains([]string{"stop", "continue", "kill", "end", "start", "wipe", "cut", "hold", "heal", "release", "full"}, e.Do):
 			return fmt.Errorf("/events/%d/do: %q is nothing that can be done", k, e.Do)
 		case !slices.Contains([]string{"", "owned", "moved", "dealt", "lost"}, e.When):
 			return fmt.Errorf("/events/%d/when: %q is nothing that can be waited for", k, e.When)
-		case e.Do != "heal" && !f.whoever(e.Who):
+		case e.Do != "heal" && !f.validTarget(e.Who):
 			return fmt.Errorf("/events/%d/who: %q is nobody", k, e.Who)
-		case links && !f.whoever(e.To):
+		case isLink && !f.validTarget(e.To):
 			return fmt.Errorf("/events/%d/to: %q is nobody", k, e.To)
 		case e.Do == "hold" && e.For <= 0:
 			return fmt.Errorf("/events/%d/for: a link holds for some seconds", k)
@@ -103,18 +103,18 @@
 	return nil
 }
 
-func (f *File) whoever(who string) bool {
-	switch who {
+func (f *File) validTarget(target string) bool {
+	switch target {
 	case "leader", "followers", "owner", "keepers", "routers", "others":
 		return true
 	}
 	var n int
-	kind, number, _ := strings.Cut(who, ":")
+	kind, number, _ := strings.Cut(target, ":")
 	if _, err := fmt.Sscan(number, &n); err != nil {
 		return false
 	}
-	most := map[string]int{"keeper": f.Keepers, "router": f.Routers, "zone": f.Zones, "engines": f.Zones}[kind]
-	return n >= 1 && n <= most
+	limit := map[string]int{"keeper": f.Keepers, "router": f.Routers, "zone": f.Zones, "engines": f.Zones}[kind]
+	return n >= 1 && n <= limit
 }
 
 // Zone of the n-th keeper or router, from 0.
@@ -127,56 +127,56 @@
 }
 
 // Whom a word means, as names: k1, k2, ... and n1, n2, ...
-func (f *File) Whom(who string, now Fleet) (names []string) {
-	routers := func(but string) {
+func (f *File) Whom(target string, state Fleet) (names []string) {
+	addRouters := func(except string) {
 		for n := range f.Routers {
-			if name := fmt.Sprint("n", n+1); name != but {
+			if name := fmt.Sprint("n", n+1); name != except {
 				names = append(names, name)
 			}
 		}
 	}
-	keepers := func(but string) {
+	addCoordinators := func(except string) {
 		for n := range f.Keepers {
-			if name := fmt.Sprint("k", n+1); name != but {
+			if name := fmt.Sprint("k", n+1); name != except {
 				names = append(names, name)
 			}
 		}
 	}
-	one := func(name string) {
+	add := func(name string) {
 		if name != "" {
 			names = append(names, name)
 		}
 	}
-	switch who {
+	switch target {
 	case "leader":
-		one(now.Leader())
+		add(state.Leader())
 	case "followers":
-		keepers(now.Leader())
+		addCoordinators(state.Leader())
 	case "owner":
-		one(now.Owner())
+		add(state.Owner())
 	case "keepers":
-		keepers("")
+		addCoordinators("")
 	case "routers":
-		routers("")
+		addRouters("")
 	case "others":
-		routers(now.Owner())
+		addRouters(state.Owner())
 	default:
-		kind, number, _ := strings.Cut(who, ":")
+		kind, number, _ := strings.Cut(target, ":")
 		switch kind {
 		case "keeper":
-			one("k" + number)
+			add("k" + number)
 		case "router":
-			one("n" + number)
+			add("n" + number)
 		case "engines":
 			for n := range f.Engines {
 				if f.Zone(n) == "z"+number {
-					one(fmt.Sprint("e", n+1))
+					add(fmt.Sprint("e", n+1))
 				}
 			}
 		case "zone":
 			for n := range f.Routers {
 				if f.Zone(n) == "z"+number {
-					one(fmt.Sprint("n", n+1))
+					add(fmt.Sprint("n", n+1))
 				}
 			}
 		}
--- a/emulator/zones/flow.go
+++ b/emulator/zones/flow.go
@@ -9,32 +9,32 @@
 	"dunereach/fleet/failover"
 )
 
-// row is where a router's work goes now.
-func (w *world) row(r *router) []float64 {
-	n := w.s.Zones
+// shares is where a router's work goes now.
+func (w *world) shares(r *router) []float64 {
+	n := w.settings.Zones
 	row := make([]float64, n)
-	switch w.s.Rule {
+	switch w.settings.Rule {
 	case Planned:
-		if r.guide.Epoch(w.now) > 0 {
-			copy(row, r.heard.Plan.Share[r.zone])
-			if r.bad[r.zone] > 0.5 && row[r.zone] > 0 && r.heard.ZoneLoss.Check(n) == nil {
-				for z, x := range r.heard.ZoneLoss.Share[r.zone] {
+		if r.follower.Epoch(w.now) > 0 {
+			copy(row, r.plan.Plan.Share[r.zone])
+			if r.failureRate[r.zone] > 0.5 && row[r.zone] > 0 && r.plan.ZoneLoss.Check(n) == nil {
+				for z, x := range r.plan.ZoneLoss.Share[r.zone] {
 					row[z] = 0.95 * x
 				}
 				row[r.zone] = 0.05 // trials
 			}
 			// What it sees itself: a zone that just failed it gets trials only, whatever the plan says.
 			for z := range row {
-				if r.bad[z] > 0.5 && z != r.zone {
+				if r.failureRate[z] > 0.5 && z != r.zone {
 					row[z] *= 0.05
 				}
 			}
 			return row
 		}
 		row[r.zone] = 1
-		if r.bad[r.zone] > 0.5 && r.heard.Epoch > 0 { // alone: what was spared for it, the rest has nowhere to go
-			for z, x := range r.heard.Fallback.Share[r.zone] {
-				if z != r.zone && r.bad[z] <= 0.5 {
+		if r.failureRate[r.zone] > 0.5 && r.plan.Epoch > 0 { // alone: what was spared for it, the rest has nowhere to go
+			for z, x := range r.plan.Fallback.Share[r.zone] {
+				if z != r.zone && r.failureRate[z] <= 0.5 {
 					row[z] = x
 				}
 			}
@@ -42,13 +42,13 @@
 		}
 	case Local:
 		// Load is not known; its own zone unless that does not answer, then all others alike.
-		if r.bad[r.zone] <= 0.5 {
+		if r.failureRate[r.zone] <= 0.5 {
 			row[r.zone] = 1
 			return row
 		}
 		others := 0.0
 		for z := range row {
-			if z != r.zone && r.bad[z] <= 0.5 {
+			if z != r.zone && r.failureRate[z] <= 0.5 {
 				row[z] = 1
 				others++
 			}
@@ -63,7 +63,7 @@
 		health := make([]float64, n)
 		all := 0.0
 		for z := range health {
-			health[z] = max(1-r.bad[z], 0)
+			health[z] = max(1-r.failureRate[z], 0)
 			all += health[z]
 		}
 		if all/float64(n) < 0.5 { // panic: everybody alike
@@ -84,179 +84,179 @@
 	return row
 }
 
-// flow of one step.
-func (w *world) flow() {
-	n := w.s.Zones
+// serveStep of one step.
+func (w *world) serveStep() {
+	n := w.settings.Zones
 	offered, own := make([]float64, n), make([]float64, n)
 	rows := make([][]float64, len(w.routers))
-	wants := make([][]float64, len(w.routers)) // core seconds a second that a router sends to each zone
-	asked := 0.0
+	demands := make([][]float64, len(w.routers)) // core seconds a second that a router sends to each zone
+	requested := 0.0
 	var best failover.Plan
-	if w.s.Rule == Knowing {
-		ways := make([][]float64, n)
-		caps := make([]float64, n)
-		for o := range ways {
-			ways[o] = append([]float64(nil), w.ways[o]...)
-			caps[o] = w.can(o)
-			for z := range ways[o] {
-				if w.cut(o, z) {
-					ways[o][z] = math.Inf(1)
+	if w.settings.Rule == Knowing {
+		roundTrips := make([][]float64, n)
+		capacities := make([]float64, n)
+		for o := range roundTrips {
+			roundTrips[o] = append([]float64(nil), w.roundTrips[o]...)
+			capacities[o] = w.capacity(o)
+			for z := range roundTrips[o] {
+				if w.linkCut(o, z) {
+					roundTrips[o][z] = math.Inf(1)
 				}
 			}
 		}
-		best = failover.Solve(failover.Problem{Demand: w.demands(), Pinned: make([]float64, n), Capacity: caps, RoundTrip: ways})
+		best = failover.Solve(failover.Problem{Demand: w.demands(), Pinned: make([]float64, n), Capacity: capacities, RoundTrip: roundTrips})
 	}
 	for k := range w.routers {
 		r := &w.routers[k]
-		if w.off(r) {
+		if w.routerDown(r) {
 			continue
 		}
-		asked += r.demand
-		if w.s.Rule == Knowing {
+		requested += r.demand
+		if w.settings.Rule == Knowing {
 			rows[k] = best.Share[r.zone]
 		} else {
-			rows[k] = w.row(r)
+			rows[k] = w.shares(r)
 		}
-		wants[k] = make([]float64, n)
+		demands[k] = make([]float64, n)
 		for z, x := range rows[k] {
-			wants[k][z] = x * r.demand
+			demands[k][z] = x * r.demand
 		}
 	}
 	for z := range w.zones {
-		w.spare(z, wants)
-		for k := range wants {
-			if wants[k] != nil && !w.cut(w.routers[k].zone, z) {
-				offered[z] += wants[k][z]
+		w.limitColdTraffic(z, demands)
+		for k := range demands {
+			if demands[k] != nil && !w.linkCut(w.routers[k].zone, z) {
+				offered[z] += demands[k][z]
 				if z == w.routers[k].zone {
-					own[z] += wants[k][z]
+					own[z] += demands[k][z]
 				}
 			}
 		}
 	}
-	got, near := 0.0, 0.0
-	share := make([]float64, n)
+	served, local := 0.0, 0.0
+	servedShare := make([]float64, n)
 	for z := range w.zones {
 		x := &w.zones[z]
-		can := w.can(z)
-		if offered[z] > 1.2*can {
-			can *= thrash
+		capacity := w.capacity(z)
+		if offered[z] > 1.2*capacity {
+			capacity *= overloadEfficiency
 		}
-		if share[z] = 1; offered[z] > can {
-			share[z] = can / max(offered[z], 1e-9)
+		if servedShare[z] = 1; offered[z] > capacity {
+			servedShare[z] = capacity / max(offered[z], 1e-9)
 		}
-		copy(x.offered[1:], x.offered[:10])
-		x.offered[0] = offered[z]
+		copy(x.recentLoad[1:], x.recentLoad[:10])
+		x.recentLoad[0] = offered[z]
 		mean := 0.0
-		for _, o := range x.offered[:10] {
+		for _, o := range x.recentLoad[:10] {
 			mean += o / 10
 		}
 		// Too much because of a failover: what comes from elsewhere makes it so. A zone that has just changed itself had no time.
-		full := w.can(z)
-		if full < x.steady*0.98 {
-			x.pushed = w.now + 4
+		full := w.capacity(z)
+		if full < x.lastCapacity*0.98 {
+			x.changedUntil = w.now + 4
 		}
 		if !(full > 0 && offered[z]-own[z] > 0.02*full && own[z] < 0.97*full) {
-			x.since = w.now
-		} else if w.now > max(x.pushed, 3) && w.now >= x.since+1 {
-			w.r.Worst = max(w.r.Worst, mean/full)
+			x.notOverloadedAt = w.now
+		} else if w.now > max(x.changedUntil, 3) && w.now >= x.notOverloadedAt+1 {
+			w.result.Worst = max(w.result.Worst, mean/full)
 		}
-		x.steady = full
+		x.lastCapacity = full
 	}
 	for k := range w.routers {
 		r := &w.routers[k]
-		if wants[k] == nil {
+		if demands[k] == nil {
 			continue
 		}
-		for z, x := range wants[k] {
-			work := x * step
+		for z, x := range demands[k] {
+			work := x * stepSeconds
 			if work <= 0 {
 				continue
 			}
-			r.sent[z] += work
-			good, late := work*share[z], work*(1-share[z])
-			if w.cut(r.zone, z) || w.can(z) == 0 {
-				good, late = 0, 0
-				r.failed[z] += work
+			r.attemptedWork[z] += work
+			onTime, late := work*servedShare[z], work*(1-servedShare[z])
+			if w.linkCut(r.zone, z) || w.capacity(z) == 0 {
+				onTime, late = 0, 0
+				r.failedWork[z] += work
 			}
-			r.late[z] += late
-			r.served[z] += good
-			got += good
+			r.lateWork[z] += late
+			r.servedWork[z] += onTime
+			served += onTime
 			if z == r.zone {
-				near += good
+				local += onTime
 			}
-			bad := 0.0
-			if good+late <= 0 {
-				bad = 1
+			outcome := 0.0
+			if onTime+late <= 0 {
+				outcome = 1
 			}
-			const sees = 0.7 // seconds in which a router finds out alone
-			r.bad[z] += (bad - r.bad[z]) * step / sees
+			const detectionTime = 0.7 // seconds in which a router finds out alone
+			r.failureRate[z] += (outcome - r.failureRate[z]) * stepSeconds / detectionTime
 		}
-		for z := range r.bad { // without a send it is forgotten in some seconds, and tried again
+		for z := range r.failureRate { // without a send it is forgotten in some seconds, and tried again
 			if rows[k][z] == 0 {
-				r.bad[z] *= 1 - step/6
+				r.failureRate[z] *= 1 - stepSeconds/6
 			}
 		}
 	}
 	second := int(w.now + 1e-6)
-	for len(w.r.Worth) <= second {
-		w.r.Worth = append(w.r.Worth, 0)
-		w.r.Timeline = append(w.r.Timeline, make([]float64, n))
-		w.r.Home = append(w.r.Home, 0)
+	for len(w.result.Worth) <= second {
+		w.result.Worth = append(w.result.Worth, 0)
+		w.result.Timeline = append(w.result.Timeline, make([]float64, n))
+		w.result.Home = append(w.result.Home, 0)
 	}
-	if asked > 0 {
-		w.r.Worth[second] += got / (asked * step) / 10
-		w.r.Home[second] += near / (asked * step) / 10
+	if requested > 0 {
+		w.result.Worth[second] += served / (requested * stepSeconds) / 10
+		w.result.Home[second] += local / (requested * stepSeconds) / 10
 	}
 	for z := range w.zones {
-		w.r.Timeline[second][z] += offered[z] / 10
+		w.result.Timeline[second][z] += offered[z] / 10
 	}
-	if got > 0 {
-		w.r.Near += near / got * step / w.s.Length
+	if served > 0 {
+		w.result.Near += local / served * stepSeconds / w.settings.Length
 	}
 }
 
-// spare keeps rule 4, as the module does whatever plan it follows: to engines that a list names as just started all routers
+// limitColdTraffic keeps rule 4, as the module does whatever plan it follows: to engines that a list names as just started all routers
 // together send no more than these bear. What the fleet deals goes by need to those that hear it; who hears nothing has an equal
 // part.
-func (w *world) spare(z int, wants [][]float64) {
+func (w *world) limitColdTraffic(z int, demands [][]float64) {
 	x := &w.zones[z]
-	age := w.now - x.backAt
-	if w.s.Rule == Knowing || w.down(z) || age >= warm {
+	age := w.now - x.upSince
+	if w.settings.Rule == Knowing || w.down(z) || age >= warmUpSeconds {
 		return
 	}
-	rest := age / warm
-	bears := x.full * (coldStart + (1-coldStart)*rest*rest) // the module's ramp, by the square of the age
-	equal := bears / float64(len(w.routers))
-	need, left := 0.0, bears
-	deals := func(k int) bool { return w.s.Rule == Planned && w.routers[k].guide.Epoch(w.now) > 0 }
-	for k := range wants {
-		if wants[k] != nil && deals(k) {
-			need += wants[k][z]
+	warmShare := age / warmUpSeconds
+	allowed := x.fullCapacity * (coldCapacityShare + (1-coldCapacityShare)*warmShare*warmShare) // the module's ramp, by the square of the age
+	equalShare := allowed / float64(len(w.routers))
+	need, left := 0.0, allowed
+	granted := func(k int) bool { return w.settings.Rule == Planned && w.routers[k].follower.Epoch(w.now) > 0 }
+	for k := range demands {
+		if demands[k] != nil && granted(k) {
+			need += demands[k][z]
 		} else {
-			left -= equal
+			left -= equalShare
 		}
 	}
-	for k := range wants {
+	for k := range demands {
 		switch {
-		case wants[k] == nil:
-		case !deals(k):
-			wants[k][z] = min(wants[k][z], equal)
+		case demands[k] == nil:
+		case !granted(k):
+			demands[k][z] = min(demands[k][z], equalShare)
 		case need > left:
-			wants[k][z] *= max(left, 0) / need
+			demands[k][z] *= max(left, 0) / need
 		}
 	}
 }
 
 func (w *world) finish() {
 	last := 0.0
-	for _, f := range w.s.Faults {
+	for _, f := range w.settings.Faults {
 		last = max(last, f.Until)
 	}
-	w.r.Back = math.NaN()
-	before := w.r.Home[min(10, len(w.r.Home)-1)] // of a calm second
-	for t := int(math.Ceil(last)); t < len(w.r.Home)-1; t++ {
-		if w.r.Home[t] >= 0.99*before {
-			w.r.Back = float64(t) - last
+	w.result.Back = math.NaN()
+	before := w.result.Home[min(10, len(w.result.Home)-1)] // of a calm second
+	for t := int(math.Ceil(last)); t < len(w.result.Home)-1; t++ {
+		if w.result.Home[t] >= 0.99*before {
+			w.result.Back = float64(t) - last
 			break
 		}
 	}
--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -67,43 +67,43 @@
 }
 
 const (
-	step      = 0.1
-	warm      = 12.0 // seconds that engines take after they were gone, from a third of what they can do
-	coldStart = 0.35
-	hearEvery = 1.0
-	agreement = 0.15 // seconds from a plan to the record
-	way       = 0.02
-	far       = 0.12 // between regions
-	thrash    = 0.75 // of what a zone can do while it is offered over 1.2 times that
+	stepSeconds        = 0.1
+	warmUpSeconds      = 12.0 // seconds that engines take after they were gone, from a third of what they can do
+	coldCapacityShare  = 0.35
+	contactInterval    = 1.0
+	commitDelay        = 0.15 // seconds from a plan to the record
+	zoneRoundTrip      = 0.02
+	regionRoundTrip    = 0.12 // between regions
+	overloadEfficiency = 0.75 // of what a zone can do while it is offered over 1.2 times that
 )
 
 type zone struct {
-	full, demand float64
-	cores        float64
-	goneAt       float64 // since when its engines were last gone
-	backAt       float64
-	offered      [11]float64 // of the last steps
-	pushed       float64     // seconds that it was offered too much by what came from elsewhere
-	steady       float64     // what it could do a moment ago
-	since        float64     // that what comes from elsewhere makes it so
+	fullCapacity, demand float64
+	cores                float64
+	downSince            float64 // since when its engines were last gone
+	upSince              float64
+	recentLoad           [11]float64 // of the last steps
+	changedUntil         float64     // seconds that it was offered too much by what came from elsewhere
+	lastCapacity         float64     // what it could do a moment ago
+	notOverloadedAt      float64     // that what comes from elsewhere makes it so
 }
 
 type router struct {
-	zone    int
-	demand  float64
-	guide   *failover.PlanFollower
-	hearAt  float64
-	toldAt  float64
-	heard   failover.PublishedPlan
-	until   float64
-	bad     []float64 // by zone: recent share of bad sends, as it sees them itself
-	sent    []float64 // of the last second, by zone
-	failed  []float64
-	late    []float64
-	served  []float64
-	reports failover.Report
-	fresh   bool
-	liar    bool
+	zone          int
+	demand        float64
+	follower      *failover.PlanFollower
+	nextContact   float64
+	lastContact   float64
+	plan          failover.PublishedPlan
+	until         float64
+	failureRate   []float64 // by zone: recent share of bad sends, as it sees them itself
+	attemptedWork []float64 // of the last second, by zone
+	failedWork    []float64
+	lateWork      []float64
+	servedWork    []float64
+	report        failover.Report
+	reportFresh   bool
+	misreports    bool
 }
 
 // Result of a run.
@@ -122,78 +122,78 @@
 }
 
 type world struct {
-	s        Settings
-	rnd      *rand.Rand
-	zones    []zone
-	routers  []router
-	regionOf []int
-	ways     [][]float64
-	now      float64
-	control  *failover.Controller
-	agreed   failover.PublishedPlan
-	agreedAt float64
-	pending  *failover.PublishedPlan
-	pendAt   float64
-	owner    int // router
-	frozen   bool
-	orders   failover.Orders
-	r        Result
-	nextTick float64
+	settings     Settings
+	random       *rand.Rand
+	zones        []zone
+	routers      []router
+	regionOf     []int
+	roundTrips   [][]float64
+	now          float64
+	controller   *failover.Controller
+	committed    failover.PublishedPlan
+	committedAt  float64
+	pending      *failover.PublishedPlan
+	pendingSince float64
+	owner        int // router
+	frozen       bool
+	orders       failover.Orders
+	result       Result
+	nextDecision float64
 }
 
 // Play a run.
 func Play(s Settings) (Result, error) {
-	w := &world{s: s, rnd: rand.New(rand.NewPCG(s.Seed, 41)), owner: -1}
-	w.r.Lost = map[int]float64{}
+	w := &world{settings: s, random: rand.New(rand.NewPCG(s.Seed, 41)), owner: -1}
+	w.result.Lost = map[int]float64{}
 	total := 0.0
 	for z := range s.Zones {
-		c := 20 * (0.7 + 0.6*w.rnd.Float64())
-		w.zones = append(w.zones, zone{full: c, cores: c, backAt: -100, goneAt: -1})
+		cores := 20 * (0.7 + 0.6*w.random.Float64())
+		w.zones = append(w.zones, zone{fullCapacity: cores, cores: cores, upSince: -100, downSince: -1})
 		w.regionOf = append(w.regionOf, z*max(s.Regions, 1)/s.Zones)
-		total += c
+		total += cores
 	}
-	weight := 0.0
+	weightSum := 0.0
 	var weights []float64
 	for z := range w.zones {
-		x := w.zones[z].full * math.Exp(s.Skew*w.rnd.NormFloat64())
-		weights, weight = append(weights, x), weight+x
+		zoneWeight := w.zones[z].fullCapacity * math.Exp(s.Skew*w.random.NormFloat64())
+		weights, weightSum = append(weights, zoneWeight), weightSum+zoneWeight
 	}
 	for z := range w.zones {
-		w.zones[z].demand = weights[z] / weight * total * s.Load
+		w.zones[z].demand = weights[z] / weightSum * total * s.Load
 		row := make([]float64, s.Zones)
 		for y := range row {
 			switch {
 			case y == z:
 			case w.regionOf[y] == w.regionOf[z]:
-				row[y] = way
+				row[y] = zoneRoundTrip
 			default:
-				row[y] = far
+				row[y] = regionRoundTrip
 			}
 		}
-		w.ways = append(w.ways, row)
+		w.roundTrips = append(w.roundTrips, row)
 	}
 	for k := range s.Routers {
 		z := k % s.Zones
 		n := (s.Routers + s.Zones - 1 - z) / s.Zones
-		w.routers = append(w.routers, router{zone: z, demand: w.zones[z].demand / float64(n), guide: failover.NewPlanFollower(z, s.Zones, 0.05),
-			hearAt: w.rnd.Float64() * hearEvery, until: math.Inf(-1), bad: make([]float64, s.Zones), sent: make([]float64, s.Zones),
-			failed: make([]float64, s.Zones), late: make([]float64, s.Zones), served: make([]float64, s.Zones), liar: k/s.Zones < int(s.Liars*float64(n))})
+		w.routers = append(w.routers, router{zone: z, demand: w.zones[z].demand / float64(n), follower: failover.NewPlanFollower(z, s.Zones, 0.05),
+			nextContact: w.random.Float64() * contactInterval, until: math.Inf(-1), failureRate: make([]float64, s.Zones), attemptedWork: make([]float64, s.Zones),
+			failedWork: make([]float64, s.Zones), lateWork: make([]float64, s.Zones), servedWork: make([]float64, s.Zones), misreports: k/s.Zones < int(s.Liars*float64(n))})
 	}
-	w.agreed = failover.PublishedPlan{Epoch: 1, Plan: failover.LocalPlan(s.Zones), Fallback: failover.LocalPlan(s.Zones)}
-	for w.now = 0; w.now < s.Length; w.now += step {
-		w.faults()
+	w.committed = failover.PublishedPlan{Epoch: 1, Plan: failover.LocalPlan(s.Zones), Fallback: failover.LocalPlan(s.Zones)}
+	for w.now = 0; w.now < s.Length; w.now += stepSeconds {
+		w.applyFaults()
 		if s.Rule == Planned {
-			w.lead()
-			w.hear()
+			w.runController()
+			w.contactCoordinators()
 		}
-		w.flow()
+		w.serveStep()
 	}
 	w.finish()
-	return w.r, nil
+	return w.result, nil
 }
 
-func (w *world) is(kind Kind, z int) (Fault, bool) {
-	for _, f := range w.s.Faults {
+func (w *world) activeFault(kind Kind, z int) (Fault, bool) {
+	for _, f := range w.settings.Faults {
 		if f.Kind == kind && f.Zone == z && w.now >= f.At && w.now < f.Until {
 			return f, true
 		}
@@ -202,20 +202,20 @@
 }
 
 func (w *world) down(z int) bool {
-	if _, ok := w.is(Power, z); ok {
+	if _, ok := w.activeFault(Power, z); ok {
 		return true
 	}
-	if _, ok := w.is(Engines, z); ok {
+	if _, ok := w.activeFault(Engines, z); ok {
 		return true
 	}
-	if f, ok := w.is(Flapping, z); ok {
+	if f, ok := w.activeFault(Flapping, z); ok {
 		return int((w.now-f.At)/f.By)%2 == 0
 	}
 	return false
 }
 
-func (w *world) cut(from, to int) bool {
-	for _, f := range w.s.Faults {
+func (w *world) linkCut(from, to int) bool {
+	for _, f := range w.settings.Faults {
 		if w.now >= f.At && w.now < f.Until && (f.Kind == Link && (f.Zone == from && f.To == to || f.Zone == to && f.To == from) ||
 			f.Kind == OneWay && f.Zone == from && f.To == to) {
 			return true
@@ -224,64 +224,64 @@
 	return false
 }
 
-func (w *world) faults() {
+func (w *world) applyFaults() {
 	w.frozen = false
-	away := make([]bool, w.s.Zones)
+	draining := make([]bool, w.settings.Zones)
 	for z := range w.zones {
 		x := &w.zones[z]
 		if w.down(z) {
-			x.goneAt = w.now
-			if _, ok := w.r.Lost[z]; !ok {
-				w.r.Lost[z] = w.now
+			x.downSince = w.now
+			if _, ok := w.result.Lost[z]; !ok {
+				w.result.Lost[z] = w.now
 			}
-		} else if x.goneAt >= 0 {
-			x.backAt, x.goneAt = w.now, -1
+		} else if x.downSince >= 0 {
+			x.upSince, x.downSince = w.now, -1
 		}
-		_, away[z] = w.is(Drain, z)
-		if _, ok := w.is(Controller, z); ok {
+		_, draining[z] = w.activeFault(Drain, z)
+		if _, ok := w.activeFault(Controller, z); ok {
 			w.frozen = true
 		}
 	}
-	w.orders.Evacuate = away
+	w.orders.Evacuate = draining
 }
 
-// can is what a zone can do now.
-func (w *world) can(z int) float64 {
+// capacity is what a zone capacity do now.
+func (w *world) capacity(z int) float64 {
 	x := &w.zones[z]
 	if w.down(z) {
 		return 0
 	}
-	c := x.full * min(coldStart+(1-coldStart)*(w.now-x.backAt)/warm, 1)
-	if f, ok := w.is(Slowed, z); ok {
+	c := x.fullCapacity * min(coldCapacityShare+(1-coldCapacityShare)*(w.now-x.upSince)/warmUpSeconds, 1)
+	if f, ok := w.activeFault(Slowed, z); ok {
 		c /= f.By
 	}
 	return c
 }
 
-// listed is what lists say that it has ready.
-func (w *world) listed(z int) float64 {
+// listedCores is what lists say that it has ready.
+func (w *world) listedCores(z int) float64 {
 	x := &w.zones[z]
-	if _, ok := w.is(Lists, z); ok {
+	if _, ok := w.activeFault(Lists, z); ok {
 		return 0
 	}
 	if w.down(z) {
-		if w.now-max(x.backAt, w.r.Lost[z]) > 6 { // lists are late
+		if w.now-max(x.upSince, w.result.Lost[z]) > 6 { // lists are late
 			return 0
 		}
 		return x.cores
 	}
-	return x.cores * min(coldStart+(1-coldStart)*(w.now-x.backAt)/warm, 1)
+	return x.cores * min(coldCapacityShare+(1-coldCapacityShare)*(w.now-x.upSince)/warmUpSeconds, 1)
 }
 
-// talks tells whether a router reaches the keepers.
-func (w *world) talks(r *router) bool {
-	if _, ok := w.is(Power, r.zone); ok {
+// reachesCoordinators tells whether a router reaches the keepers.
+func (w *world) reachesCoordinators(r *router) bool {
+	if _, ok := w.activeFault(Power, r.zone); ok {
 		return false
 	}
-	if _, ok := w.is(Deaf, r.zone); ok {
+	if _, ok := w.activeFault(Deaf, r.zone); ok {
 		return false
 	}
-	for _, f := range w.s.Faults {
+	for _, f := range w.settings.Faults {
 		if f.Kind == Minority && w.now >= f.At && w.now < f.Until && w.regionOf[f.Zone] == w.regionOf[r.zone] {
 			return false
 		}
@@ -289,25 +289,25 @@
 	return true
 }
 
-// lead has the owner's controller look once a second. Where the owner is gone another takes over after a lease.
-func (w *world) lead() {
+// runController has the owner's controller look once a second. Where the owner is gone another takes over after a lease.
+func (w *world) runController() {
 	const lease = 2.0
-	if w.pending != nil && w.now >= w.pendAt+agreement {
-		w.agreed, w.agreedAt, w.pending = *w.pending, w.now, nil
+	if w.pending != nil && w.now >= w.pendingSince+commitDelay {
+		w.committed, w.committedAt, w.pending = *w.pending, w.now, nil
 	}
-	if w.now < w.nextTick {
+	if w.now < w.nextDecision {
 		return
 	}
-	w.nextTick = w.now + 0.5
-	if w.owner >= 0 && !w.talks(&w.routers[w.owner]) || w.frozen && w.control != nil {
-		w.owner, w.control = -1, nil
-		w.nextTick = w.now + lease
+	w.nextDecision = w.now + 0.5
+	if w.owner >= 0 && !w.reachesCoordinators(&w.routers[w.owner]) || w.frozen && w.controller != nil {
+		w.owner, w.controller = -1, nil
+		w.nextDecision = w.now + lease
 		return
 	}
 	if w.owner < 0 {
 		for n := range w.routers {
 			k := (n*7 + int(w.now)) % len(w.routers)
-			if w.talks(&w.routers[k]) {
+			if w.reachesCoordinators(&w.routers[k]) {
 				w.owner = k
 				break
 			}
@@ -315,34 +315,34 @@
 		if w.owner < 0 {
 			return
 		}
-		w.control = failover.NewController(failover.Config{Lifetime: failover.Lifetime, Drift: 0.05, RoundTrip: w.ways}, w.s.Zones, w.now, w.agreed)
+		w.controller = failover.NewController(failover.Config{Lifetime: failover.Lifetime, Drift: 0.05, RoundTrip: w.roundTrips}, w.settings.Zones, w.now, w.committed)
 	}
 	var reports []failover.Report
 	sessions := 0
 	for k := range w.routers {
 		r := &w.routers[k]
-		if w.talks(r) {
+		if w.reachesCoordinators(r) {
 			sessions++
-			if r.fresh {
-				reports = append(reports, r.reports)
+			if r.reportFresh {
+				reports = append(reports, r.report)
 			}
 		}
 	}
-	if p, ok := w.control.Next(w.now, reports, sessions, w.orders); ok {
-		w.pending, w.pendAt = &p, w.now
-		if len(w.control.Changes) > 0 && w.control.Changes[len(w.control.Changes)-1] == w.now { // no note of what is asked for
-			w.r.Changes = append(w.r.Changes, w.now)
+	if p, ok := w.controller.Next(w.now, reports, sessions, w.orders); ok {
+		w.pending, w.pendingSince = &p, w.now
+		if len(w.controller.Changes) > 0 && w.controller.Changes[len(w.controller.Changes)-1] == w.now { // no note of what is asked for
+			w.result.Changes = append(w.result.Changes, w.now)
 		}
-		load := failover.MaxMixedLoad(w.control.Demand, p.Plan, w.agreed.Plan)
-		before := failover.MaxMixedLoad(w.control.Demand, w.agreed.Plan)
+		load := failover.MaxMixedLoad(w.controller.Demand, p.Plan, w.committed.Plan)
+		before := failover.MaxMixedLoad(w.controller.Demand, w.committed.Plan)
 		for z := range load {
-			if room := w.control.PlanCapacity[z]; room > 0 && load[z] > before[z]+1e-6 { // what a plan adds
-				w.r.Planned = max(w.r.Planned, load[z]/room)
+			if capacity := w.controller.PlanCapacity[z]; capacity > 0 && load[z] > before[z]+1e-6 { // what a plan adds
+				w.result.Planned = max(w.result.Planned, load[z]/capacity)
 			}
 		}
 		for z := range w.zones {
-			if p.Plan.Load(ones(w.s.Zones))[z] == 0 && w.agreed.Plan.Load(ones(w.s.Zones))[z] > 0 && w.well(z) {
-				w.r.Given = append(w.r.Given, fmt.Sprintf("zone %d at %.1f: %s", z, w.now, p.Reason))
+			if p.Plan.Load(ones(w.settings.Zones))[z] == 0 && w.committed.Plan.Load(ones(w.settings.Zones))[z] > 0 && w.undisturbed(z) {
+				w.result.Given = append(w.result.Given, fmt.Sprintf("zone %d at %.1f: %s", z, w.now, p.Reason))
 			}
 		}
 	}
@@ -357,73 +357,73 @@
 }
 
 func (w *world) demands() []float64 {
-	d := make([]float64, w.s.Zones)
+	d := make([]float64, w.settings.Zones)
 	for k := range w.routers {
-		if r := &w.routers[k]; !w.off(r) {
+		if r := &w.routers[k]; !w.routerDown(r) {
 			d[r.zone] += r.demand
 		}
 	}
 	return d
 }
 
-// well: nothing is the matter with a zone, nor was of late, nor is it drained.
-func (w *world) well(z int) bool {
-	for _, f := range w.s.Faults {
-		touches := f.Zone == z && f.Kind != Controller && f.Kind != Deaf && f.Kind != Minority && f.Kind != OneWay && f.Kind != Link
-		if touches && w.now >= f.At && w.now < f.Until+40 {
+// undisturbed: nothing is the matter with a zone, nor was of late, nor is it drained.
+func (w *world) undisturbed(z int) bool {
+	for _, f := range w.settings.Faults {
+		affects := f.Zone == z && f.Kind != Controller && f.Kind != Deaf && f.Kind != Minority && f.Kind != OneWay && f.Kind != Link
+		if affects && w.now >= f.At && w.now < f.Until+40 {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) off(r *router) bool {
-	_, ok := w.is(Power, r.zone)
+func (w *world) routerDown(r *router) bool {
+	_, ok := w.activeFault(Power, r.zone)
 	return ok
 }
 
-// hear: each router asks once a second, and tells what it saw.
-func (w *world) hear() {
+// contactCoordinators: each router asks once a second, and tells what it saw.
+func (w *world) contactCoordinators() {
 	for k := range w.routers {
 		r := &w.routers[k]
-		if w.now < r.hearAt {
+		if w.now < r.nextContact {
 			continue
 		}
-		span := w.now - r.toldAt
-		r.toldAt, r.hearAt = w.now, w.now+hearEvery*(0.9+0.2*w.rnd.Float64())
-		if w.off(r) {
-			r.fresh = false
+		span := w.now - r.lastContact
+		r.lastContact, r.nextContact = w.now, w.now+contactInterval*(0.9+0.2*w.random.Float64())
+		if w.routerDown(r) {
+			r.reportFresh = false
 			continue
 		}
-		if !w.talks(r) {
-			r.fresh = false
+		if !w.reachesCoordinators(r) {
+			r.reportFresh = false
 		} else {
-			if r.heard.Epoch != w.agreed.Epoch {
-				r.heard = w.agreed
+			if r.plan.Epoch != w.committed.Epoch {
+				r.plan = w.committed
 			}
-			r.guide.Receive(w.now, w.agreed)
-			r.fresh = true
+			r.follower.Receive(w.now, w.committed)
+			r.reportFresh = true
 		}
-		rep := failover.Report{Zone: r.zone, Demand: r.demand, Epoch: r.guide.Epoch(w.now), Span: span}
+		report := failover.Report{Zone: r.zone, Demand: r.demand, Epoch: r.follower.Epoch(w.now), Span: span}
 		for z := range w.zones {
-			s := failover.ZoneObservation{Attempts: r.sent[z] * 5, Failed: min(r.failed[z], r.sent[z]) * 5, Late: r.late[z] * 5, Work: r.served[z], Ready: w.listed(z), Slow: 1}
-			if s.Ready > 0 {
-				s.ColdCores = w.zones[z].cores - s.Ready
+			observation := failover.ZoneObservation{Attempts: r.attemptedWork[z] * 5, Failed: min(r.failedWork[z], r.attemptedWork[z]) * 5, Late: r.lateWork[z] * 5, Work: r.servedWork[z], Ready: w.listedCores(z), Slow: 1}
+			if observation.Ready > 0 {
+				observation.ColdCores = w.zones[z].cores - observation.Ready
 			}
-			if f, ok := w.is(Slowed, z); ok {
-				s.Slow = f.By
+			if f, ok := w.activeFault(Slowed, z); ok {
+				observation.Slow = f.By
 			}
-			if r.bad[z] > 0.5 {
-				s.SuspectCores = s.Ready
+			if r.failureRate[z] > 0.5 {
+				observation.SuspectCores = observation.Ready
 			}
-			if r.liar {
-				s.SuspectCores, s.Failed, s.Slow, s.Late = 0, s.Attempts*w.rnd.Float64(), 20*w.rnd.Float64(), 0
+			if r.misreports {
+				observation.SuspectCores, observation.Failed, observation.Slow, observation.Late = 0, observation.Attempts*w.random.Float64(), 20*w.random.Float64(), 0
 			}
-			rep.Observations = append(rep.Observations, s)
+			report.Observations = append(report.Observations, observation)
 		}
-		r.reports = rep
+		r.report = report
 		for z := range w.zones {
-			r.sent[z], r.failed[z], r.late[z], r.served[z] = 0, 0, 0, 0
+			r.attemptedWork[z], r.failedWork[z], r.lateWork[z], r.servedWork[z] = 0, 0, 0, 0
 		}
 	}
 }
