--- a/emulator/cluster/clients.go
+++ b/emulator/cluster/clients.go
@@ -34,92 +34,92 @@
 }
 
 // scheduleArrival draws a stream's scheduleArrival arrival, by thinning (Lewis and Shedler, 1979).
-func (t *Town) scheduleArrival(k int, from float64) {
-	s := &t.settings.Streams[k]
-	_, most := t.rateFactor(k, from)
+func (sim *Town) scheduleArrival(k int, from float64) {
+	s := &sim.settings.Streams[k]
+	_, most := sim.rateFactor(k, from)
 	peak := s.Peak * most
 	if peak <= 0 {
 		return
 	}
-	gap := distuv.Exponential{Rate: peak, Src: t.clientRand}
+	gap := distuv.Exponential{Rate: peak, Src: sim.clientRand}
 	for at := from; ; {
-		if at += gap.Rand(); at > t.settings.Length {
+		if at += gap.Rand(); at > sim.settings.Length {
 			return
 		}
-		if factor, _ := t.rateFactor(k, at); t.clientRand.Float64()*peak <= s.Rate(at)*factor {
-			work := t.drawLogNormal(s.Work, s.CV)
-			request := Try{Stream: k, Number: 1, First: at, Mark: t.lastSeq + 1, Work: work, Guess: t.estimate(s, work),
-				Ignores: t.clientRand.Float64() < s.Ignores}
+		if factor, _ := sim.rateFactor(k, at); sim.clientRand.Float64()*peak <= s.Rate(at)*factor {
+			work := sim.drawLogNormal(s.Work, s.CV)
+			request := Try{Stream: k, Number: 1, First: at, Mark: sim.seq + 1, Work: work, Guess: sim.estimate(s, work),
+				Ignores: sim.clientRand.Float64() < s.Ignores}
 			if s.Keys > 0 {
-				request.Key = 1 + uint64(t.clientRand.IntN(s.Keys))
+				request.Key = 1 + uint64(sim.clientRand.IntN(s.Keys))
 			}
-			t.push(event{at: at, kind: arrivalEvent, request: request})
+			sim.push(event{at: at, kind: arrivalEvent, request: request})
 			return
 		}
 	}
 }
 
-func (t *Town) estimate(s *Stream, work float64) float64 {
+func (sim *Town) estimate(s *Stream, work float64) float64 {
 	if s.Blind {
 		return 0
 	}
 	if s.Bias > 0 {
 		work *= s.Bias
 	}
-	return work * t.drawLogNormal(1, s.Scatter)
+	return work * sim.drawLogNormal(1, s.Scatter)
 }
 
-func (t *Town) drawLogNormal(mean, cv float64) float64 {
+func (sim *Town) drawLogNormal(mean, cv float64) float64 {
 	if cv == 0 {
 		return mean
 	}
 	variance := math.Log(1 + cv*cv)
-	return distuv.LogNormal{Mu: math.Log(mean) - variance/2, Sigma: math.Sqrt(variance), Src: t.clientRand}.Rand()
+	return distuv.LogNormal{Mu: math.Log(mean) - variance/2, Sigma: math.Sqrt(variance), Src: sim.clientRand}.Rand()
 }
 
 // routeRequest brings a try to a router that is up: to the key's own, or to the next in turn.
-func (t *Town) routeRequest(request Try) {
-	r := t.routers[0]
-	for n := range t.routers {
-		k := t.nextRouter + n
+func (sim *Town) routeRequest(request Try) {
+	r := sim.routers[0]
+	for n := range sim.routers {
+		k := sim.nextRouter + n
 		if request.Key != 0 {
 			k = int(request.Key) + n
 		}
-		if r = t.routers[k%len(t.routers)]; r.up {
+		if r = sim.routers[k%len(sim.routers)]; r.up {
 			break
 		}
 	}
-	t.nextRouter = (t.nextRouter + 1) % len(t.routers)
-	s := &t.settings.Streams[request.Stream]
-	p := &t.settings.Brain.Profiles[s.Profile]
-	request.Taken, request.Sent, request.Router = t.now, math.NaN(), r.index
+	sim.nextRouter = (sim.nextRouter + 1) % len(sim.routers)
+	s := &sim.settings.Streams[request.Stream]
+	p := &sim.settings.Brain.Profiles[s.Profile]
+	request.Taken, request.Sent, request.Router = sim.now, math.NaN(), r.index
 	request.Target = p.Target + p.Stretch*request.Work/max(float64(p.Threads), 1)
 	if !r.up {
-		request.Ended, request.How = t.now, Lost
-		t.Tries = append(t.Tries, request)
+		request.Ended, request.How = sim.now, Lost
+		sim.Tries = append(sim.Tries, request)
 		return
 	}
 	r.lastRequestID++
-	f := &activeRequest{requestIndex: len(t.Tries), router: r.index, id: r.lastRequestID, attempt: -1, priority: 1, server: -1, firstServer: -1}
-	t.Tries = append(t.Tries, request)
-	r.requests[f.id] = f
-	r.requestTimes = append(r.requestTimes, t.now)
-	f.request = admission.Request{ID: f.id, Profile: s.Profile, Tenant: s.Tenant, Team: s.Team, Key: request.Key,
+	active := &activeRequest{requestIndex: len(sim.Tries), router: r.index, id: r.lastRequestID, attempt: -1, priority: 1, server: -1, firstServer: -1}
+	sim.Tries = append(sim.Tries, request)
+	r.requests[active.id] = active
+	r.requestTimes = append(r.requestTimes, sim.now)
+	active.admissionRequest = admission.Request{ID: active.id, Profile: s.Profile, Tenant: s.Tenant, Team: s.Team, Key: request.Key,
 		TimeLeft: s.Deadline, RequestKey: request.Mark, Cost: request.Guess, Memory: s.Memory}
-	t.observe(Taken, f)
-	r.controller.Request(t.now, f.request)
+	sim.observe(Taken, active)
+	r.controller.Request(sim.now, active.admissionRequest)
 }
 
 // rateFactor is the factor on a stream's rate at a time; most, the most that it comes to.
-func (t *Town) rateFactor(stream int, at float64) (factor, most float64) {
+func (sim *Town) rateFactor(stream int, at float64) (factor, most float64) {
 	factor, most = 1, 1
-	for _, h := range t.settings.Happens {
-		if h.Act != Burst || h.Stream != stream {
+	for _, fault := range sim.settings.Happens {
+		if fault.Act != Burst || fault.Stream != stream {
 			continue
 		}
-		most *= max(h.Value, 1)
-		if at >= h.At && (h.For == 0 || at < h.At+h.For) {
-			factor *= h.Value
+		most *= max(fault.Value, 1)
+		if at >= fault.At && (fault.For == 0 || at < fault.At+fault.For) {
+			factor *= fault.Value
 		}
 	}
 	return factor, most
--- a/emulator/cluster/cold_test.go
+++ b/emulator/cluster/cold_test.go
@@ -13,9 +13,9 @@
 
 // coldAttempt is one attempt at a cold server.
 type coldAttempt struct {
-	at          float64
-	work        float64 // mean of its kind, core seconds
-	startListed bool    // its router knew of the start
+	at       float64
+	work     float64 // mean of its kind, core seconds
+	informed bool    // its router knew of the start
 }
 
 // coldWatch holds what all routers send to one cold server against what it bears in any window.
@@ -46,18 +46,18 @@
 	for w.attempts[0].at <= m.Now-b.FallWindow {
 		w.attempts = w.attempts[1:]
 	}
-	listed, all, mean := 0.0, 0.0, 0.0
+	informed, all, mean := 0.0, 0.0, 0.0
 	for _, s := range w.attempts {
-		if all += s.work; s.startListed {
-			listed += s.work
+		if all += s.work; s.informed {
+			informed += s.work
 		}
 	}
 	mean = all / float64(len(w.attempts))
 	bound := coldCapacity(&w.settings, w.server, m.Now-w.start, mean) * mean
-	if listed/bound > w.maxRatio {
-		w.maxRatio = listed / bound
+	if informed/bound > w.maxRatio {
+		w.maxRatio = informed / bound
 		w.worstCase = fmt.Sprintf("%.2f s after the start: %.1f requests of mean work %.4f s from routers that were told, %.1f are borne", m.Now-w.start,
-			listed/mean, mean, bound/mean)
+			informed/mean, mean, bound/mean)
 	}
 	return true
 }
--- a/emulator/cluster/events.go
+++ b/emulator/cluster/events.go
@@ -51,8 +51,8 @@
 	return x
 }
 
-func (t *Town) push(e event) {
-	t.lastSeq++
-	e.seq = t.lastSeq
-	heap.Push(&t.queue, e)
+func (sim *Town) push(e event) {
+	sim.seq++
+	e.seq = sim.seq
+	heap.Push(&sim.queue, e)
 }
--- a/emulator/cluster/moments.go
+++ b/emulator/cluster/moments.go
@@ -63,53 +63,53 @@
 }
 
 // observe lets the watcher see a moment.
-func (t *Town) observe(on On, f *activeRequest, end ...admission.End) {
-	if t.settings.Watch == nil {
+func (sim *Town) observe(on On, active *activeRequest, end ...admission.End) {
+	if sim.settings.Watch == nil {
 		return
 	}
-	r := t.routers[f.router]
-	request := &t.Tries[f.requestIndex]
-	m := Moment{On: on, Now: t.now, Router: f.router, Try: request, Stream: &t.settings.Streams[request.Stream], Engine: f.server,
-		Number: f.attempt, Level: f.priority, Waited: t.now - request.Taken, Age: -1, Rev: r.follower.Revision()}
-	if f.outstanding {
+	r := sim.routers[active.router]
+	request := &sim.Tries[active.requestIndex]
+	m := Moment{On: on, Now: sim.now, Router: active.router, Try: request, Stream: &sim.settings.Streams[request.Stream], Engine: active.server,
+		Number: active.attempt, Level: active.priority, Waited: sim.now - request.Taken, Age: -1, Rev: r.follower.Revision()}
+	if active.outstanding {
 		m.Out = 1
 	}
 	if len(end) > 0 {
 		m.End = end[0]
 	}
-	if k := f.server; k >= 0 {
-		h := t.servers[k]
-		m.Told, m.True, m.EngineN = r.serverStates[k].state, h.state, h.Running()
-		if at := r.serverStates[k].since; !math.IsInf(at, -1) {
-			m.ToldFor = t.now - at
+	if k := active.server; k >= 0 {
+		model := sim.servers[k]
+		m.Told, m.True, m.EngineN = r.serverStates[k].state, model.state, model.Running()
+		if at := r.serverStates[k].at; !math.IsInf(at, -1) {
+			m.ToldFor = sim.now - at
 		}
 		for _, e := range r.follower.List() {
-			if e.Server == h.discoveryID && e.ReadyAt > 0 {
-				m.Age = t.now - e.ReadyAt
+			if e.Server == model.discoveryID && e.ReadyAt > 0 {
+				m.Age = sim.now - e.ReadyAt
 			}
 		}
 	}
-	m.LastEnd, m.First, m.Since = f.lastEnd, f.firstServer, t.now-f.firstSentAt
+	m.LastEnd, m.First, m.Since = active.lastEnd, active.firstServer, sim.now-active.firstSentAt
 	if on == Sent {
-		h := t.servers[f.server]
-		h.recentWork = append(h.recentWork, sentWork{t.now, request.Work})
-		m.Recent = h.recentWorkSince(t.now - t.settings.Brain.FallWindow)
+		model := sim.servers[active.server]
+		model.recentWork = append(model.recentWork, sentWork{sim.now, request.Work})
+		m.Recent = model.recentWorkSince(sim.now - sim.settings.Brain.FallWindow)
 	}
-	if window := t.settings.Brain.BudgetWindow; window > 0 {
-		m.Further, m.Commands = countSince(&r.retryTimes, t.now-window), countSince(&r.requestTimes, t.now-window)
+	if window := sim.settings.Brain.BudgetWindow; window > 0 {
+		m.Further, m.Commands = countSince(&r.retryTimes, sim.now-window), countSince(&r.requestTimes, sim.now-window)
 	}
 	if request.Key != 0 && on == Sent {
-		for _, active := range r.requests {
-			other := &t.Tries[active.requestIndex]
-			m.KeyOpen = m.KeyOpen || active.id < f.id && other.Key == request.Key && (!active.finished || active.outstanding)
+		for _, o := range r.requests {
+			other := &sim.Tries[o.requestIndex]
+			m.KeyOpen = m.KeyOpen || o.id < active.id && other.Key == request.Key && (!o.finished || o.outstanding)
 		}
 	}
-	t.callWatch(&m)
+	sim.callWatch(&m)
 }
 
-func (t *Town) callWatch(m *Moment) {
-	if !t.stopped {
-		t.stopped = !t.settings.Watch(m)
+func (sim *Town) callWatch(m *Moment) {
+	if !sim.stopped {
+		sim.stopped = !sim.settings.Watch(m)
 	}
 }
 
--- a/emulator/cluster/town.go
+++ b/emulator/cluster/town.go
@@ -54,12 +54,12 @@
 
 // Shadow is a refused command that nobody sends again: the module is asked every 50 ms whether it would let it in.
 type Shadow struct {
-	Stream  int
-	At      float64
-	Told    waittime.Estimate
-	Took    float64
-	In      bool // false: it was given up looking
-	request admission.Request
+	Stream           int
+	At               float64
+	Told             waittime.Estimate
+	Took             float64
+	In               bool // false: it was given up looking
+	admissionRequest admission.Request
 }
 
 const (
@@ -124,27 +124,27 @@
 }
 
 type activeRequest struct {
-	requestIndex int
-	router       int
-	id           uint32
-	attempt      int // of its latest send, -1: none
-	outstanding  bool
-	server       int
-	sentAt       float64
-	lastEnd      admission.End // of its latest send that ended
-	firstServer  int           // engine of its first send, -1: none yet
-	firstSentAt  float64
-	queryID      uint64 // the engine's number for it
-	priority     int
-	finished     bool
-	request      admission.Request
+	requestIndex     int
+	router           int
+	id               uint32
+	attempt          int // of its latest send, -1: none
+	outstanding      bool
+	server           int
+	sentAt           float64
+	lastEnd          admission.End // of its latest send that ended
+	firstServer      int           // engine of its first send, -1: none yet
+	firstSentAt      float64
+	queryID          uint64 // the engine's number for it
+	priority         int
+	finished         bool
+	admissionRequest admission.Request
 }
 
 // Town is one run.
 type Town struct {
 	settings    Settings
 	now         float64
-	lastSeq     uint64
+	seq         uint64
 	queue       events
 	routers     []*router
 	servers     []*server
@@ -186,22 +186,22 @@
 
 // Run plays a day.
 func Run(set Settings) (Result, error) {
-	t := &Town{settings: set, clientRand: rand.New(rand.NewPCG(set.Seed, 1)), serverRand: rand.New(rand.NewPCG(set.Seed, 3)), running: map[uint64]query{}}
-	if err := t.setUp(); err != nil {
-		return t.Result, err
+	sim := &Town{settings: set, clientRand: rand.New(rand.NewPCG(set.Seed, 1)), serverRand: rand.New(rand.NewPCG(set.Seed, 3)), running: map[uint64]query{}}
+	if err := sim.setUp(); err != nil {
+		return sim.Result, err
 	}
-	for k := range t.settings.Streams {
-		t.scheduleArrival(k, 0)
+	for k := range sim.settings.Streams {
+		sim.scheduleArrival(k, 0)
 	}
-	t.runEvents()
-	for _, e := range t.servers {
-		t.Wasted += e.Wasted
+	sim.runEvents()
+	for _, e := range sim.servers {
+		sim.Wasted += e.Wasted
 	}
-	return t.Result, nil
+	return sim.Result, nil
 }
 
-func (t *Town) setUp() error {
-	s := &t.settings
+func (sim *Town) setUp() error {
+	s := &sim.settings
 	s.Routers = max(s.Routers, 1)
 	if s.Zones == nil {
 		s.Zones = []string{"here"}
@@ -215,186 +215,186 @@
 		}
 	}
 	for k := range s.Engines {
-		t.servers = append(t.servers, newServer(s, k))
+		sim.servers = append(sim.servers, newServer(s, k))
 	}
-	t.list.update(t)
-	for me := range s.Routers {
-		r := &router{sim: t, index: me}
-		t.routers = append(t.routers, r)
+	sim.list.update(sim)
+	for index := range s.Routers {
+		r := &router{sim: sim, index: index}
+		sim.routers = append(sim.routers, r)
 		if err := r.start(); err != nil {
 			return err
 		}
 	}
-	for _, h := range s.Happens {
-		t.push(event{at: h.At, kind: faultStartEvent, fault: h})
+	for _, fault := range s.Happens {
+		sim.push(event{at: fault.At, kind: faultStartEvent, fault: fault})
 	}
 	return nil
 }
 
 // start brings a router to life with the list of now.
 func (r *router) start() error {
-	t := r.sim
-	settings := t.settings.Brain
-	settings.Seed, settings.Me, settings.Routers = t.settings.Seed+uint64(r.index)<<32+uint64(r.incarnation)<<48, r.index, t.settings.Routers
-	if t.settings.Sharers > 0 {
-		settings.Me, settings.Routers = r.index%t.settings.Sharers, t.settings.Sharers
+	sim := r.sim
+	controllerSettings := sim.settings.Brain
+	controllerSettings.Seed, controllerSettings.Me, controllerSettings.Routers = sim.settings.Seed+uint64(r.index)<<32+uint64(r.incarnation)<<48, r.index, sim.settings.Routers
+	if sim.settings.Sharers > 0 {
+		controllerSettings.Me, controllerSettings.Routers = r.index%sim.settings.Sharers, sim.settings.Sharers
 	}
-	if t.settings.Teams != nil {
-		tree, err := fairshare.New(*t.settings.Teams, t.now)
+	if sim.settings.Teams != nil {
+		tree, err := fairshare.New(*sim.settings.Teams, sim.now)
 		if err != nil {
 			return err
 		}
-		settings.Teams, settings.Ageing = tree, t.settings.Teams.Ageing
+		controllerSettings.Teams, controllerSettings.Ageing = tree, sim.settings.Teams.Ageing
 		if r.index == 0 {
-			t.Teams = tree
+			sim.Teams = tree
 		}
 	}
-	if t.settings.Waits {
-		settings.Waits = waittime.New(len(settings.Profiles), settings.MaxPause)
+	if sim.settings.Waits {
+		controllerSettings.Waits = waittime.New(len(controllerSettings.Profiles), controllerSettings.MaxPause)
 	}
 	r.up, r.requests, r.lastRequestID = true, map[uint32]*activeRequest{}, 0
-	r.serverStates = make([]listedState, len(t.servers))
+	r.serverStates = make([]listedState, len(sim.servers))
 	r.retryTimes, r.requestTimes = nil, nil
-	r.follower = discovery.New(t.settings.Zones, t.settings.Kinds)
-	if _, err := r.follower.ApplyConfig(t.list.asConfig(t)); err != nil {
+	r.follower = discovery.New(sim.settings.Zones, sim.settings.Kinds)
+	if _, err := r.follower.ApplyConfig(sim.list.asConfig(sim)); err != nil {
 		return err
 	}
-	if t.settings.Recall != nil && r.incarnation > 0 {
-		settings.Memory = t.settings.Recall(r.learned, t.now-r.stoppedAt, &settings)
+	if sim.settings.Recall != nil && r.incarnation > 0 {
+		controllerSettings.Memory = sim.settings.Recall(r.learned, sim.now-r.stoppedAt, &controllerSettings)
 	}
-	r.controller = admission.New(settings, t.now, r)
+	r.controller = admission.New(controllerSettings, sim.now, r)
 	r.updateServers(admission.Cached)
-	r.poll(t.now)
+	r.poll(sim.now)
 	return nil
 }
 
-func (t *Town) runEvents() {
+func (sim *Town) runEvents() {
 	for n := 1; ; n++ {
 		const stopCheckInterval = 4096 // steps: some milliseconds
-		if n%stopCheckInterval == 0 && t.settings.Stop != nil && t.settings.Stop() {
+		if n%stopCheckInterval == 0 && sim.settings.Stop != nil && sim.settings.Stop() {
 			return
 		}
 		at, k := math.Inf(1), -1
-		if len(t.queue) > 0 {
-			at = t.queue[0].at
+		if len(sim.queue) > 0 {
+			at = sim.queue[0].at
 		}
-		for i, e := range t.servers {
+		for i, e := range sim.servers {
 			if n := e.Next(); n < at {
 				at, k = n, i
 			}
 		}
-		if at > t.settings.Length || t.stopped {
+		if at > sim.settings.Length || sim.stopped {
 			return
 		}
-		t.now = max(t.now, at)
+		sim.now = max(sim.now, at)
 		if k >= 0 {
-			t.servers[k].Advance(at)
-			for _, ev := range t.servers[k].Events() {
-				t.handleServerEvent(k, ev)
+			sim.servers[k].Advance(at)
+			for _, ev := range sim.servers[k].Events() {
+				sim.handleServerEvent(k, ev)
 			}
 			continue
 		}
-		t.handleEvent(heap.Pop(&t.queue).(event))
+		sim.handleEvent(heap.Pop(&sim.queue).(event))
 	}
 }
 
-func (t *Town) handleEvent(e event) {
+func (sim *Town) handleEvent(e event) {
 	switch e.kind {
 	case arrivalEvent:
 		if e.request.Number == 1 {
-			t.scheduleArrival(e.request.Stream, t.now)
-			if t.Clients++; t.settings.Keep != nil && !t.settings.Keep(t.Clients-1) {
+			sim.scheduleArrival(e.request.Stream, sim.now)
+			if sim.Clients++; sim.settings.Keep != nil && !sim.settings.Keep(sim.Clients-1) {
 				return
 			}
 		}
-		t.routeRequest(e.request)
+		sim.routeRequest(e.request)
 		return
 	case shadowEvent:
-		s := &t.Shadows[e.token]
-		if s.Took = t.now - s.At; t.routers[0].controller.WouldAdmit(t.now, s.request) {
+		s := &sim.Shadows[e.token]
+		if s.Took = sim.now - s.At; sim.routers[0].controller.WouldAdmit(sim.now, s.admissionRequest) {
 			s.In = true
 		} else if s.Took < shadowTimeout {
-			t.push(event{at: t.now + shadowInterval, kind: shadowEvent, token: e.token})
+			sim.push(event{at: sim.now + shadowInterval, kind: shadowEvent, token: e.token})
 		}
 		return
 	case faultStartEvent:
-		t.startFault(e.fault)
+		sim.startFault(e.fault)
 		return
 	case faultEndEvent:
-		t.endFault(e.fault)
+		sim.endFault(e.fault)
 		return
 	}
-	r := t.routers[e.router]
+	r := sim.routers[e.router]
 	if !r.up || r.incarnation != e.incarnation {
 		return
 	}
 	switch e.kind {
 	case wakeEvent:
-		r.controller.Woken(t.now, e.token)
+		r.controller.Woken(sim.now, e.token)
 	case pollEvent:
-		r.poll(t.now)
+		r.poll(sim.now)
 	case listAnswerEvent:
 		if fresh, _ := r.follower.HandleAnswer(e.answer); fresh {
 			r.updateServers(admission.Full)
 		}
 	case outcomeEvent, timeoutEvent:
-		if f := r.requests[uint32(e.token)]; f != nil && f.outstanding && f.attempt == e.attempt {
-			t.endAttempt(f, e.end, 0)
+		if active := r.requests[uint32(e.token)]; active != nil && active.outstanding && active.attempt == e.attempt {
+			sim.endAttempt(active, e.end, 0)
 		}
 	}
 }
 
 // handleServerEvent takes what an engine tells.
-func (t *Town) handleServerEvent(k int, ev engine.Event) {
-	q, ok := t.running[ev.ID]
+func (sim *Town) handleServerEvent(k int, ev engine.Event) {
+	q, ok := sim.running[ev.ID]
 	if ev.What == engine.Done {
-		t.Ran = append(t.Ran, Ran{t.now, q.stream, ev.Value})
-		delete(t.running, ev.ID)
+		sim.Ran = append(sim.Ran, Ran{sim.now, q.stream, ev.Value})
+		delete(sim.running, ev.ID)
 	}
-	f := q.request
-	if !ok || f == nil || !f.outstanding || f.attempt != q.attempt {
+	active := q.request
+	if !ok || active == nil || !active.outstanding || active.attempt != q.attempt {
 		return // nobody waits for it any more
 	}
-	server := t.servers[k]
-	progress := admission.Progress{ID: f.id, Server: server.discoveryID, Attempt: f.attempt, Value: ev.Value}
-	controller := t.routers[f.router].controller
+	server := sim.servers[k]
+	progress := admission.Progress{ID: active.id, Server: server.discoveryID, Attempt: active.attempt, Value: ev.Value}
+	controller := sim.routers[active.router].controller
 	switch ev.What {
 	case engine.Done:
-		if server.lossShare > 0 && t.serverRand.Float64() < server.lossShare {
+		if server.lossShare > 0 && sim.serverRand.Float64() < server.lossShare {
 			return // its answer is lost on the way: the send's limit ends it
 		}
-		t.endAttempt(f, admission.Completed, ev.Value)
+		sim.endAttempt(active, admission.Completed, ev.Value)
 	case engine.Progress:
 		progress.Kind = admission.ShareDone
-		controller.Progress(t.now, progress)
+		controller.Progress(sim.now, progress)
 	case engine.Spills:
 		progress.Kind = admission.Spilling
-		controller.Progress(t.now, progress)
+		controller.Progress(sim.now, progress)
 	}
 }
 
-func (t *Town) endAttempt(f *activeRequest, end admission.End, work float64) {
-	f.outstanding = false
-	t.observe(SendEnded, f, end)
-	f.lastEnd = end
-	if end == admission.Completed && !f.finished {
-		t.finish(f, Answered)
+func (sim *Town) endAttempt(active *activeRequest, end admission.End, work float64) {
+	active.outstanding = false
+	sim.observe(SendEnded, active, end)
+	active.lastEnd = end
+	if end == admission.Completed && !active.finished {
+		sim.finish(active, Answered)
 	}
-	outcome := admission.Outcome{ID: f.id, Server: t.servers[f.server].discoveryID, Attempt: f.attempt, End: end, Latency: t.now - f.sentAt, Final: f.finished, Work: work}
-	r := t.routers[f.router]
-	r.controller.Outcome(t.now, outcome)
-	r.removeIfDone(f)
+	outcome := admission.Outcome{ID: active.id, Server: sim.servers[active.server].discoveryID, Attempt: active.attempt, End: end, Latency: sim.now - active.sentAt, Final: active.finished, Work: work}
+	r := sim.routers[active.router]
+	r.controller.Outcome(sim.now, outcome)
+	r.removeIfDone(active)
 }
 
-func (t *Town) finish(f *activeRequest, how How) {
-	f.finished = true
-	request := &t.Tries[f.requestIndex]
-	request.Ended, request.How = t.now, how
-	t.observe(Final, f)
+func (sim *Town) finish(active *activeRequest, how How) {
+	active.finished = true
+	request := &sim.Tries[active.requestIndex]
+	request.Ended, request.How = sim.now, how
+	sim.observe(Final, active)
 }
 
-func (r *router) removeIfDone(f *activeRequest) {
-	if f.finished && !f.outstanding {
-		delete(r.requests, f.id)
+func (r *router) removeIfDone(active *activeRequest) {
+	if active.finished && !active.outstanding {
+		delete(r.requests, active.id)
 	}
 }
--- a/emulator/cluster/world.go
+++ b/emulator/cluster/world.go
@@ -57,7 +57,7 @@
 
 type listedState struct {
 	state admission.State
-	since float64
+	at    float64
 }
 
 // server is an engine with what befalls it.
@@ -112,14 +112,14 @@
 }
 
 // update notes a new event of the list.
-func (l *serverList) update(t *Town) {
+func (l *serverList) update(sim *Town) {
 	if l.delays == nil {
-		n := t.settings.Routers
+		n := sim.settings.Routers
 		l.delays, l.lost, l.stale, l.damaged = make([]float64, n), make([]bool, n), make([]bool, n), make([]bool, n)
 	}
 	l.revision++
 	l.previousLines, l.lines = l.lines, nil
-	for k, e := range t.servers {
+	for k, e := range sim.servers {
 		if e.state == admission.Gone {
 			continue
 		}
@@ -127,24 +127,24 @@
 		if e.state == admission.Draining {
 			priority = 1
 		}
-		l.lines = append(l.lines, fmt.Sprintf("%s.%s %d %.0f %s %d %.0f 127.0.%d.%d:4100", e.settings.Name, t.settings.Zones[e.settings.Zone],
-			priority, 10*max(e.settings.Cores, 1), t.settings.Kinds[e.settings.Kind], e.settings.Cell, e.startedAt*1000, k/250, 1+k%250))
+		l.lines = append(l.lines, fmt.Sprintf("%s.%s %d %.0f %s %d %.0f 127.0.%d.%d:4100", e.settings.Name, sim.settings.Zones[e.settings.Zone],
+			priority, 10*max(e.settings.Cores, 1), sim.settings.Kinds[e.settings.Kind], e.settings.Cell, e.startedAt*1000, k/250, 1+k%250))
 	}
 }
 
 // asConfig is the list of now as a configuration has it.
-func (l *serverList) asConfig(t *Town) discovery.ConfiguredList {
+func (l *serverList) asConfig(sim *Town) discovery.ConfiguredList {
 	n := discovery.Event{Rev: l.revision}
 	n.Pool = &struct {
 		All     bool               `json:"all"`
 		Targets []discovery.Target `json:"targets"`
 	}{All: true}
-	for k, e := range t.servers {
+	for k, e := range sim.servers {
 		if e.state == admission.Gone {
 			continue
 		}
 		n.Pool.Targets = append(n.Pool.Targets, discovery.Target{UID: e.settings.Name, Endpoint: fmt.Sprintf("127.0.%d.%d:4100", k/250, 1+k%250),
-			Zone: t.settings.Zones[e.settings.Zone], Kind: t.settings.Kinds[e.settings.Kind], Cell: e.settings.Cell, State: map[admission.State]string{
+			Zone: sim.settings.Zones[e.settings.Zone], Kind: sim.settings.Kinds[e.settings.Kind], Cell: e.settings.Cell, State: map[admission.State]string{
 				admission.Ready: "ready", admission.Draining: "draining"}[e.state], Weight: e.settings.Cores, BootMs: e.startedAt * 1000})
 	}
 	return discovery.ConfiguredList{Rev: l.revision, Notices: []discovery.Event{n}}
@@ -153,13 +153,13 @@
 // poll asks for the list, as the driver does.
 func (r *router) poll(now float64) {
 	const confirmedInterval, unconfirmedInterval = 0.3, 0.1 // seconds between questions
-	t := r.sim
-	l := &t.list
+	sim := r.sim
+	l := &sim.list
 	interval := confirmedInterval
 	if r.follower.Unconfirmed() {
 		interval = unconfirmedInterval
 	}
-	t.push(event{at: now + interval, kind: pollEvent, router: r.index, incarnation: r.incarnation})
+	sim.push(event{at: now + interval, kind: pollEvent, router: r.index, incarnation: r.incarnation})
 	nothingNew := l.revision == r.follower.Revision() && !r.follower.Unconfirmed()
 	if l.lost[r.index] || nothingNew && !l.stale[r.index] && !l.damaged[r.index] {
 		return
@@ -173,17 +173,17 @@
 	if l.damaged[r.index] {
 		answer = answer[:len(answer)*2/3]
 	}
-	t.push(event{at: now + roundTrip + l.delays[r.index], kind: listAnswerEvent, router: r.index, incarnation: r.incarnation, answer: answer})
+	sim.push(event{at: now + roundTrip + l.delays[r.index], kind: listAnswerEvent, router: r.index, incarnation: r.incarnation, answer: answer})
 }
 
 // updateServers hands the list in hand to the module.
 func (r *router) updateServers(scope admission.Scope) {
-	t := r.sim
+	sim := r.sim
 	states := map[uint32]admission.State{}
 	for _, e := range r.follower.List() {
 		states[e.Server] = e.State
 	}
-	for k, h := range t.servers {
+	for k, h := range sim.servers {
 		if h.discoveryID == 0 {
 			for _, e := range r.follower.List() {
 				if strings.EqualFold(r.follower.Name(e.Server), h.settings.Name) {
@@ -195,19 +195,19 @@
 		if scope == admission.Cached {
 			r.serverStates[k] = listedState{state, math.Inf(-1)}
 		} else if r.serverStates[k].state != state {
-			r.serverStates[k] = listedState{state, t.now}
+			r.serverStates[k] = listedState{state, sim.now}
 		}
 	}
-	if t.settings.Watch != nil {
-		m := Moment{On: Listed, Now: t.now, Router: r.index, Engine: -1, Rev: r.follower.Revision()}
+	if sim.settings.Watch != nil {
+		m := Moment{On: Listed, Now: sim.now, Router: r.index, Engine: -1, Rev: r.follower.Revision()}
 		for _, s := range states {
 			if s == admission.Ready {
 				m.Listed++
 			}
 		}
-		t.callWatch(&m)
+		sim.callWatch(&m)
 	}
-	r.controller.UpdateServers(t.now, scope, r.subset())
+	r.controller.UpdateServers(sim.now, scope, r.subset())
 }
 
 // subset is the part of the list in hand that the module is told of.
@@ -225,87 +225,87 @@
 	return held
 }
 
-func (t *Town) serverIndex(id uint32) int {
-	return slices.IndexFunc(t.servers, func(h *server) bool { return h.discoveryID == id })
+func (sim *Town) serverIndex(id uint32) int {
+	return slices.IndexFunc(sim.servers, func(h *server) bool { return h.discoveryID == id })
 }
 
 // startFault begins an act.
-func (t *Town) startFault(h Happening) {
-	for _, k := range h.Engines {
-		e := t.servers[k]
-		e.Advance(t.now)
-		switch h.Act {
+func (sim *Town) startFault(fault Happening) {
+	for _, k := range fault.Engines {
+		server := sim.servers[k]
+		server.Advance(sim.now)
+		switch fault.Act {
 		case Drain:
-			if e.state == admission.Ready {
-				e.state = admission.Draining
+			if server.state == admission.Ready {
+				server.state = admission.Draining
 			}
 		case Gone:
-			t.killServer(k)
+			sim.killServer(k)
 		case Back:
-			e.Engine, e.state, e.startedAt = engine.New(e.settings.Settings, t.now), admission.Ready, t.now
+			server.Engine, server.state, server.startedAt = engine.New(server.settings.Settings, sim.now), admission.Ready, sim.now
 		case Pace:
-			e.Pace(t.now, h.Value)
+			server.Pace(sim.now, fault.Value)
 		case Silent:
-			e.Paused = true
+			server.Paused = true
 		case Errors:
-			e.errorShare = h.Value
+			server.errorShare = fault.Value
 		case Lose:
-			e.lossShare = h.Value
+			server.lossShare = fault.Value
 		}
 	}
-	switch h.Act {
+	switch fault.Act {
 	case Drain, Gone, Back:
-		t.list.update(t)
+		sim.list.update(sim)
 	case Burst: // the arrivals know of it
 	case Reload:
-		for _, me := range t.affectedRouters(h) {
-			r := t.routers[me]
+		for _, me := range sim.affectedRouters(fault) {
+			r := sim.routers[me]
 			if !r.up {
 				continue
 			}
-			if fresh, err := r.follower.ApplyConfig(t.list.asConfig(t)); err == nil && fresh {
+			if fresh, err := r.follower.ApplyConfig(sim.list.asConfig(sim)); err == nil && fresh {
 				r.updateServers(admission.Full)
 			}
 		}
 	case Restart:
-		for _, me := range t.affectedRouters(h) {
-			t.killRouter(t.routers[me])
+		for _, me := range sim.affectedRouters(fault) {
+			sim.killRouter(sim.routers[me])
 		}
 	default:
-		for _, me := range t.affectedRouters(h) {
-			t.list.setFault(me, h.Act, h.Value, true)
+		for _, me := range sim.affectedRouters(fault) {
+			sim.list.setFault(me, fault.Act, fault.Value, true)
 		}
 	}
-	if h.For > 0 {
-		t.push(event{at: t.now + h.For, kind: faultEndEvent, fault: h})
+	if fault.For > 0 {
+		sim.push(event{at: sim.now + fault.For, kind: faultEndEvent, fault: fault})
 	}
 }
 
 // endFault ends it.
-func (t *Town) endFault(h Happening) {
-	for _, k := range h.Engines {
-		e := t.servers[k]
-		e.Advance(t.now)
-		switch h.Act {
+func (sim *Town) endFault(fault Happening) {
+	for _, k := range fault.Engines {
+		server := sim.servers[k]
+		server.Advance(sim.now)
+		switch fault.Act {
 		case Pace:
-			e.Pace(t.now, 1)
+			server.Pace(sim.now, 1)
 		case Silent:
-			e.Paused = false
+			server.Paused = false
 		case Errors:
-			e.errorShare = 0
+			server.errorShare = 0
 		case Lose:
-			e.lossShare = 0
+			server.lossShare = 0
 		case Drain, Gone: // it starts anew
-			e.Engine, e.state, e.startedAt = engine.New(e.settings.Settings, t.now), admission.Ready, t.now
+			server.Engine, server.state, server.startedAt = engine.New(server.settings.Settings, sim.now), admission.Ready, sim.now
 		}
 	}
-	switch h.Act {
+	switch fault.Act {
 	case Drain, Gone:
-		t.list.update(t)
+		sim.list.update(sim)
 	case Burst, Reload:
 	case Restart:
-		for _, me := range t.affectedRouters(h) {
-			if r := t.routers[me]; !r.up {
+		for _, me := range sim.affectedRouters(fault) {
+			if r := sim.routers[me]; !r.up {
 				r.incarnation++
 				if err := r.start(); err != nil {
 					panic(err) // the same settings did at the start
@@ -313,8 +313,8 @@
 			}
 		}
 	default:
-		for _, me := range t.affectedRouters(h) {
-			t.list.setFault(me, h.Act, 0, false)
+		for _, me := range sim.affectedRouters(fault) {
+			sim.list.setFault(me, fault.Act, 0, false)
 		}
 	}
 }
@@ -332,11 +332,11 @@
 	}
 }
 
-func (t *Town) affectedRouters(h Happening) []int {
-	if h.Routers != nil {
-		return h.Routers
+func (sim *Town) affectedRouters(fault Happening) []int {
+	if fault.Routers != nil {
+		return fault.Routers
 	}
-	all := make([]int, len(t.routers))
+	all := make([]int, len(sim.routers))
 	for k := range all {
 		all[k] = k
 	}
@@ -344,29 +344,29 @@
 }
 
 // killServer ends an engine: what is out there is cut.
-func (t *Town) killServer(k int) {
-	e := t.servers[k]
-	e.state = admission.Gone
-	e.Engine = engine.New(e.settings.Settings, t.now)
+func (sim *Town) killServer(k int) {
+	killed := sim.servers[k]
+	killed.state = admission.Gone
+	killed.Engine = engine.New(killed.settings.Settings, sim.now)
 	var interrupted []uint64
-	for n, q := range t.running {
+	for n, q := range sim.running {
 		if q.request.server == k && q.request.queryID == n {
 			interrupted = append(interrupted, n)
 		}
 	}
 	slices.Sort(interrupted) // equal input must act alike
 	for _, n := range interrupted {
-		q := t.running[n]
-		delete(t.running, n)
-		r := t.routers[q.request.router]
-		t.push(event{at: t.now + roundTrip, kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(q.request.id), attempt: q.attempt, end: admission.ConnectionLost})
+		q := sim.running[n]
+		delete(sim.running, n)
+		r := sim.routers[q.request.router]
+		sim.push(event{at: sim.now + roundTrip, kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(q.request.id), attempt: q.attempt, end: admission.ConnectionLost})
 	}
 }
 
 // killRouter ends a router at once: what it had is lost, what is out at engines runs on.
-func (t *Town) killRouter(r *router) {
-	if t.settings.Recall != nil {
-		r.learned, r.stoppedAt = r.controller.Learned(), t.now
+func (sim *Town) killRouter(r *router) {
+	if sim.settings.Recall != nil {
+		r.learned, r.stoppedAt = r.controller.Learned(), sim.now
 	}
 	r.up = false
 	ids := make([]uint32, 0, len(r.requests))
@@ -375,9 +375,9 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if f := r.requests[id]; !f.finished {
-			f.outstanding = false
-			t.finish(f, Lost)
+		if active := r.requests[id]; !active.finished {
+			active.outstanding = false
+			sim.finish(active, Lost)
 		}
 	}
 }
--- a/emulator/fleet/audit.go
+++ b/emulator/fleet/audit.go
@@ -70,23 +70,23 @@
 
 // recordRequest notes that a note is on its way; acted what was said of it. One that nobody heard of again may have come at any time.
 func (a *audit) recordRequest(c *request) {
-	c.operation = -1
+	c.historyIndex = -1
 	if c.body.Action == nil || c.body.Action.Kind != "note" {
 		return
 	}
 	a.actions++
 	a.recordGain(c.body.Action.Task, c.body.Action.Fence)
-	c.operation = len(a.history)
+	c.historyIndex = len(a.history)
 	a.history = append(a.history, porcupine.Operation{ClientId: a.newClient(), Input: operation{task: c.body.Action.Task, fence: c.body.Action.Fence}, Call: microseconds(a.w.now),
 		Output: "unknown", Return: math.MaxInt64})
 }
 
 func (a *audit) recordResult(c *request, err error) {
 	var stale *lease.StaleFenceError
-	if c.operation < 0 {
+	if c.historyIndex < 0 {
 		return
 	}
-	h := &a.history[c.operation]
+	h := &a.history[c.historyIndex]
 	switch {
 	case err == nil:
 		h.Output, h.Return = "taken", microseconds(a.w.now)
@@ -133,8 +133,8 @@
 	Partition: func(all []porcupine.Operation) (parts [][]porcupine.Operation) {
 		byTask := map[string][]porcupine.Operation{}
 		for _, o := range all {
-			task := o.Input.(operation).task
-			byTask[task] = append(byTask[task], o)
+			name := o.Input.(operation).task
+			byTask[name] = append(byTask[name], o)
 		}
 		for _, w := range slices.Sorted(maps.Keys(byTask)) {
 			parts = append(parts, byTask[w])
@@ -143,14 +143,14 @@
 	},
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		fence, o := state.(uint64), input.(operation)
+		current, o := state.(uint64), input.(operation)
 		switch {
 		case o.gain:
-			return o.fence > fence, o.fence
+			return o.fence > current, o.fence
 		case output == "taken":
-			return o.fence == fence, fence
+			return o.fence == current, current
 		}
-		return true, fence
+		return true, current
 	},
 }
 
--- a/emulator/fleet/script.go
+++ b/emulator/fleet/script.go
@@ -150,9 +150,9 @@
 	case "continue":
 		if p.stopped {
 			p.stopped = false
-			backlog := p.backlog
+			waiting := p.backlog
 			p.backlog = nil
-			for _, run := range backlog {
+			for _, run := range waiting {
 				w.runWhenActive(p, p.incarnation, run)
 			}
 		}
@@ -163,10 +163,10 @@
 		if r != nil && p.up {
 			w.audit.recordOwnerStop(r)
 			w.sendRequests(r, r.member.Close(r.clock.at(w.now)))
-			life := p.incarnation
+			incarnation := p.incarnation
 			p.exiting = true
 			w.after(0.2, func() {
-				if p.incarnation == life {
+				if p.incarnation == incarnation {
 					p.up = false
 				}
 			})
--- a/emulator/fleet/world.go
+++ b/emulator/fleet/world.go
@@ -79,14 +79,14 @@
 }
 
 type request struct {
-	from        *routerProcess
-	incarnation uint64
-	seq         uint64
-	operation   int // place in the history, where it is one
-	target      string
-	attempts    int
-	body        agent.Request
-	open        bool
+	from         *routerProcess
+	incarnation  uint64
+	seq          uint64
+	historyIndex int // place in the history, where it is one
+	target       string
+	attempts     int
+	body         agent.Request
+	open         bool
 }
 
 type event struct {
@@ -214,8 +214,8 @@
 	if until := w.linksHeldUntil[link]; until > w.now {
 		delay += until - w.now
 	}
-	life := to.incarnation
-	w.after(delay, func() { w.runWhenActive(to, life, receive) })
+	incarnation := to.incarnation
+	w.after(delay, func() { w.runWhenActive(to, incarnation, receive) })
 }
 
 // newClock's rate is within the drift, its offset anywhere within a minute.
@@ -231,7 +231,7 @@
 }
 
 func (w *World) startCoordinator(k *coordinatorProcess) {
-	life := w.startProcess(k.process)
+	incarnation := w.startProcess(k.process)
 	var err error
 	k.node, err = coordinator.New(coordinator.Config{ID: k.id, Name: k.name, HoldTime: min(1, w.file.Lease/4), Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
 		Log: func(text string) { w.log("%s: %s", k.name, text) }}, k.disk, k.clock.at(w.now))
@@ -241,10 +241,10 @@
 	}
 	var tick func()
 	tick = func() {
-		if !k.up || k.incarnation != life {
+		if !k.up || k.incarnation != incarnation {
 			return
 		}
-		w.runWhenActive(k.process, life, func() {
+		w.runWhenActive(k.process, incarnation, func() {
 			k.node.Tick(k.clock.at(w.now))
 			w.processOutput(k)
 		})
@@ -309,7 +309,7 @@
 }
 
 func (w *World) startRouter(r *routerProcess) {
-	life := w.startProcess(r.process)
+	incarnation := w.startProcess(r.process)
 	var addrs []string
 	for _, k := range w.coordinators {
 		addrs = append(addrs, k.name)
@@ -318,9 +318,9 @@
 		addrs = []string{"nobody"}
 	}
 	r.finder = agent.NewFinder(addrs, w.random.IntN(len(addrs)))
-	r.member = agent.New(agent.Config{Name: r.name, Zone: r.zone, Region: "r", Incarnation: life, Seed: w.random.Uint64(),
+	r.member = agent.New(agent.Config{Name: r.name, Zone: r.zone, Region: "r", Incarnation: incarnation, Seed: w.random.Uint64(),
 		CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind}, RouterCount: w.file.Routers, Window: 1,
-		StartedAt: r.clock.at(w.now), CleanStart: life == 1, Persistent: w.file.Folders,
+		StartedAt: r.clock.at(w.now), CleanStart: incarnation == 1, Persistent: w.file.Folders,
 		Trace: func(t agent.Trace) { w.audit.recordTrace(r, t) },
 		Log:   func(text string) { w.log("%s: %s", r.name, text) }}, r.disk)
 	share := 1 / float64(w.file.Routers)
@@ -330,10 +330,10 @@
 	}
 	var tick func()
 	tick = func() {
-		if !r.up || r.incarnation != life {
+		if !r.up || r.incarnation != incarnation {
 			return
 		}
-		w.runWhenActive(r.process, life, func() {
+		w.runWhenActive(r.process, incarnation, func() {
 			var d agent.Demand
 			for k, e := range w.servers {
 				need := needs[k] * (0.9 + 0.2*w.random.Float64())
@@ -354,12 +354,12 @@
 
 // sendRequests a member's requests on their way.
 func (w *World) sendRequests(r *routerProcess, all []agent.Request) {
-	life := r.incarnation
+	incarnation := r.incarnation
 	for _, req := range all {
 		if req.Persist != nil {
 			persisted := *req.Persist
 			w.after(0.002+0.02*w.random.Float64(), func() {
-				w.runWhenActive(r.process, life, func() {
+				w.runWhenActive(r.process, incarnation, func() {
 					r.disk = persisted
 					r.member.Persisted(req.Seq, persisted, nil)
 				})
@@ -367,7 +367,7 @@
 			continue
 		}
 		w.lastRequestID++
-		c := &request{from: r, incarnation: life, seq: req.Seq, body: req, open: true}
+		c := &request{from: r, incarnation: incarnation, seq: req.Seq, body: req, open: true}
 		w.audit.recordRequest(c)
 		w.requests[w.lastRequestID] = c
 		w.sendAttempt(w.lastRequestID, c)
@@ -420,10 +420,10 @@
 	w.deliver(c.from.process, to, deliverTo(id))
 	const duplicateShare = 0.05
 	if w.random.Float64() < duplicateShare { // what was said comes once more, much later
-		life := to.incarnation
+		incarnation := to.incarnation
 		w.lastRequestID++
 		duplicate := deliverTo(w.lastRequestID)
-		w.after(10*w.random.Float64(), func() { w.runWhenActive(to, life, duplicate) })
+		w.after(10*w.random.Float64(), func() { w.runWhenActive(to, incarnation, duplicate) })
 	}
 }
 
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -57,7 +57,7 @@
 }
 
 type owner struct {
-	lease         *lease.Owner
+	holder        *lease.Owner
 	heartbeats    int
 	actions       int
 	releases      int
@@ -93,7 +93,7 @@
 	fmt.Fprint(&b, s.now, s.confirmations, s.lastHeartbeat, s.restarts, s.repeats, s.accepted, "|")
 	b.Write(s.registrySnapshot)
 	for _, o := range s.owners {
-		fmt.Fprint(&b, "|", o.heartbeats, o.actions, o.releases, o.sessionLosses, o.session, o.lease.State())
+		fmt.Fprint(&b, "|", o.heartbeats, o.actions, o.releases, o.sessionLosses, o.session, o.holder.State())
 	}
 	marks, floor := s.receiver.Export()
 	fmt.Fprint(&b, "|", marks, floor, "|")
@@ -109,7 +109,7 @@
 func (s *state) copy(what string) *state {
 	c := *s
 	for k := range c.owners {
-		c.owners[k].lease = s.owners[k].lease.Clone()
+		c.owners[k].holder = s.owners[k].holder.Clone()
 	}
 	c.inFlight = append([]message(nil), s.inFlight...)
 	c.trail = &step{what, s.trail}
@@ -142,7 +142,7 @@
 		if _, err := initial.Apply(first.index, registry.Entry{Version: registry.Version, Kind: registry.Open, Name: ownerNames[k], Incarnation: 1}); err != nil {
 			return 0, false, err
 		}
-		first.owners[k] = owner{lease: lease.NewOwner(terms), session: first.index}
+		first.owners[k] = owner{holder: lease.NewOwner(terms), session: first.index}
 	}
 	if first.registrySnapshot, err = initial.Snapshot(); err != nil {
 		return 0, false, err
@@ -177,8 +177,8 @@
 
 // check that at no moment both may act.
 func (s *state) check() error {
-	f0, a := s.owners[0].lease.Permit(ownerClock(s.now), task, 0)
-	f1, b := s.owners[1].lease.Permit(ownerClock(s.now), task, 0)
+	f0, a := s.owners[0].holder.Permit(ownerClock(s.now), task, 0)
+	f1, b := s.owners[1].holder.Permit(ownerClock(s.now), task, 0)
 	if a && b {
 		return s.violation("both may act, under fences %d and %d", f0, f1)
 	}
@@ -199,8 +199,8 @@
 	return fence, refused
 }
 
-// registry the record of a state. Records are only registry, and a walk has some hundred.
-func (s *state) registry() (*registry.Registry, error) {
+// decodeRegistry the record of a state. Records are only decodeRegistry, and a walk has some hundred.
+func (s *state) decodeRegistry() (*registry.Registry, error) {
 	if r := s.decoded[string(s.registrySnapshot)]; r != nil {
 		return r, nil
 	}
@@ -218,7 +218,7 @@
 		n.now++
 		next = append(next, n)
 	}
-	r, err := s.registry()
+	r, err := s.decodeRegistry()
 	if err != nil {
 		return nil, err
 	}
@@ -251,21 +251,21 @@
 		n.inFlight = append(n.inFlight, message{kind: 'b', owner: k, sent: s.now, session: o.session})
 		all = append(all, n)
 	}
-	if fence, ok := o.lease.Permit(ownerClock(s.now), task, 0); ok && o.actions < b.Acts {
+	if fence, ok := o.holder.Permit(ownerClock(s.now), task, 0); ok && o.actions < b.Acts {
 		n := s.copy(fmt.Sprint(ownerNames[k], " acts under ", fence))
 		n.owners[k].actions++
 		n.inFlight = append(n.inFlight, message{kind: 'a', owner: k, sent: s.now, fence: fence})
 		all = append(all, n)
 	}
-	if o.sessionLosses < b.Loses && o.lease.SessionID() != 0 {
+	if o.sessionLosses < b.Loses && o.holder.SessionID() != 0 {
 		n := s.copy(ownerNames[k] + " is told that its session is over")
 		n.owners[k].sessionLosses++
-		n.owners[k].lease.EndSession()
+		n.owners[k].holder.EndSession()
 		all = append(all, n)
 	}
 	if o.releases < b.Lets {
 		n := s.copy(ownerNames[k] + " lets go")
-		if c, ok := n.owners[k].lease.Release(task); ok {
+		if c, ok := n.owners[k].holder.Release(task); ok {
 			n.owners[k].releases++
 			n.inFlight = append(n.inFlight, message{kind: 'r', owner: k, sent: s.now, session: o.session, fence: c.Fence})
 			all = append(all, n)
@@ -346,7 +346,7 @@
 		if m.fence > 0 {
 			claims = append(claims, lease.Claim{Task: task, Fence: m.fence})
 		}
-		s.owners[m.owner].lease.ApplyConfirmation(ownerClock(m.sent), uint64(m.number), m.session, claims)
+		s.owners[m.owner].holder.ApplyConfirmation(ownerClock(m.sent), uint64(m.number), m.session, claims)
 	case 'a':
 		receiver := lease.NewFenceChecker()
 		receiver.Import(s.receiver.Export())
--- a/emulator/zones/flow.go
+++ b/emulator/zones/flow.go
@@ -12,53 +12,53 @@
 // shares is where a router's work goes now.
 func (w *world) shares(r *router) []float64 {
 	n := w.settings.Zones
-	row := make([]float64, n)
+	shares := make([]float64, n)
 	switch w.settings.Rule {
 	case Planned:
 		if r.follower.Epoch(w.now) > 0 {
-			copy(row, r.plan.Plan.Share[r.zone])
-			if r.failureRate[r.zone] > 0.5 && row[r.zone] > 0 && r.plan.ZoneLoss.Check(n) == nil {
+			copy(shares, r.plan.Plan.Share[r.zone])
+			if r.failureRate[r.zone] > 0.5 && shares[r.zone] > 0 && r.plan.ZoneLoss.Check(n) == nil {
 				for z, x := range r.plan.ZoneLoss.Share[r.zone] {
-					row[z] = 0.95 * x
+					shares[z] = 0.95 * x
 				}
-				row[r.zone] = 0.05 // trials
+				shares[r.zone] = 0.05 // trials
 			}
 			// What it sees itself: a zone that just failed it gets trials only, whatever the plan says.
-			for z := range row {
+			for z := range shares {
 				if r.failureRate[z] > 0.5 && z != r.zone {
-					row[z] *= 0.05
+					shares[z] *= 0.05
 				}
 			}
-			return row
+			return shares
 		}
-		row[r.zone] = 1
+		shares[r.zone] = 1
 		if r.failureRate[r.zone] > 0.5 && r.plan.Epoch > 0 { // alone: what was spared for it, the rest has nowhere to go
 			for z, x := range r.plan.Fallback.Share[r.zone] {
 				if z != r.zone && r.failureRate[z] <= 0.5 {
-					row[z] = x
+					shares[z] = x
 				}
 			}
-			row[r.zone] = 0.05
+			shares[r.zone] = 0.05
 		}
 	case Local:
 		// Load is not known; its own zone unless that does not answer, then all others alike.
 		if r.failureRate[r.zone] <= 0.5 {
-			row[r.zone] = 1
-			return row
+			shares[r.zone] = 1
+			return shares
 		}
 		others := 0.0
-		for z := range row {
+		for z := range shares {
 			if z != r.zone && r.failureRate[z] <= 0.5 {
-				row[z] = 1
+				shares[z] = 1
 				others++
 			}
 		}
-		for z := range row {
+		for z := range shares {
 			if others > 0 {
-				row[z] *= 0.97 / others
+				shares[z] *= 0.97 / others
 			}
 		}
-		row[r.zone] = 0.03
+		shares[r.zone] = 0.03
 	case Locality:
 		health := make([]float64, n)
 		all := 0.0
@@ -67,21 +67,21 @@
 			all += health[z]
 		}
 		if all/float64(n) < 0.5 { // panic: everybody alike
-			for z := range row {
-				row[z] = 1 / float64(n)
+			for z := range shares {
+				shares[z] = 1 / float64(n)
 			}
-			return row
+			return shares
 		}
-		row[r.zone] = min(1.4*health[r.zone], 1)
-		rest := 1 - row[r.zone]
+		shares[r.zone] = min(1.4*health[r.zone], 1)
+		rest := 1 - shares[r.zone]
 		sum := all - health[r.zone]
-		for z := range row {
+		for z := range shares {
 			if z != r.zone && sum > 0 {
-				row[z] = rest * health[z] / sum
+				shares[z] = rest * health[z] / sum
 			}
 		}
 	}
-	return row
+	return shares
 }
 
 // serveStep of one step.
@@ -89,7 +89,7 @@
 	n := w.settings.Zones
 	offered, own := make([]float64, n), make([]float64, n)
 	rows := make([][]float64, len(w.routers))
-	demands := make([][]float64, len(w.routers)) // core seconds a second that a router sends to each zone
+	routerDemands := make([][]float64, len(w.routers)) // core seconds a second that a router sends to each zone
 	requested := 0.0
 	var best failover.Plan
 	if w.settings.Rule == Knowing {
@@ -117,18 +117,18 @@
 		} else {
 			rows[k] = w.shares(r)
 		}
-		demands[k] = make([]float64, n)
+		routerDemands[k] = make([]float64, n)
 		for z, x := range rows[k] {
-			demands[k][z] = x * r.demand
+			routerDemands[k][z] = x * r.demand
 		}
 	}
 	for z := range w.zones {
-		w.limitColdTraffic(z, demands)
-		for k := range demands {
-			if demands[k] != nil && !w.linkCut(w.routers[k].zone, z) {
-				offered[z] += demands[k][z]
+		w.limitColdTraffic(z, routerDemands)
+		for k := range routerDemands {
+			if routerDemands[k] != nil && !w.linkCut(w.routers[k].zone, z) {
+				offered[z] += routerDemands[k][z]
 				if z == w.routers[k].zone {
-					own[z] += demands[k][z]
+					own[z] += routerDemands[k][z]
 				}
 			}
 		}
@@ -164,10 +164,10 @@
 	}
 	for k := range w.routers {
 		r := &w.routers[k]
-		if demands[k] == nil {
+		if routerDemands[k] == nil {
 			continue
 		}
-		for z, x := range demands[k] {
+		for z, x := range routerDemands[k] {
 			work := x * stepSeconds
 			if work <= 0 {
 				continue
@@ -218,7 +218,7 @@
 // limitColdTraffic keeps rule 4, as the module does whatever plan it follows: to engines that a list names as just started all routers
 // together send no more than these bear. What the fleet deals goes by need to those that hear it; who hears nothing has an equal
 // part.
-func (w *world) limitColdTraffic(z int, demands [][]float64) {
+func (w *world) limitColdTraffic(z int, routerDemands [][]float64) {
 	x := &w.zones[z]
 	age := w.now - x.upSince
 	if w.settings.Rule == Knowing || w.down(z) || age >= warmUpSeconds {
@@ -229,20 +229,20 @@
 	equalShare := allowed / float64(len(w.routers))
 	need, left := 0.0, allowed
 	granted := func(k int) bool { return w.settings.Rule == Planned && w.routers[k].follower.Epoch(w.now) > 0 }
-	for k := range demands {
-		if demands[k] != nil && granted(k) {
-			need += demands[k][z]
+	for k := range routerDemands {
+		if routerDemands[k] != nil && granted(k) {
+			need += routerDemands[k][z]
 		} else {
 			left -= equalShare
 		}
 	}
-	for k := range demands {
+	for k := range routerDemands {
 		switch {
-		case demands[k] == nil:
+		case routerDemands[k] == nil:
 		case !granted(k):
-			demands[k][z] = min(demands[k][z], equalShare)
+			routerDemands[k][z] = min(routerDemands[k][z], equalShare)
 		case need > left:
-			demands[k][z] *= max(left, 0) / need
+			routerDemands[k][z] *= max(left, 0) / need
 		}
 	}
 }
--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -147,10 +147,10 @@
 	w.result.Lost = map[int]float64{}
 	total := 0.0
 	for z := range s.Zones {
-		cores := 20 * (0.7 + 0.6*w.random.Float64())
-		w.zones = append(w.zones, zone{fullCapacity: cores, cores: cores, upSince: -100, downSince: -1})
+		zoneCores := 20 * (0.7 + 0.6*w.random.Float64())
+		w.zones = append(w.zones, zone{fullCapacity: zoneCores, cores: zoneCores, upSince: -100, downSince: -1})
 		w.regionOf = append(w.regionOf, z*max(s.Regions, 1)/s.Zones)
-		total += cores
+		total += zoneCores
 	}
 	weightSum := 0.0
 	var weights []float64
@@ -404,7 +404,7 @@
 			r.follower.Receive(w.now, w.committed)
 			r.reportFresh = true
 		}
-		report := failover.Report{Zone: r.zone, Demand: r.demand, Epoch: r.follower.Epoch(w.now), Span: span}
+		newReport := failover.Report{Zone: r.zone, Demand: r.demand, Epoch: r.follower.Epoch(w.now), Span: span}
 		for z := range w.zones {
 			observation := failover.ZoneObservation{Attempts: r.attemptedWork[z] * 5, Failed: min(r.failedWork[z], r.attemptedWork[z]) * 5, Late: r.lateWork[z] * 5, Work: r.servedWork[z], Ready: w.listedCores(z), Slow: 1}
 			if observation.Ready > 0 {
@@ -419,9 +419,9 @@
 			if r.misreports {
 				observation.SuspectCores, observation.Failed, observation.Slow, observation.Late = 0, observation.Attempts*w.random.Float64(), 20*w.random.Float64(), 0
 			}
-			report.Observations = append(report.Observations, observation)
+			newReport.Observations = append(newReport.Observations, observation)
 		}
-		r.report = report
+		r.report = newReport
 		for z := range w.zones {
 			r.attemptedWork[z], r.failedWork[z], r.lateWork[z], r.servedWork[z] = 0, 0, 0, 0
 		}
