--- a/emulator/cluster/clients.go
+++ b/emulator/cluster/clients.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file has the clients: their streams, when they come, and which router they come to.
+// This file generates the clients' requests and chooses the router that receives each one.
 
 import (
 	"math"
@@ -10,30 +10,30 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Stream is clients of one kind.
+// Stream describes a stream of clients with the same kind of request.
 type Stream struct {
 	Name          string
 	Tenant        int
 	Team, Profile int
-	Rate          func(t float64) float64 // commands a second; what it is at a time
-	Peak          float64                 // the most that Rate gives
-	Work, CV      float64                 // mean and spread of the log-normal work, core seconds
+	Rate          func(t float64) float64 // requests per second at time t
+	Peak          float64                 // maximum of Rate
+	Work, CV      float64                 // mean and coefficient of variation of the log-normal work, in core seconds
 	Memory        float64                 // MB
-	Deadline      float64                 // of each try
-	Scatter       float64                 // of estimates, as the spread of a log-normal; 0: exact
-	Bias          float64                 // of estimates, as a factor; 0: 1
-	Blind         bool                    // no estimates
-	Keys          int                     // distinct order keys, 0: none
-	Tries         int                     // in all, 0: 1
-	Ignores       float64                 // share of refused clients that come again at once, whatever they are told
+	Deadline      float64                 // of each request, in seconds
+	Scatter       float64                 // coefficient of variation of the log-normal estimation error; 0: exact
+	Bias          float64                 // factor on all estimates; 0: 1
+	Blind         bool                    // clients send no estimates
+	Keys          int                     // number of distinct order keys; 0: none
+	Tries         int                     // most requests that a client sends, the first one included; 0: 1
+	Ignores       float64                 // share of rejected clients that retry at once instead of after the requested pause
 }
 
-// Steady is a rate that stays.
+// Steady returns a constant rate and its maximum.
 func Steady(rate float64) (func(float64) float64, float64) {
 	return func(float64) float64 { return rate }, rate
 }
 
-// scheduleArrival draws a stream's scheduleArrival arrival, by thinning (Lewis and Shedler, 1979).
+// scheduleArrival draws the next arrival of a stream by thinning (Lewis and Shedler, 1979).
 func (sim *Town) scheduleArrival(k int, from float64) {
 	s := &sim.settings.Streams[k]
 	_, most := sim.rateFactor(k, from)
@@ -77,7 +77,8 @@
 	return distuv.LogNormal{Mu: math.Log(mean) - variance/2, Sigma: math.Sqrt(variance), Src: sim.clientRand}.Rand()
 }
 
-// routeRequest brings a try to a router that is up: to the key's own, or to the next in turn.
+// routeRequest delivers a request to a running router: the one assigned to its key, or else the next one in round-robin
+// order.
 func (sim *Town) routeRequest(request Try) {
 	r := sim.routers[0]
 	for n := range sim.routers {
@@ -110,7 +111,7 @@
 	r.controller.Request(sim.now, active.admissionRequest)
 }
 
-// rateFactor is the factor on a stream's rate at a time; most, the most that it comes to.
+// rateFactor returns the factor on a stream's rate at a time, and the maximum of that factor over the run.
 func (sim *Town) rateFactor(stream int, at float64) (factor, most float64) {
 	factor, most = 1, 1
 	for _, fault := range sim.settings.Happens {
--- a/emulator/cluster/cold_test.go
+++ b/emulator/cluster/cold_test.go
@@ -11,25 +11,26 @@
 	"pgregory.net/rapid"
 )
 
-// coldAttempt is one attempt at a cold server.
+// coldAttempt is one attempt sent to a cold server.
 type coldAttempt struct {
 	at       float64
-	work     float64 // mean of its kind, core seconds
-	informed bool    // its router knew of the start
+	work     float64 // mean of the stream, core seconds
+	informed bool    // the sending router's list included the server's start
 }
 
-// coldWatch holds what all routers send to one cold server against what it bears in any window.
+// coldWatch compares what all routers send to one cold server with the server's capacity in a sliding window.
 type coldWatch struct {
 	settings  Settings
 	server    int
 	start     float64
 	attempts  []coldAttempt
-	maxRatio  float64 // of what routers that were told sent, over what is borne
+	maxRatio  float64 // highest ratio of work sent by informed routers to the cold server's capacity
 	worstCase string
 }
 
-// coldCapacity is how many requests of a mean work a cold server coldCapacity in a window, chance included (docs/design.md, Turns on cold engines). The
-// ramp is the later of those that the settings allow.
+// coldCapacity returns how many requests of a mean work a cold server can take in a window, with a margin for chance
+// (docs/design.md, Turns on cold engines). The ramp is quadratic in the server's age, the slower of the two ramps that
+// the settings allow.
 func coldCapacity(settings *Settings, server int, age, work float64) float64 {
 	b := &settings.Brain
 	ramp := b.ColdFrom + (1-b.ColdFrom)*math.Pow(min(age/b.WarmUp, 1), 2)
@@ -62,7 +63,8 @@
 	return true
 }
 
-// drawColdScenario draws a day on which a server comes back cold under very unequal traffic, while some routers restart and some hear of it late.
+// drawColdScenario draws a run in which a server returns cold under very uneven traffic, while some routers restart and
+// some learn of the start late.
 func drawColdScenario(t *rapid.T) (Settings, *coldWatch) {
 	const back, cold = 1.0, 1
 	work := rapid.SampledFrom([]float64{0.005, 0.02, 0.08, 0.3}).Draw(t, "work")
@@ -76,9 +78,9 @@
 		s.Engines = append(s.Engines, Engine{Settings: engine.Settings{Cores: cores, Knee: 2, Thrash: 0.3}})
 	}
 	load := rapid.Float64Range(0.3, 1.5).Draw(t, "load")
-	const maxRate = 2500 // requests a second, so that a day is played within a second or two
+	const maxRate = 2500 // requests per second; limits the time of one run to one or two seconds
 	rate := min(3*cores*load/(1.3*work), maxRate)
-	for k, keys := range []int{0, 1, 3} { // spread evenly, to one router, to three
+	for k, keys := range []int{0, 1, 3} { // spread evenly, all to one router, and over three routers
 		stream := Stream{Work: work, CV: 1, Deadline: 4, Scatter: 0.3, Keys: keys, Tries: 2, Ignores: 0.3}
 		if k == 2 {
 			stream.Work, stream.Profile = 4*work, 1
@@ -106,8 +108,9 @@
 	return s, w
 }
 
-// TestColdServerLoadFromAllRouters: what all routers that were told of a cold server's start send it stays, in any window, under what the settings allow it and
-// chance, whatever their traffic, and while some restart.
+// TestColdServerLoadFromAllRouters checks that the routers that know of a cold server's start together never send it
+// more in any window than the settings allow plus a margin for chance, for any distribution of traffic and while some
+// routers restart.
 func TestColdServerLoadFromAllRouters(t *testing.T) {
 	maxRatio, runs := 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/emulator/cluster/decisions.go
+++ b/emulator/cluster/decisions.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file shows a run's moments to its watcher.
+// This file reports the run's events to the observer.
 
 import (
 	"math"
@@ -9,10 +9,10 @@
 	"dunereach/admission"
 )
 
-// On is what a moment shows.
+// On is the kind of an observation.
 type On uint8
 
-// The kinds of moments.
+// The kinds of observations.
 const (
 	Taken On = iota
 	Sent
@@ -26,13 +26,14 @@
 
 func (o On) String() string { return decisionNames[o] }
 
-// OnOf is a kind of moment by its name.
+// OnOf returns the kind of observation with the given name.
 func OnOf(name string) (On, bool) {
 	k := slices.Index(decisionNames[:], name)
 	return On(max(k, 0)), k >= 0
 }
 
-// Moment is one decision, or what led to one, and what its router knew then. It is good for the call that shows it.
+// Moment is one decision or the event that led to it, with what the router knew at that time. It is valid only during
+// the call that passes it.
 type Moment struct {
 	On     On
 	Now    float64
@@ -41,28 +42,28 @@
 	Stream *Stream
 
 	Engine   int             // -1: none
-	Told     admission.State // of that engine, as the router was told
-	ToldFor  float64         // seconds since; 0 for what it knew from the start
-	Age      float64         // seconds since the engine's late start, as told; negative: it started long ago
+	Told     admission.State // state of that server in the router's list
+	ToldFor  float64         // seconds since the router learned that state; 0 if it has known the state from its start
+	Age      float64         // seconds since the server's start as listed; negative: it started long ago
 	True     admission.State
-	Number   int // of the send, from 0
-	Out      int // sends of this command that are out, this one not counted
-	EngineN  int // queries on that engine, of all routers
-	Level    int // priority
+	Number   int // of the attempt, from 0
+	Out      int // outstanding attempts of this request, without this one
+	EngineN  int // queries running on that server, from all routers
+	Level    int
 	End      admission.End
-	Further  int           // sends beyond the first of each command, this one counted, in the budget's window
-	Commands int           // taken in that window
-	LastEnd  admission.End // of the command's send before this one, where Number is over 0
-	First    int           // engine of the command's first send, -1: none yet
-	Since    float64       // seconds since that left
-	Recent   float64       // core seconds that all routers have sent to this engine in the last FallWindow, this send counted
-	KeyOpen  bool          // an earlier command of the same key is open or out
-	Waited   float64       // since it was taken
-	Rev      uint32        // of the list in hand
-	Listed   int           // engines ready there
+	Further  int           // attempts after the first of each request in the budget's window, with this one
+	Commands int           // received in that window
+	LastEnd  admission.End // result of the request's previous attempt, if Number is over 0
+	First    int           // server of the request's first attempt, -1: none yet
+	Since    float64       // seconds since the first attempt was sent
+	Recent   float64       // core seconds that all routers have sent to this server in the last FallWindow, with this attempt
+	KeyOpen  bool          // an earlier request with the same key is unfinished or has an outstanding attempt
+	Waited   float64       // seconds since the router received the request
+	Rev      uint32        // revision of the router's current list
+	Listed   int           // ready servers in that list
 }
 
-// observe lets the watcher see a moment.
+// observe passes an observation to the configured function.
 func (sim *Town) observe(on On, active *activeRequest, end ...admission.End) {
 	if sim.settings.Watch == nil {
 		return
@@ -113,7 +114,7 @@
 	}
 }
 
-// countSince counts what came after a time and forgets the rest.
+// countSince counts the times from a given one on and drops the earlier ones.
 func countSince(times *[]float64, from float64) int {
 	n, _ := slices.BinarySearch(*times, from)
 	*times = (*times)[n:]
--- a/emulator/cluster/events.go
+++ b/emulator/cluster/events.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file has the queue of what is yet to happen, by its time.
+// This file implements the queue of future events, ordered by time.
 
 import (
 	"container/heap"
@@ -27,7 +27,7 @@
 	seq         uint64
 	kind        eventKind
 	router      int
-	incarnation int // of the router that it was for: one that ended hears nothing more
+	incarnation int // incarnation of the router that the event is for; events for an ended incarnation are dropped
 	token       uint64
 	attempt     int
 	request     Try
--- a/emulator/cluster/faults.go
+++ b/emulator/cluster/faults.go
@@ -13,25 +13,25 @@
 	"dunereach/internal/fake"
 )
 
-// Act is what can happen to the town.
+// Act is the kind of a scheduled change to servers, lists, routers or traffic.
 type Act uint8
 
-// The acts.
+// The kinds of faults and other changes.
 const (
-	Drain       Act = iota // engines are to be given no more; they go on with what they have
-	Gone                   // engines die: what is out there is cut, nothing can be sent
-	Back                   // engines start anew, cold
-	Pace                   // Value: factor on their speed
-	Silent                 // engines do nothing and say nothing
-	Errors                 // Value: share of sends that engines answer with an error at once
-	Lose                   // Value: share of answers that get lost
-	ListLate               // Value: seconds that the name server's answers take
-	ListLost               // they don't come
-	ListOld                // they tell an older list
-	ListDamaged            // they arrive cut short
+	Drain       Act = iota // servers finish their queries but are to receive no more
+	Gone                   // servers stop: running queries are cut off and new attempts fail
+	Back                   // servers start again, cold
+	Pace                   // Value: factor on the servers' speed
+	Silent                 // servers make no progress and send nothing
+	Errors                 // Value: share of attempts that servers answer at once with an error
+	Lose                   // Value: share of answers that are lost
+	ListLate               // Value: delay of the name server's answers in seconds
+	ListLost               // the name server's answers are lost
+	ListOld                // the name server's answers contain the previous list
+	ListDamaged            // the name server's answers arrive truncated
 	Burst                  // Value: factor on the rate of the stream
-	Restart                // a router is killed, and starts again when For is over
-	Reload                 // a router reads its configuration again, with the list of now
+	Restart                // a router is killed and starts again after For
+	Reload                 // a router reloads its configuration, which contains the current list
 )
 
 var faultKindNames = [...]string{"drain", "gone", "back", "pace", "silent", "errors", "lose", "list_late", "list_lost", "list_old",
@@ -39,18 +39,18 @@
 
 func (a Act) String() string { return faultKindNames[a] }
 
-// ActOf is an act by its name.
+// ActOf returns the kind of fault with the given name.
 func ActOf(name string) (Act, bool) {
 	k := slices.Index(faultKindNames[:], name)
 	return Act(max(k, 0)), k >= 0
 }
 
-// Happening is one act at a time.
+// Happening is one fault, scheduled at a time.
 type Happening struct {
-	At, For float64 // For: it is over then; 0: it stays. What is not a state (Drain, Gone, Back) has no end of its own
+	At, For float64 // For is the duration; 0: it is not reverted. After Drain and Gone the servers start again then; Back has nothing to revert
 	Act     Act
 	Engines []int
-	Routers []int // whose list, or who restarts; nil: all
+	Routers []int // routers whose list is affected or that restart; nil: all
 	Stream  int
 	Value   float64
 }
@@ -60,11 +60,11 @@
 	at    float64
 }
 
-// server is an engine with what befalls it.
+// server is a simulated server with its current faults.
 type server struct {
 	*engine.Engine
 	settings    Engine
-	discoveryID uint32 // the routers' number of it
+	discoveryID uint32 // identifier in the routers' lists; 0: not listed yet
 	state       admission.State
 	startedAt   float64
 	errorShare  float64
@@ -72,10 +72,10 @@
 	recentWork  []sentWork
 }
 
-// sentWork is work that an engine was sent.
+// sentWork is the work of one attempt sent to a server.
 type sentWork struct{ at, work float64 }
 
-// recentWorkSince sums what was sent after a time, and forgets the rest.
+// recentWorkSince sums the work sent since a time and drops earlier entries.
 func (h *server) recentWorkSince(from float64) (sum float64) {
 	n := 0
 	for n < len(h.recentWork) && h.recentWork[n].at < from {
@@ -102,7 +102,7 @@
 
 func kindName(k int) string { return fmt.Sprintf("kind-%d", k) }
 
-// serverList is what the name server tells, as it stands and as it stood before.
+// serverList is the name server's current and previous list of servers, with the faults of its answers to each router.
 type serverList struct {
 	revision             uint32
 	lines, previousLines []string
@@ -111,7 +111,7 @@
 	damaged              []bool
 }
 
-// update notes a new event of the list.
+// update makes a new revision of the list from the servers' states.
 func (l *serverList) update(sim *Town) {
 	if l.delays == nil {
 		n := sim.settings.Routers
@@ -132,7 +132,7 @@
 	}
 }
 
-// asConfig is the list of now as a configuration has it.
+// asConfig returns the current list in the form in which a configuration contains it.
 func (l *serverList) asConfig(sim *Town) discovery.ConfiguredList {
 	n := discovery.Event{Rev: l.revision}
 	n.Pool = &struct {
@@ -150,9 +150,9 @@
 	return discovery.ConfiguredList{Rev: l.revision, Notices: []discovery.Event{n}}
 }
 
-// poll asks for the list, as the driver does.
+// poll queries the name server for the list, at the same intervals as the driver in service.
 func (r *router) poll(now float64) {
-	const confirmedInterval, unconfirmedInterval = 0.3, 0.1 // seconds between questions
+	const confirmedInterval, unconfirmedInterval = 0.3, 0.1 // seconds between queries
 	sim := r.sim
 	l := &sim.list
 	interval := confirmedInterval
@@ -176,7 +176,7 @@
 	sim.push(event{at: now + roundTrip + l.delays[r.index], kind: listAnswerEvent, router: r.index, incarnation: r.incarnation, answer: answer})
 }
 
-// updateServers hands the list in hand to the module.
+// updateServers passes the router's current list to its controller.
 func (r *router) updateServers(scope admission.Scope) {
 	sim := r.sim
 	states := map[uint32]admission.State{}
@@ -191,7 +191,7 @@
 				}
 			}
 		}
-		state := states[h.discoveryID] // gone where it is not listed
+		state := states[h.discoveryID] // the zero value stands for a server that is not listed
 		if scope == admission.Cached {
 			r.serverStates[k] = listedState{state, math.Inf(-1)}
 		} else if r.serverStates[k].state != state {
@@ -210,7 +210,7 @@
 	r.controller.UpdateServers(sim.now, scope, r.subset())
 }
 
-// subset is the part of the list in hand that the module is told of.
+// subset returns the part of the current list that the controller receives.
 func (r *router) subset() []admission.Entry {
 	all := r.follower.List()
 	if r.sim.settings.Subset == nil {
@@ -229,7 +229,7 @@
 	return slices.IndexFunc(sim.servers, func(h *server) bool { return h.discoveryID == id })
 }
 
-// startFault begins an act.
+// startFault applies a fault.
 func (sim *Town) startFault(fault Happening) {
 	for _, k := range fault.Engines {
 		server := sim.servers[k]
@@ -256,7 +256,7 @@
 	switch fault.Act {
 	case Drain, Gone, Back:
 		sim.list.update(sim)
-	case Burst: // the arrivals know of it
+	case Burst: // rateFactor applies it to the arrivals
 	case Reload:
 		for _, me := range sim.affectedRouters(fault) {
 			r := sim.routers[me]
@@ -281,7 +281,7 @@
 	}
 }
 
-// endFault ends it.
+// endFault reverts a fault after its duration.
 func (sim *Town) endFault(fault Happening) {
 	for _, k := range fault.Engines {
 		server := sim.servers[k]
@@ -295,7 +295,7 @@
 			server.errorShare = 0
 		case Lose:
 			server.lossShare = 0
-		case Drain, Gone: // it starts anew
+		case Drain, Gone: // the server starts again, cold
 			server.Engine, server.state, server.startedAt = engine.New(server.settings.Settings, sim.now), admission.Ready, sim.now
 		}
 	}
@@ -308,7 +308,7 @@
 			if r := sim.routers[me]; !r.up {
 				r.incarnation++
 				if err := r.start(); err != nil {
-					panic(err) // the same settings did at the start
+					panic(err) // the same settings were valid at the first start
 				}
 			}
 		}
@@ -343,7 +343,7 @@
 	return all
 }
 
-// killServer ends an engine: what is out there is cut.
+// killServer stops a server. Its running queries end with a lost connection.
 func (sim *Town) killServer(k int) {
 	killed := sim.servers[k]
 	killed.state = admission.Gone
@@ -354,7 +354,7 @@
 			interrupted = append(interrupted, n)
 		}
 	}
-	slices.Sort(interrupted) // equal input must act alike
+	slices.Sort(interrupted) // map order is random; the run has to be reproducible
 	for _, n := range interrupted {
 		q := sim.running[n]
 		delete(sim.running, n)
@@ -363,7 +363,7 @@
 	}
 }
 
-// killRouter ends a router at once: what it had is lost, what is out at engines runs on.
+// killRouter stops a router at once. Its unfinished requests are lost; their queries continue on the servers.
 func (sim *Town) killRouter(r *router) {
 	if sim.settings.Recall != nil {
 		r.learned, r.stoppedAt = r.controller.Learned(), sim.now
--- a/emulator/cluster/host.go
+++ b/emulator/cluster/host.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file is what a module asks of its surroundings: a router's sends, answers and wakes in the town.
+// This file implements admission.Host for a simulated router: attempts, answers to clients and timers.
 
 import (
 	"dunereach/admission"
@@ -16,7 +16,7 @@
 		r.retryTimes = append(r.retryTimes, sim.now)
 	}
 	active.server, active.sentAt = k, sim.now
-	sim.observe(Sent, active) // before it counts as out: one that is out already shows
+	sim.observe(Sent, active) // called before this attempt is marked as outstanding, so that it reports only an earlier one
 	if active.outstanding = true; active.firstServer < 0 {
 		active.firstServer, active.firstSentAt = k, sim.now
 	}
@@ -94,12 +94,12 @@
 	r.sim.push(event{at: r.sim.now + max(after, 0), kind: wakeEvent, router: r.index, incarnation: r.incarnation, token: token})
 }
 
-// Cancel gives a send up; the engine goes on with it all the same.
+// Cancel gives up an attempt. The server continues its query all the same.
 func (r *router) Cancel(id uint32, attemptNumber int) {
 	r.sim.push(event{at: r.sim.now + roundTrip, kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(id), attempt: attemptNumber, end: admission.Cancelled})
 }
 
-func (r *router) Withdraw(uint32, int)   {} // what is sent has left
+func (r *router) Withdraw(uint32, int)   {} // an attempt that was sent can't be withdrawn
 func (r *router) Probe(uint32)           {}
 func (r *router) SendToPeer(int, []byte) {}
 func (r *router) Watch(bool)             {}
--- a/emulator/cluster/memory_test.go
+++ b/emulator/cluster/memory_test.go
@@ -11,13 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// discounted is what a restarted router of the town believes: engines' starts are by the same clock here.
+// discounted returns what a restarted router restores. Servers' start times are on the same clock as before the
+// restart.
 func discounted(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
 	b := warmstart.Discount(k, age, true, admission.Fingerprints(s.Profiles), s.TenantRates())
 	return &b
 }
 
-// peakScenario is a day at the pool's limit whose estimates are wrong by half, with an engine that hangs; all routers restart at 40 s.
+// peakScenario loads the pool to its limit, with estimates that are wrong by half and a stalled server. With restart
+// set, all routers restart at 40 s.
 func peakScenario(seed uint64, restart bool, recall Recall) Settings {
 	s := smallScenario()
 	s.Seed, s.Length, s.Routers, s.Recall = seed, 60, 3, recall
@@ -33,7 +35,7 @@
 	return s
 }
 
-// inTimeShare is the share of commands taken in a span that were answered in time.
+// inTimeShare returns the share of requests received in a time span that were completed in time.
 func inTimeShare(t *testing.T, s Settings, from, to float64) float64 {
 	t.Helper()
 	r, err := Run(s)
@@ -52,7 +54,8 @@
 	return inTime / max(all, 1)
 }
 
-// TestRestartInPeak: a router that comes back in the peak with what it knew serves better than one that starts from nothing.
+// TestRestartInPeak checks that a router that restarts under peak load with its restored memory serves better than one
+// that starts with none.
 func TestRestartInPeak(t *testing.T) {
 	const seeds = 12
 	var withoutMemory, withMemory, notRestarted [2]float64
@@ -69,7 +72,8 @@
 	}
 }
 
-// ruleChecker watches those that a belief might touch, over all routers at once, and says what was broken first.
+// ruleChecker checks the rules that restored memory could affect, over all routers at once, and records the first
+// violation.
 type ruleChecker struct {
 	s         Settings
 	grace     float64
@@ -85,14 +89,15 @@
 		w.violation = fmt.Sprintf("at %.3f, send %d: ", m.Now, m.Number) + fmt.Sprintf(format, a...)
 	}
 	b := w.s.Brain
-	// Of mean works in the window, a cold engine bears what the settings allow, and chance (the protocol's measure).
+	// The work sent to a cold server in a window may reach what the settings allow plus a margin of three standard
+	// deviations for chance, in units of the stream's mean work.
 	coldLimit := func(age float64) float64 {
 		cores := w.s.Engines[m.Engine].Cores
 		n := b.FallMultiple * cores * (b.ColdFrom + (1-b.ColdFrom)*age/b.WarmUp) * b.FallWindow / m.Stream.Work
 		return (n + 3*math.Sqrt(n) + 3) * m.Stream.Work
 	}
 	switch {
-	case m.Number > 0 && m.Out > 1: // this one counts
+	case m.Number > 0 && m.Out > 1: // assumes that Out counts this attempt
 		fail("another of the command is out")
 	case m.Number > 0 && p.Effect == admission.NonIdempotent && !m.LastEnd.NeverRan():
 		fail("a command that may have run, and may not run twice, is sent again")
@@ -108,7 +113,7 @@
 	return w.violation == ""
 }
 
-// faultyScenario is a day with every kind of trouble, ordered commands and a budget on further sends; routers restart while an engine is cold.
+// faultyScenario has faults of every kind, ordered requests and a retry budget. Routers restart while a server is cold.
 func faultyScenario() (Settings, *ruleChecker) {
 	s := smallScenario()
 	s.Length = 16
@@ -124,7 +129,7 @@
 	return s, w
 }
 
-// checkCompleted looks for commands without one answer in their time.
+// checkCompleted fails the test for requests that were not answered before their deadline.
 func checkCompleted(t *rapid.T, r Result) {
 	for _, try := range r.Tries {
 		switch {
@@ -136,7 +141,8 @@
 	}
 }
 
-// TestRulesWithKnowledge: a module that believes what it knew keeps the rules over days of trouble, rule 4 among them, whatever the age.
+// TestRulesWithKnowledge checks that a controller with restored memory of any age keeps the rules through all kinds of
+// faults, the limit on cold servers among them.
 func TestRulesWithKnowledge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, w := faultyScenario()
@@ -158,8 +164,9 @@
 	})
 }
 
-// TestHostileMemory: whatever a module is made to believe, past what Believe would let through, every command has one answer in its time, and
-// the rules hold but the fourth, whose margin a belief may use up (docs/design/memory.md).
+// TestHostileMemory restores arbitrary memory, beyond what warmstart.Discount would let through. Every request still
+// has to be answered in its time, and all rules hold but the fourth, the limit on cold servers, whose margin restored
+// memory may use up (docs/design/memory.md).
 func TestHostileMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawValue := func(name string) float64 {
@@ -188,7 +195,7 @@
 		}
 		s, w := faultyScenario()
 		s.Recall, s.Brain.WarmUp = hostile, 0
-		w.s.Brain.WarmUp = 0 // no engine is cold for the rules
+		w.s.Brain.WarmUp = 0 // turns the check of the cold servers' limit off
 		r, err := Run(s)
 		if err != nil {
 			t.Fatal(err)
--- a/emulator/cluster/simulation.go
+++ b/emulator/cluster/simulation.go
@@ -1,7 +1,7 @@
-// Package cluster plays routers' modules on virtual time, with model engines, clients drawn by chance and a list of engines
-// that comes late. It hosts the very packages that serve; nothing on the decision side is imitated, and the list takes
-// the path that it takes in service (internal/discovery, from the bytes of a DNS answer). The same settings and seed give the
-// same run.
+// Package cluster simulates routers in virtual time, with model servers, randomly drawn clients and a list of servers
+// that may arrive late. It runs the production admission controller, not an imitation, and the list takes the same path
+// as in service (internal/discovery, starting from the bytes of a DNS answer). The same settings and seed give the same
+// run.
 package cluster
 
 import (
@@ -17,48 +17,49 @@
 	"dunereach/warmstart"
 )
 
-// Engine is one engine of the town.
+// Engine configures one simulated server.
 type Engine struct {
 	Name             string
-	Kind, Zone, Cell int     // as the settings' lists of them count
-	Absent           bool    // it comes later, by a Back
-	Born             float64 // started then; 0: long before
+	Kind, Zone, Cell int     // indexes into Settings.Kinds, Settings.Zones and the cells
+	Absent           bool    // not there at the start; a Back fault starts it
+	Born             float64 // start time; 0: it started long before the run
 	engine.Settings
 }
 
-// Settings of a run.
+// Settings configures a run.
 type Settings struct {
 	Seed    uint64
 	Routers int // 0: 1
 	Engines []Engine
-	Brain   admission.Settings // Seed, Me, Routers, Teams and Waits are the run's to set
-	Zones   []string           // nil: one
-	Kinds   []string           // nil: one for each engine, with its cores
+	Brain   admission.Settings // settings of all controllers; the run sets Seed, Me, Routers, Teams and Waits
+	Zones   []string           // nil: one zone
+	Kinds   []string           // nil: a kind for each server, with its cores
 	Teams   *fairshare.Spec    // nil: none
 	Waits   bool
 	Streams []Stream
 	Happens []Happening
 	Length  float64                   // seconds
-	Shadows int                       // of the commands refused at once each so manieth is looked at until it would be let in, 0: none
-	Watch   func(*Moment) (goOn bool) // is shown every decision, nil: nobody
-	Stop    func() bool               // is asked now and then whether to end, nil: no
-	Recall  Recall                    // what a router that starts again believes of what it knew, nil: nothing
-	Keep    func(client int) bool     // clients that come at all, in the order in which they do, nil: all
+	Shadows int                       // of the requests rejected on arrival, each n-th is followed as a Shadow; 0: none
+	Watch   func(*Moment) (goOn bool) // called with every decision; the run ends when it returns false; nil: not called
+	Stop    func() bool               // polled from time to time; the run ends when it returns true; nil: not called
+	Recall  Recall                    // memory that a restarted router restores; nil: none
+	Keep    func(client int) bool     // selects clients by number, in order of arrival; the others send nothing; nil: all
 
-	Subset  func(router, database int) bool // which databases of the list a router's module is told of, nil: all
-	Sharers int                             // routers that share each database, as modules count them, 0: all
+	Subset  func(router, database int) bool // whether a router's controller gets a server of the list; nil: all
+	Sharers int                             // number of routers that share each server, for the controllers' settings; 0: all
 }
 
-// Recall gives what is believed of what a process knew that ended so many seconds ago.
+// Recall returns the memory that a router restores from the knowledge of its previous run, which ended age seconds ago.
 type Recall func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge
 
-// Shadow is a refused command that nobody sends again: the module is asked every 50 ms whether it would let it in.
+// Shadow follows a rejected request that its client doesn't send again: every 50 ms the controller is asked whether it
+// would admit the request now.
 type Shadow struct {
 	Stream           int
 	At               float64
 	Told             waittime.Estimate
 	Took             float64
-	In               bool // false: it was given up looking
+	In               bool // false: not admitted within shadowTimeout
 	admissionRequest admission.Request
 }
 
@@ -67,10 +68,10 @@
 	shadowTimeout  = 40.0
 )
 
-// How a try ended.
+// How is the way in which a request ended.
 type How uint8
 
-// The ways in which a request ends, and Open for one that has not.
+// The ways in which a request ends; Open is one that has not ended.
 const (
 	Open How = iota
 	Answered
@@ -81,66 +82,66 @@
 
 func (h How) String() string { return [...]string{"open", "answered", "shed", "failed", "lost"}[h] }
 
-// Try is one command.
+// Try is one request of a client.
 type Try struct {
 	Stream  int
 	Router  int
-	Mark    uint64  // the client's
-	Guess   float64 // its estimate of the work
-	Number  int     // counting a client's tries from 1
+	Mark    uint64  // identifies the client's request over its retries
+	Guess   float64 // the client's estimate of the work
+	Number  int     // of the client's requests, from 1
 	Key     uint64
 	Ignores bool
-	First   float64 // when the client first asked
+	First   float64 // time of the client's first request
 	Taken   float64
-	Sent    float64 // first send, NaN: never
+	Sent    float64 // time of the first attempt, NaN: none
 	Ended   float64
 	How     How
 	Work    float64
-	Target  float64 // seconds from Taken
+	Target  float64 // latency target, seconds from Taken
 	Told    [3]waittime.Estimate
 	HasTold [3]bool
 	Pause   float64
 }
 
-// InTime tells whether it was answered within its latency target.
+// InTime reports whether the request was completed within its latency target.
 func (t *Try) InTime() bool { return t.How == Answered && t.Ended-t.Taken <= t.Target }
 
-// Ran is a query that an engine has done.
+// Ran is a query that a server completed.
 type Ran struct {
 	At     float64
 	Stream int
 	Work   float64
 }
 
-// Result of a run.
+// Result holds what a run recorded.
 type Result struct {
 	Tries   []Try
-	Ran     []Ran // queries that engines have done, whether or not anyone still waited
+	Ran     []Ran // queries completed by servers, whether or not a client still waited
 	Shadows []Shadow
-	Changes []float64 // when a level of a running send was changed
-	Wasted  float64   // core seconds spilt
+	Changes []float64 // times at which the priority of a running attempt was changed
+	Wasted  float64   // core seconds lost to spilling
 	Teams   *fairshare.Tree
-	Clients int // that came, or would have
+	Clients int // all that arrived, also those that Keep left out
 }
 
 type activeRequest struct {
 	requestIndex     int
 	router           int
 	id               uint32
-	attempt          int // of its latest send, -1: none
+	attempt          int // number of the latest attempt, from 0; -1: none
 	outstanding      bool
 	server           int
 	sentAt           float64
-	lastEnd          admission.End // of its latest send that ended
-	firstServer      int           // engine of its first send, -1: none yet
+	lastEnd          admission.End // result of the latest attempt that ended
+	firstServer      int           // server of the first attempt, -1: none yet
 	firstSentAt      float64
-	queryID          uint64 // the engine's number for it
+	queryID          uint64 // identifies the query on its server
 	priority         int
 	finished         bool
 	admissionRequest admission.Request
 }
 
-// Town is one run.
+// Town is the state of one run.
 type Town struct {
 	settings    Settings
 	now         float64
@@ -149,13 +150,13 @@
 	routers     []*router
 	servers     []*server
 	list        serverList
-	clientRand  *rand.Rand       // the clients' chance
-	serverRand  *rand.Rand       // the engines': so clients come alike whatever befalls those
-	running     map[uint64]query // by the engines' number
+	clientRand  *rand.Rand       // for clients
+	serverRand  *rand.Rand       // for servers; separate, so that faults don't change the clients' arrivals
+	running     map[uint64]query // by query identifier
 	lastQueryID uint64
-	nextRouter  int // router that the next client comes to
+	nextRouter  int // router that gets the next client
 	rejected    int
-	stopped     bool // the watcher has seen enough
+	stopped     bool // the observer ended the run
 	Result
 }
 
@@ -165,7 +166,7 @@
 	stream  int
 }
 
-// router is one module with what is told to it.
+// router is one simulated router: its controller and the state of its surroundings.
 type router struct {
 	sim           *Town
 	index         int
@@ -175,16 +176,16 @@
 	follower      *discovery.Follower
 	requests      map[uint32]*activeRequest
 	lastRequestID uint32
-	serverStates  []listedState // by engine
+	serverStates  []listedState // by server
 	retryTimes    []float64
 	requestTimes  []float64
-	learned       warmstart.Knowledge // by the process that ended last, and when that was
+	learned       warmstart.Knowledge // from the previous incarnation, which ended at stoppedAt
 	stoppedAt     float64
 }
 
-const roundTrip = 0.0005 // seconds to an engine or a client and back
+const roundTrip = 0.0005 // seconds to a server or a client and back
 
-// Run plays a day.
+// Run simulates a run with the given settings.
 func Run(set Settings) (Result, error) {
 	sim := &Town{settings: set, clientRand: rand.New(rand.NewPCG(set.Seed, 1)), serverRand: rand.New(rand.NewPCG(set.Seed, 3)), running: map[uint64]query{}}
 	if err := sim.setUp(); err != nil {
@@ -231,7 +232,7 @@
 	return nil
 }
 
-// start brings a router to life with the list of now.
+// start starts a router with the current list.
 func (r *router) start() error {
 	sim := r.sim
 	controllerSettings := sim.settings.Brain
@@ -270,7 +271,7 @@
 
 func (sim *Town) runEvents() {
 	for n := 1; ; n++ {
-		const stopCheckInterval = 4096 // steps: some milliseconds
+		const stopCheckInterval = 4096 // steps, which take some milliseconds
 		if n%stopCheckInterval == 0 && sim.settings.Stop != nil && sim.settings.Stop() {
 			return
 		}
@@ -344,7 +345,7 @@
 	}
 }
 
-// handleServerEvent takes what an engine tells.
+// handleServerEvent processes an event of a server.
 func (sim *Town) handleServerEvent(k int, ev engine.Event) {
 	q, ok := sim.running[ev.ID]
 	if ev.What == engine.Done {
@@ -353,7 +354,7 @@
 	}
 	active := q.request
 	if !ok || active == nil || !active.outstanding || active.attempt != q.attempt {
-		return // nobody waits for it any more
+		return // the attempt is no longer outstanding
 	}
 	server := sim.servers[k]
 	progress := admission.Progress{ID: active.id, Server: server.discoveryID, Attempt: active.attempt, Value: ev.Value}
@@ -361,7 +362,7 @@
 	switch ev.What {
 	case engine.Done:
 		if server.lossShare > 0 && sim.serverRand.Float64() < server.lossShare {
-			return // its answer is lost on the way: the send's limit ends it
+			return // the answer is lost; the attempt ends at its timeout
 		}
 		sim.endAttempt(active, admission.Completed, ev.Value)
 	case engine.Progress:
--- a/emulator/cluster/simulation_test.go
+++ b/emulator/cluster/simulation_test.go
@@ -24,7 +24,8 @@
 	return s
 }
 
-// TestSame: equal settings and seed give the same run, whatever befalls it; another seed gives another.
+// TestSame checks that a run with faults is reproducible: equal settings and seed give equal results, another seed
+// gives others.
 func TestSame(t *testing.T) {
 	run := func(seed uint64) []Try {
 		s := smallScenario()
@@ -36,7 +37,7 @@
 		return r.Tries
 	}
 	one, two := run(7), run(7)
-	for k := range one { // NaN is not itself
+	for k := range one { // NaN is not equal to itself
 		if one[k].Sent != one[k].Sent {
 			one[k].Sent, two[k].Sent = 0, 0
 		}
@@ -49,8 +50,8 @@
 	}
 }
 
-// TestAccounted: every command comes to an end in time, through silence, death, errors, lost answers, restarts and drains;
-// what a killed router had is lost and nothing else is.
+// TestAccounted checks that every request ends in time through stalled and stopped servers, errors, lost answers,
+// restarts and drains. Only requests of a killed router may be lost.
 func TestAccounted(t *testing.T) {
 	r, err := Run(smallScenario())
 	if err != nil {
@@ -74,7 +75,7 @@
 	}
 }
 
-// TestKeep: who is left out changes nothing about when the others come.
+// TestKeep checks that leaving out clients does not change when the others arrive.
 func TestKeep(t *testing.T) {
 	all, err := Run(smallScenario())
 	if err != nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestSubset: a router sends to nothing but what it is told of, through silence, death and restarts, and databases that one
-// router does not hold are used by others that do.
+// TestSubset checks that a router sends only to servers of its subset, through stalled and stopped servers and
+// restarts, and that servers outside one router's subset are used by the other routers.
 func TestSubset(t *testing.T) {
 	s := smallScenario()
 	s.Sharers = 1
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -1,12 +1,13 @@
-// Package engine is a model of one query engine: cores shared by priority, threads that crowd, memory that runs short,
-// notes of progress. It is told the time and knows no clock, so the same model serves on virtual time and, with a driver
-// that sleeps, on sockets. Equal calls give equal events.
+// Package engine models one database server: cores shared by priority, contention between threads, limited memory and
+// progress reports. The model has no clock: callers pass the time, so that the same model serves in virtual time and,
+// with a driver that sleeps, behind sockets. Equal calls give equal events.
 //
-// Queries share the cores in the ratio 1 : 4 : 8 : 16 of their levels, none more than its threads (generalized processor
-// sharing: Parekh, Gallager 1993). Beyond the knee more threads do less work in all. A query takes memory as it goes, all
-// of it by half its work; where there is none left the lowest levels, and there the latest, go without: they spill what
-// they lack to disk, and the rest of their work takes longer for it. A query can't be cancelled. Times are seconds, work
-// core seconds, memory MB.
+// Queries share the cores with weights of 1, 4, 8 and 16 for the four priority levels, and no query gets more cores
+// than it has threads (generalized processor sharing: Parekh, Gallager 1993). More threads than the knee allows reduce
+// the total throughput. A query's memory grows in proportion to its progress up to half of its work, when it holds all
+// of it. When memory runs out, queries of the lowest level, and among these the latest, lose theirs: they spill the
+// missing part to disk, and the rest of their work takes longer. A query can't be cancelled. Times are in seconds, work
+// in core seconds and memory in MB.
 package engine
 
 import (
@@ -15,38 +16,38 @@
 	"slices"
 )
 
-// Settings of one engine.
+// Settings configures one server.
 type Settings struct {
 	Cores    float64
-	Speed    float64 // core seconds that a core does in a second, 0: 1
-	Sessions int     // queries at once, 0: any
-	Knee     float64 // threads a core beyond which they crowd, 0: never
-	Thrash   float64 // what is lost of the whole for as many threads again
-	Memory   float64 // 0: any
-	Spill    float64 // work that a query with no memory does besides its own, in its own
-	Notes    float64 // seconds between notes of progress, 0: none
+	Speed    float64 // core seconds per second that one core does, 0: 1
+	Sessions int     // most queries at once, 0: unlimited
+	Knee     float64 // threads per core above which they contend, 0: no contention
+	Thrash   float64 // throughput lost to contention: with 1+x times as many threads as at the knee it is divided by 1+Thrash*x
+	Memory   float64 // 0: unlimited
+	Spill    float64 // extra work of a query that gets no memory at all, as a multiple of its own work
+	Notes    float64 // seconds between progress reports, 0: none
 }
 
-// Query is what an engine is sent.
+// Query is a query to run.
 type Query struct {
 	ID      uint64
-	Work    float64 // of all threads
+	Work    float64 // total over all threads
 	Threads float64
 	Memory  float64
-	Level   int // 0 to 3
+	Level   int // priority, 0 to 3
 }
 
-// What an event tells.
+// What is the kind of an event.
 type What uint8
 
-// What happens to a query.
+// The kinds of events.
 const (
 	Done     What = iota
-	Progress      // Value: share done
-	Spills        // Value: MB missing
+	Progress      // Value: share of the work that is done
+	Spills        // Value: missing memory in MB
 )
 
-// Event of one query.
+// Event reports what happened to a query.
 type Event struct {
 	At    float64
 	ID    uint64
@@ -59,39 +60,39 @@
 	remaining      float64
 	rate           float64
 	memoryHeld     float64 // MB
-	memorySpilled  float64 // MB that it wanted and did not get
-	spillReported  bool    // that it spills
+	memorySpilled  float64 // MB that it needed and did not get
+	spillReported  bool    // a Spills event was sent
 	nextProgressAt float64
 }
 
-// Engine is one engine's state.
+// Engine is the state of one server.
 type Engine struct {
 	settings    Settings
 	now         float64
-	queries     []running // in the order that they came
+	queries     []running // in order of arrival
 	events      []Event
-	ratesStale  bool // rates have to be worked out anew
+	ratesStale  bool // updateRates has to compute the rates again
 	order       []int
-	Did         float64 // core seconds done, spilling left out
-	Wasted      float64 // by spilling
+	Did         float64 // core seconds done, without the overhead of spilling
+	Wasted      float64 // core seconds lost to spilling
 	speedFactor float64
-	Paused      bool // it does nothing and says nothing
+	Paused      bool // no progress and no events
 
-	cachedNext       float64 // what Next worked out last
+	cachedNext       float64 // latest result of nextEventTime
 	cachedNextValid  bool    // nothing has changed since
-	cachedNextPaused bool    // what Paused was then
+	cachedNextPaused bool    // value of Paused at that time
 }
 
-// New is an idle engine.
+// New returns an idle server.
 func New(set Settings, now float64) *Engine {
 	set.Speed = cmp.Or(set.Speed, 1)
 	return &Engine{settings: set, now: now, speedFactor: 1}
 }
 
-// Running is how many queries it has.
+// Running returns the number of queries.
 func (e *Engine) Running() int { return len(e.queries) }
 
-// Submit gives it a query, unless it is full.
+// Submit starts a query and reports false if the server is full.
 func (e *Engine) Submit(now float64, q Query) bool {
 	e.Advance(now)
 	if e.settings.Sessions > 0 && len(e.queries) >= e.settings.Sessions {
@@ -103,13 +104,13 @@
 	return true
 }
 
-// Pace changes the speed, as a factor on what was set.
+// Pace sets the speed, as a factor on the configured one.
 func (e *Engine) Pace(now, factor float64) {
 	e.Advance(now)
 	e.speedFactor, e.ratesStale = factor, true
 }
 
-// Renice gives a query another level. One that is not there is no fault.
+// Renice changes the priority level of a query. It ignores a query that is not running.
 func (e *Engine) Renice(now float64, id uint64, level int) {
 	e.Advance(now)
 	for k := range e.queries {
@@ -119,7 +120,7 @@
 	}
 }
 
-// Next is when it has something to tell, if nothing else comes; +Inf: never.
+// Next returns the time of the next event if no other call changes anything; +Inf: never.
 func (e *Engine) Next() float64 {
 	e.updateRates()
 	if len(e.events) > 0 {
@@ -132,7 +133,7 @@
 	return e.cachedNext
 }
 
-// nextEventTime works out what Next tells where no event waits.
+// nextEventTime computes the result of Next when no event is waiting to be read.
 func (e *Engine) nextEventTime() float64 {
 	next := math.Inf(1)
 	if e.Paused {
@@ -148,7 +149,7 @@
 	return next
 }
 
-// Advance runs it up to a time.
+// Advance runs the model up to a time.
 func (e *Engine) Advance(now float64) {
 	for e.now < now {
 		e.updateRates()
@@ -166,7 +167,7 @@
 	}
 }
 
-// Events are what has happened since the last call, in order. The list is good until then.
+// Events returns the events since the last call, in order. The slice is valid until the next call.
 func (e *Engine) Events() []Event {
 	all := e.events
 	e.events = e.events[len(e.events):]
@@ -178,12 +179,12 @@
 	e.now, e.cachedNextValid = to, false
 	if e.Paused {
 		for k := range e.queries {
-			e.queries[k].nextProgressAt += elapsed // or it would lie behind
+			e.queries[k].nextProgressAt += elapsed // a pause delays the reports; their times would otherwise fall behind the current time
 		}
 		return
 	}
 	e.ratesStale = e.ratesStale || e.settings.Memory > 0
-	const roundingError = 1e-9 // core seconds: rounding
+	const roundingError = 1e-9 // in core seconds; a query with less work left is done
 	kept := e.queries[:0]
 	for k := range e.queries {
 		r := e.queries[k]
@@ -213,7 +214,7 @@
 
 var weights = [...]float64{1, 4, 8, 16}
 
-// updateRates gives each query its rate.
+// updateRates computes the rate of each query.
 func (e *Engine) updateRates() {
 	if !e.ratesStale {
 		return
@@ -228,7 +229,7 @@
 	if crowding := threads/(max(e.settings.Knee, 1e-9)*e.settings.Cores) - 1; e.settings.Knee > 0 && crowding > 0 {
 		coresLeft /= 1 + e.settings.Thrash*crowding
 	}
-	// Filled like water: those whose threads are fewer than their share leave the rest to the others.
+	// Water-filling: queries with fewer threads than their share of the cores leave the rest to the others.
 	e.order = e.order[:0]
 	weightSum := 0.0
 	for k := range e.queries {
@@ -250,8 +251,8 @@
 
 func levelWeight(r *running) int { return int(weights[r.Level]) }
 
-// allocateMemory gives queries the memory that they want by now, the highest level first, and there the earliest. Where there is none
-// left, lower levels lose what they hold to higher ones.
+// allocateMemory gives queries the memory that they need for their progress, in order of priority level, the highest
+// first, and then of arrival. When none is left, queries of lower levels lose memory to those of higher levels.
 func (e *Engine) allocateMemory() {
 	if e.settings.Memory <= 0 {
 		return
@@ -266,7 +267,7 @@
 			if r.Level != level {
 				continue
 			}
-			const fullMemoryShare = 0.5 // of the work, by when it has all its memory
+			const fullMemoryShare = 0.5 // share of a query's work after which it needs all of its memory
 			missing := max(r.Memory*min(1, (1-r.remaining/r.Work)/fullMemoryShare)-r.memoryHeld-r.memorySpilled, 0)
 			granted := max(min(missing, free), 0)
 			free -= granted
@@ -276,7 +277,7 @@
 	}
 }
 
-// reclaimMemory takes memory from lower levels, the latest first.
+// reclaimMemory takes memory from queries of lower levels, the lowest level and there the latest query first.
 func (e *Engine) reclaimMemory(level int, missing float64) (reclaimed float64) {
 	for below := 0; below < level && reclaimed < missing; below++ {
 		for k := len(e.queries) - 1; k >= 0 && reclaimed < missing; k-- {
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Properties are tried on the same cases every time; `make explore` tries others.
+// Properties are checked with the same cases every time; `make explore` checks others.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
@@ -17,7 +17,7 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
 
-// endTimes plays queries given at the start and tells when each endTimes.
+// endTimes runs queries that all start at time 0 and returns the end time of each.
 func endTimes(e *Engine, qs ...Query) map[uint64]float64 {
 	for _, q := range qs {
 		e.Submit(0, q)
@@ -34,7 +34,8 @@
 	return ended
 }
 
-// TestShares: one core, two queries of levels 0 and 1 share it 1 : 4; the one left has it whole.
+// TestShares checks that two queries of levels 0 and 1 share one core 1 : 4, and that the remaining one then has the
+// whole core.
 func TestShares(t *testing.T) {
 	got := endTimes(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
 	if !almostEqual(got[2], 1.25) || !almostEqual(got[1], 2) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// TestThreads: a query has no more cores than threads.
+// TestThreads checks that a query gets no more cores than it has threads.
 func TestThreads(t *testing.T) {
 	got := endTimes(New(Settings{Cores: 8}, 0), Query{ID: 1, Work: 4, Threads: 2}, Query{ID: 2, Work: 1, Threads: 1})
 	if !almostEqual(got[1], 2) || !almostEqual(got[2], 1) {
@@ -50,8 +51,8 @@
 	}
 }
 
-// TestSpill: memory goes to the higher level; the other spills what it lacks and takes longer, also when memory is free
-// again.
+// TestSpill checks that memory goes to the query of the higher level. The other one spills what is missing and takes
+// longer, even after memory is free again.
 func TestSpill(t *testing.T) {
 	set := Settings{Cores: 2, Memory: 100, Spill: 2, Notes: 0.01}
 	first, second := Query{ID: 1, Work: 1, Level: 1, Memory: 100}, Query{ID: 2, Work: 1, Level: 0, Memory: 100}
@@ -67,7 +68,8 @@
 	}
 }
 
-// TestWorkConserved: with no knee and enough threads the cores are never idle while there is work, and all of it is done.
+// TestWorkConserved checks that with no knee and enough threads no core is idle while there is work, and that all work
+// is done.
 func TestWorkConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := New(Settings{Cores: 4, Notes: 2}, 0)
@@ -89,7 +91,8 @@
 	})
 }
 
-// TestNextIsWorkedOutAnew: what Next remembers is what it would work out now, whatever was done in between.
+// TestNextIsWorkedOutAnew checks that the cached result of Next always equals a newly computed one, whatever calls came
+// between.
 func TestNextIsWorkedOutAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := New(Settings{Cores: 2, Memory: 100, Spill: 1, Notes: 0.3}, 0)
--- a/emulator/fleet/audit.go
+++ b/emulator/fleet/audit.go
@@ -16,28 +16,28 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// audit sees all processes at once, in true time, and knows none of their accounts.
+// audit observes all processes at once, in true time, and does not rely on their own statistics.
 type audit struct {
 	w            *World
 	err          error
 	checks       int
-	raftMessages int                          // messages between keepers
-	requests     int                          // of members
-	actions      int                          // of owners, sent to keepers
-	fenceOwners  map[string]map[uint64]string // who acted under each fence of a work
+	raftMessages int                          // messages between coordinators
+	requests     int                          // requests of routers to coordinators
+	actions      int                          // annotations that owners sent to coordinators
+	fenceOwners  map[string]map[uint64]string // by task and fence: the process that acted under it
 	highestFence map[string]uint64
-	recentShares map[string][]shareUse // by process and engine: in the last second
-	lastGrantAt  map[uint32]float64    // when a part of an engine's was last in use
+	recentShares map[string][]shareUse // by process and server: shares in use during the last second
+	lastGrantAt  map[uint32]float64    // by server: when a granted share of its allowance was last in use
 	maxAllowance float64
-	lostAt       map[string]float64 // work whose owner was lost, since when
+	lostAt       map[string]float64 // by task: when its owner was stopped
 	gaps         []float64
 	snapshots    map[uint64][]byte
 	doubleOwners int
 	history      []porcupine.Operation
 	lastClient   int
-	staleActions int // notes under old fences that were refused
+	staleActions int // annotations rejected for a stale fence
 	gainedFences map[string]map[uint64]bool
-	annotations  map[string]annotation // by keeper and work: as its record had them last
+	annotations  map[string]annotation // by coordinator and task: the latest one in its registry
 }
 
 type annotation struct{ index, fence uint64 }
@@ -61,14 +61,16 @@
 	}
 }
 
-// operation is one operation on a work as processes saw it: a gain of it under a fence, or a note under one.
+// operation is one operation on a task as processes observed it: a gain of the task under a fence, or an annotation
+// written under one.
 type operation struct {
 	gain  bool
 	task  string
 	fence uint64
 }
 
-// recordRequest notes that a note is on its way; acted what was said of it. One that nobody heard of again may have come at any time.
+// recordRequest adds an annotation to the history when it is sent; recordResult adds its result. An annotation without
+// a result may have been applied at any later time.
 func (a *audit) recordRequest(c *request) {
 	c.historyIndex = -1
 	if c.body.Action == nil || c.body.Action.Kind != "note" {
@@ -96,7 +98,8 @@
 	}
 }
 
-// newClient of an operation: each its own, since a process may have several out.
+// newClient returns a client identifier for one operation. Each operation has its own, because a process may have
+// several outstanding.
 func (a *audit) newClient() int {
 	a.lastClient++
 	return a.lastClient
@@ -104,7 +107,7 @@
 
 func microseconds(t float64) int64 { return int64(t * 1e6) }
 
-// recordGains notes works that processes have under fences that were not seen before.
+// recordGains records tasks that processes hold under fences not seen before.
 func (a *audit) recordGains() {
 	for _, r := range a.w.routers {
 		if !r.up || r.member == nil {
@@ -124,11 +127,12 @@
 		return
 	}
 	a.gainedFences[task][fence] = true
-	a.history = append(a.history, porcupine.Operation{ClientId: a.newClient(), Input: operation{true, task, fence}, Call: 0, // given at some time
-		Output: "taken", Return: microseconds(a.w.now)}) // before: its process may hear of it late
+	a.history = append(a.history, porcupine.Operation{ClientId: a.newClient(), Input: operation{true, task, fence}, Call: 0, // the task was assigned at an unknown earlier time
+		Output: "taken", Return: microseconds(a.w.now)}) // the assignment came before this: its process may learn of it late
 }
 
-// taskModel of one work: its fence. A note is taken under that one alone; a refusal is always right, as works are let go of too.
+// taskModel is the sequential model of one task; its state is the fence. An annotation is accepted only under the
+// current fence. A rejection is always correct, because tasks are also released.
 var taskModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) (parts [][]porcupine.Operation) {
 		byTask := map[string][]porcupine.Operation{}
@@ -154,7 +158,7 @@
 	},
 }
 
-// checkLinearizable checks the history of all works.
+// checkLinearizable checks the history of all tasks.
 func (a *audit) checkLinearizable() error {
 	if result := porcupine.CheckOperationsTimeout(taskModel, a.history, 20*time.Second); result != porcupine.Ok {
 		return fmt.Errorf("seed %d: the history of %d operations can't have happened one after another (%v)", a.w.file.Seed, len(a.history), result)
@@ -162,7 +166,7 @@
 	return nil
 }
 
-// recordTrace sees acts at the moment that they are done.
+// recordTrace checks the fence of each action when it is performed.
 func (a *audit) recordTrace(r *routerProcess, t agent.Trace) {
 	if t.Event != "act" {
 		return
@@ -173,7 +177,7 @@
 	a.highestFence[t.Task] = t.Fence
 }
 
-// recordOwnerStop tells that a process that owns works is being taken away.
+// recordOwnerStop records the time when a process that owns tasks is stopped.
 func (a *audit) recordOwnerStop(r *routerProcess) {
 	if r == nil || r.member == nil || !r.up {
 		return
@@ -187,10 +191,10 @@
 
 const (
 	checkInterval   = 0.05
-	allowanceWindow = 1.0 // seconds of a cold engine's limit
+	allowanceWindow = 1.0 // seconds over which a cold server's allowance applies
 )
 
-// check at everything once.
+// check compares the state of all processes with the invariants.
 func (a *audit) check() {
 	w := a.w
 	a.checks++
@@ -198,7 +202,7 @@
 	for _, task := range w.tasks() {
 		owner := ""
 		for _, r := range w.routers {
-			// A stopped one too: what it would do on waking it would do by its clock of now.
+			// Includes stopped processes: once continued, a process acts on the permission that its clock shows then.
 			if !r.up || r.member == nil {
 				continue
 			}
@@ -247,7 +251,7 @@
 				key := fmt.Sprint(r.name, "/", e.ID, "/", incarnation)
 				used := a.recentShares[key]
 				if incarnation < r.incarnation || !r.up {
-					used = append(used, shareUse{}) // it is dead: what was dealt to it counts for the window
+					used = append(used, shareUse{}) // the process has ended; the shares granted to it count until the window is over
 				}
 				if n := int(math.Ceil(allowanceWindow / checkInterval)); len(used) > n {
 					used = used[len(used)-n:]
@@ -255,8 +259,8 @@
 				a.recentShares[key] = used
 				largest := 0.0
 				for _, u := range used {
-					// That a router which is killed and back within the window has its equal part twice is so without a
-					// fleet as well: the module's margin is for it.
+					// A router that is killed and returns within the window has its equal share twice. This happens
+					// without a fleet as well, and the admission controller's margin covers it.
 					if u.granted || incarnation == r.incarnation {
 						largest = max(largest, u.share)
 					}
@@ -276,7 +280,7 @@
 			continue
 		}
 		r := k.node.Registry()
-		for _, x := range r.Tasks() { // a note under an old fence that was taken shows here, whoever heard of it
+		for _, x := range r.Tasks() { // finds an accepted annotation under a stale fence even if no process received the answer
 			key := k.name + x.Name
 			if previous := a.annotations[key]; x.AnnotatedAt > previous.index && x.AnnotationFence < previous.fence {
 				a.fail("%s: %s has a note under fence %d after %d", k.name, x.Name, x.AnnotationFence, previous.fence)
@@ -295,19 +299,19 @@
 	}
 }
 
-// Figures of a run.
+// Figures holds the statistics of a run.
 type Figures struct {
 	Seconds                                     float64
-	Worst                                       float64 // most of an engine's allowance that may have been in use at a moment
-	Twice                                       int     // moments with two owners
+	Worst                                       float64 // most of a server's allowance that may have been in use at one time
+	Twice                                       int     // number of checks that found two owners
 	Looks, Raft, Requests, Acts                 int
-	OldTried                                    int // letters and notes under an old fence that came to a keeper or a receiver
-	Operations                                  int // in the history that was checked
+	OldTried                                    int // peer messages and annotations under a stale fence that reached a coordinator or a receiver
+	Operations                                  int // in the checked history
 	Refused, Late, ToldOld, Dealt, Gained, Lost int
-	Gaps                                        []float64 // from an owner's loss to the next one's first act
+	Gaps                                        []float64 // seconds from the stop of an owner to the first check that found another one
 }
 
-// Figures so far.
+// Figures returns the statistics so far.
 func (w *World) Figures() Figures {
 	a := &w.audit
 	f := Figures{Seconds: w.now, Worst: a.maxAllowance, Twice: a.doubleOwners, Looks: a.checks, Raft: a.raftMessages, Requests: a.requests, Acts: a.actions, Gaps: a.gaps}
@@ -327,7 +331,8 @@
 	return f
 }
 
-// Whole tells what is not as it should be when no fault is left: a work without an owner, or parts that don't move.
+// Whole reports an error if the fleet has not recovered after the last fault: the history is not linearizable, a task
+// has no owner, or no share of an allowance is granted.
 func (w *World) Whole() error {
 	if w.audit.err != nil {
 		return w.audit.err
@@ -348,7 +353,7 @@
 		}
 	}
 	for _, e := range w.servers {
-		const grantTimeout = 5.0 // seconds: a part that someone waits for stands empty until the last one's use has settled
+		const grantTimeout = 5.0 // seconds; a requested share stays unused until the previous holder's use of it has settled
 		if w.now-w.audit.lastGrantAt[e.ID] > grantTimeout {
 			return fmt.Errorf("seed %d: no part of engine %d's allowance is dealt", w.file.Seed, e.ID)
 		}
--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -9,7 +9,8 @@
 	"dunereach/emulator/scenario"
 )
 
-// TestDrawn: whatever fails together, nobody acts beside another owner, no allowance is passed, and it comes right again.
+// TestDrawn checks with random faults, several at a time, that no two owners act on a task, no allowance is exceeded
+// and the fleet recovers.
 func TestDrawn(t *testing.T) {
 	seeds := uint64(120)
 	if testing.Short() {
@@ -30,7 +31,7 @@
 	t.Logf("%+v", all)
 }
 
-// TestSame: one seed gives one run.
+// TestSame checks that a seed gives the same run every time.
 func TestSame(t *testing.T) {
 	run := func() (lines []string) {
 		if _, err := Play(Drawn(7), func(s string) { lines = append(lines, s) }); err != nil {
@@ -57,7 +58,7 @@
 	t.Logf("%+v", f)
 }
 
-// TestKept plays the scenarios that processes play too, each with many seeds.
+// TestKept plays the scenarios that are also played over real processes, each with several seeds.
 func TestKept(t *testing.T) {
 	all, err := scenario.All()
 	if err != nil {
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestFlapping: 300 routers, of which a third goes and comes all the time. Nobody acts beside another, allowances hold, and works
-// go to those that stay rather than to those that flap.
+// TestFlapping runs 300 routers of which a third stops and starts all the time. No two owners may act on a task,
+// allowances hold, and most tasks have to go to stable routers rather than to flapping ones.
 func TestFlapping(t *testing.T) {
 	if testing.Short() {
 		t.Skip("ten seconds")
--- a/emulator/fleet/play.go
+++ b/emulator/fleet/play.go
@@ -7,8 +7,8 @@
 	"dunereach/emulator/scenario"
 )
 
-// Play a scenario to its end: after the last event and the time to settle all has to be as it should, with nothing healed but
-// what the script healed.
+// Play runs a scenario to its end. After the last event and the time to settle, the fleet has to have recovered, with
+// only those faults healed that the script heals.
 func Play(f scenario.File, log func(string)) (Figures, error) {
 	w, err := New(f)
 	if err != nil {
@@ -16,7 +16,7 @@
 	}
 	defer w.Close()
 	w.Log = log
-	const maxSeconds = 600 // seconds of virtual time: a script waits for what does not come
+	const maxSeconds = 600 // of virtual time; ends a script that waits for a condition that never holds
 	for !w.Quiet && w.now < maxSeconds {
 		if err := w.Run(w.now + 0.5); err != nil {
 			return w.Figures(), err
@@ -28,7 +28,7 @@
 	return w.Figures(), w.Whole()
 }
 
-// Drawn is a scenario by chance: every kind of fault, several at a time, all of them over at the end.
+// Drawn returns a random scenario with faults of every kind, several at a time, all of which are over at the end.
 func Drawn(seed uint64) scenario.File {
 	r := rand.New(rand.NewPCG(seed, 21))
 	f := scenario.File{Name: fmt.Sprint("drawn ", seed), Keepers: 1 + 2*r.IntN(3), Routers: 2 + r.IntN(5), Zones: 1 + r.IntN(3),
@@ -47,7 +47,7 @@
 			return fmt.Sprint("router:", 1+r.IntN(f.Routers))
 		}
 	}
-	linkEnd := func() string { // one end of a link
+	linkEnd := func() string { // either end of a link
 		switch r.IntN(4) {
 		case 0:
 			return "keepers"
@@ -76,7 +76,7 @@
 			e.Do, e.Who, e.To, e.For = "hold", linkEnd(), linkEnd(), r.Float64()*30
 		}
 		add(e)
-		if r.IntN(3) == 0 { // back again in the midst of it
+		if r.IntN(3) == 0 { // ends some faults while others go on
 			add(scenario.Event{After: r.Float64() * 2 * f.Lease, Do: []string{"continue", "start", "heal"}[r.IntN(3)], Who: "routers"})
 		}
 	}
--- a/emulator/fleet/script.go
+++ b/emulator/fleet/script.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file plays a script of faults.
+// This file applies the events of a scenario.
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"dunereach/fleet/coordinator"
 )
 
-// Leader is the keeper that leads by its own word and newest term.
+// Leader returns the coordinator that considers itself the leader in the highest term, "" if there is none.
 func (w *World) Leader() string {
 	name, term := "", uint64(0)
 	for _, k := range w.coordinators {
@@ -23,7 +23,7 @@
 	return name
 }
 
-// Owner of the first work, by its own belief.
+// Owner returns the router that considers itself the owner of the first task, "" if there is none.
 func (w *World) Owner() string {
 	for _, r := range w.routers {
 		if r.up && r.member != nil && w.owns(r, w.tasks()[0]) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// Link from one to another is cut, or holds what comes.
+// Link cuts the link from one process to another, or delays its messages for some seconds.
 func (w *World) Link(do, from, to string, seconds float64) {
 	if do == "cut" {
 		w.linksCut[[2]string{from, to}] = true
@@ -129,7 +129,7 @@
 	}
 }
 
-// Do something to one process.
+// Do applies a fault, or the end of one, to a process.
 func (w *World) Do(what, name string) {
 	p := w.processes[name]
 	var k *coordinatorProcess
@@ -175,7 +175,7 @@
 		p.up = false
 	case "start":
 		if p.up {
-			if p.exiting { // as soon as it has ended
+			if p.exiting { // retries until the process has ended
 				w.after(0.05, func() { w.Do("start", name) })
 			}
 			return
@@ -185,7 +185,7 @@
 		} else {
 			w.startRouter(r)
 		}
-	case "full": // its next write fails, so it ends
+	case "full": // the process exits because its next write fails
 		p.up, p.stopped = false, false
 	case "release":
 		w.lastRequestID++
@@ -198,7 +198,7 @@
 		}
 	case "wipe":
 		if r != nil {
-			r.disk = agent.PersistentState{Relinquished: true} // a folder that is gone says nothing, which is not the word of a clean end
+			r.disk = agent.PersistentState{Relinquished: true} // unlike the record of a clean shutdown, a lost folder does not say whether anything was relinquished
 		}
 	}
 }
--- a/emulator/fleet/simulation.go
+++ b/emulator/fleet/simulation.go
@@ -1,6 +1,7 @@
-// Package fleet plays keepers and members of a fleet on virtual time: the very packages that serve (keeping with raft in it,
-// member, ownership, parts), with clocks that differ, links that lose, cut and hold, and processes that stop, die and come
-// back. The same seed gives the same run, one run at a time in a process.
+// Package fleet simulates coordinators and routers of a fleet in virtual time. It runs the production packages
+// (coordinator with raft, agent, lease and grants) with clocks that differ, links that lose, cut and delay messages,
+// and processes that stop, exit and restart. The same seed gives the same run; a process can run only one simulation at
+// a time.
 package fleet
 
 import (
@@ -23,7 +24,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// World is one run.
+// World is the state of one run.
 type World struct {
 	file               scenario.File
 	now                float64
@@ -42,13 +43,13 @@
 	lastRequestID      uint64
 	originalRandReader io.Reader
 	pendingEvents      []scenario.Event
-	playNextEvent      func() // plays the next event of the file
-	previousOwner      string // owner that the event before found
+	playNextEvent      func() // schedules the next event of the script
+	previousOwner      string // owner of the first task when the previous event was applied
 	Quiet              bool   // the script is over
 	servers            []agent.Server
 }
 
-// clock of one process.
+// clock is the clock of one process.
 type clock struct{ offset, rate float64 }
 
 func (c clock) at(t float64) float64 { return c.offset + c.rate*t }
@@ -61,7 +62,7 @@
 	up          bool
 	stopped     bool
 	exiting     bool     // it was asked to end
-	backlog     []func() // that comes while it is stopped
+	backlog     []func() // work that arrived while the process was stopped
 }
 
 type coordinatorProcess struct {
@@ -82,7 +83,7 @@
 	from         *routerProcess
 	incarnation  uint64
 	seq          uint64
-	historyIndex int // place in the history, where it is one
+	historyIndex int // index in the audit's history, -1: not in it
 	target       string
 	attempts     int
 	body         agent.Request
@@ -119,11 +120,11 @@
 	return len(p), nil
 }
 
-// New world of a scenario.
+// New sets a scenario up.
 func New(f scenario.File) (*World, error) {
 	w := &World{file: f, random: mathrand.New(mathrand.NewPCG(f.Seed, 11)), processes: map[string]*process{},
 		linksCut: map[[2]string]bool{}, linksHeldUntil: map[[2]string]float64{}, requests: map[uint64]*request{}, pendingEvents: f.Events}
-	// The raft library draws its election times from crypto/rand's reader: with this one a run can be had again.
+	// The raft library draws election timeouts from crypto/rand.Reader; a seeded reader makes the run reproducible.
 	w.originalRandReader, rand.Reader = rand.Reader, randSource{mathrand.New(mathrand.NewPCG(f.Seed, 12))}
 	w.audit.init(w)
 	for n := range f.Engines {
@@ -153,7 +154,7 @@
 	return w, nil
 }
 
-// Close gives chance back.
+// Close restores crypto/rand.Reader.
 func (w *World) Close() { rand.Reader = w.originalRandReader }
 
 func (w *World) newProcess(name, zone string) *process {
@@ -182,7 +183,7 @@
 	}
 }
 
-// Run until that time, or until something is wrong.
+// Run runs the simulation until a time, or until the audit finds an error.
 func (w *World) Run(until float64) error {
 	for len(w.queue) > 0 && w.queue[0].at <= until && w.audit.err == nil {
 		e := heap.Pop(&w.queue).(event)
@@ -193,7 +194,8 @@
 	return w.audit.err
 }
 
-// runWhenActive has a process do something: at once, when it goes on, or never where it has died since.
+// runWhenActive runs a function in a process: at once, or after the process continues if it is stopped, or never if
+// that incarnation has ended.
 func (w *World) runWhenActive(p *process, incarnation uint64, run func()) {
 	switch {
 	case !p.up || p.incarnation != incarnation:
@@ -204,7 +206,7 @@
 	}
 }
 
-// deliver over the link between two processes.
+// deliver passes a message over the link between two processes.
 func (w *World) deliver(from, to *process, receive func()) {
 	link := [2]string{from.name, to.name}
 	if !from.up || w.linksCut[link] || w.random.Float64() < w.messageLoss {
@@ -218,7 +220,7 @@
 	w.after(delay, func() { w.runWhenActive(to, incarnation, receive) })
 }
 
-// newClock's rate is within the drift, its offset anywhere within a minute.
+// newClock returns a clock with a rate within the drift and an offset of up to a minute.
 func (w *World) newClock() clock {
 	return clock{60 * w.random.Float64(), 1 + w.file.Drift*(2*w.random.Float64()-1)}
 }
@@ -253,7 +255,8 @@
 	w.after(0.02*w.random.Float64(), tick)
 }
 
-// processOutput out what a keeper put out: its disk takes it at once, as a driver that syncs before it sends.
+// processOutput handles the output of a coordinator. Its data is persisted at once, as by a driver that syncs before it
+// sends.
 func (w *World) processOutput(k *coordinatorProcess) {
 	for {
 		out, ok := k.node.Output()
@@ -262,7 +265,7 @@
 		}
 		if s := out.Persist.Snapshot; s != nil {
 			k.disk.Snapshot = s
-			at := uint64(math.MaxUint64) // another's snapshot replaces the whole log
+			at := uint64(math.MaxUint64) // a snapshot of another coordinator replaces the whole log
 			if out.Persist.Compact > 0 {
 				at = out.Persist.Compact
 			}
@@ -324,7 +327,7 @@
 		Trace: func(t agent.Trace) { w.audit.recordTrace(r, t) },
 		Log:   func(text string) { w.log("%s: %s", r.name, text) }}, r.disk)
 	share := 1 / float64(w.file.Routers)
-	var needs []float64 // a router's traffic is its own, and lasts
+	var needs []float64 // the share of each server that the router's traffic needs; fixed for its incarnation
 	for range w.servers {
 		needs = append(needs, share*3*w.random.Float64())
 	}
@@ -339,7 +342,7 @@
 				need := needs[k] * (0.9 + 0.2*w.random.Float64())
 				d.ColdServers = append(d.ColdServers, agent.ColdServer{Server: e, Need: need, Least: need / 3})
 			}
-			// One engine is doubted by all, so that its owner puts findings down.
+			// All routers suspect one server, so that the owner of its task writes annotations.
 			suspect := agent.Health{Server: w.servers[0], Unhealthy: true, SinceAnswer: -1}
 			d.Suspected = []agent.Health{suspect}
 			d.Health = func(uint32) (agent.Health, bool) { return suspect, true }
@@ -352,7 +355,7 @@
 	w.after(0.1*w.random.Float64(), tick)
 }
 
-// sendRequests a member's requests on their way.
+// sendRequests sends a router's requests.
 func (w *World) sendRequests(r *routerProcess, all []agent.Request) {
 	incarnation := r.incarnation
 	for _, req := range all {
@@ -394,7 +397,7 @@
 			k = x
 		}
 	}
-	if !k.up { // refused at once
+	if !k.up { // connection refused
 		w.after(0.001, func() {
 			c.from.finder.Failed(c.target)
 			w.finishRequest(id, c, nil, agent.ErrNoAnswer)
@@ -419,7 +422,7 @@
 	}
 	w.deliver(c.from.process, to, deliverTo(id))
 	const duplicateShare = 0.05
-	if w.random.Float64() < duplicateShare { // what was said comes once more, much later
+	if w.random.Float64() < duplicateShare { // a duplicate of the request arrives up to ten seconds later
 		incarnation := to.incarnation
 		w.lastRequestID++
 		duplicate := deliverTo(w.lastRequestID)
@@ -464,5 +467,3 @@
 	})
 	delete(w.requests, id)
 }
-
-// ---- what a script does
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -1,6 +1,6 @@
-// Package modelcheck walks through every order of events of a small fleet: two owners, one keeper's record, one receiver, with
-// messages that are late, lost and repeated, and processes that stand still for as long as they like. The rules are those of
-// packages ownership and record themselves.
+// Package modelcheck explores every order of events in a small fleet: two owners, one coordinator's registry and one
+// receiver, with messages that are delayed, lost and duplicated, and processes that stop for any time. The rules are
+// those of the packages lease and registry themselves.
 package modelcheck
 
 import (
@@ -12,25 +12,26 @@
 	"dunereach/fleet/registry"
 )
 
-// Bounds of a walk. A message that is lost is one that never arrives within them.
+// Bounds limits an exploration. A lost message is one that does not arrive within them.
 type Bounds struct {
-	Time     int // ticks
+	Time     int // in ticks
 	Lease    int
-	Beats    [2]int // of each owner
+	Beats    [2]int // heartbeats of each owner
 	Acts     int
-	Lets     int // of each owner: it lets go of the work on purpose
-	Loses    int // of each owner: it is told that its session is over, wrongly or late
+	Lets     int // voluntary releases of the task by each owner
+	Loses    int // how often each owner is told, wrongly or late, that its session is over
 	Restarts int // of the receiver
-	Repeats  int // messages that come twice
-	Most     int // states
+	Repeats  int // messages that are delivered twice
+	Most     int // most states to explore
 }
 
-// Short is a walk of some seconds; Long one of minutes.
+// Short explores for some seconds, Long for minutes.
 var (
 	Short = Bounds{Time: 4, Lease: 2, Beats: [2]int{1, 1}, Acts: 1, Restarts: 1, Repeats: 0, Most: 400_000}
-	// Letting is a walk about releases: two beats of an owner are out at a time, and their answers pass each other.
+	// Letting covers releases: two heartbeats of an owner are outstanding at a time, and their answers overtake each
+	// other.
 	Letting = Bounds{Time: 2, Lease: 6, Beats: [2]int{3, 1}, Lets: 1, Most: 2_000_000}
-	// Losing is a walk about sessions that are lost and opened again while a release is on its way.
+	// Losing covers sessions that are lost and opened again while a release is on its way.
 	Losing = Bounds{Time: 1, Lease: 6, Beats: [2]int{2, 1}, Lets: 1, Loses: 1, Most: 2_000_000}
 	Long   = Bounds{Time: 6, Lease: 2, Beats: [2]int{2, 2}, Acts: 1, Restarts: 1, Repeats: 1, Most: 20_000_000}
 )
@@ -39,17 +40,17 @@
 
 var ownerNames = [2]string{"a", "b"}
 
-// ownerClock is an owner's reading of its clock: nothing but lengths on it counts.
+// ownerClock returns an owner's reading of its clock. Its offset shows that the rules depend only on durations.
 func ownerClock(t int) float64 { return float64(t) + 100 }
 
 type message struct {
-	kind     byte // 'b'eat, 'v'iew, 'a'ct, 'r'elease
+	kind     byte // 'b': heartbeat, 'v': confirmation, 'a': action, 'r': release
 	owner    int
 	sent     int
 	session  uint64
 	fence    uint64
-	number   int  // of a view
-	repeated bool // it has come once already
+	number   int  // of a confirmation
+	repeated bool // it was delivered once already
 }
 
 func (m message) String() string {
@@ -65,20 +66,20 @@
 	session       uint64
 }
 
-// state of everything. Values are copied on each step; what is shared is never changed.
+// state is the state of the whole fleet. Each step copies it; parts shared between copies are never modified.
 type state struct {
 	now              int
-	registrySnapshot []byte // the record's snapshot
+	registrySnapshot []byte // the registry as a snapshot
 	index            uint64
-	lastHeartbeat    [2]int // by the keeper, of each owner's session
+	lastHeartbeat    [2]int // time at which the coordinator last received a heartbeat of each owner's session
 	owners           [2]owner
 	receiver         *lease.FenceChecker
 	inFlight         []message
 	restarts         int
 	repeats          int
-	confirmations    int            // views so far
-	accepted         uint64         // highest fence that the receiver took
-	fenceOwner       map[uint64]int // who was given each fence
+	confirmations    int            // number of confirmations sent so far
+	accepted         uint64         // highest fence that the receiver accepted
+	fenceOwner       map[uint64]int // owner to which each fence was assigned
 	trail            *step
 	decoded          map[string]*registry.Registry
 }
@@ -116,7 +117,7 @@
 	return &c
 }
 
-// Found is a broken rule, with the steps that led there.
+// Found is a violation of a rule, with the steps that led to it.
 type Found struct {
 	What  string
 	Trail []string
@@ -132,7 +133,7 @@
 	return found
 }
 
-// Walk through all states within the bounds. whole is false where there were more than Most.
+// Walk explores all states within the bounds. complete is false if there were more than Most.
 func Walk(b Bounds) (states int, complete bool, err error) {
 	terms := lease.Terms{Lease: float64(b.Lease), Drift: 0}
 	first := &state{decoded: map[string]*registry.Registry{}, receiver: lease.NewFenceChecker(), fenceOwner: map[uint64]int{}}
@@ -175,7 +176,7 @@
 	return states, true, nil
 }
 
-// check that at no moment both may act.
+// check returns an error if both owners are permitted to act at the same time.
 func (s *state) check() error {
 	f0, a := s.owners[0].holder.Permit(ownerClock(s.now), task, 0)
 	f1, b := s.owners[1].holder.Permit(ownerClock(s.now), task, 0)
@@ -199,7 +200,8 @@
 	return fence, refused
 }
 
-// decodeRegistry the record of a state. Records are only decodeRegistry, and a walk has some hundred.
+// decodeRegistry decodes the registry of a state. The result is cached, as an exploration has only some hundred
+// different registries, and must not be modified.
 func (s *state) decodeRegistry() (*registry.Registry, error) {
 	if r := s.decoded[string(s.registrySnapshot)]; r != nil {
 		return r, nil
@@ -211,7 +213,7 @@
 	return r, err
 }
 
-// successors returns every state that may come next.
+// successors returns every state that can follow.
 func (s *state) successors(b Bounds) (next []*state, err error) {
 	if s.now < b.Time {
 		n := s.copy(fmt.Sprint("time ", s.now+1))
@@ -242,7 +244,7 @@
 	return append(next, more...), err
 }
 
-// ownerSteps returns what an owner may do: send a heartbeat, act, lose its session, release the task.
+// ownerSteps returns the steps of an owner: send a heartbeat, act, lose its session, release the task.
 func (s *state) ownerSteps(b Bounds, k int) (all []*state) {
 	o := &s.owners[k]
 	if o.heartbeats < b.Beats[k] {
@@ -274,8 +276,8 @@
 	return all
 }
 
-// coordinatorSteps returns what the coordinator may do about an owner: close a session that is silent for longer than the lease, and
-// give it the task if that is free.
+// coordinatorSteps returns the steps of the coordinator that concern an owner: close a session that was silent for
+// longer than the lease, and assign it the task if the task is free.
 func (s *state) coordinatorSteps(b Bounds, r *registry.Registry, k int) (all []*state, err error) {
 	o := &s.owners[k]
 	if r.Session(o.session) != nil && s.now-s.lastHeartbeat[k] > b.Lease {
@@ -304,7 +306,8 @@
 	return append(all, n), nil
 }
 
-// deliveries returns the states after each message that is on its way has arrived, once or, within the bound, twice.
+// deliveries returns the states after the delivery of each message in flight, with and, within the bound, without a
+// second delivery to come.
 func (s *state) deliveries(b Bounds, r *registry.Registry) (all []*state, err error) {
 	for k, m := range s.inFlight {
 		n := s.copy(fmt.Sprint("arrives: ", m))
--- a/emulator/modelcheck/explore_test.go
+++ b/emulator/modelcheck/explore_test.go
@@ -13,7 +13,8 @@
 	t.Logf("%d states", states)
 }
 
-// TestReleases: an owner lets go, its answers pass each other, and it is told that its session is over.
+// TestReleases explores releases whose answers overtake each other, and releases by an owner that is told that its
+// session is over.
 func TestReleases(t *testing.T) {
 	for name, b := range map[string]Bounds{"letting": Letting, "losing": Losing} {
 		t.Run(name, func(t *testing.T) {
--- a/emulator/scenario/scenario.go
+++ b/emulator/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario is a script of faults for a fleet: the same file is played on virtual time (emulator/fleet) and over real
-// processes (internal/faultrig).
+// Package scenario defines fault scenarios for a fleet. The same file is played in virtual time (emulator/fleet) and
+// with real processes (internal/faultrig).
 package scenario
 
 import (
@@ -28,7 +28,7 @@
 	Settle  float64 `json:"settle,omitempty" jsonschema:"description=Seconds after the last event in which all has to be as it should. Absent: three leases and five."`
 }
 
-// Event is one fault, or its end.
+// Event is one fault, or the end of one.
 type Event struct {
 	After float64 `json:"after,omitempty" jsonschema:"minimum=0,description=Seconds after the event before it, or after what it waits for."`
 	When  string  `json:"when,omitempty" jsonschema:"enum=owned,enum=moved,enum=dealt,enum=lost,description=What is waited for first: owned is that each work has an owner; moved is that the work of the event before has another; dealt is that parts of it are in use; lost is that no keeper leads."`
@@ -42,7 +42,7 @@
 //go:embed files/*.json
 var files embed.FS
 
-// All scenarios that are kept with the program, by file.
+// All returns the embedded scenarios by file name.
 func All() (map[string]File, error) {
 	list, err := files.ReadDir("files")
 	if err != nil {
@@ -63,7 +63,7 @@
 	return all, nil
 }
 
-// Parse a file.
+// Parse decodes a scenario, sets the defaults and checks it.
 func Parse(text []byte) (f File, err error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -80,7 +80,7 @@
 	return f, f.Check()
 }
 
-// Check tells the first thing that is wrong.
+// Check returns an error for the first invalid value.
 func (f *File) Check() error {
 	if f.Name == "" || f.Routers < 1 || f.Routers > 300 || f.Engines < 1 || f.Engines > 36 || f.Keepers < 0 || f.Keepers > 9 || !(f.Lease >= 0.2) {
 		return fmt.Errorf("%q: name, routers, engines, keepers or lease", f.Name)
@@ -117,16 +117,17 @@
 	return n >= 1 && n <= limit
 }
 
-// Zone of the n-th keeper or router, from 0.
+// Zone returns the zone of the n-th coordinator, router or server, counted from 0.
 func (f *File) Zone(n int) string { return fmt.Sprint("z", n%f.Zones+1) }
 
-// Fleet is what a script needs to know of who is there now.
+// Fleet gives the current state of a fleet that selectors depend on.
 type Fleet interface {
 	Leader() string // name of the keeper that leads, "": none
 	Owner() string  // name of the router that owns the first work, "": none
 }
 
-// Whom a word means, as names: k1, k2, ... and n1, n2, ...
+// Whom returns the names of the processes that a selector stands for: k1, k2, ... for coordinators, n1, n2, ... for
+// routers and e1, e2, ... for servers.
 func (f *File) Whom(target string, state Fleet) (names []string) {
 	addRouters := func(except string) {
 		for n := range f.Routers {
--- a/emulator/zones/traffic.go
+++ b/emulator/zones/traffic.go
@@ -1,6 +1,6 @@
 package zones
 
-// This file is the traffic of one step, and how routers that follow no plan choose.
+// This file computes the traffic of each step, and the zones that routers without a plan choose.
 
 import (
 	"math"
@@ -9,7 +9,7 @@
 	"dunereach/fleet/failover"
 )
 
-// shares is where a router's work goes now.
+// shares returns the share of a router's traffic that goes to each zone now.
 func (w *world) shares(r *router) []float64 {
 	n := w.settings.Zones
 	shares := make([]float64, n)
@@ -21,9 +21,9 @@
 				for z, x := range r.plan.ZoneLoss.Share[r.zone] {
 					shares[z] = 0.95 * x
 				}
-				shares[r.zone] = 0.05 // trials
+				shares[r.zone] = 0.05 // probes
 			}
-			// What it sees itself: a zone that just failed it gets trials only, whatever the plan says.
+			// A zone that just failed this router's own attempts gets only probes from it, whatever the plan says.
 			for z := range shares {
 				if r.failureRate[z] > 0.5 && z != r.zone {
 					shares[z] *= 0.05
@@ -32,7 +32,7 @@
 			return shares
 		}
 		shares[r.zone] = 1
-		if r.failureRate[r.zone] > 0.5 && r.plan.Epoch > 0 { // alone: what was spared for it, the rest has nowhere to go
+		if r.failureRate[r.zone] > 0.5 && r.plan.Epoch > 0 { // without a plan that is valid now, the router uses the capacity reserved for it by the last one; the rest of its traffic has nowhere to go
 			for z, x := range r.plan.Fallback.Share[r.zone] {
 				if z != r.zone && r.failureRate[z] <= 0.5 {
 					shares[z] = x
@@ -41,7 +41,7 @@
 			shares[r.zone] = 0.05
 		}
 	case Local:
-		// Load is not known; its own zone unless that does not answer, then all others alike.
+		// Routers don't know the load: each uses its own zone unless that doesn't answer, and then all others evenly.
 		if r.failureRate[r.zone] <= 0.5 {
 			shares[r.zone] = 1
 			return shares
@@ -66,7 +66,7 @@
 			health[z] = max(1-r.failureRate[z], 0)
 			all += health[z]
 		}
-		if all/float64(n) < 0.5 { // panic: everybody alike
+		if all/float64(n) < 0.5 { // panic threshold: spread evenly over all zones
 			for z := range shares {
 				shares[z] = 1 / float64(n)
 			}
@@ -84,12 +84,12 @@
 	return shares
 }
 
-// serveStep of one step.
+// serveStep simulates the traffic of one step.
 func (w *world) serveStep() {
 	n := w.settings.Zones
 	offered, own := make([]float64, n), make([]float64, n)
 	rows := make([][]float64, len(w.routers))
-	routerDemands := make([][]float64, len(w.routers)) // core seconds a second that a router sends to each zone
+	routerDemands := make([][]float64, len(w.routers)) // core seconds per second that each router sends to each zone
 	requested := 0.0
 	var best failover.Plan
 	if w.settings.Rule == Knowing {
@@ -150,7 +150,8 @@
 		for _, o := range x.recentLoad[:10] {
 			mean += o / 10
 		}
-		// Too much because of a failover: what comes from elsewhere makes it so. A zone that has just changed itself had no time.
+		// Counts a zone as overloaded by failover only if traffic from other zones causes the overload. Routers had no
+		// time to react to a zone whose capacity has just dropped.
 		full := w.capacity(z)
 		if full < x.lastCapacity*0.98 {
 			x.changedUntil = w.now + 4
@@ -188,10 +189,10 @@
 			if onTime+late <= 0 {
 				outcome = 1
 			}
-			const detectionTime = 0.7 // seconds in which a router finds out alone
+			const detectionTime = 0.7 // seconds in which a router detects by itself that a zone fails
 			r.failureRate[z] += (outcome - r.failureRate[z]) * stepSeconds / detectionTime
 		}
-		for z := range r.failureRate { // without a send it is forgotten in some seconds, and tried again
+		for z := range r.failureRate { // without attempts the failures are forgotten within some seconds and the zone is tried again
 			if rows[k][z] == 0 {
 				r.failureRate[z] *= 1 - stepSeconds/6
 			}
@@ -215,9 +216,9 @@
 	}
 }
 
-// limitColdTraffic keeps rule 4, as the module does whatever plan it follows: to engines that a list names as just started all routers
-// together send no more than these bear. What the fleet deals goes by need to those that hear it; who hears nothing has an equal
-// part.
+// limitColdTraffic limits the traffic to a zone whose servers have just started, as admission controllers do under any
+// plan: all routers together send no more than cold servers can take. Routers that reach the coordinators are granted
+// shares by need; the others use an equal share.
 func (w *world) limitColdTraffic(z int, routerDemands [][]float64) {
 	x := &w.zones[z]
 	age := w.now - x.upSince
@@ -225,7 +226,7 @@
 		return
 	}
 	warmShare := age / warmUpSeconds
-	allowed := x.fullCapacity * (coldCapacityShare + (1-coldCapacityShare)*warmShare*warmShare) // the module's ramp, by the square of the age
+	allowed := x.fullCapacity * (coldCapacityShare + (1-coldCapacityShare)*warmShare*warmShare) // the admission controller's ramp, quadratic in the age
 	equalShare := allowed / float64(len(w.routers))
 	need, left := 0.0, allowed
 	granted := func(k int) bool { return w.settings.Rule == Planned && w.routers[k].follower.Epoch(w.now) > 0 }
@@ -253,7 +254,7 @@
 		last = max(last, f.Until)
 	}
 	w.result.Back = math.NaN()
-	before := w.result.Home[min(10, len(w.result.Home)-1)] // of a calm second
+	before := w.result.Home[min(10, len(w.result.Home)-1)] // of a second without faults
 	for t := int(math.Ceil(last)); t < len(w.result.Home)-1; t++ {
 		if w.result.Home[t] >= 0.99*before {
 			w.result.Back = float64(t) - last
@@ -262,7 +263,7 @@
 	}
 }
 
-// Drawn settings: faults by chance, several at a time.
+// Drawn returns settings with random faults, several at a time.
 func Drawn(seed uint64) Settings {
 	r := rand.New(rand.NewPCG(seed, 42))
 	s := Settings{Zones: 3 + r.IntN(5), Regions: 1 + r.IntN(3), Routers: 30, Load: 0.35 + 0.35*r.Float64(), Skew: 0.3 * r.Float64(), Seed: seed, Length: 90}
--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -1,6 +1,6 @@
-// Package zones plays failover between zones on virtual time: many routers that each hear plans when they do, a controller that
-// moves with its owner, zones that serve what they can, and faults that overlap. Traffic is counted in core seconds, not in
-// commands; what is played is package failover itself.
+// Package zones simulates failover between zones in virtual time: many routers that receive plans at different times, a
+// controller that moves with the owner of its task, zones that serve what they have capacity for, and overlapping
+// faults. Traffic is counted in core seconds, not in requests. The failover rules are those of package failover itself.
 package zones
 
 import (
@@ -11,31 +11,31 @@
 	"dunereach/fleet/failover"
 )
 
-// Rule is how routers choose zones.
+// Rule is the way in which routers choose zones.
 type Rule int
 
 // The rules.
 const (
 	Planned  Rule = iota // by the fleet's plan
-	Local                // today's: each leans to its own zone, and finds out alone what does not answer
+	Local                // without a fleet: each router prefers its own zone and detects by itself which zones don't answer
 	Locality             // by zones' health with an overprovisioning factor of 1.4 and a panic threshold of one half, as published for Envoy
-	Knowing              // knows everything and moves at once: the bound
+	Knowing              // with full knowledge and no delay: the upper bound
 )
 
-// Settings of a run.
+// Settings configures a run.
 type Settings struct {
 	Zones, Regions int
 	Routers        int
-	Load           float64 // of all capacity
-	Skew           float64 // how unlike zones' demands are: 0 none
+	Load           float64 // as a share of the total capacity
+	Skew           float64 // spread of the zones' demands: standard deviation of the logarithm; 0: proportional to capacity
 	Seed           uint64
 	Rule           Rule
 	Length         float64
-	Liars          float64 // share of each zone's routers that report by chance
+	Liars          float64 // share of each zone's routers that report random observations
 	Faults         []Fault
 }
 
-// Fault of a zone, over some time.
+// Fault is a fault of a zone during some time.
 type Fault struct {
 	At, Until float64
 	Kind      Kind
@@ -43,22 +43,22 @@
 	By        float64
 }
 
-// Kind of a fault.
+// Kind is the kind of a fault.
 type Kind int
 
 // The kinds of faults.
 const (
-	Power      Kind = iota // engines and routers of a zone are gone
-	Engines                // its engines are
+	Power      Kind = iota // servers and routers of a zone are down
+	Engines                // servers of a zone are down
 	Link                   // between two zones, both ways
-	OneWay                 // from a zone to another
-	Slowed                 // a zone by a factor
-	Controller             // the owner stands still and wakes up with its next step half sent
-	Deaf                   // a zone's routers hear no keepers
-	Minority               // a region's
-	Flapping               // a zone goes and comes every By seconds
-	Drain                  // on purpose
-	Lists                  // no list names its engines
+	OneWay                 // from one zone to another
+	Slowed                 // servers of a zone are slower by the factor By
+	Controller             // the process of the owner stops, possibly with a plan on its way
+	Deaf                   // the routers of a zone can't reach the coordinators
+	Minority               // the routers of a region can't reach the coordinators
+	Flapping               // servers of a zone go down and return, every By seconds
+	Drain                  // the operator evacuates the zone
+	Lists                  // lists name no servers of the zone
 	kinds
 )
 
@@ -68,24 +68,24 @@
 
 const (
 	stepSeconds        = 0.1
-	warmUpSeconds      = 12.0 // seconds that engines take after they were gone, from a third of what they can do
+	warmUpSeconds      = 12.0 // seconds of warm-up after servers were down, starting from coldCapacityShare
 	coldCapacityShare  = 0.35
 	contactInterval    = 1.0
-	commitDelay        = 0.15 // seconds from a plan to the record
+	commitDelay        = 0.15 // seconds until a plan is committed in the registry
 	zoneRoundTrip      = 0.02
 	regionRoundTrip    = 0.12 // between regions
-	overloadEfficiency = 0.75 // of what a zone can do while it is offered over 1.2 times that
+	overloadEfficiency = 0.75 // of a zone's capacity while it is offered more than 1.2 times that
 )
 
 type zone struct {
 	fullCapacity, demand float64
 	cores                float64
-	downSince            float64 // since when its engines were last gone
+	downSince            float64 // time at which its servers were last down, -1: they are up
 	upSince              float64
-	recentLoad           [11]float64 // of the last steps
-	changedUntil         float64     // seconds that it was offered too much by what came from elsewhere
-	lastCapacity         float64     // what it could do a moment ago
-	notOverloadedAt      float64     // that what comes from elsewhere makes it so
+	recentLoad           [11]float64 // of the last steps, the latest first
+	changedUntil         float64     // overload is not counted until then: the capacity has dropped shortly before
+	lastCapacity         float64     // capacity in the previous step
+	notOverloadedAt      float64     // latest time at which traffic from other zones did not make it overloaded
 }
 
 type router struct {
@@ -96,8 +96,8 @@
 	lastContact   float64
 	plan          failover.PublishedPlan
 	until         float64
-	failureRate   []float64 // by zone: recent share of bad sends, as it sees them itself
-	attemptedWork []float64 // of the last second, by zone
+	failureRate   []float64 // by zone: recent share of failed attempts that the router itself observed
+	attemptedWork []float64 // since the last report, by zone; so are failedWork, lateWork and servedWork
 	failedWork    []float64
 	lateWork      []float64
 	servedWork    []float64
@@ -106,19 +106,19 @@
 	misreports    bool
 }
 
-// Result of a run.
+// Result holds what a run recorded.
 type Result struct {
-	Worth    []float64 // share of all work served, by second
-	Worst    float64   // most that a zone was offered of what it can do, over a second, by what came from elsewhere
-	Planned  float64   // most that any mixture of plans that routers may be on offers a zone, over what it is planned with
-	Near     float64   // share of work served in its own zone, of what was served
-	Changes  []float64 // times of plans
-	Given    []string  // zones given up that were well
+	Worth    []float64 // share of all work that was served, by second
+	Worst    float64   // highest ratio of a zone's load over a second to its capacity, where traffic from other zones caused it
+	Planned  float64   // highest ratio of a zone's load to its planned capacity, under any mixture of the plans that routers may follow
+	Near     float64   // share of the served work that was served in its own zone
+	Changes  []float64 // times at which the plan changed
+	Given    []string  // healthy zones that a plan gave up
 	Lost     map[int]float64
-	Home     []float64 // share of all work served in its own zone, by second
-	Back     float64   // seconds after the last fault until 99 % of what was near is near again, NaN: not within the run
+	Home     []float64 // share of all work that was served in its own zone, by second
+	Back     float64   // seconds from the end of the last fault until work in its own zone is back at 99 % of the value before; NaN: not within the run
 	Timeline [][]float64
-	Bytes    float64 // of a report
+	Bytes    float64 // size of a report
 }
 
 type world struct {
@@ -134,14 +134,14 @@
 	committedAt  float64
 	pending      *failover.PublishedPlan
 	pendingSince float64
-	owner        int // router
+	owner        int // index of the router that owns the controller's task, -1: none
 	frozen       bool
 	orders       failover.Orders
 	result       Result
 	nextDecision float64
 }
 
-// Play a run.
+// Play simulates a run.
 func Play(s Settings) (Result, error) {
 	w := &world{settings: s, random: rand.New(rand.NewPCG(s.Seed, 41)), owner: -1}
 	w.result.Lost = map[int]float64{}
@@ -245,7 +245,7 @@
 	w.orders.Evacuate = draining
 }
 
-// capacity is what a zone capacity do now.
+// capacity returns the current capacity of a zone.
 func (w *world) capacity(z int) float64 {
 	x := &w.zones[z]
 	if w.down(z) {
@@ -258,14 +258,14 @@
 	return c
 }
 
-// listedCores is what lists say that it has ready.
+// listedCores returns the ready cores of a zone according to the lists.
 func (w *world) listedCores(z int) float64 {
 	x := &w.zones[z]
 	if _, ok := w.activeFault(Lists, z); ok {
 		return 0
 	}
 	if w.down(z) {
-		if w.now-max(x.upSince, w.result.Lost[z]) > 6 { // lists are late
+		if w.now-max(x.upSince, w.result.Lost[z]) > 6 { // lists name servers for up to 6 s after they went down
 			return 0
 		}
 		return x.cores
@@ -273,7 +273,7 @@
 	return x.cores * min(coldCapacityShare+(1-coldCapacityShare)*(w.now-x.upSince)/warmUpSeconds, 1)
 }
 
-// reachesCoordinators tells whether a router reaches the keepers.
+// reachesCoordinators reports whether a router reaches the coordinators.
 func (w *world) reachesCoordinators(r *router) bool {
 	if _, ok := w.activeFault(Power, r.zone); ok {
 		return false
@@ -289,7 +289,8 @@
 	return true
 }
 
-// runController has the owner's controller look once a second. Where the owner is gone another takes over after a lease.
+// runController lets the owner's controller plan every half second. When the owner is lost, another router takes over
+// after a lease.
 func (w *world) runController() {
 	const lease = 2.0
 	if w.pending != nil && w.now >= w.pendingSince+commitDelay {
@@ -330,13 +331,13 @@
 	}
 	if p, ok := w.controller.Next(w.now, reports, sessions, w.orders); ok {
 		w.pending, w.pendingSince = &p, w.now
-		if len(w.controller.Changes) > 0 && w.controller.Changes[len(w.controller.Changes)-1] == w.now { // no note of what is asked for
+		if len(w.controller.Changes) > 0 && w.controller.Changes[len(w.controller.Changes)-1] == w.now { // a publication that only updates the recorded demand is not counted
 			w.result.Changes = append(w.result.Changes, w.now)
 		}
 		load := failover.MaxMixedLoad(w.controller.Demand, p.Plan, w.committed.Plan)
 		before := failover.MaxMixedLoad(w.controller.Demand, w.committed.Plan)
 		for z := range load {
-			if capacity := w.controller.PlanCapacity[z]; capacity > 0 && load[z] > before[z]+1e-6 { // what a plan adds
+			if capacity := w.controller.PlanCapacity[z]; capacity > 0 && load[z] > before[z]+1e-6 { // only load that the plan adds
 				w.result.Planned = max(w.result.Planned, load[z]/capacity)
 			}
 		}
@@ -366,7 +367,7 @@
 	return d
 }
 
-// undisturbed: nothing is the matter with a zone, nor was of late, nor is it drained.
+// undisturbed reports whether a zone has no fault of its own, had none in the last 40 s and is not drained.
 func (w *world) undisturbed(z int) bool {
 	for _, f := range w.settings.Faults {
 		affects := f.Zone == z && f.Kind != Controller && f.Kind != Deaf && f.Kind != Minority && f.Kind != OneWay && f.Kind != Link
@@ -382,7 +383,7 @@
 	return ok
 }
 
-// contactCoordinators: each router asks once a second, and tells what it saw.
+// contactCoordinators lets each router fetch the plan and report its observations once a second.
 func (w *world) contactCoordinators() {
 	for k := range w.routers {
 		r := &w.routers[k]
--- a/emulator/zones/zones_test.go
+++ b/emulator/zones/zones_test.go
@@ -20,15 +20,16 @@
 	return sum
 }
 
-// TestCalm: with nothing wrong there is no plan, and everything stays near.
+// TestCalm checks that without faults no plan is made and all work is served in its own zone.
 func TestCalm(t *testing.T) {
 	if r := play(t, Planned); len(r.Changes) > 0 || r.Near < 0.99 || worth(r, 5, 90) < 0.999 {
 		t.Errorf("changes at %v, near %.3f, worth %.3f", r.Changes, r.Near, worth(r, 5, 90))
 	}
 }
 
-// TestLoss: a zone is lost at 20 s and returns cold at 45 s. Beside the bound that knows all and moves at once, little is lost, the
-// plan comes within seconds, no zone is planned past what it is taken to bear, and everything is near again soon after.
+// TestLoss loses a zone at 20 s; it returns cold at 45 s. Almost as much is served as with full knowledge and no delay,
+// the plan comes within seconds, no zone is planned above the capacity that it is assumed to have, and all work is back
+// in its own zone soon after.
 func TestLoss(t *testing.T) {
 	fault := Fault{At: 20, Until: 45, Kind: Engines, Zone: 0}
 	r, best := play(t, Planned, fault), play(t, Knowing, fault)
@@ -43,7 +44,8 @@
 	}
 }
 
-// TestHome: whatever a zone's loss has moved comes home to the last hundredth, also where that is less than a plan is worth else.
+// TestHome checks that all work that a zone's loss has moved returns to its own zone, to within one percent, even where
+// the rest is less than a change of plan is otherwise worth.
 func TestHome(t *testing.T) {
 	for seed := range uint64(40) {
 		r, err := Play(Settings{Zones: 3, Regions: 1, Routers: 30, Load: 0.3 + 0.01*float64(seed%20), Skew: 0.3, Seed: seed, Rule: Planned, Length: 120,
@@ -57,7 +59,8 @@
 	}
 }
 
-// TestTwoLost: what is left can't carry all. Today's rule throws it all on the third zone; the plan sheds at origin.
+// TestTwoLost loses two of three zones, so that the last one can't serve everything. Without a plan all traffic goes to
+// that zone; the plan rejects the excess at its origin.
 func TestTwoLost(t *testing.T) {
 	faults := []Fault{{At: 20, Until: 45, Kind: Engines, Zone: 0}, {At: 21, Until: 45, Kind: Engines, Zone: 1}}
 	r, local := play(t, Planned, faults...), play(t, Local, faults...)
@@ -69,7 +72,7 @@
 	}
 }
 
-// TestCutOff: observers that are cut off, or links, give no zone up.
+// TestCutOff checks that no zone is given up because observers or links are cut off.
 func TestCutOff(t *testing.T) {
 	for _, f := range []Fault{{Kind: Link, Zone: 0, To: 1}, {Kind: OneWay, Zone: 2, To: 0}, {Kind: Deaf, Zone: 1}, {Kind: Controller, Zone: 0}} {
 		f.At, f.Until = 20, 45
@@ -79,8 +82,9 @@
 	}
 }
 
-// TestDrawn: whatever fails together, no zone that is well is given up, no plan offers a zone, under any mixture with the last one,
-// more than it is planned with, and none really gets more than 1.05 of what it can over a second because of others.
+// TestDrawn checks with random faults, several at a time, that no healthy zone is given up, that no plan offers a zone
+// more than its planned capacity under any mixture with the previous plan, and that other zones' traffic never loads a
+// zone above 1.05 of its capacity over a second.
 func TestDrawn(t *testing.T) {
 	planned, changes := 0.0, 0
 	for seed := range uint64(150) {
@@ -98,8 +102,9 @@
 	}
 }
 
-// TestLyingAtStart: four in ten observers lie from the first second on, when the reports of the others are about a part of a second and
-// weigh little. No zone is given up, and no work is moved by one look at such reports. On these seeds it once was, at 1.1 s.
+// TestLyingAtStart has four in ten observers report random values from the first second on, when the reports of the
+// others cover only part of a second and have little weight. No zone may be given up and no work moved because of a
+// single round of such reports. With these seeds that happened once, at 1.1 s.
 func TestLyingAtStart(t *testing.T) {
 	for _, seed := range []uint64{10, 13, 103, 129, 173, 257, 263, 264, 288, 298, 783, 849} {
 		settings := Settings{Zones: 3 + int(seed%5), Regions: 1 + int(seed%2), Routers: 30, Load: 0.4 + 0.02*float64(seed%16), Skew: 0.2,
