--- a/emulator/cluster/cold_test.go
+++ b/emulator/cluster/cold_test.go
@@ -57,7 +57,7 @@
 	bound := coldCapacity(&w.settings, w.server, m.Now-w.start, mean) * mean
 	if informed/bound > w.maxRatio {
 		w.maxRatio = informed / bound
-		w.worstCase = fmt.Sprintf("%.2f s after the start: %.1f requests of mean work %.4f s from routers that were told, %.1f are borne", m.Now-w.start,
+		w.worstCase = fmt.Sprintf("%.2f s after the start: %.1f requests of mean work %.4f s from informed routers, limit %.1f", m.Now-w.start,
 			informed/mean, mean, bound/mean)
 	}
 	return true
@@ -97,7 +97,7 @@
 		return routers
 	}
 	s.Happens = []Happening{{At: 0.5, For: back - 0.5, Act: Gone, Engines: []int{cold}}}
-	if late := pickRouters("told late", 2); late != nil {
+	if late := pickRouters("informed late", 2); late != nil {
 		s.Happens = append(s.Happens, Happening{At: 0.2, For: rapid.Float64Range(0.5, 3).Draw(t, "for"), Act: ListLost, Routers: late})
 	}
 	if restart := pickRouters("restarted", 2); restart != nil {
@@ -124,5 +124,5 @@
 			t.Fatal(w.worstCase)
 		}
 	})
-	t.Logf("%d days, %.2f of the bound at most", runs, maxRatio)
+	t.Logf("%d runs, highest ratio to the limit %.2f", runs, maxRatio)
 }
--- a/emulator/cluster/memory_test.go
+++ b/emulator/cluster/memory_test.go
@@ -66,9 +66,9 @@
 			notRestarted[k] += inTimeShare(t, peakScenario(seed, false, nil), 40.5, to) / seeds
 		}
 	}
-	t.Logf("in time over 2.5 s and 9.5 s after the restart: %.3f from nothing, %.3f with what it knew, %.3f never stopped", withoutMemory, withMemory, notRestarted)
+	t.Logf("completed in time during 2.5 s and 9.5 s after the restart: %.3f without memory, %.3f with memory, %.3f not restarted", withoutMemory, withMemory, notRestarted)
 	if withMemory[0] < withoutMemory[0] || withMemory[1] < withoutMemory[1] {
-		t.Errorf("with what it knew %.3f, from nothing %.3f", withMemory, withoutMemory)
+		t.Errorf("completed in time: %.3f with memory, %.3f without", withMemory, withoutMemory)
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 	p := &w.s.Brain.Profiles[m.Stream.Profile]
 	fail := func(format string, a ...any) {
-		w.violation = fmt.Sprintf("at %.3f, send %d: ", m.Now, m.Number) + fmt.Sprintf(format, a...)
+		w.violation = fmt.Sprintf("at %.3f, attempt %d: ", m.Now, m.Number) + fmt.Sprintf(format, a...)
 	}
 	b := w.s.Brain
 	// The work sent to a cold server in a window may reach what the settings allow plus a margin of three standard
@@ -98,17 +98,17 @@
 	}
 	switch {
 	case m.Number > 0 && m.Out > 1: // assumes that Out counts this attempt
-		fail("another of the command is out")
+		fail("another attempt of the request is outstanding")
 	case m.Number > 0 && p.Effect == admission.NonIdempotent && !m.LastEnd.NeverRan():
-		fail("a command that may have run, and may not run twice, is sent again")
+		fail("a non-idempotent request that may have run is retried")
 	case m.Told != admission.Ready && m.ToldFor > w.grace:
-		fail("to an engine that it knew for %.2f s to be no more ready", m.ToldFor)
+		fail("sent to a server that was listed as not ready for %.2f s", m.ToldFor)
 	case p.Ordered && m.KeyOpen:
-		fail("an earlier command of its key is open")
+		fail("an earlier request with its key is unfinished")
 	case m.Number > 0 && float64(m.Further) > b.BudgetFree+b.BudgetShare*float64(m.Commands)+1:
-		fail("%d further sends of %d commands", m.Further, m.Commands)
+		fail("%d retries of %d requests", m.Further, m.Commands)
 	case m.Age >= 0 && m.Age < b.WarmUp && m.Recent > coldLimit(m.Age):
-		fail("%.1f core seconds in a window to an engine of age %.1f, %.1f are borne", m.Recent, m.Age, coldLimit(m.Age))
+		fail("%.1f core seconds in a window to a server of age %.1f, limit %.1f", m.Recent, m.Age, coldLimit(m.Age))
 	}
 	return w.violation == ""
 }
@@ -134,7 +134,7 @@
 	for _, try := range r.Tries {
 		switch {
 		case try.How == Open && try.Taken < 11:
-			t.Fatalf("taken at %.2f and never answered", try.Taken)
+			t.Fatalf("received at %.2f and never answered", try.Taken)
 		case try.How != Open && try.How != Lost && (try.Ended-try.Taken > 4.01 || math.IsNaN(try.Ended)):
 			t.Fatalf("answered after %.2f s", try.Ended-try.Taken)
 		}
--- a/emulator/cluster/simulation_test.go
+++ b/emulator/cluster/simulation_test.go
@@ -43,10 +43,10 @@
 		}
 	}
 	if diff := cmp.Diff(one, two); diff != "" {
-		t.Errorf("the same run is another:\n%s", diff)
+		t.Errorf("two runs with the same seed differ:\n%s", diff)
 	}
 	if len(run(8)) == len(one) {
-		t.Error("another seed gives as many commands: chance has no part")
+		t.Error("another seed gives the same number of requests: the seed has no effect")
 	}
 }
 
@@ -61,7 +61,7 @@
 	for _, try := range r.Tries {
 		switch {
 		case try.How == Open && try.Taken < 15:
-			t.Errorf("taken at %.2f and never answered", try.Taken)
+			t.Errorf("received at %.2f and never answered", try.Taken)
 		case try.How == Lost:
 			if lost++; try.Ended != 9 || try.Router != 1 {
 				t.Errorf("lost at %.2f by router %d", try.Ended, try.Router)
@@ -71,7 +71,7 @@
 		}
 	}
 	if lost == 0 {
-		t.Error("the killed router had nothing in hand")
+		t.Error("the killed router had no unfinished requests")
 	}
 }
 
@@ -88,10 +88,10 @@
 		t.Fatal(err)
 	}
 	if some.Clients != all.Clients {
-		t.Errorf("%d clients, %d of whom some were left out", all.Clients, some.Clients)
+		t.Errorf("%d clients in all, but %d when some are left out", all.Clients, some.Clients)
 	}
 	if first := some.Tries[0].First; first <= all.Tries[50].First {
-		t.Errorf("the first that was kept came at %.3f", first)
+		t.Errorf("the first kept client arrived at %.3f", first)
 	}
 }
 
@@ -113,6 +113,6 @@
 	}
 	want := map[[2]int]bool{{0, 0}: true, {0, 1}: true, {1, 0}: true, {1, 2}: true}
 	if diff := cmp.Diff(want, sent); diff != "" {
-		t.Errorf("routers and the databases that they sent to:\n%s", diff)
+		t.Errorf("routers and the servers that they sent to:\n%s", diff)
 	}
 }
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -39,7 +39,7 @@
 func TestShares(t *testing.T) {
 	got := endTimes(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
 	if !almostEqual(got[2], 1.25) || !almostEqual(got[1], 2) {
-		t.Errorf("ended at %v, wanted 1.25 and 2", got)
+		t.Errorf("ended at %v, want 1.25 and 2", got)
 	}
 }
 
@@ -47,7 +47,7 @@
 func TestThreads(t *testing.T) {
 	got := endTimes(New(Settings{Cores: 8}, 0), Query{ID: 1, Work: 4, Threads: 2}, Query{ID: 2, Work: 1, Threads: 1})
 	if !almostEqual(got[1], 2) || !almostEqual(got[2], 1) {
-		t.Errorf("ended at %v, wanted 2 and 1", got)
+		t.Errorf("ended at %v, want 2 and 1", got)
 	}
 }
 
@@ -86,7 +86,7 @@
 			last = max(last, at)
 		}
 		if !almostEqual(last, sum/4) || !almostEqual(e.Did, sum) {
-			t.Fatalf("%v of work were done by %v, wanted %v by %v", e.Did, last, sum, sum/4)
+			t.Fatalf("%v of work done by %v, want %v by %v", e.Did, last, sum, sum/4)
 		}
 	})
 }
@@ -116,7 +116,7 @@
 			}
 			remembered := e.Next()
 			if e.cachedNextValid = false; e.Next() != remembered {
-				t.Fatalf("Next was %v, and is %v worked out anew", remembered, e.Next())
+				t.Fatalf("Next returned %v, but %v when computed again", remembered, e.Next())
 			}
 		}
 	})
--- a/emulator/fleet/audit.go
+++ b/emulator/fleet/audit.go
@@ -161,7 +161,7 @@
 // checkLinearizable checks the history of all tasks.
 func (a *audit) checkLinearizable() error {
 	if result := porcupine.CheckOperationsTimeout(taskModel, a.history, 20*time.Second); result != porcupine.Ok {
-		return fmt.Errorf("seed %d: the history of %d operations can't have happened one after another (%v)", a.w.file.Seed, len(a.history), result)
+		return fmt.Errorf("seed %d: the history of %d operations is not linearizable (%v)", a.w.file.Seed, len(a.history), result)
 	}
 	return nil
 }
@@ -220,7 +220,7 @@
 				a.fenceOwners[task] = map[uint64]string{}
 			}
 			if previous := a.fenceOwners[task][fence]; previous != "" && previous != process {
-				a.fail("%s: fence %d was %s's and is %s's", task, fence, previous, process)
+				a.fail("%s: fence %d belonged to %s and now to %s", task, fence, previous, process)
 			}
 			a.fenceOwners[task][fence] = process
 			if fence < a.highestFence[task] {
@@ -272,7 +272,7 @@
 			for _, r := range w.routers {
 				w.log("%s %v", r.name, a.recentShares[fmt.Sprint(r.name, "/", e.ID, "/", r.incarnation)])
 			}
-			a.fail("engine %d: %.4f of its allowance may be in use", e.ID, sum)
+			a.fail("server %d: %.4f of its allowance may be in use", e.ID, sum)
 		}
 	}
 	for _, k := range w.coordinators {
@@ -283,7 +283,7 @@
 		for _, x := range r.Tasks() { // finds an accepted annotation under a stale fence even if no process received the answer
 			key := k.name + x.Name
 			if previous := a.annotations[key]; x.AnnotatedAt > previous.index && x.AnnotationFence < previous.fence {
-				a.fail("%s: %s has a note under fence %d after %d", k.name, x.Name, x.AnnotationFence, previous.fence)
+				a.fail("%s: %s has an annotation under fence %d after %d", k.name, x.Name, x.AnnotationFence, previous.fence)
 			}
 			a.annotations[key] = annotation{x.AnnotatedAt, x.Fence}
 		}
@@ -293,7 +293,7 @@
 			continue
 		}
 		if previous := a.snapshots[r.Index()]; previous != nil && !bytes.Equal(previous, snapshot) {
-			a.fail("%s: another record than others had after entry %d", k.name, r.Index())
+			a.fail("%s: the registry after entry %d differs from that of other coordinators", k.name, r.Index())
 		}
 		a.snapshots[r.Index()] = snapshot
 	}
@@ -355,7 +355,7 @@
 	for _, e := range w.servers {
 		const grantTimeout = 5.0 // seconds; a requested share stays unused until the previous holder's use of it has settled
 		if w.now-w.audit.lastGrantAt[e.ID] > grantTimeout {
-			return fmt.Errorf("seed %d: no part of engine %d's allowance is dealt", w.file.Seed, e.ID)
+			return fmt.Errorf("seed %d: no share of server %d's allowance is granted", w.file.Seed, e.ID)
 		}
 	}
 	return nil
--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -26,7 +26,7 @@
 		all.Worst = max(all.Worst, f.Worst)
 	}
 	if all.Dealt < 1000 || all.Refused+all.Late+all.ToldOld == 0 || all.Lost == 0 || all.Worst < 0.99 {
-		t.Errorf("the runs show too little: %+v", all)
+		t.Errorf("the runs cover too little: %+v", all)
 	}
 	t.Logf("%+v", all)
 }
@@ -81,7 +81,7 @@
 // allowances hold, and most tasks have to go to stable routers rather than to flapping ones.
 func TestFlapping(t *testing.T) {
 	if testing.Short() {
-		t.Skip("ten seconds")
+		t.Skip("takes ten seconds")
 	}
 	f := scenario.File{Name: "flapping", Keepers: 3, Routers: 300, Zones: 3, Engines: 3, Lease: 3, Drift: 0.05, Seed: 5, Settle: 20}
 	w, err := New(f)
@@ -127,8 +127,8 @@
 	if err := w.audit.checkLinearizable(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%+v; %d of %d times the owner is one that stays", w.Figures(), stable, samples)
+	t.Logf("%+v; the owner was a stable router in %d of %d samples", w.Figures(), stable, samples)
 	if samples < 60 || float64(stable) < 0.8*float64(samples) {
-		t.Errorf("%d of %d times the owner is one that stays", stable, samples)
+		t.Errorf("the owner was a stable router in %d of %d samples", stable, samples)
 	}
 }
--- a/emulator/fleet/script.go
+++ b/emulator/fleet/script.go
@@ -57,7 +57,7 @@
 	poll = func() {
 		if !w.conditionMet(e.When) {
 			if w.now-started > 60 {
-				w.audit.fail("event %q %q: what it waits for (%s) does not come", e.Do, e.Who, e.When)
+				w.audit.fail("event %q %q: the condition that it waits for (%s) is not met", e.Do, e.Who, e.When)
 				return
 			}
 			w.after(0.01, poll)
@@ -98,7 +98,7 @@
 	targets := w.file.Whom(e.Who, w)
 	if len(targets) == 0 && e.Do != "heal" {
 		targets = nil
-		w.log("%s %s: nobody now", e.Do, e.Who)
+		w.log("%s %s: no process matches now", e.Do, e.Who)
 	}
 	w.log("%s %s %s", e.Do, strings.Join(targets, ","), e.To)
 	for _, name := range targets {
--- a/emulator/fleet/simulation.go
+++ b/emulator/fleet/simulation.go
@@ -296,7 +296,7 @@
 			w.deliverResponse(k, a)
 		}
 		if err := k.node.Done(); err != nil {
-			w.audit.fail("%s can't go on: %v", k.name, err)
+			w.audit.fail("%s failed: %v", k.name, err)
 			return
 		}
 	}
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -181,7 +181,7 @@
 	f0, a := s.owners[0].holder.Permit(ownerClock(s.now), task, 0)
 	f1, b := s.owners[1].holder.Permit(ownerClock(s.now), task, 0)
 	if a && b {
-		return s.violation("both may act, under fences %d and %d", f0, f1)
+		return s.violation("both owners may act, under fences %d and %d", f0, f1)
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 		next = append(next, coordinatorNext...)
 	}
 	if s.restarts < b.Restarts {
-		n := s.copy("the receiver starts again")
+		n := s.copy("the receiver restarts")
 		n.restarts++
 		marks, floor := s.receiver.Export()
 		n.receiver = lease.NewFenceChecker()
@@ -248,7 +248,7 @@
 func (s *state) ownerSteps(b Bounds, k int) (all []*state) {
 	o := &s.owners[k]
 	if o.heartbeats < b.Beats[k] {
-		n := s.copy(ownerNames[k] + " beats")
+		n := s.copy(ownerNames[k] + " sends a heartbeat")
 		n.owners[k].heartbeats++
 		n.inFlight = append(n.inFlight, message{kind: 'b', owner: k, sent: s.now, session: o.session})
 		all = append(all, n)
@@ -260,13 +260,13 @@
 		all = append(all, n)
 	}
 	if o.sessionLosses < b.Loses && o.holder.SessionID() != 0 {
-		n := s.copy(ownerNames[k] + " is told that its session is over")
+		n := s.copy(ownerNames[k] + " is told that its session has ended")
 		n.owners[k].sessionLosses++
 		n.owners[k].holder.EndSession()
 		all = append(all, n)
 	}
 	if o.releases < b.Lets {
-		n := s.copy(ownerNames[k] + " lets go")
+		n := s.copy(ownerNames[k] + " releases the task")
 		if c, ok := n.owners[k].holder.Release(task); ok {
 			n.owners[k].releases++
 			n.inFlight = append(n.inFlight, message{kind: 'r', owner: k, sent: s.now, session: o.session, fence: c.Fence})
@@ -281,7 +281,7 @@
 func (s *state) coordinatorSteps(b Bounds, r *registry.Registry, k int) (all []*state, err error) {
 	o := &s.owners[k]
 	if r.Session(o.session) != nil && s.now-s.lastHeartbeat[k] > b.Lease {
-		n := s.copy(fmt.Sprint("the session of ", ownerNames[k], " is over"))
+		n := s.copy(fmt.Sprint("the session of ", ownerNames[k], " is closed"))
 		if _, err := n.apply(registry.Entry{Kind: registry.Close, Session: o.session}); err != nil {
 			return nil, err
 		}
@@ -291,7 +291,7 @@
 	if r.Session(o.session) == nil || w != nil && w.Owner != 0 {
 		return all, nil
 	}
-	n := s.copy("the work is given to " + ownerNames[k])
+	n := s.copy("the task is assigned to " + ownerNames[k])
 	fence, err := n.apply(registry.Entry{Kind: registry.Assign, Task: task, Session: o.session})
 	if err != nil {
 		return nil, err
@@ -299,7 +299,7 @@
 	n.fenceOwner = map[uint64]int{fence: k}
 	for f, who := range s.fenceOwner {
 		if f == fence {
-			return nil, n.violation("fence %d is given twice", f)
+			return nil, n.violation("fence %d is assigned twice", f)
 		}
 		n.fenceOwner[f] = who
 	}
@@ -310,14 +310,14 @@
 // second delivery to come.
 func (s *state) deliveries(b Bounds, r *registry.Registry) (all []*state, err error) {
 	for k, m := range s.inFlight {
-		n := s.copy(fmt.Sprint("arrives: ", m))
+		n := s.copy(fmt.Sprint("delivered: ", m))
 		n.inFlight = append(n.inFlight[:k:k], n.inFlight[k+1:]...)
 		if err := n.deliver(r, m); err != nil {
 			return nil, err
 		}
 		all = append(all, n)
 		if s.repeats < b.Repeats && !m.repeated {
-			second := n.copy("and is on its way once more")
+			second := n.copy("the message is in flight a second time")
 			second.repeats++
 			m.repeated = true
 			second.inFlight = append(second.inFlight, m)
@@ -358,10 +358,10 @@
 			return nil
 		}
 		if m.fence < s.accepted {
-			return s.violation("the receiver took an act under fence %d after %d", m.fence, s.accepted)
+			return s.violation("the receiver accepted an action under fence %d after %d", m.fence, s.accepted)
 		}
 		if s.fenceOwner[m.fence] != m.owner {
-			return s.violation("%s acted under another's fence %d", ownerNames[m.owner], m.fence)
+			return s.violation("%s acted under fence %d, which was assigned to the other owner", ownerNames[m.owner], m.fence)
 		}
 		s.accepted = m.fence
 	}
--- a/emulator/modelcheck/explore_test.go
+++ b/emulator/modelcheck/explore_test.go
@@ -8,7 +8,7 @@
 		t.Fatal(err)
 	}
 	if !whole || states < 10_000 {
-		t.Errorf("%d states, whole %v", states, whole)
+		t.Errorf("%d states, complete %v", states, whole)
 	}
 	t.Logf("%d states", states)
 }
@@ -23,7 +23,7 @@
 				t.Fatal(err)
 			}
 			if !whole || states < 1_000 {
-				t.Errorf("%d states, whole %v", states, whole)
+				t.Errorf("%d states, complete %v", states, whole)
 			}
 			t.Logf("%d states", states)
 		})
--- a/emulator/scenario/scenario.go
+++ b/emulator/scenario/scenario.go
@@ -83,21 +83,21 @@
 // Check returns an error for the first invalid value.
 func (f *File) Check() error {
 	if f.Name == "" || f.Routers < 1 || f.Routers > 300 || f.Engines < 1 || f.Engines > 36 || f.Keepers < 0 || f.Keepers > 9 || !(f.Lease >= 0.2) {
-		return fmt.Errorf("%q: name, routers, engines, keepers or lease", f.Name)
+		return fmt.Errorf("%q: name, routers, engines, keepers or lease is missing or out of range", f.Name)
 	}
 	for k, e := range f.Events {
 		isLink := e.Do == "cut" || e.Do == "hold"
 		switch {
 		case !slices.Contains([]string{"stop", "continue", "kill", "end", "start", "wipe", "cut", "hold", "heal", "release", "full"}, e.Do):
-			return fmt.Errorf("/events/%d/do: %q is nothing that can be done", k, e.Do)
+			return fmt.Errorf("/events/%d/do: unknown action %q", k, e.Do)
 		case !slices.Contains([]string{"", "owned", "moved", "dealt", "lost"}, e.When):
-			return fmt.Errorf("/events/%d/when: %q is nothing that can be waited for", k, e.When)
+			return fmt.Errorf("/events/%d/when: unknown condition %q", k, e.When)
 		case e.Do != "heal" && !f.validTarget(e.Who):
-			return fmt.Errorf("/events/%d/who: %q is nobody", k, e.Who)
+			return fmt.Errorf("/events/%d/who: unknown process or group %q", k, e.Who)
 		case isLink && !f.validTarget(e.To):
-			return fmt.Errorf("/events/%d/to: %q is nobody", k, e.To)
+			return fmt.Errorf("/events/%d/to: unknown process or group %q", k, e.To)
 		case e.Do == "hold" && e.For <= 0:
-			return fmt.Errorf("/events/%d/for: a link holds for some seconds", k)
+			return fmt.Errorf("/events/%d/for: must be positive for hold", k)
 		}
 	}
 	return nil
--- a/emulator/zones/zones_test.go
+++ b/emulator/zones/zones_test.go
@@ -23,7 +23,7 @@
 // TestCalm checks that without faults no plan is made and all work is served in its own zone.
 func TestCalm(t *testing.T) {
 	if r := play(t, Planned); len(r.Changes) > 0 || r.Near < 0.99 || worth(r, 5, 90) < 0.999 {
-		t.Errorf("changes at %v, near %.3f, worth %.3f", r.Changes, r.Near, worth(r, 5, 90))
+		t.Errorf("plan changes at %v, share served in the own zone %.3f, share served %.3f", r.Changes, r.Near, worth(r, 5, 90))
 	}
 }
 
@@ -34,13 +34,13 @@
 	fault := Fault{At: 20, Until: 45, Kind: Engines, Zone: 0}
 	r, best := play(t, Planned, fault), play(t, Knowing, fault)
 	if got := worth(r, 20, 50) / worth(best, 20, 50); got < 0.95 {
-		t.Errorf("%.3f of the bound", got)
+		t.Errorf("served %.3f of what is possible with full knowledge", got)
 	}
 	if len(r.Changes) == 0 || r.Changes[0] > 24 {
 		t.Errorf("plans at %v", r.Changes)
 	}
 	if r.Planned > 1+1e-6 || r.Worst > 1.05 || !(r.Back < 20) {
-		t.Errorf("planned %.3f, real %.3f, back after %.0f s", r.Planned, r.Worst, r.Back)
+		t.Errorf("highest planned load %.3f, highest real load %.3f, back after %.0f s", r.Planned, r.Worst, r.Back)
 	}
 }
 
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		if !(r.Back < 60) {
-			t.Errorf("seed %d: not home after %.0f s; plans at %v", seed, r.Back, r.Changes)
+			t.Errorf("seed %d: back in the own zone only after %.0f s; plans at %v", seed, r.Back, r.Changes)
 		}
 	}
 }
@@ -65,10 +65,10 @@
 	faults := []Fault{{At: 20, Until: 45, Kind: Engines, Zone: 0}, {At: 21, Until: 45, Kind: Engines, Zone: 1}}
 	r, local := play(t, Planned, faults...), play(t, Local, faults...)
 	if r.Worst > 1.05 || local.Worst < 1.1 {
-		t.Errorf("the third zone gets %.3f of what it can with the plan, %.3f without", r.Worst, local.Worst)
+		t.Errorf("the third zone gets %.3f of its capacity with the plan, %.3f without", r.Worst, local.Worst)
 	}
 	if worth(r, 25, 45) < worth(local, 25, 45) {
-		t.Errorf("worth %.3f with the plan, %.3f without", worth(r, 25, 45), worth(local, 25, 45))
+		t.Errorf("share served %.3f with the plan, %.3f without", worth(r, 25, 45), worth(local, 25, 45))
 	}
 }
 
@@ -77,7 +77,7 @@
 	for _, f := range []Fault{{Kind: Link, Zone: 0, To: 1}, {Kind: OneWay, Zone: 2, To: 0}, {Kind: Deaf, Zone: 1}, {Kind: Controller, Zone: 0}} {
 		f.At, f.Until = 20, 45
 		if r := play(t, Planned, f); len(r.Given) > 0 || worth(r, 20, 50) < 0.99 {
-			t.Errorf("%v: given up %v, worth %.3f", f.Kind, r.Given, worth(r, 20, 50))
+			t.Errorf("%v: zones given up %v, share served %.3f", f.Kind, r.Given, worth(r, 20, 50))
 		}
 	}
 }
@@ -94,11 +94,11 @@
 		}
 		changes += len(r.Changes)
 		if planned = max(planned, r.Planned); r.Planned > 1+1e-6 || len(r.Given) > 0 || r.Worst > 1.05 {
-			t.Errorf("seed %d: planned %.4f, real %.4f, given up %v", seed, r.Planned, r.Worst, r.Given)
+			t.Errorf("seed %d: highest planned load %.4f, highest real load %.4f, zones given up %v", seed, r.Planned, r.Worst, r.Given)
 		}
 	}
 	if changes < 100 || planned < 0.9 {
-		t.Errorf("%d plans, at most %.2f of a zone: the days show too little", changes, planned)
+		t.Errorf("%d plans, highest planned load %.2f: the runs cover too little", changes, planned)
 	}
 }
 
@@ -114,7 +114,7 @@
 			t.Fatal(err)
 		}
 		if len(result.Given) > 0 || len(result.Changes) > 0 {
-			t.Errorf("seed %d: given up %v, plans at %v", seed, result.Given, result.Changes)
+			t.Errorf("seed %d: zones given up %v, plans at %v", seed, result.Given, result.Changes)
 		}
 	}
 }
