--- a/emulator/cluster/faults.go
+++ b/emulator/cluster/faults.go
@@ -319,16 +319,16 @@
 	}
 }
 
-func (l *serverList) setFault(me int, kind Act, value float64, on bool) {
+func (l *serverList) setFault(router int, kind Act, value float64, active bool) {
 	switch kind {
 	case ListLate:
-		l.delays[me] = value
+		l.delays[router] = value
 	case ListLost:
-		l.lost[me] = on
+		l.lost[router] = active
 	case ListOld:
-		l.stale[me] = on
+		l.stale[router] = active
 	case ListDamaged:
-		l.damaged[me] = on
+		l.damaged[router] = active
 	}
 }
 
--- a/emulator/cluster/decisions.go
+++ b/emulator/cluster/observations.go
@@ -22,13 +22,13 @@
 	Listed
 )
 
-var decisionNames = [...]string{"take", "send", "end", "answer", "priority", "list"}
+var observationNames = [...]string{"take", "send", "end", "answer", "priority", "list"}
 
-func (o On) String() string { return decisionNames[o] }
+func (o On) String() string { return observationNames[o] }
 
 // OnOf returns the kind of observation with the given name.
 func OnOf(name string) (On, bool) {
-	k := slices.Index(decisionNames[:], name)
+	k := slices.Index(observationNames[:], name)
 	return On(max(k, 0)), k >= 0
 }
 
--- a/emulator/cluster/simulation.go
+++ b/emulator/cluster/simulation.go
@@ -186,8 +186,8 @@
 const roundTrip = 0.0005 // seconds to a server or a client and back
 
 // Run simulates a run with the given settings.
-func Run(set Settings) (Result, error) {
-	sim := &Town{settings: set, clientRand: rand.New(rand.NewPCG(set.Seed, 1)), serverRand: rand.New(rand.NewPCG(set.Seed, 3)), running: map[uint64]query{}}
+func Run(settings Settings) (Result, error) {
+	sim := &Town{settings: settings, clientRand: rand.New(rand.NewPCG(settings.Seed, 1)), serverRand: rand.New(rand.NewPCG(settings.Seed, 3)), running: map[uint64]query{}}
 	if err := sim.setUp(); err != nil {
 		return sim.Result, err
 	}
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -84,9 +84,9 @@
 }
 
 // New returns an idle server.
-func New(set Settings, now float64) *Engine {
-	set.Speed = cmp.Or(set.Speed, 1)
-	return &Engine{settings: set, now: now, speedFactor: 1}
+func New(settings Settings, now float64) *Engine {
+	settings.Speed = cmp.Or(settings.Speed, 1)
+	return &Engine{settings: settings, now: now, speedFactor: 1}
 }
 
 // Running returns the number of queries.
--- a/emulator/fleet/script.go
+++ b/emulator/fleet/script.go
@@ -109,11 +109,11 @@
 		clear(w.linksCut)
 		clear(w.linksHeldUntil)
 	case "cut", "hold":
-		for _, a := range targets {
-			for _, b := range w.file.Whom(e.To, w) {
-				w.Link(e.Do, a, b, e.For)
+		for _, from := range targets {
+			for _, to := range w.file.Whom(e.To, w) {
+				w.Link(e.Do, from, to, e.For)
 				if e.Both {
-					w.Link(e.Do, b, a, e.For)
+					w.Link(e.Do, to, from, e.For)
 				}
 			}
 		}
@@ -121,8 +121,8 @@
 }
 
 // Link cuts the link from one process to another, or delays its messages for some seconds.
-func (w *World) Link(do, from, to string, seconds float64) {
-	if do == "cut" {
+func (w *World) Link(kind, from, to string, seconds float64) {
+	if kind == "cut" {
 		w.linksCut[[2]string{from, to}] = true
 	} else {
 		w.linksHeldUntil[[2]string{from, to}] = w.now + seconds
@@ -130,7 +130,7 @@
 }
 
 // Do applies a fault, or the end of one, to a process.
-func (w *World) Do(what, name string) {
+func (w *World) Do(action, name string) {
 	p := w.processes[name]
 	var k *coordinatorProcess
 	var r *routerProcess
@@ -144,7 +144,7 @@
 			r = x
 		}
 	}
-	switch what {
+	switch action {
 	case "stop":
 		p.stopped = p.up
 	case "continue":
--- a/emulator/fleet/simulation.go
+++ b/emulator/fleet/simulation.go
@@ -130,14 +130,14 @@
 	for n := range f.Engines {
 		w.servers = append(w.servers, agent.Server{ID: uint32(n + 1), Start: 1, Zone: f.Zone(n)})
 	}
-	var all []registry.Coordinator
+	var members []registry.Coordinator
 	for n := range f.Keepers {
-		all = append(all, registry.Coordinator{ID: uint64(n + 1), Name: fmt.Sprint("k", n+1), Addr: fmt.Sprint("k", n+1), Zone: f.Zone(n)})
+		members = append(members, registry.Coordinator{ID: uint64(n + 1), Name: fmt.Sprint("k", n+1), Addr: fmt.Sprint("k", n+1), Zone: f.Zone(n)})
 	}
 	for n := range f.Keepers {
-		k := &coordinatorProcess{process: w.newProcess(all[n].Name, f.Zone(n)), id: uint64(n + 1)}
+		k := &coordinatorProcess{process: w.newProcess(members[n].Name, f.Zone(n)), id: uint64(n + 1)}
 		var err error
-		if k.disk, err = coordinator.InitialState(all, f.Lease, f.Drift); err != nil {
+		if k.disk, err = coordinator.InitialState(members, f.Lease, f.Drift); err != nil {
 			return nil, err
 		}
 		w.coordinators = append(w.coordinators, k)
@@ -327,9 +327,9 @@
 		Trace: func(t agent.Trace) { w.audit.recordTrace(r, t) },
 		Log:   func(text string) { w.log("%s: %s", r.name, text) }}, r.disk)
 	share := 1 / float64(w.file.Routers)
-	var needs []float64 // the share of each server that the router's traffic needs; fixed for its incarnation
+	var trafficNeeds []float64 // the share of each server that the router's traffic needs; fixed for its incarnation
 	for range w.servers {
-		needs = append(needs, share*3*w.random.Float64())
+		trafficNeeds = append(trafficNeeds, share*3*w.random.Float64())
 	}
 	var tick func()
 	tick = func() {
@@ -339,7 +339,7 @@
 		w.runWhenActive(r.process, incarnation, func() {
 			var d agent.Demand
 			for k, e := range w.servers {
-				need := needs[k] * (0.9 + 0.2*w.random.Float64())
+				need := trafficNeeds[k] * (0.9 + 0.2*w.random.Float64())
 				d.ColdServers = append(d.ColdServers, agent.ColdServer{Server: e, Need: need, Least: need / 3})
 			}
 			// All routers suspect one server, so that the owner of its task writes annotations.
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -46,15 +46,15 @@
 type message struct {
 	kind     byte // 'b': heartbeat, 'v': confirmation, 'a': action, 'r': release
 	owner    int
-	sent     int
+	sentAt   int
 	session  uint64
 	fence    uint64
-	number   int  // of a confirmation
+	sequence int  // of a confirmation
 	repeated bool // it was delivered once already
 }
 
 func (m message) String() string {
-	return fmt.Sprintf("%c%d.%d.%d.%d.%d.%v", m.kind, m.owner, m.sent, m.session, m.fence, m.number, m.repeated)
+	return fmt.Sprintf("%c%d.%d.%d.%d.%d.%v", m.kind, m.owner, m.sentAt, m.session, m.fence, m.sequence, m.repeated)
 }
 
 type owner struct {
@@ -90,21 +90,21 @@
 }
 
 func (s *state) key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.now, s.confirmations, s.lastHeartbeat, s.restarts, s.repeats, s.accepted, "|")
-	b.Write(s.registrySnapshot)
+	var text strings.Builder
+	fmt.Fprint(&text, s.now, s.confirmations, s.lastHeartbeat, s.restarts, s.repeats, s.accepted, "|")
+	text.Write(s.registrySnapshot)
 	for _, o := range s.owners {
-		fmt.Fprint(&b, "|", o.heartbeats, o.actions, o.releases, o.sessionLosses, o.session, o.holder.State())
+		fmt.Fprint(&text, "|", o.heartbeats, o.actions, o.releases, o.sessionLosses, o.session, o.holder.State())
 	}
 	marks, floor := s.receiver.Export()
-	fmt.Fprint(&b, "|", marks, floor, "|")
+	fmt.Fprint(&text, "|", marks, floor, "|")
 	all := make([]string, len(s.inFlight))
 	for k, m := range s.inFlight {
 		all[k] = m.String()
 	}
 	sort.Strings(all)
-	b.WriteString(strings.Join(all, ","))
-	return b.String()
+	text.WriteString(strings.Join(all, ","))
+	return text.String()
 }
 
 func (s *state) copy(what string) *state {
@@ -134,8 +134,8 @@
 }
 
 // Walk explores all states within the bounds. complete is false if there were more than Most.
-func Walk(b Bounds) (states int, complete bool, err error) {
-	terms := lease.Terms{Lease: float64(b.Lease), Drift: 0}
+func Walk(bounds Bounds) (states int, complete bool, err error) {
+	terms := lease.Terms{Lease: float64(bounds.Lease), Drift: 0}
 	first := &state{decoded: map[string]*registry.Registry{}, receiver: lease.NewFenceChecker(), fenceOwner: map[uint64]int{}}
 	initial := registry.New()
 	for k := range ownerNames {
@@ -149,16 +149,16 @@
 		return 0, false, err
 	}
 	seen := map[string]bool{first.key(): true}
-	queue := []*state{first}
-	for len(queue) > 0 {
-		s := queue[len(queue)-1]
-		queue = queue[:len(queue)-1]
+	unexplored := []*state{first}
+	for len(unexplored) > 0 {
+		s := unexplored[len(unexplored)-1]
+		unexplored = unexplored[:len(unexplored)-1]
 		states++
-		next, err := s.successors(b)
+		following, err := s.successors(bounds)
 		if err != nil {
 			return states, false, err
 		}
-		for _, n := range next {
+		for _, n := range following {
 			if err := n.check(); err != nil {
 				return states, false, err
 			}
@@ -166,11 +166,11 @@
 			if seen[k] {
 				continue
 			}
-			if len(seen) >= b.Most {
+			if len(seen) >= bounds.Most {
 				return states, false, nil
 			}
 			seen[k] = true
-			queue = append(queue, n)
+			unexplored = append(unexplored, n)
 		}
 	}
 	return states, true, nil
@@ -178,10 +178,10 @@
 
 // check returns an error if both owners are permitted to act at the same time.
 func (s *state) check() error {
-	f0, a := s.owners[0].holder.Permit(ownerClock(s.now), task, 0)
-	f1, b := s.owners[1].holder.Permit(ownerClock(s.now), task, 0)
-	if a && b {
-		return s.violation("both owners may act, under fences %d and %d", f0, f1)
+	firstFence, firstPermitted := s.owners[0].holder.Permit(ownerClock(s.now), task, 0)
+	secondFence, secondPermitted := s.owners[1].holder.Permit(ownerClock(s.now), task, 0)
+	if firstPermitted && secondPermitted {
+		return s.violation("both owners may act, under fences %d and %d", firstFence, secondFence)
 	}
 	return nil
 }
@@ -250,13 +250,13 @@
 	if o.heartbeats < b.Beats[k] {
 		n := s.copy(ownerNames[k] + " sends a heartbeat")
 		n.owners[k].heartbeats++
-		n.inFlight = append(n.inFlight, message{kind: 'b', owner: k, sent: s.now, session: o.session})
+		n.inFlight = append(n.inFlight, message{kind: 'b', owner: k, sentAt: s.now, session: o.session})
 		all = append(all, n)
 	}
 	if fence, ok := o.holder.Permit(ownerClock(s.now), task, 0); ok && o.actions < b.Acts {
 		n := s.copy(fmt.Sprint(ownerNames[k], " acts under ", fence))
 		n.owners[k].actions++
-		n.inFlight = append(n.inFlight, message{kind: 'a', owner: k, sent: s.now, fence: fence})
+		n.inFlight = append(n.inFlight, message{kind: 'a', owner: k, sentAt: s.now, fence: fence})
 		all = append(all, n)
 	}
 	if o.sessionLosses < b.Loses && o.holder.SessionID() != 0 {
@@ -269,7 +269,7 @@
 		n := s.copy(ownerNames[k] + " releases the task")
 		if c, ok := n.owners[k].holder.Release(task); ok {
 			n.owners[k].releases++
-			n.inFlight = append(n.inFlight, message{kind: 'r', owner: k, sent: s.now, session: o.session, fence: c.Fence})
+			n.inFlight = append(n.inFlight, message{kind: 'r', owner: k, sentAt: s.now, session: o.session, fence: c.Fence})
 			all = append(all, n)
 		}
 	}
@@ -335,7 +335,7 @@
 		}
 		s.lastHeartbeat[m.owner] = s.now
 		s.confirmations++
-		confirmation := message{kind: 'v', owner: m.owner, sent: m.sent, session: m.session, number: s.confirmations}
+		confirmation := message{kind: 'v', owner: m.owner, sentAt: m.sentAt, session: m.session, sequence: s.confirmations}
 		if w := r.Task(task); w != nil && w.Owner == m.session {
 			confirmation.fence = w.Fence
 		}
@@ -349,7 +349,7 @@
 		if m.fence > 0 {
 			claims = append(claims, lease.Claim{Task: task, Fence: m.fence})
 		}
-		s.owners[m.owner].holder.ApplyConfirmation(ownerClock(m.sent), uint64(m.number), m.session, claims)
+		s.owners[m.owner].holder.ApplyConfirmation(ownerClock(m.sentAt), uint64(m.sequence), m.session, claims)
 	case 'a':
 		receiver := lease.NewFenceChecker()
 		receiver.Import(s.receiver.Export())
--- a/emulator/zones/traffic.go
+++ b/emulator/zones/traffic.go
@@ -61,23 +61,23 @@
 		shares[r.zone] = 0.03
 	case Locality:
 		health := make([]float64, n)
-		all := 0.0
+		healthSum := 0.0
 		for z := range health {
 			health[z] = max(1-r.failureRate[z], 0)
-			all += health[z]
+			healthSum += health[z]
 		}
-		if all/float64(n) < 0.5 { // panic threshold: spread evenly over all zones
+		if healthSum/float64(n) < 0.5 { // panic threshold: spread evenly over all zones
 			for z := range shares {
 				shares[z] = 1 / float64(n)
 			}
 			return shares
 		}
 		shares[r.zone] = min(1.4*health[r.zone], 1)
-		rest := 1 - shares[r.zone]
-		sum := all - health[r.zone]
+		remaining := 1 - shares[r.zone]
+		sum := healthSum - health[r.zone]
 		for z := range shares {
 			if z != r.zone && sum > 0 {
-				shares[z] = rest * health[z] / sum
+				shares[z] = remaining * health[z] / sum
 			}
 		}
 	}
@@ -87,11 +87,11 @@
 // serveStep simulates the traffic of one step.
 func (w *world) serveStep() {
 	n := w.settings.Zones
-	offered, own := make([]float64, n), make([]float64, n)
+	offered, ownLoad := make([]float64, n), make([]float64, n)
 	rows := make([][]float64, len(w.routers))
 	routerDemands := make([][]float64, len(w.routers)) // core seconds per second that each router sends to each zone
 	requested := 0.0
-	var best failover.Plan
+	var optimal failover.Plan
 	if w.settings.Rule == Knowing {
 		roundTrips := make([][]float64, n)
 		capacities := make([]float64, n)
@@ -104,7 +104,7 @@
 				}
 			}
 		}
-		best = failover.Solve(failover.Problem{Demand: w.demands(), Pinned: make([]float64, n), Capacity: capacities, RoundTrip: roundTrips})
+		optimal = failover.Solve(failover.Problem{Demand: w.demands(), Pinned: make([]float64, n), Capacity: capacities, RoundTrip: roundTrips})
 	}
 	for k := range w.routers {
 		r := &w.routers[k]
@@ -113,7 +113,7 @@
 		}
 		requested += r.demand
 		if w.settings.Rule == Knowing {
-			rows[k] = best.Share[r.zone]
+			rows[k] = optimal.Share[r.zone]
 		} else {
 			rows[k] = w.shares(r)
 		}
@@ -128,7 +128,7 @@
 			if routerDemands[k] != nil && !w.linkCut(w.routers[k].zone, z) {
 				offered[z] += routerDemands[k][z]
 				if z == w.routers[k].zone {
-					own[z] += routerDemands[k][z]
+					ownLoad[z] += routerDemands[k][z]
 				}
 			}
 		}
@@ -156,7 +156,7 @@
 		if full < x.lastCapacity*0.98 {
 			x.changedUntil = w.now + 4
 		}
-		if !(full > 0 && offered[z]-own[z] > 0.02*full && own[z] < 0.97*full) {
+		if !(full > 0 && offered[z]-ownLoad[z] > 0.02*full && ownLoad[z] < 0.97*full) {
 			x.notOverloadedAt = w.now
 		} else if w.now > max(x.changedUntil, 3) && w.now >= x.notOverloadedAt+1 {
 			w.result.Worst = max(w.result.Worst, mean/full)
--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -95,7 +95,7 @@
 	nextContact   float64
 	lastContact   float64
 	plan          failover.PublishedPlan
-	until         float64
+	planUntil     float64
 	failureRate   []float64 // by zone: recent share of failed attempts that the router itself observed
 	attemptedWork []float64 // since the last report, by zone; so are failedWork, lateWork and servedWork
 	failedWork    []float64
@@ -135,7 +135,7 @@
 	pending      *failover.PublishedPlan
 	pendingSince float64
 	owner        int // index of the router that owns the controller's task, -1: none
-	frozen       bool
+	ownerStopped bool
 	orders       failover.Orders
 	result       Result
 	nextDecision float64
@@ -176,7 +176,7 @@
 		z := k % s.Zones
 		n := (s.Routers + s.Zones - 1 - z) / s.Zones
 		w.routers = append(w.routers, router{zone: z, demand: w.zones[z].demand / float64(n), follower: failover.NewPlanFollower(z, s.Zones, 0.05),
-			nextContact: w.random.Float64() * contactInterval, until: math.Inf(-1), failureRate: make([]float64, s.Zones), attemptedWork: make([]float64, s.Zones),
+			nextContact: w.random.Float64() * contactInterval, planUntil: math.Inf(-1), failureRate: make([]float64, s.Zones), attemptedWork: make([]float64, s.Zones),
 			failedWork: make([]float64, s.Zones), lateWork: make([]float64, s.Zones), servedWork: make([]float64, s.Zones), misreports: k/s.Zones < int(s.Liars*float64(n))})
 	}
 	w.committed = failover.PublishedPlan{Epoch: 1, Plan: failover.LocalPlan(s.Zones), Fallback: failover.LocalPlan(s.Zones)}
@@ -225,7 +225,7 @@
 }
 
 func (w *world) applyFaults() {
-	w.frozen = false
+	w.ownerStopped = false
 	draining := make([]bool, w.settings.Zones)
 	for z := range w.zones {
 		x := &w.zones[z]
@@ -239,7 +239,7 @@
 		}
 		_, draining[z] = w.activeFault(Drain, z)
 		if _, ok := w.activeFault(Controller, z); ok {
-			w.frozen = true
+			w.ownerStopped = true
 		}
 	}
 	w.orders.Evacuate = draining
@@ -300,7 +300,7 @@
 		return
 	}
 	w.nextDecision = w.now + 0.5
-	if w.owner >= 0 && !w.reachesCoordinators(&w.routers[w.owner]) || w.frozen && w.controller != nil {
+	if w.owner >= 0 && !w.reachesCoordinators(&w.routers[w.owner]) || w.ownerStopped && w.controller != nil {
 		w.owner, w.controller = -1, nil
 		w.nextDecision = w.now + lease
 		return
@@ -350,21 +350,21 @@
 }
 
 func ones(n int) []float64 {
-	x := make([]float64, n)
-	for k := range x {
-		x[k] = 1
+	row := make([]float64, n)
+	for k := range row {
+		row[k] = 1
 	}
-	return x
+	return row
 }
 
 func (w *world) demands() []float64 {
-	d := make([]float64, w.settings.Zones)
+	demand := make([]float64, w.settings.Zones)
 	for k := range w.routers {
 		if r := &w.routers[k]; !w.routerDown(r) {
-			d[r.zone] += r.demand
+			demand[r.zone] += r.demand
 		}
 	}
-	return d
+	return demand
 }
 
 // undisturbed reports whether a zone has no fault of its own, had none in the last 40 s and is not drained.
--- a/emulator/zones/zones_test.go
+++ b/emulator/zones/zones_test.go
@@ -13,7 +13,7 @@
 	return r
 }
 
-func worth(r Result, from, to int) (sum float64) {
+func servedShare(r Result, from, to int) (sum float64) {
 	for _, x := range r.Worth[from:to] {
 		sum += x / float64(to-from)
 	}
@@ -22,8 +22,8 @@
 
 // TestCalm checks that without faults no plan is made and all work is served in its own zone.
 func TestCalm(t *testing.T) {
-	if r := play(t, Planned); len(r.Changes) > 0 || r.Near < 0.99 || worth(r, 5, 90) < 0.999 {
-		t.Errorf("plan changes at %v, share served in the own zone %.3f, share served %.3f", r.Changes, r.Near, worth(r, 5, 90))
+	if r := play(t, Planned); len(r.Changes) > 0 || r.Near < 0.99 || servedShare(r, 5, 90) < 0.999 {
+		t.Errorf("plan changes at %v, share served in the own zone %.3f, share served %.3f", r.Changes, r.Near, servedShare(r, 5, 90))
 	}
 }
 
@@ -33,7 +33,7 @@
 func TestLoss(t *testing.T) {
 	fault := Fault{At: 20, Until: 45, Kind: Engines, Zone: 0}
 	r, best := play(t, Planned, fault), play(t, Knowing, fault)
-	if got := worth(r, 20, 50) / worth(best, 20, 50); got < 0.95 {
+	if got := servedShare(r, 20, 50) / servedShare(best, 20, 50); got < 0.95 {
 		t.Errorf("served %.3f of what is possible with full knowledge", got)
 	}
 	if len(r.Changes) == 0 || r.Changes[0] > 24 {
@@ -67,8 +67,8 @@
 	if r.Worst > 1.05 || local.Worst < 1.1 {
 		t.Errorf("the third zone gets %.3f of its capacity with the plan, %.3f without", r.Worst, local.Worst)
 	}
-	if worth(r, 25, 45) < worth(local, 25, 45) {
-		t.Errorf("share served %.3f with the plan, %.3f without", worth(r, 25, 45), worth(local, 25, 45))
+	if servedShare(r, 25, 45) < servedShare(local, 25, 45) {
+		t.Errorf("share served %.3f with the plan, %.3f without", servedShare(r, 25, 45), servedShare(local, 25, 45))
 	}
 }
 
@@ -76,8 +76,8 @@
 func TestCutOff(t *testing.T) {
 	for _, f := range []Fault{{Kind: Link, Zone: 0, To: 1}, {Kind: OneWay, Zone: 2, To: 0}, {Kind: Deaf, Zone: 1}, {Kind: Controller, Zone: 0}} {
 		f.At, f.Until = 20, 45
-		if r := play(t, Planned, f); len(r.Given) > 0 || worth(r, 20, 50) < 0.99 {
-			t.Errorf("%v: zones given up %v, share served %.3f", f.Kind, r.Given, worth(r, 20, 50))
+		if r := play(t, Planned, f); len(r.Given) > 0 || servedShare(r, 20, 50) < 0.99 {
+			t.Errorf("%v: zones given up %v, share served %.3f", f.Kind, r.Given, servedShare(r, 20, 50))
 		}
 	}
 }
