--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -358,13 +358,13 @@
 }
 
 func (w *world) demands() []float64 {
-	demand := make([]float64, w.settings.Zones)
+	zoneDemand := make([]float64, w.settings.Zones)
 	for k := range w.routers {
 		if r := &w.routers[k]; !w.routerDown(r) {
-			demand[r.zone] += r.demand
+			zoneDemand[r.zone] += r.demand
 		}
 	}
-	return demand
+	return zoneDemand
 }
 
 // undisturbed reports whether a zone has no fault of its own, had none in the last 40 s and is not drained.
