--- a/emulator/cluster/faults.go
+++ b/emulator/cluster/faults.go
@@ -47,7 +47,9 @@
 
 // Happening is one fault, scheduled at a time.
 type Happening struct {
-	At, For float64 // For is the duration; 0: it is not reverted. After Drain and Gone the servers start again then; Back has nothing to revert
+	// For is the duration; 0: it is not reverted. After Drain and Gone the servers start again then; Back has
+	// nothing to revert.
+	At, For float64
 	Act     Act
 	Engines []int
 	Routers []int // routers whose list is affected or that restart; nil: all
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -179,7 +179,8 @@
 	e.now, e.cachedNextValid = to, false
 	if e.Paused {
 		for k := range e.queries {
-			e.queries[k].nextProgressAt += elapsed // a pause delays the reports; their times would otherwise fall behind the current time
+			// A pause delays the reports; their times would otherwise fall behind the current time.
+			e.queries[k].nextProgressAt += elapsed
 		}
 		return
 	}
--- a/emulator/fleet/audit.go
+++ b/emulator/fleet/audit.go
@@ -127,7 +127,8 @@
 		return
 	}
 	a.gainedFences[task][fence] = true
-	a.history = append(a.history, porcupine.Operation{ClientId: a.newClient(), Input: operation{true, task, fence}, Call: 0, // the task was assigned at an unknown earlier time
+	// The task was assigned at an unknown earlier time.
+	a.history = append(a.history, porcupine.Operation{ClientId: a.newClient(), Input: operation{true, task, fence}, Call: 0,
 		Output: "taken", Return: microseconds(a.w.now)}) // the assignment came before this: its process may learn of it late
 }
 
@@ -251,7 +252,8 @@
 				key := fmt.Sprint(r.name, "/", e.ID, "/", incarnation)
 				used := a.recentShares[key]
 				if incarnation < r.incarnation || !r.up {
-					used = append(used, shareUse{}) // the process has ended; the shares granted to it count until the window is over
+					// The process has ended; the shares granted to it count until the window is over.
+					used = append(used, shareUse{})
 				}
 				if n := int(math.Ceil(allowanceWindow / checkInterval)); len(used) > n {
 					used = used[len(used)-n:]
@@ -308,7 +310,8 @@
 	OldTried                                    int // peer messages and annotations under a stale fence that reached a coordinator or a receiver
 	Operations                                  int // in the checked history
 	Refused, Late, ToldOld, Dealt, Gained, Lost int
-	Gaps                                        []float64 // seconds from the stop of an owner to the first check that found another one
+	// Seconds from the stop of an owner to the first check that found another one.
+	Gaps []float64
 }
 
 // Figures returns the statistics so far.
@@ -343,13 +346,13 @@
 	if len(w.coordinators) == 0 {
 		return nil
 	}
-	for _, work := range w.tasks() {
+	for _, task := range w.tasks() {
 		owned := false
 		for _, r := range w.routers {
-			owned = owned || r.up && !r.stopped && w.owns(r, work)
+			owned = owned || r.up && !r.stopped && w.owns(r, task)
 		}
 		if !owned {
-			return fmt.Errorf("seed %d: %s has no owner %.1f s after the last fault", w.file.Seed, work, w.file.Settle)
+			return fmt.Errorf("seed %d: %s has no owner %.1f s after the last fault", w.file.Seed, task, w.file.Settle)
 		}
 	}
 	for _, e := range w.servers {
--- a/emulator/fleet/script.go
+++ b/emulator/fleet/script.go
@@ -198,7 +198,8 @@
 		}
 	case "wipe":
 		if r != nil {
-			r.disk = agent.PersistentState{Relinquished: true} // unlike the record of a clean shutdown, a lost folder does not say whether anything was relinquished
+			// Unlike the record of a clean shutdown, a lost folder does not say whether anything was relinquished.
+			r.disk = agent.PersistentState{Relinquished: true}
 		}
 	}
 }
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -297,11 +297,11 @@
 		return nil, err
 	}
 	n.fenceOwner = map[uint64]int{fence: k}
-	for f, who := range s.fenceOwner {
+	for f, owner := range s.fenceOwner {
 		if f == fence {
 			return nil, n.violation("fence %d is assigned twice", f)
 		}
-		n.fenceOwner[f] = who
+		n.fenceOwner[f] = owner
 	}
 	return append(all, n), nil
 }
--- a/emulator/modelcheck/explore_test.go
+++ b/emulator/modelcheck/explore_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 func TestWalk(t *testing.T) {
-	states, whole, err := Walk(Short)
+	states, complete, err := Walk(Short)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !whole || states < 10_000 {
-		t.Errorf("%d states, complete %v", states, whole)
+	if !complete || states < 10_000 {
+		t.Errorf("%d states, complete %v", states, complete)
 	}
 	t.Logf("%d states", states)
 }
@@ -18,12 +18,12 @@
 func TestReleases(t *testing.T) {
 	for name, b := range map[string]Bounds{"letting": Letting, "losing": Losing} {
 		t.Run(name, func(t *testing.T) {
-			states, whole, err := Walk(b)
+			states, complete, err := Walk(b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !whole || states < 1_000 {
-				t.Errorf("%d states, complete %v", states, whole)
+			if !complete || states < 1_000 {
+				t.Errorf("%d states, complete %v", states, complete)
 			}
 			t.Logf("%d states", states)
 		})
--- a/emulator/scenario/scenario.go
+++ b/emulator/scenario/scenario.go
@@ -122,8 +122,8 @@
 
 // Fleet gives the current state of a fleet that selectors depend on.
 type Fleet interface {
-	Leader() string // name of the keeper that leads, "": none
-	Owner() string  // name of the router that owns the first work, "": none
+	Leader() string // name of the leading coordinator, "": none
+	Owner() string  // name of the router that owns the first task, "": none
 }
 
 // Whom returns the names of the processes that a selector stands for: k1, k2, ... for coordinators, n1, n2, ... for
--- a/emulator/zones/traffic.go
+++ b/emulator/zones/traffic.go
@@ -32,7 +32,9 @@
 			return shares
 		}
 		shares[r.zone] = 1
-		if r.failureRate[r.zone] > 0.5 && r.plan.Epoch > 0 { // without a plan that is valid now, the router uses the capacity reserved for it by the last one; the rest of its traffic has nowhere to go
+		// Without a plan that is valid now, the router uses the capacity reserved for it by the last one; the rest
+		// of its traffic has nowhere to go.
+		if r.failureRate[r.zone] > 0.5 && r.plan.Epoch > 0 {
 			for z, x := range r.plan.Fallback.Share[r.zone] {
 				if z != r.zone && r.failureRate[z] <= 0.5 {
 					shares[z] = x
@@ -192,7 +194,8 @@
 			const detectionTime = 0.7 // seconds in which a router detects by itself that a zone fails
 			r.failureRate[z] += (outcome - r.failureRate[z]) * stepSeconds / detectionTime
 		}
-		for z := range r.failureRate { // without attempts the failures are forgotten within some seconds and the zone is tried again
+		// Without attempts the failures are forgotten within some seconds and the zone is tried again.
+		for z := range r.failureRate {
 			if rows[k][z] == 0 {
 				r.failureRate[z] *= 1 - stepSeconds/6
 			}
@@ -226,7 +229,8 @@
 		return
 	}
 	warmShare := age / warmUpSeconds
-	allowed := x.fullCapacity * (coldCapacityShare + (1-coldCapacityShare)*warmShare*warmShare) // the admission controller's ramp, quadratic in the age
+	// The admission controller's ramp, quadratic in the age.
+	allowed := x.fullCapacity * (coldCapacityShare + (1-coldCapacityShare)*warmShare*warmShare)
 	equalShare := allowed / float64(len(w.routers))
 	need, left := 0.0, allowed
 	granted := func(k int) bool { return w.settings.Rule == Planned && w.routers[k].follower.Epoch(w.now) > 0 }
--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -16,10 +16,12 @@
 
 // The rules.
 const (
-	Planned  Rule = iota // by the fleet's plan
-	Local                // without a fleet: each router prefers its own zone and detects by itself which zones don't answer
-	Locality             // by zones' health with an overprovisioning factor of 1.4 and a panic threshold of one half, as published for Envoy
-	Knowing              // with full knowledge and no delay: the upper bound
+	Planned Rule = iota // by the fleet's plan
+	Local               // without a fleet: each router prefers its own zone and detects by itself which zones don't answer
+	// By zones' health with an overprovisioning factor of 1.4 and a panic threshold of one half, as published for
+	// Envoy.
+	Locality
+	Knowing // with full knowledge and no delay: the upper bound
 )
 
 // Settings configures a run.
@@ -108,9 +110,11 @@
 
 // Result holds what a run recorded.
 type Result struct {
-	Worth    []float64 // share of all work that was served, by second
-	Worst    float64   // highest ratio of a zone's load over a second to its capacity, where traffic from other zones caused it
-	Planned  float64   // highest ratio of a zone's load to its planned capacity, under any mixture of the plans that routers may follow
+	Worth []float64 // share of all work that was served, by second
+	Worst float64   // highest ratio of a zone's load over a second to its capacity, where traffic from other zones caused it
+	// Highest ratio of a zone's load to its planned capacity, under any mixture of the plans that routers may
+	// follow.
+	Planned  float64
 	Near     float64   // share of the served work that was served in its own zone
 	Changes  []float64 // times at which the plan changed
 	Given    []string  // healthy zones that a plan gave up
@@ -331,13 +335,15 @@
 	}
 	if p, ok := w.controller.Next(w.now, reports, sessions, w.orders); ok {
 		w.pending, w.pendingSince = &p, w.now
-		if len(w.controller.Changes) > 0 && w.controller.Changes[len(w.controller.Changes)-1] == w.now { // a publication that only updates the recorded demand is not counted
+		// A publication that only updates the recorded demand is not counted.
+		if len(w.controller.Changes) > 0 && w.controller.Changes[len(w.controller.Changes)-1] == w.now {
 			w.result.Changes = append(w.result.Changes, w.now)
 		}
 		load := failover.MaxMixedLoad(w.controller.Demand, p.Plan, w.committed.Plan)
 		before := failover.MaxMixedLoad(w.controller.Demand, w.committed.Plan)
 		for z := range load {
-			if capacity := w.controller.PlanCapacity[z]; capacity > 0 && load[z] > before[z]+1e-6 { // only load that the plan adds
+			// Only load that the plan adds.
+			if capacity := w.controller.PlanCapacity[z]; capacity > 0 && load[z] > before[z]+1e-6 {
 				w.result.Planned = max(w.result.Planned, load[z]/capacity)
 			}
 		}
