--- a/emulator/cluster/faults.go
+++ b/emulator/cluster/faults.go
@@ -30,7 +30,7 @@
 	ListOld                // the name server's answers contain the previous list
 	ListDamaged            // the name server's answers arrive truncated
 	Burst                  // Value: factor on the rate of the stream
-	Restart                // a router is killed and starts again after For
+	Restart                // a router is killed and starts again after the duration
 	Reload                 // a router reloads its configuration, which contains the current list
 )
 
@@ -47,8 +47,8 @@
 
 // Happening is one fault, scheduled at a time.
 type Happening struct {
-	// For is the duration; 0: it is not reverted. After Drain and Gone the servers start again then; Back has
-	// nothing to revert.
+	// At is in seconds; For is the time until the fault is reverted, 0: never. After DrainServers and StopServers the
+	// servers then start again; StartServers has nothing to revert.
 	At, For float64
 	Act     Act
 	Engines []int
--- a/emulator/cluster/memory_test.go
+++ b/emulator/cluster/memory_test.go
@@ -54,9 +54,9 @@
 	return inTime / max(all, 1)
 }
 
-// TestRestartInPeak checks that a router that restarts under peak load with its restored memory serves better than one
+// TestRestartUnderPeakLoad checks that a router that restarts under peak load with its restored memory serves better than one
 // that starts with none.
-func TestRestartInPeak(t *testing.T) {
+func TestRestartUnderPeakLoad(t *testing.T) {
 	const seeds = 12
 	var withoutMemory, withMemory, notRestarted [2]float64
 	for seed := range uint64(seeds) {
@@ -97,7 +97,7 @@
 		return (n + 3*math.Sqrt(n) + 3) * m.Stream.Work
 	}
 	switch {
-	case m.Number > 0 && m.Out > 1: // assumes that Out counts this attempt
+	case m.Number > 0 && m.Out > 1: // assumes that OutstandingAttempts counts this attempt
 		fail("another attempt of the request is outstanding")
 	case m.Number > 0 && p.Effect == admission.NonIdempotent && !m.LastEnd.NeverRan():
 		fail("a non-idempotent request that may have run is retried")
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestRulesWithKnowledge checks that a controller with restored memory of any age keeps the rules through all kinds of
+// TestRulesWithRestoredMemory checks that a controller with restored memory of any age keeps the rules through all kinds of
 // faults, the limit on cold servers among them.
-func TestRulesWithKnowledge(t *testing.T) {
+func TestRulesWithRestoredMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, w := faultyScenario()
 		age := rapid.SampledFrom([]float64{0.1, 5, 60, 1e4}).Draw(t, "age")
--- a/emulator/cluster/observations.go
+++ b/emulator/cluster/observations.go
@@ -53,7 +53,7 @@
 	End      admission.End
 	Further  int           // attempts after the first of each request in the budget's window, with this one
 	Commands int           // received in that window
-	LastEnd  admission.End // result of the request's previous attempt, if Number is over 0
+	LastEnd  admission.End // result of the request's previous attempt, if Attempt is over 0
 	First    int           // server of the request's first attempt, -1: none yet
 	Since    float64       // seconds since the first attempt was sent
 	Recent   float64       // core seconds that all routers have sent to this server in the last FallWindow, with this attempt
--- a/emulator/cluster/simulation.go
+++ b/emulator/cluster/simulation.go
@@ -21,7 +21,7 @@
 type Engine struct {
 	Name             string
 	Kind, Zone, Cell int     // indexes into Settings.Kinds, Settings.Zones and the cells
-	Absent           bool    // not there at the start; a Back fault starts it
+	Absent           bool    // not there at the start; a StartServers fault starts it
 	Born             float64 // start time; 0: it started long before the run
 	engine.Settings
 }
@@ -97,7 +97,7 @@
 	Ended   float64
 	How     How
 	Work    float64
-	Target  float64 // latency target, seconds from Taken
+	Target  float64 // latency target, seconds from ReceivedAt
 	Told    [3]waittime.Estimate
 	HasTold [3]bool
 	Pause   float64
@@ -121,7 +121,7 @@
 	Changes []float64 // times at which the priority of a running attempt was changed
 	Wasted  float64   // core seconds lost to spilling
 	Teams   *fairshare.Tree
-	Clients int // all that arrived, also those that Keep left out
+	Clients int // all that arrived, also those that KeepClient left out
 }
 
 type activeRequest struct {
--- a/emulator/cluster/simulation_test.go
+++ b/emulator/cluster/simulation_test.go
@@ -24,9 +24,9 @@
 	return s
 }
 
-// TestSame checks that a run with faults is reproducible: equal settings and seed give equal results, another seed
+// TestReproducible checks that a run with faults is reproducible: equal settings and seed give equal results, another seed
 // gives others.
-func TestSame(t *testing.T) {
+func TestReproducible(t *testing.T) {
 	run := func(seed uint64) []Try {
 		s := smallScenario()
 		s.Seed = seed
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestAccounted checks that every request ends in time through stalled and stopped servers, errors, lost answers,
+// TestEveryRequestEnds checks that every request ends in time through stalled and stopped servers, errors, lost answers,
 // restarts and drains. Only requests of a killed router may be lost.
-func TestAccounted(t *testing.T) {
+func TestEveryRequestEnds(t *testing.T) {
 	r, err := Run(smallScenario())
 	if err != nil {
 		t.Fatal(err)
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestKeep checks that leaving out clients does not change when the others arrive.
-func TestKeep(t *testing.T) {
+// TestKeepClientLeavesArrivals checks that leaving out clients does not change when the others arrive.
+func TestKeepClientLeavesArrivals(t *testing.T) {
 	all, err := Run(smallScenario())
 	if err != nil {
 		t.Fatal(err)
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -61,7 +61,7 @@
 	rate           float64
 	memoryHeld     float64 // MB
 	memorySpilled  float64 // MB that it needed and did not get
-	spillReported  bool    // a Spills event was sent
+	spillReported  bool    // a Spilled event was sent
 	nextProgressAt float64
 }
 
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -34,17 +34,17 @@
 	return ended
 }
 
-// TestShares checks that two queries of levels 0 and 1 share one core 1 : 4, and that the remaining one then has the
+// TestPriorityWeights checks that two queries of levels 0 and 1 share one core 1 : 4, and that the remaining one then has the
 // whole core.
-func TestShares(t *testing.T) {
+func TestPriorityWeights(t *testing.T) {
 	got := endTimes(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
 	if !almostEqual(got[2], 1.25) || !almostEqual(got[1], 2) {
 		t.Errorf("ended at %v, want 1.25 and 2", got)
 	}
 }
 
-// TestThreads checks that a query gets no more cores than it has threads.
-func TestThreads(t *testing.T) {
+// TestCoresLimitedByThreads checks that a query gets no more cores than it has threads.
+func TestCoresLimitedByThreads(t *testing.T) {
 	got := endTimes(New(Settings{Cores: 8}, 0), Query{ID: 1, Work: 4, Threads: 2}, Query{ID: 2, Work: 1, Threads: 1})
 	if !almostEqual(got[1], 2) || !almostEqual(got[2], 1) {
 		t.Errorf("ended at %v, want 2 and 1", got)
--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -9,9 +9,9 @@
 	"dunereach/emulator/scenario"
 )
 
-// TestDrawn checks with random faults, several at a time, that no two owners act on a task, no allowance is exceeded
+// TestRandomScenarios checks with random faults, several at a time, that no two owners act on a task, no allowance is exceeded
 // and the fleet recovers.
-func TestDrawn(t *testing.T) {
+func TestRandomScenarios(t *testing.T) {
 	seeds := uint64(120)
 	if testing.Short() {
 		seeds = 40
@@ -31,8 +31,8 @@
 	t.Logf("%+v", all)
 }
 
-// TestSame checks that a seed gives the same run every time.
-func TestSame(t *testing.T) {
+// TestReproducible checks that a seed gives the same run every time.
+func TestReproducible(t *testing.T) {
 	run := func() (lines []string) {
 		if _, err := Play(Drawn(7), func(s string) { lines = append(lines, s) }); err != nil {
 			t.Fatal(err)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestQuiet(t *testing.T) {
+func TestWithoutFaults(t *testing.T) {
 	f, err := Play(scenario.File{Keepers: 3, Routers: 4, Zones: 2, Engines: 2, Lease: 2, Drift: 0.05, Settle: 10, Seed: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +58,8 @@
 	t.Logf("%+v", f)
 }
 
-// TestKept plays the scenarios that are also played over real processes, each with several seeds.
-func TestKept(t *testing.T) {
+// TestScenarios plays the scenarios that are also played over real processes, each with several seeds.
+func TestScenarios(t *testing.T) {
 	all, err := scenario.All()
 	if err != nil {
 		t.Fatal(err)
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestFlapping runs 300 routers of which a third stops and starts all the time. No two owners may act on a task,
+// TestFlappingRouters runs 300 routers of which a third stops and starts all the time. No two owners may act on a task,
 // allowances hold, and most tasks have to go to stable routers rather than to flapping ones.
-func TestFlapping(t *testing.T) {
+func TestFlappingRouters(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes ten seconds")
 	}
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -133,7 +133,7 @@
 	return found
 }
 
-// Walk explores all states within the bounds. complete is false if there were more than Most.
+// Walk explores all states within the bounds. complete is false if there were more than MaxStates.
 func Walk(bounds Bounds) (states int, complete bool, err error) {
 	terms := lease.Terms{Lease: float64(bounds.Lease), Drift: 0}
 	first := &state{decoded: map[string]*registry.Registry{}, receiver: lease.NewFenceChecker(), fenceOwner: map[uint64]int{}}
--- a/emulator/modelcheck/explore_test.go
+++ b/emulator/modelcheck/explore_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestWalk(t *testing.T) {
+func TestExplore(t *testing.T) {
 	states, complete, err := Walk(Short)
 	if err != nil {
 		t.Fatal(err)
--- a/emulator/zones/zones_test.go
+++ b/emulator/zones/zones_test.go
@@ -20,17 +20,17 @@
 	return sum
 }
 
-// TestCalm checks that without faults no plan is made and all work is served in its own zone.
-func TestCalm(t *testing.T) {
+// TestWithoutFaults checks that without faults no plan is made and all work is served in its own zone.
+func TestWithoutFaults(t *testing.T) {
 	if r := play(t, Planned); len(r.Changes) > 0 || r.Near < 0.99 || servedShare(r, 5, 90) < 0.999 {
 		t.Errorf("plan changes at %v, share served in the own zone %.3f, share served %.3f", r.Changes, r.Near, servedShare(r, 5, 90))
 	}
 }
 
-// TestLoss loses a zone at 20 s; it returns cold at 45 s. Almost as much is served as with full knowledge and no delay,
+// TestZoneLost loses a zone at 20 s; it returns cold at 45 s. Almost as much is served as with full knowledge and no delay,
 // the plan comes within seconds, no zone is planned above the capacity that it is assumed to have, and all work is back
 // in its own zone soon after.
-func TestLoss(t *testing.T) {
+func TestZoneLost(t *testing.T) {
 	fault := Fault{At: 20, Until: 45, Kind: Engines, Zone: 0}
 	r, best := play(t, Planned, fault), play(t, Knowing, fault)
 	if got := servedShare(r, 20, 50) / servedShare(best, 20, 50); got < 0.95 {
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestHome checks that all work that a zone's loss has moved returns to its own zone, to within one percent, even where
+// TestWorkReturnsHome checks that all work that a zone's loss has moved returns to its own zone, to within one percent, even where
 // the rest is less than a change of plan is otherwise worth.
-func TestHome(t *testing.T) {
+func TestWorkReturnsHome(t *testing.T) {
 	for seed := range uint64(40) {
 		r, err := Play(Settings{Zones: 3, Regions: 1, Routers: 30, Load: 0.3 + 0.01*float64(seed%20), Skew: 0.3, Seed: seed, Rule: Planned, Length: 120,
 			Faults: []Fault{{At: 20, Until: 35, Kind: Engines, Zone: int(seed % 3)}}})
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestTwoLost loses two of three zones, so that the last one can't serve everything. Without a plan all traffic goes to
+// TestTwoZonesLost loses two of three zones, so that the last one can't serve everything. Without a plan all traffic goes to
 // that zone; the plan rejects the excess at its origin.
-func TestTwoLost(t *testing.T) {
+func TestTwoZonesLost(t *testing.T) {
 	faults := []Fault{{At: 20, Until: 45, Kind: Engines, Zone: 0}, {At: 21, Until: 45, Kind: Engines, Zone: 1}}
 	r, local := play(t, Planned, faults...), play(t, Local, faults...)
 	if r.Worst > 1.05 || local.Worst < 1.1 {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestCutOff checks that no zone is given up because observers or links are cut off.
-func TestCutOff(t *testing.T) {
+// TestObserversCutOff checks that no zone is given up because observers or links are cut off.
+func TestObserversCutOff(t *testing.T) {
 	for _, f := range []Fault{{Kind: Link, Zone: 0, To: 1}, {Kind: OneWay, Zone: 2, To: 0}, {Kind: Deaf, Zone: 1}, {Kind: Controller, Zone: 0}} {
 		f.At, f.Until = 20, 45
 		if r := play(t, Planned, f); len(r.Given) > 0 || servedShare(r, 20, 50) < 0.99 {
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestDrawn checks with random faults, several at a time, that no healthy zone is given up, that no plan offers a zone
+// TestRandomFaults checks with random faults, several at a time, that no healthy zone is given up, that no plan offers a zone
 // more than its planned capacity under any mixture with the previous plan, and that other zones' traffic never loads a
 // zone above 1.05 of its capacity over a second.
-func TestDrawn(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	planned, changes := 0.0, 0
 	for seed := range uint64(150) {
 		r, err := Play(Drawn(seed))
@@ -102,10 +102,10 @@
 	}
 }
 
-// TestLyingAtStart has four in ten observers report random values from the first second on, when the reports of the
+// TestMisreportsAtStart has four in ten observers report random values from the first second on, when the reports of the
 // others cover only part of a second and have little weight. No zone may be given up and no work moved because of a
 // single round of such reports. With these seeds that happened once, at 1.1 s.
-func TestLyingAtStart(t *testing.T) {
+func TestMisreportsAtStart(t *testing.T) {
 	for _, seed := range []uint64{10, 13, 103, 129, 173, 257, 263, 264, 288, 298, 783, 849} {
 		settings := Settings{Zones: 3 + int(seed%5), Regions: 1 + int(seed%2), Routers: 30, Load: 0.4 + 0.02*float64(seed%16), Skew: 0.2,
 			Seed: seed, Rule: Planned, Length: 20, Liars: 0.4}
