--- a/emulator/cluster/memory_test.go
+++ b/emulator/cluster/memory_test.go
@@ -54,8 +54,8 @@
 	return inTime / max(all, 1)
 }
 
-// TestRestartUnderPeakLoad checks that a router that restarts under peak load with its restored memory serves better than one
-// that starts with none.
+// TestRestartUnderPeakLoad checks that a router that restarts under peak load with its restored memory serves better
+// than one that starts with none.
 func TestRestartUnderPeakLoad(t *testing.T) {
 	const seeds = 12
 	var withoutMemory, withMemory, notRestarted [2]float64
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestRulesWithRestoredMemory checks that a controller with restored memory of any age keeps the rules through all kinds of
-// faults, the limit on cold servers among them.
+// TestRulesWithRestoredMemory checks that a controller with restored memory of any age keeps the rules through all
+// kinds of faults, the limit on cold servers among them.
 func TestRulesWithRestoredMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, w := faultyScenario()
--- a/emulator/cluster/simulation_test.go
+++ b/emulator/cluster/simulation_test.go
@@ -24,8 +24,8 @@
 	return s
 }
 
-// TestReproducible checks that a run with faults is reproducible: equal settings and seed give equal results, another seed
-// gives others.
+// TestReproducible checks that a run with faults is reproducible: equal settings and seed give equal results, another
+// seed gives others.
 func TestReproducible(t *testing.T) {
 	run := func(seed uint64) []Try {
 		s := smallScenario()
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -34,8 +34,8 @@
 	return ended
 }
 
-// TestPriorityWeights checks that two queries of levels 0 and 1 share one core 1 : 4, and that the remaining one then has the
-// whole core.
+// TestPriorityWeights checks that two queries of levels 0 and 1 share one core 1 : 4, and that the remaining one then
+// has the whole core.
 func TestPriorityWeights(t *testing.T) {
 	got := endTimes(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
 	if !almostEqual(got[2], 1.25) || !almostEqual(got[1], 2) {
--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -9,8 +9,8 @@
 	"dunereach/emulator/scenario"
 )
 
-// TestRandomScenarios checks with random faults, several at a time, that no two owners act on a task, no allowance is exceeded
-// and the fleet recovers.
+// TestRandomScenarios checks with random faults, several at a time, that no two owners act on a task, no allowance is
+// exceeded and the fleet recovers.
 func TestRandomScenarios(t *testing.T) {
 	seeds := uint64(120)
 	if testing.Short() {
--- a/emulator/fleet/regression_test.go
+++ b/emulator/fleet/regression_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRegressionSeeds plays the seeds that found a fault: an owner that had received nothing for a whole lease was confirmed
-// by the answer to a heartbeat that did not count, and acted after the next one.
+// TestRegressionSeeds plays the seeds that found a fault: an owner that had received nothing for a whole lease was
+// confirmed by the answer to a heartbeat that did not count, and acted after the next one.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{5001794, 5003625, 5005704} {
 		if _, err := Play(Drawn(seed), nil); err != nil {
--- a/emulator/zones/zones_test.go
+++ b/emulator/zones/zones_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// TestZoneLost loses a zone at 20 s; it returns cold at 45 s. Almost as much is served as with full knowledge and no delay,
-// the plan comes within seconds, no zone is planned above the capacity that it is assumed to have, and all work is back
-// in its own zone soon after.
+// TestZoneLost loses a zone at 20 s; it returns cold at 45 s. Almost as much is served as with full knowledge and no
+// delay, the plan comes within seconds, no zone is planned above the capacity that it is assumed to have, and all work
+// is back in its own zone soon after.
 func TestZoneLost(t *testing.T) {
 	fault := Fault{At: 20, Until: 45, Kind: Engines, Zone: 0}
 	r, best := play(t, Planned, fault), play(t, Knowing, fault)
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestWorkReturnsHome checks that all work that a zone's loss has moved returns to its own zone, to within one percent, even where
-// the rest is less than a change of plan is otherwise worth.
+// TestWorkReturnsHome checks that all work that a zone's loss has moved returns to its own zone, to within one percent,
+// even where the rest is less than a change of plan is otherwise worth.
 func TestWorkReturnsHome(t *testing.T) {
 	for seed := range uint64(40) {
 		r, err := Play(Settings{Zones: 3, Regions: 1, Routers: 30, Load: 0.3 + 0.01*float64(seed%20), Skew: 0.3, Seed: seed, Rule: Planned, Length: 120,
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestTwoZonesLost loses two of three zones, so that the last one can't serve everything. Without a plan all traffic goes to
-// that zone; the plan rejects the excess at its origin.
+// TestTwoZonesLost loses two of three zones, so that the last one can't serve everything. Without a plan all traffic
+// goes to that zone; the plan rejects the excess at its origin.
 func TestTwoZonesLost(t *testing.T) {
 	faults := []Fault{{At: 20, Until: 45, Kind: Engines, Zone: 0}, {At: 21, Until: 45, Kind: Engines, Zone: 1}}
 	r, local := play(t, Planned, faults...), play(t, Local, faults...)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestRandomFaults checks with random faults, several at a time, that no healthy zone is given up, that no plan offers a zone
-// more than its planned capacity under any mixture with the previous plan, and that other zones' traffic never loads a
-// zone above 1.05 of its capacity over a second.
+// TestRandomFaults checks with random faults, several at a time, that no healthy zone is given up, that no plan offers
+// a zone more than its planned capacity under any mixture with the previous plan, and that other zones' traffic never
+// loads a zone above 1.05 of its capacity over a second.
 func TestRandomFaults(t *testing.T) {
 	planned, changes := 0.0, 0
 	for seed := range uint64(150) {
