--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -82,7 +82,7 @@
 type zone struct {
 	fullCapacity, demand float64
 	cores                float64
-	downSince            float64 // time at which its servers were last down, -1: they are up
+	lastDownAt           float64 // time at which its servers were last down, -1: they are up
 	upSince              float64
 	recentLoad           [11]float64 // of the last steps, the latest first
 	changedUntil         float64     // overload is not counted until then: the capacity has dropped shortly before
@@ -152,7 +152,7 @@
 	total := 0.0
 	for z := range s.Zones {
 		zoneCores := 20 * (0.7 + 0.6*w.random.Float64())
-		w.zones = append(w.zones, zone{fullCapacity: zoneCores, cores: zoneCores, upSince: -100, downSince: -1})
+		w.zones = append(w.zones, zone{fullCapacity: zoneCores, cores: zoneCores, upSince: -100, lastDownAt: -1})
 		w.regionOf = append(w.regionOf, z*max(s.Regions, 1)/s.Zones)
 		total += zoneCores
 	}
@@ -234,12 +234,12 @@
 	for z := range w.zones {
 		x := &w.zones[z]
 		if w.down(z) {
-			x.downSince = w.now
+			x.lastDownAt = w.now
 			if _, ok := w.result.Lost[z]; !ok {
 				w.result.Lost[z] = w.now
 			}
-		} else if x.downSince >= 0 {
-			x.upSince, x.downSince = w.now, -1
+		} else if x.lastDownAt >= 0 {
+			x.upSince, x.lastDownAt = w.now, -1
 		}
 		_, draining[z] = w.activeFault(Drain, z)
 		if _, ok := w.activeFault(Controller, z); ok {
