--- a/emulator/cluster/clients.go
+++ b/emulator/cluster/clients.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file has the clients: their streams, when they come, and which router they come to.
+// This file generates the clients' requests and chooses the router that receives each one.
 
 import (
 	"math"
@@ -10,116 +10,117 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Stream is clients of one kind.
+// Stream describes a stream of clients with the same kind of request.
 type Stream struct {
 	Name          string
 	Tenant        int
 	Team, Profile int
-	Rate          func(t float64) float64 // commands a second; what it is at a time
-	Peak          float64                 // the most that Rate gives
-	Work, CV      float64                 // mean and spread of the log-normal work, core seconds
+	Rate          func(t float64) float64 // requests per second at time t
+	Peak          float64                 // maximum of Rate
+	Work, CV      float64                 // mean and coefficient of variation of the log-normal work, in core seconds
 	Memory        float64                 // MB
-	Deadline      float64                 // of each try
-	Scatter       float64                 // of estimates, as the spread of a log-normal; 0: exact
-	Bias          float64                 // of estimates, as a factor; 0: 1
-	Blind         bool                    // no estimates
-	Keys          int                     // distinct order keys, 0: none
-	Tries         int                     // in all, 0: 1
-	Ignores       float64                 // share of refused clients that come again at once, whatever they are told
+	Deadline      float64                 // of each request, in seconds
+	Scatter       float64                 // coefficient of variation of the log-normal estimation error; 0: exact
+	Bias          float64                 // factor on all estimates; 0: 1
+	Blind         bool                    // clients send no estimates
+	Keys          int                     // number of distinct order keys; 0: none
+	Tries         int                     // most requests that a client sends, the first one included; 0: 1
+	Ignores       float64                 // share of rejected clients that retry at once instead of after the requested pause
 }
 
-// Steady is a rate that stays.
+// Steady returns a constant rate and its maximum.
 func Steady(rate float64) (func(float64) float64, float64) {
 	return func(float64) float64 { return rate }, rate
 }
 
-// next draws a stream's next arrival, by thinning (Lewis and Shedler, 1979).
-func (t *Town) next(k int, from float64) {
-	s := &t.set.Streams[k]
-	_, most := t.burst(k, from)
+// scheduleArrival draws the next arrival of a stream by thinning (Lewis and Shedler, 1979).
+func (sim *Town) scheduleArrival(k int, from float64) {
+	s := &sim.settings.Streams[k]
+	_, most := sim.rateFactor(k, from)
 	peak := s.Peak * most
 	if peak <= 0 {
 		return
 	}
-	gap := distuv.Exponential{Rate: peak, Src: t.rnd}
+	gap := distuv.Exponential{Rate: peak, Src: sim.clientRand}
 	for at := from; ; {
-		if at += gap.Rand(); at > t.set.Length {
+		if at += gap.Rand(); at > sim.settings.Length {
 			return
 		}
-		if factor, _ := t.burst(k, at); t.rnd.Float64()*peak <= s.Rate(at)*factor {
-			work := t.draw(s.Work, s.CV)
-			try := Try{Stream: k, Number: 1, First: at, Mark: t.seq + 1, Work: work, Guess: t.guess(s, work),
-				Ignores: t.rnd.Float64() < s.Ignores}
+		if factor, _ := sim.rateFactor(k, at); sim.clientRand.Float64()*peak <= s.Rate(at)*factor {
+			work := sim.drawLogNormal(s.Work, s.CV)
+			request := Try{Stream: k, Number: 1, First: at, Mark: sim.seq + 1, Work: work, Guess: sim.estimate(s, work),
+				Ignores: sim.clientRand.Float64() < s.Ignores}
 			if s.Keys > 0 {
-				try.Key = 1 + uint64(t.rnd.IntN(s.Keys))
+				request.Key = 1 + uint64(sim.clientRand.IntN(s.Keys))
 			}
-			t.push(event{at: at, what: arrive, try: try})
+			sim.push(event{at: at, kind: arrivalEvent, request: request})
 			return
 		}
 	}
 }
 
-func (t *Town) guess(s *Stream, work float64) float64 {
+func (sim *Town) estimate(s *Stream, work float64) float64 {
 	if s.Blind {
 		return 0
 	}
 	if s.Bias > 0 {
 		work *= s.Bias
 	}
-	return work * t.draw(1, s.Scatter)
+	return work * sim.drawLogNormal(1, s.Scatter)
 }
 
-func (t *Town) draw(mean, cv float64) float64 {
+func (sim *Town) drawLogNormal(mean, cv float64) float64 {
 	if cv == 0 {
 		return mean
 	}
-	v := math.Log(1 + cv*cv)
-	return distuv.LogNormal{Mu: math.Log(mean) - v/2, Sigma: math.Sqrt(v), Src: t.rnd}.Rand()
+	variance := math.Log(1 + cv*cv)
+	return distuv.LogNormal{Mu: math.Log(mean) - variance/2, Sigma: math.Sqrt(variance), Src: sim.clientRand}.Rand()
 }
 
-// take brings a try to a router that is up: to the key's own, or to the next in turn.
-func (t *Town) take(try Try) {
-	r := t.routers[0]
-	for n := range t.routers {
-		k := t.turn + n
-		if try.Key != 0 {
-			k = int(try.Key) + n
+// routeRequest delivers a request to a running router: the one assigned to its key, or else the next one in round-robin
+// order.
+func (sim *Town) routeRequest(request Try) {
+	r := sim.routers[0]
+	for n := range sim.routers {
+		k := sim.nextRouter + n
+		if request.Key != 0 {
+			k = int(request.Key) + n
 		}
-		if r = t.routers[k%len(t.routers)]; r.up {
+		if r = sim.routers[k%len(sim.routers)]; r.up {
 			break
 		}
 	}
-	t.turn = (t.turn + 1) % len(t.routers)
-	s := &t.set.Streams[try.Stream]
-	p := &t.set.Brain.Profiles[s.Profile]
-	try.Taken, try.Sent, try.Router = t.now, math.NaN(), r.me
-	try.Target = p.Target + p.Stretch*try.Work/max(float64(p.Threads), 1)
+	sim.nextRouter = (sim.nextRouter + 1) % len(sim.routers)
+	s := &sim.settings.Streams[request.Stream]
+	p := &sim.settings.Brain.Profiles[s.Profile]
+	request.Taken, request.Sent, request.Router = sim.now, math.NaN(), r.index
+	request.Target = p.Target + p.Stretch*request.Work/max(float64(p.Threads), 1)
 	if !r.up {
-		try.Ended, try.How = t.now, Lost
-		t.Tries = append(t.Tries, try)
+		request.Ended, request.How = sim.now, Lost
+		sim.Tries = append(sim.Tries, request)
 		return
 	}
-	r.lastID++
-	f := &flight{try: len(t.Tries), router: r.me, id: r.lastID, number: -1, level: 1, engine: -1, first: -1}
-	t.Tries = append(t.Tries, try)
-	r.flights[f.id] = f
-	r.taken = append(r.taken, t.now)
-	f.ask = admission.Request{ID: f.id, Profile: s.Profile, Tenant: s.Tenant, Team: s.Team, Key: try.Key,
-		TimeLeft: s.Deadline, RequestKey: try.Mark, Cost: try.Guess, Memory: s.Memory}
-	t.show(Taken, f)
-	r.mind.Request(t.now, f.ask)
+	r.lastRequestID++
+	active := &activeRequest{requestIndex: len(sim.Tries), router: r.index, id: r.lastRequestID, attempt: -1, priority: 1, server: -1, firstServer: -1}
+	sim.Tries = append(sim.Tries, request)
+	r.requests[active.id] = active
+	r.requestTimes = append(r.requestTimes, sim.now)
+	active.admissionRequest = admission.Request{ID: active.id, Profile: s.Profile, Tenant: s.Tenant, Team: s.Team, Key: request.Key,
+		TimeLeft: s.Deadline, RequestKey: request.Mark, Cost: request.Guess, Memory: s.Memory}
+	sim.observe(Taken, active)
+	r.controller.Request(sim.now, active.admissionRequest)
 }
 
-// burst is the factor on a stream's rate at a time; most, the most that it comes to.
-func (t *Town) burst(stream int, at float64) (factor, most float64) {
+// rateFactor returns the factor on a stream's rate at a time, and the maximum of that factor over the run.
+func (sim *Town) rateFactor(stream int, at float64) (factor, most float64) {
 	factor, most = 1, 1
-	for _, h := range t.set.Happens {
-		if h.Act != Burst || h.Stream != stream {
+	for _, fault := range sim.settings.Happens {
+		if fault.Act != Burst || fault.Stream != stream {
 			continue
 		}
-		most *= max(h.Value, 1)
-		if at >= h.At && (h.For == 0 || at < h.At+h.For) {
-			factor *= h.Value
+		most *= max(fault.Value, 1)
+		if at >= fault.At && (fault.For == 0 || at < fault.At+fault.For) {
+			factor *= fault.Value
 		}
 	}
 	return factor, most
--- a/emulator/cluster/events.go
+++ b/emulator/cluster/events.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file has the queue of what is yet to happen, by its time.
+// This file implements the queue of future events, ordered by time.
 
 import (
 	"container/heap"
@@ -8,32 +8,32 @@
 	"dunereach/admission"
 )
 
-type what uint8
+type eventKind uint8
 
 const (
-	wake what = iota
-	arrive
-	look
-	outcome
-	limit
-	poll
-	news
-	happen
-	calm
+	wakeEvent eventKind = iota
+	arrivalEvent
+	shadowEvent
+	outcomeEvent
+	timeoutEvent
+	pollEvent
+	listAnswerEvent
+	faultStartEvent
+	faultEndEvent
 )
 
 type event struct {
-	at     float64
-	seq    uint64
-	what   what
-	router int
-	life   int // of the router that it was for: one that ended hears nothing more
-	token  uint64
-	number int
-	try    Try
-	end    admission.End
-	text   []byte
-	h      Happening
+	at          float64
+	seq         uint64
+	kind        eventKind
+	router      int
+	incarnation int // incarnation of the router that the event is for; events for an ended incarnation are dropped
+	token       uint64
+	attempt     int
+	request     Try
+	end         admission.End
+	answer      []byte
+	fault       Happening
 }
 
 type events []event
@@ -51,8 +51,8 @@
 	return x
 }
 
-func (t *Town) push(e event) {
-	t.seq++
-	e.seq = t.seq
-	heap.Push(&t.todo, e)
+func (sim *Town) push(e event) {
+	sim.seq++
+	e.seq = sim.seq
+	heap.Push(&sim.queue, e)
 }
--- a/emulator/cluster/host.go
+++ b/emulator/cluster/host.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file is what a module asks of its surroundings: a router's sends, answers and wakes in the town.
+// This file implements admission.Host for a simulated router: attempts, answers to clients and timers.
 
 import (
 	"dunereach/admission"
@@ -8,98 +8,98 @@
 	"dunereach/waittime"
 )
 
-func (r *router) Send(id, to uint32, after, _ float64) {
-	t, f := r.t, r.flights[id]
-	k := t.engineOf(to)
-	f.number++
-	if f.number > 0 {
-		r.further = append(r.further, t.now)
+func (r *router) Send(id, serverID uint32, timeout, _ float64) {
+	sim, active := r.sim, r.requests[id]
+	k := sim.serverIndex(serverID)
+	active.attempt++
+	if active.attempt > 0 {
+		r.retryTimes = append(r.retryTimes, sim.now)
 	}
-	f.engine, f.sent = k, t.now
-	t.show(Sent, f) // before it counts as out: one that is out already shows
-	if f.out = true; f.first < 0 {
-		f.first, f.firstAt = k, t.now
+	active.server, active.sentAt = k, sim.now
+	sim.observe(Sent, active) // called before this attempt is marked as outstanding, so that it reports only an earlier one
+	if active.outstanding = true; active.firstServer < 0 {
+		active.firstServer, active.firstSentAt = k, sim.now
 	}
-	try := &t.Tries[f.try]
-	if f.number == 0 {
-		try.Sent = t.now
+	request := &sim.Tries[active.requestIndex]
+	if active.attempt == 0 {
+		request.Sent = sim.now
 	}
-	if after <= 0 {
-		after = try.Taken + t.set.Streams[try.Stream].Deadline - t.now
+	if timeout <= 0 {
+		timeout = request.Taken + sim.settings.Streams[request.Stream].Deadline - sim.now
 	}
-	s := &t.set.Streams[try.Stream]
-	p := &t.set.Brain.Profiles[s.Profile]
-	e := event{what: outcome, router: r.me, life: r.life, token: uint64(id), number: f.number}
-	house := t.engines[k]
-	t.lastRun++
-	f.run = t.lastRun
-	q := engine.Query{ID: t.lastRun, Work: try.Work, Threads: float64(p.Threads), Memory: s.Memory, Level: f.level}
+	s := &sim.settings.Streams[request.Stream]
+	p := &sim.settings.Brain.Profiles[s.Profile]
+	result := event{kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(id), attempt: active.attempt}
+	target := sim.servers[k]
+	sim.lastQueryID++
+	active.queryID = sim.lastQueryID
+	q := engine.Query{ID: sim.lastQueryID, Work: request.Work, Threads: float64(p.Threads), Memory: s.Memory, Level: active.priority}
 	switch {
-	case house.state == admission.Gone:
-		e.at, e.end = t.now+trip, admission.Unreachable
-	case house.errs > 0 && t.luck.Float64() < house.errs:
-		e.at, e.end = t.now+trip, admission.Errored
-	case !house.Submit(t.now, q):
-		e.at, e.end = t.now+trip, admission.Rejected
+	case target.state == admission.Gone:
+		result.at, result.end = sim.now+roundTrip, admission.Unreachable
+	case target.errorShare > 0 && sim.serverRand.Float64() < target.errorShare:
+		result.at, result.end = sim.now+roundTrip, admission.Errored
+	case !target.Submit(sim.now, q):
+		result.at, result.end = sim.now+roundTrip, admission.Rejected
 	default:
-		t.running[t.lastRun] = query{f, f.number, try.Stream}
-		e.at, e.what, e.end = t.now+after, limit, admission.TimedOut
+		sim.running[sim.lastQueryID] = query{active, active.attempt, request.Stream}
+		result.at, result.kind, result.end = sim.now+timeout, timeoutEvent, admission.TimedOut
 	}
-	t.push(e)
+	sim.push(result)
 }
 
 func (r *router) Reject(id uint32, pause float64) {
-	t, f := r.t, r.flights[id]
-	t.Tries[f.try].Pause = pause
-	t.final(f, Shed)
-	try := t.Tries[f.try]
-	if t.set.Shadows > 0 && r.me == 0 && t.now == try.Taken && try.HasTold[waittime.RetryAdmission] {
-		if t.refused++; t.refused%t.set.Shadows == 0 {
-			t.push(event{at: t.now + lookEvery, what: look, token: uint64(len(t.Shadows))})
-			t.Shadows = append(t.Shadows, Shadow{Stream: try.Stream, At: t.now, Told: try.Told[waittime.RetryAdmission], ask: f.ask})
+	sim, active := r.sim, r.requests[id]
+	sim.Tries[active.requestIndex].Pause = pause
+	sim.finish(active, Shed)
+	request := sim.Tries[active.requestIndex]
+	if sim.settings.Shadows > 0 && r.index == 0 && sim.now == request.Taken && request.HasTold[waittime.RetryAdmission] {
+		if sim.rejected++; sim.rejected%sim.settings.Shadows == 0 {
+			sim.push(event{at: sim.now + shadowInterval, kind: shadowEvent, token: uint64(len(sim.Shadows))})
+			sim.Shadows = append(sim.Shadows, Shadow{Stream: request.Stream, At: sim.now, Told: request.Told[waittime.RetryAdmission], admissionRequest: active.admissionRequest})
 		}
 	}
-	if s := &t.set.Streams[try.Stream]; try.Number < s.Tries {
-		if try.Ignores {
+	if s := &sim.settings.Streams[request.Stream]; request.Number < s.Tries {
+		if request.Ignores {
 			pause = 0
 		}
-		again := Try{Stream: try.Stream, Number: try.Number + 1, Mark: try.Mark, Key: try.Key, First: try.First, Work: try.Work,
-			Guess: try.Guess, Ignores: try.Ignores}
-		t.push(event{at: t.now + trip + pause, what: arrive, try: again})
+		retry := Try{Stream: request.Stream, Number: request.Number + 1, Mark: request.Mark, Key: request.Key, First: request.First, Work: request.Work,
+			Guess: request.Guess, Ignores: request.Ignores}
+		sim.push(event{at: sim.now + roundTrip + pause, kind: arrivalEvent, request: retry})
 	}
-	r.forget(f)
+	r.removeIfDone(active)
 }
 
 func (r *router) Fail(id uint32) {
-	f := r.flights[id]
-	r.t.final(f, Failed)
-	r.forget(f)
+	active := r.requests[id]
+	r.sim.finish(active, Failed)
+	r.removeIfDone(active)
 }
 
-func (r *router) Priority(id uint32, level int, _ float64) {
-	t, f := r.t, r.flights[id]
-	if f.level = level; f.out {
-		t.Changes = append(t.Changes, t.now)
-		t.engines[f.engine].Renice(t.now, f.run, level)
-		t.show(Reniced, f)
+func (r *router) Priority(id uint32, priority int, _ float64) {
+	sim, active := r.sim, r.requests[id]
+	if active.priority = priority; active.outstanding {
+		sim.Changes = append(sim.Changes, sim.now)
+		sim.servers[active.server].Renice(sim.now, active.queryID, priority)
+		sim.observe(Reniced, active)
 	}
 }
 
 func (r *router) ReportEstimate(id uint32, k waittime.TimeKind, e waittime.Estimate) {
-	try := &r.t.Tries[r.flights[id].try]
-	try.Told[k], try.HasTold[k] = e, true
+	request := &r.sim.Tries[r.requests[id].requestIndex]
+	request.Told[k], request.HasTold[k] = e, true
 }
 
 func (r *router) Wake(after float64, token uint64) {
-	r.t.push(event{at: r.t.now + max(after, 0), what: wake, router: r.me, life: r.life, token: token})
+	r.sim.push(event{at: r.sim.now + max(after, 0), kind: wakeEvent, router: r.index, incarnation: r.incarnation, token: token})
 }
 
-// Cancel gives a send up; the engine goes on with it all the same.
-func (r *router) Cancel(id uint32, send int) {
-	r.t.push(event{at: r.t.now + trip, what: outcome, router: r.me, life: r.life, token: uint64(id), number: send, end: admission.Cancelled})
+// Cancel gives up an attempt. The server continues its query all the same.
+func (r *router) Cancel(id uint32, attemptNumber int) {
+	r.sim.push(event{at: r.sim.now + roundTrip, kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(id), attempt: attemptNumber, end: admission.Cancelled})
 }
 
-func (r *router) Withdraw(uint32, int)   {} // what is sent has left
+func (r *router) Withdraw(uint32, int)   {} // an attempt that was sent can't be withdrawn
 func (r *router) Probe(uint32)           {}
 func (r *router) SendToPeer(int, []byte) {}
 func (r *router) Watch(bool)             {}
--- a/emulator/cluster/town_test.go
+++ b/emulator/cluster/simulation_test.go
@@ -9,25 +9,26 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func small() Settings {
+func smallScenario() Settings {
 	s := Settings{Seed: 7, Length: 20, Routers: 2, Brain: admission.Settings{Tick: 0.005, MaxSends: 4, Priorities: true, MaxPause: 0.5,
 		ColdFrom: 0.35, WarmUp: 15, FallMultiple: 2, FallWindow: 1, Profiles: []admission.Profile{{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1}}}}
 	for range 3 {
 		s.Engines = append(s.Engines, Engine{Settings: engine.Settings{Cores: 4, Knee: 2, Thrash: 0.3, Notes: 2}})
 	}
-	st := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Tries: 2, Ignores: 0.3}
-	st.Rate, st.Peak = Steady(60)
-	s.Streams = []Stream{st}
+	stream := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Tries: 2, Ignores: 0.3}
+	stream.Rate, stream.Peak = Steady(60)
+	s.Streams = []Stream{stream}
 	s.Happens = []Happening{{At: 2, For: 3, Act: Silent, Engines: []int{0}}, {At: 3, For: 4, Act: Gone, Engines: []int{1}},
 		{At: 6, For: 4, Act: Errors, Engines: []int{2}, Value: 0.5}, {At: 8, For: 3, Act: Lose, Engines: []int{0}, Value: 0.5},
 		{At: 9, For: 1, Act: Restart, Routers: []int{1}}, {At: 11, For: 3, Act: Drain, Engines: []int{2}}}
 	return s
 }
 
-// TestSame: equal settings and seed give the same run, whatever befalls it; another seed gives another.
-func TestSame(t *testing.T) {
-	play := func(seed uint64) []Try {
-		s := small()
+// TestReproducible checks that a run with faults is reproducible: equal settings and seed give equal results, another
+// seed gives others.
+func TestReproducible(t *testing.T) {
+	run := func(seed uint64) []Try {
+		s := smallScenario()
 		s.Seed = seed
 		r, err := Run(s)
 		if err != nil {
@@ -35,24 +36,24 @@
 		}
 		return r.Tries
 	}
-	one, two := play(7), play(7)
-	for k := range one { // NaN is not itself
+	one, two := run(7), run(7)
+	for k := range one { // NaN is not equal to itself
 		if one[k].Sent != one[k].Sent {
 			one[k].Sent, two[k].Sent = 0, 0
 		}
 	}
 	if diff := cmp.Diff(one, two); diff != "" {
-		t.Errorf("the same run is another:\n%s", diff)
+		t.Errorf("two runs with the same seed differ:\n%s", diff)
 	}
-	if len(play(8)) == len(one) {
-		t.Error("another seed gives as many commands: chance has no part")
+	if len(run(8)) == len(one) {
+		t.Error("another seed gives the same number of requests: the seed has no effect")
 	}
 }
 
-// TestAccounted: every command comes to an end in time, through silence, death, errors, lost answers, restarts and drains;
-// what a killed router had is lost and nothing else is.
-func TestAccounted(t *testing.T) {
-	r, err := Run(small())
+// TestEveryRequestEnds checks that every request ends in time through stalled and stopped servers, errors, lost answers,
+// restarts and drains. Only requests of a killed router may be lost.
+func TestEveryRequestEnds(t *testing.T) {
+	r, err := Run(smallScenario())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +61,7 @@
 	for _, try := range r.Tries {
 		switch {
 		case try.How == Open && try.Taken < 15:
-			t.Errorf("taken at %.2f and never answered", try.Taken)
+			t.Errorf("received at %.2f and never answered", try.Taken)
 		case try.How == Lost:
 			if lost++; try.Ended != 9 || try.Router != 1 {
 				t.Errorf("lost at %.2f by router %d", try.Ended, try.Router)
@@ -70,34 +71,34 @@
 		}
 	}
 	if lost == 0 {
-		t.Error("the killed router had nothing in hand")
+		t.Error("the killed router had no unfinished requests")
 	}
 }
 
-// TestKeep: who is left out changes nothing about when the others come.
-func TestKeep(t *testing.T) {
-	all, err := Run(small())
+// TestKeepClientLeavesArrivals checks that leaving out clients does not change when the others arrive.
+func TestKeepClientLeavesArrivals(t *testing.T) {
+	all, err := Run(smallScenario())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := small()
+	s := smallScenario()
 	s.Keep = func(client int) bool { return client >= 100 }
 	some, err := Run(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if some.Clients != all.Clients {
-		t.Errorf("%d clients, %d of whom some were left out", all.Clients, some.Clients)
+		t.Errorf("%d clients in all, but %d when some are left out", all.Clients, some.Clients)
 	}
 	if first := some.Tries[0].First; first <= all.Tries[50].First {
-		t.Errorf("the first that was kept came at %.3f", first)
+		t.Errorf("the first kept client arrived at %.3f", first)
 	}
 }
 
-// TestSubset: a router sends to nothing but what it is told of, through silence, death and restarts, and databases that one
-// router does not hold are used by others that do.
+// TestSubset checks that a router sends only to servers of its subset, through stalled and stopped servers and
+// restarts, and that servers outside one router's subset are used by the other routers.
 func TestSubset(t *testing.T) {
-	s := small()
+	s := smallScenario()
 	s.Sharers = 1
 	s.Subset = func(router, database int) bool { return database == 0 || database == 1+router }
 	sent := map[[2]int]bool{}
@@ -112,6 +113,6 @@
 	}
 	want := map[[2]int]bool{{0, 0}: true, {0, 1}: true, {1, 0}: true, {1, 2}: true}
 	if diff := cmp.Diff(want, sent); diff != "" {
-		t.Errorf("routers and the databases that they sent to:\n%s", diff)
+		t.Errorf("routers and the servers that they sent to:\n%s", diff)
 	}
 }
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -1,12 +1,13 @@
-// Package engine is a model of one query engine: cores shared by priority, threads that crowd, memory that runs short,
-// notes of progress. It is told the time and knows no clock, so the same model serves on virtual time and, with a driver
-// that sleeps, on sockets. Equal calls give equal events.
+// Package engine models one database server: cores shared by priority, contention between threads, limited memory and
+// progress reports. The model has no clock: callers pass the time, so that the same model serves in virtual time and,
+// with a driver that sleeps, behind sockets. Equal calls give equal events.
 //
-// Queries share the cores in the ratio 1 : 4 : 8 : 16 of their levels, none more than its threads (generalized processor
-// sharing: Parekh, Gallager 1993). Beyond the knee more threads do less work in all. A query takes memory as it goes, all
-// of it by half its work; where there is none left the lowest levels, and there the latest, go without: they spill what
-// they lack to disk, and the rest of their work takes longer for it. A query can't be cancelled. Times are seconds, work
-// core seconds, memory MB.
+// Queries share the cores with weights of 1, 4, 8 and 16 for the four priority levels, and no query gets more cores
+// than it has threads (generalized processor sharing: Parekh, Gallager 1993). More threads than the knee allows reduce
+// the total throughput. A query's memory grows in proportion to its progress up to half of its work, when it holds all
+// of it. When memory runs out, queries of the lowest level, and among these the latest, lose theirs: they spill the
+// missing part to disk, and the rest of their work takes longer. A query can't be cancelled. Times are in seconds, work
+// in core seconds and memory in MB.
 package engine
 
 import (
@@ -15,38 +16,38 @@
 	"slices"
 )
 
-// Settings of one engine.
+// Settings configures one server.
 type Settings struct {
 	Cores    float64
-	Speed    float64 // core seconds that a core does in a second, 0: 1
-	Sessions int     // queries at once, 0: any
-	Knee     float64 // threads a core beyond which they crowd, 0: never
-	Thrash   float64 // what is lost of the whole for as many threads again
-	Memory   float64 // 0: any
-	Spill    float64 // work that a query with no memory does besides its own, in its own
-	Notes    float64 // seconds between notes of progress, 0: none
+	Speed    float64 // core seconds per second that one core does, 0: 1
+	Sessions int     // most queries at once, 0: unlimited
+	Knee     float64 // threads per core above which they contend, 0: no contention
+	Thrash   float64 // throughput lost to contention: with 1+x times as many threads as at the knee it is divided by 1+Thrash*x
+	Memory   float64 // 0: unlimited
+	Spill    float64 // extra work of a query that gets no memory at all, as a multiple of its own work
+	Notes    float64 // seconds between progress reports, 0: none
 }
 
-// Query is what an engine is sent.
+// Query is a query to run.
 type Query struct {
 	ID      uint64
-	Work    float64 // of all threads
+	Work    float64 // total over all threads
 	Threads float64
 	Memory  float64
-	Level   int // 0 to 3
+	Level   int // priority, 0 to 3
 }
 
-// What an event tells.
+// What is the kind of an event.
 type What uint8
 
-// What happens to a query.
+// The kinds of events.
 const (
 	Done     What = iota
-	Progress      // Value: share done
-	Spills        // Value: MB missing
+	Progress      // Value: share of the work that is done
+	Spills        // Value: missing memory in MB
 )
 
-// Event of one query.
+// Event reports what happened to a query.
 type Event struct {
 	At    float64
 	ID    uint64
@@ -56,235 +57,236 @@
 
 type running struct {
 	Query
-	left   float64
-	rate   float64
-	holds  float64 // MB
-	spills float64 // MB that it wanted and did not get
-	told   bool    // that it spills
-	noteAt float64
+	remaining      float64
+	rate           float64
+	memoryHeld     float64 // MB
+	memorySpilled  float64 // MB that it needed and did not get
+	spillReported  bool    // a Spilled event was sent
+	nextProgressAt float64
 }
 
-// Engine is one engine's state.
+// Engine is the state of one server.
 type Engine struct {
-	set    Settings
-	now    float64
-	runs   []running // in the order that they came
-	events []Event
-	stale  bool // rates have to be worked out anew
-	order  []int
-	Did    float64 // core seconds done, spilling left out
-	Wasted float64 // by spilling
-	pace   float64
-	Paused bool // it does nothing and says nothing
+	settings    Settings
+	now         float64
+	queries     []running // in order of arrival
+	events      []Event
+	ratesStale  bool // updateRates has to compute the rates again
+	order       []int
+	Did         float64 // core seconds done, without the overhead of spilling
+	Wasted      float64 // core seconds lost to spilling
+	speedFactor float64
+	Paused      bool // no progress and no events
 
-	next       float64 // what Next worked out last
-	nextHolds  bool    // nothing has changed since
-	nextPaused bool    // what Paused was then
+	cachedNext       float64 // latest result of nextEventTime
+	cachedNextValid  bool    // nothing has changed since
+	cachedNextPaused bool    // value of Paused at that time
 }
 
-// New is an idle engine.
-func New(set Settings, now float64) *Engine {
-	set.Speed = cmp.Or(set.Speed, 1)
-	return &Engine{set: set, now: now, pace: 1}
+// New returns an idle server.
+func New(settings Settings, now float64) *Engine {
+	settings.Speed = cmp.Or(settings.Speed, 1)
+	return &Engine{settings: settings, now: now, speedFactor: 1}
 }
 
-// Running is how many queries it has.
-func (e *Engine) Running() int { return len(e.runs) }
+// Running returns the number of queries.
+func (e *Engine) Running() int { return len(e.queries) }
 
-// Submit gives it a query, unless it is full.
+// Submit starts a query and reports false if the server is full.
 func (e *Engine) Submit(now float64, q Query) bool {
 	e.Advance(now)
-	if e.set.Sessions > 0 && len(e.runs) >= e.set.Sessions {
+	if e.settings.Sessions > 0 && len(e.queries) >= e.settings.Sessions {
 		return false
 	}
 	q.Threads = max(q.Threads, 1)
-	e.runs = append(e.runs, running{Query: q, left: max(q.Work, 1e-6), noteAt: now + cmp.Or(e.set.Notes, math.Inf(1))})
-	e.stale = true
+	e.queries = append(e.queries, running{Query: q, remaining: max(q.Work, 1e-6), nextProgressAt: now + cmp.Or(e.settings.Notes, math.Inf(1))})
+	e.ratesStale = true
 	return true
 }
 
-// Pace changes the speed, as a factor on what was set.
+// Pace sets the speed, as a factor on the configured one.
 func (e *Engine) Pace(now, factor float64) {
 	e.Advance(now)
-	e.pace, e.stale = factor, true
+	e.speedFactor, e.ratesStale = factor, true
 }
 
-// Renice gives a query another level. One that is not there is no fault.
+// Renice changes the priority level of a query. It ignores a query that is not running.
 func (e *Engine) Renice(now float64, id uint64, level int) {
 	e.Advance(now)
-	for k := range e.runs {
-		if r := &e.runs[k]; r.ID == id {
-			r.Level, e.stale = min(max(level, 0), 3), true
+	for k := range e.queries {
+		if r := &e.queries[k]; r.ID == id {
+			r.Level, e.ratesStale = min(max(level, 0), 3), true
 		}
 	}
 }
 
-// Next is when it has something to tell, if nothing else comes; +Inf: never.
+// Next returns the time of the next event if no other call changes anything; +Inf: never.
 func (e *Engine) Next() float64 {
-	e.share()
+	e.updateRates()
 	if len(e.events) > 0 {
 		return e.now
 	}
-	if e.nextHolds && e.nextPaused == e.Paused {
-		return e.next
+	if e.cachedNextValid && e.cachedNextPaused == e.Paused {
+		return e.cachedNext
 	}
-	e.next, e.nextHolds, e.nextPaused = e.soonest(), true, e.Paused
-	return e.next
+	e.cachedNext, e.cachedNextValid, e.cachedNextPaused = e.nextEventTime(), true, e.Paused
+	return e.cachedNext
 }
 
-// soonest works out what Next tells where no event waits.
-func (e *Engine) soonest() float64 {
+// nextEventTime computes the result of Next when no event is waiting to be read.
+func (e *Engine) nextEventTime() float64 {
 	next := math.Inf(1)
 	if e.Paused {
 		return next
 	}
-	for k := range e.runs {
-		r := &e.runs[k]
+	for k := range e.queries {
+		r := &e.queries[k]
 		if r.rate > 0 {
-			next = min(next, e.now+r.left/r.rate)
+			next = min(next, e.now+r.remaining/r.rate)
 		}
-		next = min(next, r.noteAt)
+		next = min(next, r.nextProgressAt)
 	}
 	return next
 }
 
-// Advance runs it up to a time.
+// Advance runs the model up to a time.
 func (e *Engine) Advance(now float64) {
 	for e.now < now {
-		e.share()
+		e.updateRates()
 		step := now
 		if !e.Paused {
-			for k := range e.runs {
-				r := &e.runs[k]
+			for k := range e.queries {
+				r := &e.queries[k]
 				if r.rate > 0 {
-					step = min(step, e.now+r.left/r.rate)
+					step = min(step, e.now+r.remaining/r.rate)
 				}
-				step = min(step, max(r.noteAt, e.now))
+				step = min(step, max(r.nextProgressAt, e.now))
 			}
 		}
-		e.run(step)
+		e.runUntil(step)
 	}
 }
 
-// Events are what has happened since the last call, in order. The list is good until then.
+// Events returns the events since the last call, in order. The slice is valid until the next call.
 func (e *Engine) Events() []Event {
 	all := e.events
 	e.events = e.events[len(e.events):]
 	return all
 }
 
-func (e *Engine) run(to float64) {
-	d := to - e.now
-	e.now, e.nextHolds = to, false
+func (e *Engine) runUntil(to float64) {
+	elapsed := to - e.now
+	e.now, e.cachedNextValid = to, false
 	if e.Paused {
-		for k := range e.runs {
-			e.runs[k].noteAt += d // or it would lie behind
+		for k := range e.queries {
+			// A pause delays the reports; their times would otherwise fall behind the current time.
+			e.queries[k].nextProgressAt += elapsed
 		}
 		return
 	}
-	e.stale = e.stale || e.set.Memory > 0
-	const none = 1e-9 // core seconds: rounding
-	kept := e.runs[:0]
-	for k := range e.runs {
-		r := e.runs[k]
-		did := r.rate * d
-		r.left -= did
-		e.Did += did
-		if r.spills > 0 {
-			e.Wasted += did * e.set.Spill * r.spills / r.Memory
-			if !r.told {
-				r.told = true
-				e.events = append(e.events, Event{to, r.ID, Spills, r.spills})
+	e.ratesStale = e.ratesStale || e.settings.Memory > 0
+	const roundingError = 1e-9 // in core seconds; a query with less work left is done
+	kept := e.queries[:0]
+	for k := range e.queries {
+		r := e.queries[k]
+		done := r.rate * elapsed
+		r.remaining -= done
+		e.Did += done
+		if r.memorySpilled > 0 {
+			e.Wasted += done * e.settings.Spill * r.memorySpilled / r.Memory
+			if !r.spillReported {
+				r.spillReported = true
+				e.events = append(e.events, Event{to, r.ID, Spills, r.memorySpilled})
 			}
 		}
-		if r.left <= none {
+		if r.remaining <= roundingError {
 			e.events = append(e.events, Event{to, r.ID, Done, r.Work})
-			e.stale = true
+			e.ratesStale = true
 			continue
 		}
-		if to >= r.noteAt {
-			r.noteAt += e.set.Notes
-			e.events = append(e.events, Event{to, r.ID, Progress, 1 - r.left/r.Work})
+		if to >= r.nextProgressAt {
+			r.nextProgressAt += e.settings.Notes
+			e.events = append(e.events, Event{to, r.ID, Progress, 1 - r.remaining/r.Work})
 		}
 		kept = append(kept, r)
 	}
-	e.runs = kept
+	e.queries = kept
 }
 
 var weights = [...]float64{1, 4, 8, 16}
 
-// share gives each query its rate.
-func (e *Engine) share() {
-	if !e.stale {
+// updateRates computes the rate of each query.
+func (e *Engine) updateRates() {
+	if !e.ratesStale {
 		return
 	}
-	e.stale, e.nextHolds = false, false
+	e.ratesStale, e.cachedNextValid = false, false
 	threads := 0.0
-	for k := range e.runs {
-		threads += e.runs[k].Threads
+	for k := range e.queries {
+		threads += e.queries[k].Threads
 	}
-	e.grow()
-	whole := e.set.Cores
-	if over := threads/(max(e.set.Knee, 1e-9)*e.set.Cores) - 1; e.set.Knee > 0 && over > 0 {
-		whole /= 1 + e.set.Thrash*over
+	e.allocateMemory()
+	coresLeft := e.settings.Cores
+	if crowding := threads/(max(e.settings.Knee, 1e-9)*e.settings.Cores) - 1; e.settings.Knee > 0 && crowding > 0 {
+		coresLeft /= 1 + e.settings.Thrash*crowding
 	}
-	// Filled like water: those whose threads are fewer than their share leave the rest to the others.
+	// Water-filling: queries with fewer threads than their share of the cores leave the rest to the others.
 	e.order = e.order[:0]
-	sum := 0.0
-	for k := range e.runs {
+	weightSum := 0.0
+	for k := range e.queries {
 		e.order = append(e.order, k)
-		sum += weights[e.runs[k].Level] * e.runs[k].Threads
+		weightSum += weights[e.queries[k].Level] * e.queries[k].Threads
 	}
-	slices.SortStableFunc(e.order, func(a, b int) int { return weightsOf(&e.runs[b]) - weightsOf(&e.runs[a]) })
+	slices.SortStableFunc(e.order, func(a, b int) int { return levelWeight(&e.queries[b]) - levelWeight(&e.queries[a]) })
 	for _, k := range e.order {
-		r := &e.runs[k]
+		r := &e.queries[k]
 		w := weights[r.Level] * r.Threads
-		cores := min(r.Threads, whole*w/sum)
-		whole, sum = whole-cores, sum-w
-		r.rate = cores * e.set.Speed * e.pace
-		if r.spills > 0 {
-			r.rate /= 1 + e.set.Spill*r.spills/r.Memory
+		cores := min(r.Threads, coresLeft*w/weightSum)
+		coresLeft, weightSum = coresLeft-cores, weightSum-w
+		r.rate = cores * e.settings.Speed * e.speedFactor
+		if r.memorySpilled > 0 {
+			r.rate /= 1 + e.settings.Spill*r.memorySpilled/r.Memory
 		}
 	}
 }
 
-func weightsOf(r *running) int { return int(weights[r.Level]) }
+func levelWeight(r *running) int { return int(weights[r.Level]) }
 
-// grow gives queries the memory that they want by now, the highest level first, and there the earliest. Where there is none
-// left, lower levels lose what they hold to higher ones.
-func (e *Engine) grow() {
-	if e.set.Memory <= 0 {
+// allocateMemory gives queries the memory that they need for their progress, in order of priority level, the highest
+// first, and then of arrival. When none is left, queries of lower levels lose memory to those of higher levels.
+func (e *Engine) allocateMemory() {
+	if e.settings.Memory <= 0 {
 		return
 	}
-	free := e.set.Memory
-	for k := range e.runs {
-		free -= e.runs[k].holds
+	free := e.settings.Memory
+	for k := range e.queries {
+		free -= e.queries[k].memoryHeld
 	}
 	for level := len(weights) - 1; level >= 0; level-- {
-		for k := range e.runs {
-			r := &e.runs[k]
+		for k := range e.queries {
+			r := &e.queries[k]
 			if r.Level != level {
 				continue
 			}
-			const whole = 0.5 // of the work, by when it has all its memory
-			wants := max(r.Memory*min(1, (1-r.left/r.Work)/whole)-r.holds-r.spills, 0)
-			gets := max(min(wants, free), 0)
-			free -= gets
-			gets += e.steal(level, wants-gets)
-			r.holds, r.spills = r.holds+gets, r.spills+wants-gets
+			const fullMemoryShare = 0.5 // share of a query's work after which it needs all of its memory
+			missing := max(r.Memory*min(1, (1-r.remaining/r.Work)/fullMemoryShare)-r.memoryHeld-r.memorySpilled, 0)
+			granted := max(min(missing, free), 0)
+			free -= granted
+			granted += e.reclaimMemory(level, missing-granted)
+			r.memoryHeld, r.memorySpilled = r.memoryHeld+granted, r.memorySpilled+missing-granted
 		}
 	}
 }
 
-// steal takes memory from lower levels, the latest first.
-func (e *Engine) steal(level int, wants float64) (gets float64) {
-	for below := 0; below < level && gets < wants; below++ {
-		for k := len(e.runs) - 1; k >= 0 && gets < wants; k-- {
-			if r := &e.runs[k]; r.Level == below {
-				some := min(r.holds, wants-gets)
-				r.holds, r.spills, gets = r.holds-some, r.spills+some, gets+some
+// reclaimMemory takes memory from queries of lower levels, the lowest level and there the latest query first.
+func (e *Engine) reclaimMemory(level int, missing float64) (reclaimed float64) {
+	for below := 0; below < level && reclaimed < missing; below++ {
+		for k := len(e.queries) - 1; k >= 0 && reclaimed < missing; k-- {
+			if r := &e.queries[k]; r.Level == below {
+				taken := min(r.memoryHeld, missing-reclaimed)
+				r.memoryHeld, r.memorySpilled, reclaimed = r.memoryHeld-taken, r.memorySpilled+taken, reclaimed+taken
 			}
 		}
 	}
-	return gets
+	return reclaimed
 }
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -9,65 +9,67 @@
 	"pgregory.net/rapid"
 )
 
-// Properties are tried on the same cases every time; `make explore` tries others.
+// Properties are checked with the same cases every time; `make explore` checks others.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
 
-// ends plays queries given at the start and tells when each ends.
-func ends(e *Engine, qs ...Query) map[uint64]float64 {
+// endTimes runs queries that all start at time 0 and returns the end time of each.
+func endTimes(e *Engine, qs ...Query) map[uint64]float64 {
 	for _, q := range qs {
 		e.Submit(0, q)
 	}
-	out := map[uint64]float64{}
+	ended := map[uint64]float64{}
 	for e.Running() > 0 {
 		e.Advance(e.Next())
 		for _, ev := range e.Events() {
 			if ev.What == Done {
-				out[ev.ID] = ev.At
+				ended[ev.ID] = ev.At
 			}
 		}
 	}
-	return out
+	return ended
 }
 
-// TestShares: one core, two queries of levels 0 and 1 share it 1 : 4; the one left has it whole.
-func TestShares(t *testing.T) {
-	got := ends(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
-	if !near(got[2], 1.25) || !near(got[1], 2) {
-		t.Errorf("ended at %v, wanted 1.25 and 2", got)
+// TestPriorityWeights checks that two queries of levels 0 and 1 share one core 1 : 4, and that the remaining one then
+// has the whole core.
+func TestPriorityWeights(t *testing.T) {
+	got := endTimes(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
+	if !almostEqual(got[2], 1.25) || !almostEqual(got[1], 2) {
+		t.Errorf("ended at %v, want 1.25 and 2", got)
 	}
 }
 
-// TestThreads: a query has no more cores than threads.
-func TestThreads(t *testing.T) {
-	got := ends(New(Settings{Cores: 8}, 0), Query{ID: 1, Work: 4, Threads: 2}, Query{ID: 2, Work: 1, Threads: 1})
-	if !near(got[1], 2) || !near(got[2], 1) {
-		t.Errorf("ended at %v, wanted 2 and 1", got)
+// TestCoresLimitedByThreads checks that a query gets no more cores than it has threads.
+func TestCoresLimitedByThreads(t *testing.T) {
+	got := endTimes(New(Settings{Cores: 8}, 0), Query{ID: 1, Work: 4, Threads: 2}, Query{ID: 2, Work: 1, Threads: 1})
+	if !almostEqual(got[1], 2) || !almostEqual(got[2], 1) {
+		t.Errorf("ended at %v, want 2 and 1", got)
 	}
 }
 
-// TestSpill: memory goes to the higher level; the other spills what it lacks and takes longer, also when memory is free
-// again.
+// TestSpill checks that memory goes to the query of the higher level. The other one spills what is missing and takes
+// longer, even after memory is free again.
 func TestSpill(t *testing.T) {
 	set := Settings{Cores: 2, Memory: 100, Spill: 2, Notes: 0.01}
 	first, second := Query{ID: 1, Work: 1, Level: 1, Memory: 100}, Query{ID: 2, Work: 1, Level: 0, Memory: 100}
 	e := New(set, 0)
-	got := ends(e, first, second)
-	if !near(got[1], 1) || got[2] < 1.2 || e.Wasted < 0.2 {
+	got := endTimes(e, first, second)
+	if !almostEqual(got[1], 1) || got[2] < 1.2 || e.Wasted < 0.2 {
 		t.Errorf("ended at %v with %v wasted", got, e.Wasted)
 	}
 	second.Level = 1
 	set.Memory = 200
-	if e = New(set, 0); !near(ends(e, first, second)[2], 1) || e.Wasted != 0 {
+	if e = New(set, 0); !almostEqual(endTimes(e, first, second)[2], 1) || e.Wasted != 0 {
 		t.Errorf("%v wasted with memory for both", e.Wasted)
 	}
 }
 
-// TestWorkConserved: with no knee and enough threads the cores are never idle while there is work, and all of it is done.
+// TestWorkConserved checks that with no knee and enough threads no core is idle while there is work, and that all work
+// is done.
 func TestWorkConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := New(Settings{Cores: 4, Notes: 2}, 0)
@@ -80,16 +82,17 @@
 			qs = append(qs, q)
 		}
 		last := 0.0
-		for _, at := range ends(e, qs...) {
+		for _, at := range endTimes(e, qs...) {
 			last = max(last, at)
 		}
-		if !near(last, sum/4) || !near(e.Did, sum) {
-			t.Fatalf("%v of work were done by %v, wanted %v by %v", e.Did, last, sum, sum/4)
+		if !almostEqual(last, sum/4) || !almostEqual(e.Did, sum) {
+			t.Fatalf("%v of work done by %v, want %v by %v", e.Did, last, sum, sum/4)
 		}
 	})
 }
 
-// TestNextIsWorkedOutAnew: what Next remembers is what it would work out now, whatever was done in between.
+// TestNextIsWorkedOutAnew checks that the cached result of Next always equals a newly computed one, whatever calls came
+// between.
 func TestNextIsWorkedOutAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := New(Settings{Cores: 2, Memory: 100, Spill: 1, Notes: 0.3}, 0)
@@ -112,8 +115,8 @@
 				e.Events()
 			}
 			remembered := e.Next()
-			if e.nextHolds = false; e.Next() != remembered {
-				t.Fatalf("Next was %v, and is %v worked out anew", remembered, e.Next())
+			if e.cachedNextValid = false; e.Next() != remembered {
+				t.Fatalf("Next returned %v, but %v when computed again", remembered, e.Next())
 			}
 		}
 	})
--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -9,8 +9,9 @@
 	"dunereach/emulator/scenario"
 )
 
-// TestDrawn: whatever fails together, nobody acts beside another owner, no allowance is passed, and it comes right again.
-func TestDrawn(t *testing.T) {
+// TestRandomScenarios checks with random faults, several at a time, that no two owners act on a task, no allowance is
+// exceeded and the fleet recovers.
+func TestRandomScenarios(t *testing.T) {
 	seeds := uint64(120)
 	if testing.Short() {
 		seeds = 40
@@ -25,13 +26,13 @@
 		all.Worst = max(all.Worst, f.Worst)
 	}
 	if all.Dealt < 1000 || all.Refused+all.Late+all.ToldOld == 0 || all.Lost == 0 || all.Worst < 0.99 {
-		t.Errorf("the runs show too little: %+v", all)
+		t.Errorf("the runs cover too little: %+v", all)
 	}
 	t.Logf("%+v", all)
 }
 
-// TestSame: one seed gives one run.
-func TestSame(t *testing.T) {
+// TestReproducible checks that a seed gives the same run every time.
+func TestReproducible(t *testing.T) {
 	run := func() (lines []string) {
 		if _, err := Play(Drawn(7), func(s string) { lines = append(lines, s) }); err != nil {
 			t.Fatal(err)
@@ -49,7 +50,7 @@
 	}
 }
 
-func TestQuiet(t *testing.T) {
+func TestWithoutFaults(t *testing.T) {
 	f, err := Play(scenario.File{Keepers: 3, Routers: 4, Zones: 2, Engines: 2, Lease: 2, Drift: 0.05, Settle: 10, Seed: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +58,8 @@
 	t.Logf("%+v", f)
 }
 
-// TestKept plays the scenarios that processes play too, each with many seeds.
-func TestKept(t *testing.T) {
+// TestScenarios plays the scenarios that are also played over real processes, each with several seeds.
+func TestScenarios(t *testing.T) {
 	all, err := scenario.All()
 	if err != nil {
 		t.Fatal(err)
@@ -76,11 +77,11 @@
 	}
 }
 
-// TestFlapping: 300 routers, of which a third goes and comes all the time. Nobody acts beside another, allowances hold, and works
-// go to those that stay rather than to those that flap.
-func TestFlapping(t *testing.T) {
+// TestFlappingRouters runs 300 routers of which a third stops and starts all the time. No two owners may act on a task,
+// allowances hold, and most tasks have to go to stable routers rather than to flapping ones.
+func TestFlappingRouters(t *testing.T) {
 	if testing.Short() {
-		t.Skip("ten seconds")
+		t.Skip("takes ten seconds")
 	}
 	f := scenario.File{Name: "flapping", Keepers: 3, Routers: 300, Zones: 3, Engines: 3, Lease: 3, Drift: 0.05, Seed: 5, Settle: 20}
 	w, err := New(f)
@@ -91,12 +92,12 @@
 	flapping := func(name string) bool {
 		return strings.HasSuffix(name, "0") || strings.HasSuffix(name, "3") || strings.HasSuffix(name, "7")
 	}
-	for _, r := range w.members {
+	for _, r := range w.routers {
 		if !flapping(r.name) {
 			continue
 		}
-		w.after(5+2*w.rnd.Float64(), func() {
-			w.every(2+2*w.rnd.Float64(), func() {
+		w.after(5+2*w.random.Float64(), func() {
+			w.every(2+2*w.random.Float64(), func() {
 				if r.up {
 					w.Do("kill", r.name)
 				} else {
@@ -105,7 +106,7 @@
 			})
 		})
 	}
-	stays, looks := 0, 0
+	stable, samples := 0, 0
 	for w.now < 40 {
 		if err := w.Run(w.now + 0.5); err != nil {
 			t.Fatal(err)
@@ -113,21 +114,21 @@
 		if w.now < 25 {
 			continue
 		}
-		for _, work := range w.works() {
-			for _, r := range w.members {
-				if r.up && w.owns(r, work) {
-					if looks++; !flapping(r.name) {
-						stays++
+		for _, task := range w.tasks() {
+			for _, r := range w.routers {
+				if r.up && w.owns(r, task) {
+					if samples++; !flapping(r.name) {
+						stable++
 					}
 				}
 			}
 		}
 	}
-	if err := w.audit.linear(); err != nil {
+	if err := w.audit.checkLinearizable(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%+v; %d of %d times the owner is one that stays", w.Figures(), stays, looks)
-	if looks < 60 || float64(stays) < 0.8*float64(looks) {
-		t.Errorf("%d of %d times the owner is one that stays", stays, looks)
+	t.Logf("%+v; the owner was a stable router in %d of %d samples", w.Figures(), stable, samples)
+	if samples < 60 || float64(stable) < 0.8*float64(samples) {
+		t.Errorf("the owner was a stable router in %d of %d samples", stable, samples)
 	}
 }
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -1,6 +1,6 @@
-// Package modelcheck walks through every order of events of a small fleet: two owners, one keeper's record, one receiver, with
-// messages that are late, lost and repeated, and processes that stand still for as long as they like. The rules are those of
-// packages ownership and record themselves.
+// Package modelcheck explores every order of events in a small fleet: two owners, one coordinator's registry and one
+// receiver, with messages that are delayed, lost and duplicated, and processes that stop for any time. The rules are
+// those of the packages lease and registry themselves.
 package modelcheck
 
 import (
@@ -12,111 +12,112 @@
 	"dunereach/fleet/registry"
 )
 
-// Bounds of a walk. A message that is lost is one that never arrives within them.
+// Bounds limits an exploration. A lost message is one that does not arrive within them.
 type Bounds struct {
-	Time     int // ticks
+	Time     int // in ticks
 	Lease    int
-	Beats    [2]int // of each owner
+	Beats    [2]int // heartbeats of each owner
 	Acts     int
-	Lets     int // of each owner: it lets go of the work on purpose
-	Loses    int // of each owner: it is told that its session is over, wrongly or late
+	Lets     int // voluntary releases of the task by each owner
+	Loses    int // how often each owner is told, wrongly or late, that its session is over
 	Restarts int // of the receiver
-	Repeats  int // messages that come twice
-	Most     int // states
+	Repeats  int // messages that are delivered twice
+	Most     int // most states to explore
 }
 
-// Short is a walk of some seconds; Long one of minutes.
+// Short explores for some seconds, Long for minutes.
 var (
 	Short = Bounds{Time: 4, Lease: 2, Beats: [2]int{1, 1}, Acts: 1, Restarts: 1, Repeats: 0, Most: 400_000}
-	// Letting is a walk about releases: two beats of an owner are out at a time, and their answers pass each other.
+	// Letting covers releases: two heartbeats of an owner are outstanding at a time, and their answers overtake each
+	// other.
 	Letting = Bounds{Time: 2, Lease: 6, Beats: [2]int{3, 1}, Lets: 1, Most: 2_000_000}
-	// Losing is a walk about sessions that are lost and opened again while a release is on its way.
+	// Losing covers sessions that are lost and opened again while a release is on its way.
 	Losing = Bounds{Time: 1, Lease: 6, Beats: [2]int{2, 1}, Lets: 1, Loses: 1, Most: 2_000_000}
 	Long   = Bounds{Time: 6, Lease: 2, Beats: [2]int{2, 2}, Acts: 1, Restarts: 1, Repeats: 1, Most: 20_000_000}
 )
 
-const work = "w/1"
+const task = "w/1"
 
-var names = [2]string{"a", "b"}
+var ownerNames = [2]string{"a", "b"}
 
-// mine is an owner's reading of its clock: nothing but lengths on it counts.
-func mine(t int) float64 { return float64(t) + 100 }
+// ownerClock returns an owner's reading of its clock. Its offset shows that the rules depend only on durations.
+func ownerClock(t int) float64 { return float64(t) + 100 }
 
 type message struct {
-	kind    byte // 'b'eat, 'v'iew, 'a'ct, 'r'elease
-	who     int
-	sent    int
-	session uint64
-	fence   uint64
-	number  int  // of a view
-	again   bool // it has come once already
+	kind     byte // 'b': heartbeat, 'v': confirmation, 'a': action, 'r': release
+	owner    int
+	sentAt   int
+	session  uint64
+	fence    uint64
+	sequence int  // of a confirmation
+	repeated bool // it was delivered once already
 }
 
 func (m message) String() string {
-	return fmt.Sprintf("%c%d.%d.%d.%d.%d.%v", m.kind, m.who, m.sent, m.session, m.fence, m.number, m.again)
+	return fmt.Sprintf("%c%d.%d.%d.%d.%d.%v", m.kind, m.owner, m.sentAt, m.session, m.fence, m.sequence, m.repeated)
 }
 
 type owner struct {
-	o       *lease.Owner
-	beats   int
-	acts    int
-	lets    int
-	loses   int
-	session uint64
+	holder        *lease.Owner
+	heartbeats    int
+	actions       int
+	releases      int
+	sessionLosses int
+	session       uint64
 }
 
-// state of everything. Values are copied on each step; what is shared is never changed.
+// state is the state of the whole fleet. Each step copies it; parts shared between copies are never modified.
 type state struct {
-	t        int
-	rec      []byte // the record's snapshot
-	index    uint64
-	heard    [2]int // by the keeper, of each owner's session
-	owners   [2]owner
-	gate     *lease.FenceChecker
-	flight   []message
-	restarts int
-	repeats  int
-	shown    int            // views so far
-	accepted uint64         // highest fence that the receiver took
-	of       map[uint64]int // who was given each fence
-	trail    *step
-	decoded  map[string]*registry.Registry
+	now              int
+	registrySnapshot []byte // the registry as a snapshot
+	index            uint64
+	lastHeartbeat    [2]int // time at which the coordinator last received a heartbeat of each owner's session
+	owners           [2]owner
+	receiver         *lease.FenceChecker
+	inFlight         []message
+	restarts         int
+	repeats          int
+	confirmations    int            // number of confirmations sent so far
+	accepted         uint64         // highest fence that the receiver accepted
+	fenceOwner       map[uint64]int // owner to which each fence was assigned
+	trail            *step
+	decoded          map[string]*registry.Registry
 }
 
 type step struct {
-	what string
-	last *step
+	action   string
+	previous *step
 }
 
 func (s *state) key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, s.t, s.shown, s.heard, s.restarts, s.repeats, s.accepted, "|")
-	b.Write(s.rec)
+	var text strings.Builder
+	fmt.Fprint(&text, s.now, s.confirmations, s.lastHeartbeat, s.restarts, s.repeats, s.accepted, "|")
+	text.Write(s.registrySnapshot)
 	for _, o := range s.owners {
-		fmt.Fprint(&b, "|", o.beats, o.acts, o.lets, o.loses, o.session, o.o.State())
+		fmt.Fprint(&text, "|", o.heartbeats, o.actions, o.releases, o.sessionLosses, o.session, o.holder.State())
 	}
-	marks, floor := s.gate.Export()
-	fmt.Fprint(&b, "|", marks, floor, "|")
-	all := make([]string, len(s.flight))
-	for k, m := range s.flight {
+	marks, floor := s.receiver.Export()
+	fmt.Fprint(&text, "|", marks, floor, "|")
+	all := make([]string, len(s.inFlight))
+	for k, m := range s.inFlight {
 		all[k] = m.String()
 	}
 	sort.Strings(all)
-	b.WriteString(strings.Join(all, ","))
-	return b.String()
+	text.WriteString(strings.Join(all, ","))
+	return text.String()
 }
 
 func (s *state) copy(what string) *state {
 	c := *s
 	for k := range c.owners {
-		c.owners[k].o = s.owners[k].o.Clone()
+		c.owners[k].holder = s.owners[k].holder.Clone()
 	}
-	c.flight = append([]message(nil), s.flight...)
+	c.inFlight = append([]message(nil), s.inFlight...)
 	c.trail = &step{what, s.trail}
 	return &c
 }
 
-// Found is a broken rule, with the steps that led there.
+// Found is a violation of a rule, with the steps that led to it.
 type Found struct {
 	What  string
 	Trail []string
@@ -124,40 +125,40 @@
 
 func (f *Found) Error() string { return f.What + ":\n  " + strings.Join(f.Trail, "\n  ") }
 
-func (s *state) found(format string, args ...any) error {
-	f := &Found{What: fmt.Sprintf(format, args...)}
-	for x := s.trail; x != nil; x = x.last {
-		f.Trail = append([]string{x.what}, f.Trail...)
+func (s *state) violation(format string, args ...any) error {
+	found := &Found{What: fmt.Sprintf(format, args...)}
+	for x := s.trail; x != nil; x = x.previous {
+		found.Trail = append([]string{x.action}, found.Trail...)
 	}
-	return f
+	return found
 }
 
-// Walk through all states within the bounds. whole is false where there were more than Most.
-func Walk(b Bounds) (states int, whole bool, err error) {
-	terms := lease.Terms{Lease: float64(b.Lease), Drift: 0}
-	first := &state{decoded: map[string]*registry.Registry{}, gate: lease.NewFenceChecker(), of: map[uint64]int{}}
-	rec := registry.New()
-	for k := range names {
+// Walk explores all states within the bounds. complete is false if there were more than MaxStates.
+func Walk(bounds Bounds) (states int, complete bool, err error) {
+	terms := lease.Terms{Lease: float64(bounds.Lease), Drift: 0}
+	first := &state{decoded: map[string]*registry.Registry{}, receiver: lease.NewFenceChecker(), fenceOwner: map[uint64]int{}}
+	initial := registry.New()
+	for k := range ownerNames {
 		first.index++
-		if _, err := rec.Apply(first.index, registry.Entry{Version: registry.Version, Kind: registry.Open, Name: names[k], Incarnation: 1}); err != nil {
+		if _, err := initial.Apply(first.index, registry.Entry{Version: registry.Version, Kind: registry.Open, Name: ownerNames[k], Incarnation: 1}); err != nil {
 			return 0, false, err
 		}
-		first.owners[k] = owner{o: lease.NewOwner(terms), session: first.index}
+		first.owners[k] = owner{holder: lease.NewOwner(terms), session: first.index}
 	}
-	if first.rec, err = rec.Snapshot(); err != nil {
+	if first.registrySnapshot, err = initial.Snapshot(); err != nil {
 		return 0, false, err
 	}
 	seen := map[string]bool{first.key(): true}
-	queue := []*state{first}
-	for len(queue) > 0 {
-		s := queue[len(queue)-1]
-		queue = queue[:len(queue)-1]
+	unexplored := []*state{first}
+	for len(unexplored) > 0 {
+		s := unexplored[len(unexplored)-1]
+		unexplored = unexplored[:len(unexplored)-1]
 		states++
-		next, err := s.steps(b)
+		following, err := s.successors(bounds)
 		if err != nil {
 			return states, false, err
 		}
-		for _, n := range next {
+		for _, n := range following {
 			if err := n.check(); err != nil {
 				return states, false, err
 			}
@@ -165,200 +166,202 @@
 			if seen[k] {
 				continue
 			}
-			if len(seen) >= b.Most {
+			if len(seen) >= bounds.Most {
 				return states, false, nil
 			}
 			seen[k] = true
-			queue = append(queue, n)
+			unexplored = append(unexplored, n)
 		}
 	}
 	return states, true, nil
 }
 
-// check that at no moment both may act.
+// check returns an error if both owners are permitted to act at the same time.
 func (s *state) check() error {
-	f0, a := s.owners[0].o.Permit(mine(s.t), work, 0)
-	f1, b := s.owners[1].o.Permit(mine(s.t), work, 0)
-	if a && b {
-		return s.found("both may act, under fences %d and %d", f0, f1)
+	firstFence, firstPermitted := s.owners[0].holder.Permit(ownerClock(s.now), task, 0)
+	secondFence, secondPermitted := s.owners[1].holder.Permit(ownerClock(s.now), task, 0)
+	if firstPermitted && secondPermitted {
+		return s.violation("both owners may act, under fences %d and %d", firstFence, secondFence)
 	}
 	return nil
 }
 
 func (s *state) apply(e registry.Entry) (uint64, error) {
-	r, err := registry.Restore(s.rec)
+	r, err := registry.Restore(s.registrySnapshot)
 	if err != nil {
 		return 0, err
 	}
 	e.Version = registry.Version
 	s.index++
 	fence, refused := r.Apply(s.index, e)
-	if s.rec, err = r.Snapshot(); err != nil {
+	if s.registrySnapshot, err = r.Snapshot(); err != nil {
 		return 0, err
 	}
 	return fence, refused
 }
 
-// read the record of a state. Records are only read, and a walk has some hundred.
-func (s *state) read() (*registry.Registry, error) {
-	if r := s.decoded[string(s.rec)]; r != nil {
+// decodeRegistry decodes the registry of a state. The result is cached, as an exploration has only some hundred
+// different registries, and must not be modified.
+func (s *state) decodeRegistry() (*registry.Registry, error) {
+	if r := s.decoded[string(s.registrySnapshot)]; r != nil {
 		return r, nil
 	}
-	r, err := registry.Restore(s.rec)
+	r, err := registry.Restore(s.registrySnapshot)
 	if err == nil {
-		s.decoded[string(s.rec)] = r
+		s.decoded[string(s.registrySnapshot)] = r
 	}
 	return r, err
 }
 
-// steps returns every state that may come next.
-func (s *state) steps(b Bounds) (all []*state, err error) {
-	if s.t < b.Time {
-		n := s.copy(fmt.Sprint("time ", s.t+1))
-		n.t++
-		all = append(all, n)
+// successors returns every state that can follow.
+func (s *state) successors(b Bounds) (next []*state, err error) {
+	if s.now < b.Time {
+		n := s.copy(fmt.Sprint("time ", s.now+1))
+		n.now++
+		next = append(next, n)
 	}
-	r, err := s.read()
+	r, err := s.decodeRegistry()
 	if err != nil {
 		return nil, err
 	}
 	for k := range s.owners {
-		all = append(all, s.ownerSteps(b, k)...)
-		more, err := s.coordinatorSteps(b, r, k)
+		next = append(next, s.ownerSteps(b, k)...)
+		coordinatorNext, err := s.coordinatorSteps(b, r, k)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, more...)
+		next = append(next, coordinatorNext...)
 	}
 	if s.restarts < b.Restarts {
-		n := s.copy("the receiver starts again")
+		n := s.copy("the receiver restarts")
 		n.restarts++
-		marks, floor := s.gate.Export()
-		n.gate = lease.NewFenceChecker()
-		n.gate.Import(marks, floor)
-		all = append(all, n)
+		marks, floor := s.receiver.Export()
+		n.receiver = lease.NewFenceChecker()
+		n.receiver.Import(marks, floor)
+		next = append(next, n)
 	}
-	more, err := s.arrivals(b, r)
-	return append(all, more...), err
+	more, err := s.deliveries(b, r)
+	return append(next, more...), err
 }
 
-// ownerSteps returns what an owner may do: send a heartbeat, act, lose its session, release the task.
+// ownerSteps returns the steps of an owner: send a heartbeat, act, lose its session, release the task.
 func (s *state) ownerSteps(b Bounds, k int) (all []*state) {
 	o := &s.owners[k]
-	if o.beats < b.Beats[k] {
-		n := s.copy(names[k] + " beats")
-		n.owners[k].beats++
-		n.flight = append(n.flight, message{kind: 'b', who: k, sent: s.t, session: o.session})
+	if o.heartbeats < b.Beats[k] {
+		n := s.copy(ownerNames[k] + " sends a heartbeat")
+		n.owners[k].heartbeats++
+		n.inFlight = append(n.inFlight, message{kind: 'b', owner: k, sentAt: s.now, session: o.session})
 		all = append(all, n)
 	}
-	if fence, ok := o.o.Permit(mine(s.t), work, 0); ok && o.acts < b.Acts {
-		n := s.copy(fmt.Sprint(names[k], " acts under ", fence))
-		n.owners[k].acts++
-		n.flight = append(n.flight, message{kind: 'a', who: k, sent: s.t, fence: fence})
+	if fence, ok := o.holder.Permit(ownerClock(s.now), task, 0); ok && o.actions < b.Acts {
+		n := s.copy(fmt.Sprint(ownerNames[k], " acts under ", fence))
+		n.owners[k].actions++
+		n.inFlight = append(n.inFlight, message{kind: 'a', owner: k, sentAt: s.now, fence: fence})
 		all = append(all, n)
 	}
-	if o.loses < b.Loses && o.o.SessionID() != 0 {
-		n := s.copy(names[k] + " is told that its session is over")
-		n.owners[k].loses++
-		n.owners[k].o.EndSession()
+	if o.sessionLosses < b.Loses && o.holder.SessionID() != 0 {
+		n := s.copy(ownerNames[k] + " is told that its session has ended")
+		n.owners[k].sessionLosses++
+		n.owners[k].holder.EndSession()
 		all = append(all, n)
 	}
-	if o.lets < b.Lets {
-		n := s.copy(names[k] + " lets go")
-		if c, ok := n.owners[k].o.Release(work); ok {
-			n.owners[k].lets++
-			n.flight = append(n.flight, message{kind: 'r', who: k, sent: s.t, session: o.session, fence: c.Fence})
+	if o.releases < b.Lets {
+		n := s.copy(ownerNames[k] + " releases the task")
+		if c, ok := n.owners[k].holder.Release(task); ok {
+			n.owners[k].releases++
+			n.inFlight = append(n.inFlight, message{kind: 'r', owner: k, sentAt: s.now, session: o.session, fence: c.Fence})
 			all = append(all, n)
 		}
 	}
 	return all
 }
 
-// coordinatorSteps returns what the coordinator may do about an owner: close a session that is silent for longer than the lease, and
-// give it the task if that is free.
+// coordinatorSteps returns the steps of the coordinator that concern an owner: close a session that was silent for
+// longer than the lease, and assign it the task if the task is free.
 func (s *state) coordinatorSteps(b Bounds, r *registry.Registry, k int) (all []*state, err error) {
 	o := &s.owners[k]
-	if r.Session(o.session) != nil && s.t-s.heard[k] > b.Lease {
-		n := s.copy(fmt.Sprint("the session of ", names[k], " is over"))
+	if r.Session(o.session) != nil && s.now-s.lastHeartbeat[k] > b.Lease {
+		n := s.copy(fmt.Sprint("the session of ", ownerNames[k], " is closed"))
 		if _, err := n.apply(registry.Entry{Kind: registry.Close, Session: o.session}); err != nil {
 			return nil, err
 		}
 		all = append(all, n)
 	}
-	w := r.Task(work)
+	w := r.Task(task)
 	if r.Session(o.session) == nil || w != nil && w.Owner != 0 {
 		return all, nil
 	}
-	n := s.copy("the work is given to " + names[k])
-	fence, err := n.apply(registry.Entry{Kind: registry.Assign, Task: work, Session: o.session})
+	n := s.copy("the task is assigned to " + ownerNames[k])
+	fence, err := n.apply(registry.Entry{Kind: registry.Assign, Task: task, Session: o.session})
 	if err != nil {
 		return nil, err
 	}
-	n.of = map[uint64]int{fence: k}
-	for f, who := range s.of {
+	n.fenceOwner = map[uint64]int{fence: k}
+	for f, owner := range s.fenceOwner {
 		if f == fence {
-			return nil, n.found("fence %d is given twice", f)
+			return nil, n.violation("fence %d is assigned twice", f)
 		}
-		n.of[f] = who
+		n.fenceOwner[f] = owner
 	}
 	return append(all, n), nil
 }
 
-// arrivals returns the states after each message that is on its way has arrived, once or, within the bound, twice.
-func (s *state) arrivals(b Bounds, r *registry.Registry) (all []*state, err error) {
-	for k, m := range s.flight {
-		n := s.copy(fmt.Sprint("arrives: ", m))
-		n.flight = append(n.flight[:k:k], n.flight[k+1:]...)
-		if err := n.arrive(r, m); err != nil {
+// deliveries returns the states after the delivery of each message in flight, with and, within the bound, without a
+// second delivery to come.
+func (s *state) deliveries(b Bounds, r *registry.Registry) (all []*state, err error) {
+	for k, m := range s.inFlight {
+		n := s.copy(fmt.Sprint("delivered: ", m))
+		n.inFlight = append(n.inFlight[:k:k], n.inFlight[k+1:]...)
+		if err := n.deliver(r, m); err != nil {
 			return nil, err
 		}
 		all = append(all, n)
-		if s.repeats < b.Repeats && !m.again {
-			again := n.copy("and is on its way once more")
-			again.repeats++
-			m.again = true
-			again.flight = append(again.flight, m)
-			all = append(all, again)
+		if s.repeats < b.Repeats && !m.repeated {
+			second := n.copy("the message is in flight a second time")
+			second.repeats++
+			m.repeated = true
+			second.inFlight = append(second.inFlight, m)
+			all = append(all, second)
 		}
 	}
 	return all, nil
 }
 
-func (s *state) arrive(r *registry.Registry, m message) error {
+func (s *state) deliver(r *registry.Registry, m message) error {
 	switch m.kind {
 	case 'b':
 		if r.Session(m.session) == nil {
 			return nil
 		}
-		s.heard[m.who] = s.t
-		s.shown++
-		v := message{kind: 'v', who: m.who, sent: m.sent, session: m.session, number: s.shown}
-		if w := r.Task(work); w != nil && w.Owner == m.session {
-			v.fence = w.Fence
+		s.lastHeartbeat[m.owner] = s.now
+		s.confirmations++
+		confirmation := message{kind: 'v', owner: m.owner, sentAt: m.sentAt, session: m.session, sequence: s.confirmations}
+		if w := r.Task(task); w != nil && w.Owner == m.session {
+			confirmation.fence = w.Fence
 		}
-		s.flight = append(s.flight, v)
+		s.inFlight = append(s.inFlight, confirmation)
 	case 'r':
-		if _, err := s.apply(registry.Entry{Kind: registry.Release, Task: work, Session: m.session, Fence: m.fence}); err != nil && err != registry.ErrFence {
+		if _, err := s.apply(registry.Entry{Kind: registry.Release, Task: task, Session: m.session, Fence: m.fence}); err != nil && err != registry.ErrFence {
 			return err
 		}
 	case 'v':
 		var claims []lease.Claim
 		if m.fence > 0 {
-			claims = append(claims, lease.Claim{Task: work, Fence: m.fence})
+			claims = append(claims, lease.Claim{Task: task, Fence: m.fence})
 		}
-		s.owners[m.who].o.ApplyConfirmation(mine(m.sent), uint64(m.number), m.session, claims)
+		s.owners[m.owner].holder.ApplyConfirmation(ownerClock(m.sentAt), uint64(m.sequence), m.session, claims)
 	case 'a':
-		gate := lease.NewFenceChecker()
-		gate.Import(s.gate.Export())
-		s.gate = gate
-		if _, err := gate.Accept(work, m.fence); err != nil {
+		receiver := lease.NewFenceChecker()
+		receiver.Import(s.receiver.Export())
+		s.receiver = receiver
+		if _, err := receiver.Accept(task, m.fence); err != nil {
 			return nil
 		}
 		if m.fence < s.accepted {
-			return s.found("the receiver took an act under fence %d after %d", m.fence, s.accepted)
+			return s.violation("the receiver accepted an action under fence %d after %d", m.fence, s.accepted)
 		}
-		if s.of[m.fence] != m.who {
-			return s.found("%s acted under another's fence %d", names[m.who], m.fence)
+		if s.fenceOwner[m.fence] != m.owner {
+			return s.violation("%s acted under fence %d, which was assigned to the other owner", ownerNames[m.owner], m.fence)
 		}
 		s.accepted = m.fence
 	}
--- a/emulator/modelcheck/explore_test.go
+++ b/emulator/modelcheck/explore_test.go
@@ -2,27 +2,28 @@
 
 import "testing"
 
-func TestWalk(t *testing.T) {
-	states, whole, err := Walk(Short)
+func TestExplore(t *testing.T) {
+	states, complete, err := Walk(Short)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !whole || states < 10_000 {
-		t.Errorf("%d states, whole %v", states, whole)
+	if !complete || states < 10_000 {
+		t.Errorf("%d states, complete %v", states, complete)
 	}
 	t.Logf("%d states", states)
 }
 
-// TestReleases: an owner lets go, its answers pass each other, and it is told that its session is over.
+// TestReleases explores releases whose answers overtake each other, and releases by an owner that is told that its
+// session is over.
 func TestReleases(t *testing.T) {
 	for name, b := range map[string]Bounds{"letting": Letting, "losing": Losing} {
 		t.Run(name, func(t *testing.T) {
-			states, whole, err := Walk(b)
+			states, complete, err := Walk(b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !whole || states < 1_000 {
-				t.Errorf("%d states, whole %v", states, whole)
+			if !complete || states < 1_000 {
+				t.Errorf("%d states, complete %v", states, complete)
 			}
 			t.Logf("%d states", states)
 		})
--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -1,6 +1,6 @@
-// Package zones plays failover between zones on virtual time: many routers that each hear plans when they do, a controller that
-// moves with its owner, zones that serve what they can, and faults that overlap. Traffic is counted in core seconds, not in
-// commands; what is played is package failover itself.
+// Package zones simulates failover between zones in virtual time: many routers that receive plans at different times, a
+// controller that moves with the owner of its task, zones that serve what they have capacity for, and overlapping
+// faults. Traffic is counted in core seconds, not in requests. The failover rules are those of package failover itself.
 package zones
 
 import (
@@ -11,31 +11,33 @@
 	"dunereach/fleet/failover"
 )
 
-// Rule is how routers choose zones.
+// Rule is the way in which routers choose zones.
 type Rule int
 
 // The rules.
 const (
-	Planned  Rule = iota // by the fleet's plan
-	Local                // today's: each leans to its own zone, and finds out alone what does not answer
-	Locality             // by zones' health with an overprovisioning factor of 1.4 and a panic threshold of one half, as published for Envoy
-	Knowing              // knows everything and moves at once: the bound
+	Planned Rule = iota // by the fleet's plan
+	Local               // without a fleet: each router prefers its own zone and detects by itself which zones don't answer
+	// By zones' health with an overprovisioning factor of 1.4 and a panic threshold of one half, as published for
+	// Envoy.
+	Locality
+	Knowing // with full knowledge and no delay: the upper bound
 )
 
-// Settings of a run.
+// Settings configures a run.
 type Settings struct {
 	Zones, Regions int
 	Routers        int
-	Load           float64 // of all capacity
-	Skew           float64 // how unlike zones' demands are: 0 none
+	Load           float64 // as a share of the total capacity
+	Skew           float64 // spread of the zones' demands: standard deviation of the logarithm; 0: proportional to capacity
 	Seed           uint64
 	Rule           Rule
 	Length         float64
-	Liars          float64 // share of each zone's routers that report by chance
+	Liars          float64 // share of each zone's routers that report random observations
 	Faults         []Fault
 }
 
-// Fault of a zone, over some time.
+// Fault is a fault of a zone during some time.
 type Fault struct {
 	At, Until float64
 	Kind      Kind
@@ -43,22 +45,22 @@
 	By        float64
 }
 
-// Kind of a fault.
+// Kind is the kind of a fault.
 type Kind int
 
 // The kinds of faults.
 const (
-	Power      Kind = iota // engines and routers of a zone are gone
-	Engines                // its engines are
+	Power      Kind = iota // servers and routers of a zone are down
+	Engines                // servers of a zone are down
 	Link                   // between two zones, both ways
-	OneWay                 // from a zone to another
-	Slowed                 // a zone by a factor
-	Controller             // the owner stands still and wakes up with its next step half sent
-	Deaf                   // a zone's routers hear no keepers
-	Minority               // a region's
-	Flapping               // a zone goes and comes every By seconds
-	Drain                  // on purpose
-	Lists                  // no list names its engines
+	OneWay                 // from one zone to another
+	Slowed                 // servers of a zone are slower by the factor By
+	Controller             // the process of the owner stops, possibly with a plan on its way
+	Deaf                   // the routers of a zone can't reach the coordinators
+	Minority               // the routers of a region can't reach the coordinators
+	Flapping               // servers of a zone go down and return, every By seconds
+	Drain                  // the operator evacuates the zone
+	Lists                  // lists name no servers of the zone
 	kinds
 )
 
@@ -67,133 +69,135 @@
 }
 
 const (
-	step      = 0.1
-	warm      = 12.0 // seconds that engines take after they were gone, from a third of what they can do
-	coldStart = 0.35
-	hearEvery = 1.0
-	agreement = 0.15 // seconds from a plan to the record
-	way       = 0.02
-	far       = 0.12 // between regions
-	thrash    = 0.75 // of what a zone can do while it is offered over 1.2 times that
+	stepSeconds        = 0.1
+	warmUpSeconds      = 12.0 // seconds of warm-up after servers were down, starting from coldCapacityShare
+	coldCapacityShare  = 0.35
+	contactInterval    = 1.0
+	commitDelay        = 0.15 // seconds until a plan is committed in the registry
+	zoneRoundTrip      = 0.02
+	regionRoundTrip    = 0.12 // between regions
+	overloadEfficiency = 0.75 // of a zone's capacity while it is offered more than 1.2 times that
 )
 
 type zone struct {
-	full, demand float64
-	cores        float64
-	goneAt       float64 // since when its engines were last gone
-	backAt       float64
-	offered      [11]float64 // of the last steps
-	pushed       float64     // seconds that it was offered too much by what came from elsewhere
-	steady       float64     // what it could do a moment ago
-	since        float64     // that what comes from elsewhere makes it so
+	fullCapacity, demand float64
+	cores                float64
+	lastDownAt           float64 // time at which its servers were last down, -1: they are up
+	upSince              float64
+	recentLoad           [11]float64 // of the last steps, the latest first
+	changedUntil         float64     // overload is not counted until then: the capacity has dropped shortly before
+	lastCapacity         float64     // capacity in the previous step
+	notOverloadedAt      float64     // latest time at which traffic from other zones did not make it overloaded
 }
 
 type router struct {
-	zone    int
-	demand  float64
-	guide   *failover.PlanFollower
-	hearAt  float64
-	toldAt  float64
-	heard   failover.PublishedPlan
-	until   float64
-	bad     []float64 // by zone: recent share of bad sends, as it sees them itself
-	sent    []float64 // of the last second, by zone
-	failed  []float64
-	late    []float64
-	served  []float64
-	reports failover.Report
-	fresh   bool
-	liar    bool
+	zone          int
+	demand        float64
+	follower      *failover.PlanFollower
+	nextContact   float64
+	lastContact   float64
+	plan          failover.PublishedPlan
+	planUntil     float64
+	failureRate   []float64 // by zone: recent share of failed attempts that the router itself observed
+	attemptedWork []float64 // since the last report, by zone; so are failedWork, lateWork and servedWork
+	failedWork    []float64
+	lateWork      []float64
+	servedWork    []float64
+	report        failover.Report
+	reportFresh   bool
+	misreports    bool
 }
 
-// Result of a run.
+// Result holds what a run recorded.
 type Result struct {
-	Worth    []float64 // share of all work served, by second
-	Worst    float64   // most that a zone was offered of what it can do, over a second, by what came from elsewhere
-	Planned  float64   // most that any mixture of plans that routers may be on offers a zone, over what it is planned with
-	Near     float64   // share of work served in its own zone, of what was served
-	Changes  []float64 // times of plans
-	Given    []string  // zones given up that were well
+	Worth []float64 // share of all work that was served, by second
+	Worst float64   // highest ratio of a zone's load over a second to its capacity, where traffic from other zones caused it
+	// Highest ratio of a zone's load to its planned capacity, under any mixture of the plans that routers may
+	// follow.
+	Planned  float64
+	Near     float64   // share of the served work that was served in its own zone
+	Changes  []float64 // times at which the plan changed
+	Given    []string  // healthy zones that a plan gave up
 	Lost     map[int]float64
-	Home     []float64 // share of all work served in its own zone, by second
-	Back     float64   // seconds after the last fault until 99 % of what was near is near again, NaN: not within the run
+	Home     []float64 // share of all work that was served in its own zone, by second
+	Back     float64   // seconds from the end of the last fault until work in its own zone is back at 99 % of the value before; NaN: not within the run
 	Timeline [][]float64
-	Bytes    float64 // of a report
+	Bytes    float64 // size of a report
 }
 
 type world struct {
-	s        Settings
-	rnd      *rand.Rand
-	zones    []zone
-	routers  []router
-	regionOf []int
-	ways     [][]float64
-	now      float64
-	control  *failover.Controller
-	agreed   failover.PublishedPlan
-	agreedAt float64
-	pending  *failover.PublishedPlan
-	pendAt   float64
-	owner    int // router
-	frozen   bool
-	orders   failover.Orders
-	r        Result
-	nextTick float64
+	settings     Settings
+	random       *rand.Rand
+	zones        []zone
+	routers      []router
+	regionOf     []int
+	roundTrips   [][]float64
+	now          float64
+	controller   *failover.Controller
+	committed    failover.PublishedPlan
+	committedAt  float64
+	pending      *failover.PublishedPlan
+	pendingSince float64
+	owner        int // index of the router that owns the controller's task, -1: none
+	ownerStopped bool
+	orders       failover.Orders
+	result       Result
+	nextDecision float64
 }
 
-// Play a run.
+// Play simulates a run.
 func Play(s Settings) (Result, error) {
-	w := &world{s: s, rnd: rand.New(rand.NewPCG(s.Seed, 41)), owner: -1}
-	w.r.Lost = map[int]float64{}
+	w := &world{settings: s, random: rand.New(rand.NewPCG(s.Seed, 41)), owner: -1}
+	w.result.Lost = map[int]float64{}
 	total := 0.0
 	for z := range s.Zones {
-		c := 20 * (0.7 + 0.6*w.rnd.Float64())
-		w.zones = append(w.zones, zone{full: c, cores: c, backAt: -100, goneAt: -1})
+		zoneCores := 20 * (0.7 + 0.6*w.random.Float64())
+		w.zones = append(w.zones, zone{fullCapacity: zoneCores, cores: zoneCores, upSince: -100, lastDownAt: -1})
 		w.regionOf = append(w.regionOf, z*max(s.Regions, 1)/s.Zones)
-		total += c
+		total += zoneCores
 	}
-	weight := 0.0
+	weightSum := 0.0
 	var weights []float64
 	for z := range w.zones {
-		x := w.zones[z].full * math.Exp(s.Skew*w.rnd.NormFloat64())
-		weights, weight = append(weights, x), weight+x
+		zoneWeight := w.zones[z].fullCapacity * math.Exp(s.Skew*w.random.NormFloat64())
+		weights, weightSum = append(weights, zoneWeight), weightSum+zoneWeight
 	}
 	for z := range w.zones {
-		w.zones[z].demand = weights[z] / weight * total * s.Load
+		w.zones[z].demand = weights[z] / weightSum * total * s.Load
 		row := make([]float64, s.Zones)
 		for y := range row {
 			switch {
 			case y == z:
 			case w.regionOf[y] == w.regionOf[z]:
-				row[y] = way
+				row[y] = zoneRoundTrip
 			default:
-				row[y] = far
+				row[y] = regionRoundTrip
 			}
 		}
-		w.ways = append(w.ways, row)
+		w.roundTrips = append(w.roundTrips, row)
 	}
 	for k := range s.Routers {
 		z := k % s.Zones
 		n := (s.Routers + s.Zones - 1 - z) / s.Zones
-		w.routers = append(w.routers, router{zone: z, demand: w.zones[z].demand / float64(n), guide: failover.NewPlanFollower(z, s.Zones, 0.05),
-			hearAt: w.rnd.Float64() * hearEvery, until: math.Inf(-1), bad: make([]float64, s.Zones), sent: make([]float64, s.Zones),
-			failed: make([]float64, s.Zones), late: make([]float64, s.Zones), served: make([]float64, s.Zones), liar: k/s.Zones < int(s.Liars*float64(n))})
+		w.routers = append(w.routers, router{zone: z, demand: w.zones[z].demand / float64(n), follower: failover.NewPlanFollower(z, s.Zones, 0.05),
+			nextContact: w.random.Float64() * contactInterval, planUntil: math.Inf(-1), failureRate: make([]float64, s.Zones), attemptedWork: make([]float64, s.Zones),
+			failedWork: make([]float64, s.Zones), lateWork: make([]float64, s.Zones), servedWork: make([]float64, s.Zones), misreports: k/s.Zones < int(s.Liars*float64(n))})
 	}
-	w.agreed = failover.PublishedPlan{Epoch: 1, Plan: failover.LocalPlan(s.Zones), Fallback: failover.LocalPlan(s.Zones)}
-	for w.now = 0; w.now < s.Length; w.now += step {
-		w.faults()
+	w.committed = failover.PublishedPlan{Epoch: 1, Plan: failover.LocalPlan(s.Zones), Fallback: failover.LocalPlan(s.Zones)}
+	for w.now = 0; w.now < s.Length; w.now += stepSeconds {
+		w.applyFaults()
 		if s.Rule == Planned {
-			w.lead()
-			w.hear()
+			w.runController()
+			w.contactCoordinators()
 		}
-		w.flow()
+		w.serveStep()
 	}
 	w.finish()
-	return w.r, nil
+	return w.result, nil
 }
 
-func (w *world) is(kind Kind, z int) (Fault, bool) {
-	for _, f := range w.s.Faults {
+func (w *world) activeFault(kind Kind, z int) (Fault, bool) {
+	for _, f := range w.settings.Faults {
 		if f.Kind == kind && f.Zone == z && w.now >= f.At && w.now < f.Until {
 			return f, true
 		}
@@ -202,20 +206,20 @@
 }
 
 func (w *world) down(z int) bool {
-	if _, ok := w.is(Power, z); ok {
+	if _, ok := w.activeFault(Power, z); ok {
 		return true
 	}
-	if _, ok := w.is(Engines, z); ok {
+	if _, ok := w.activeFault(Engines, z); ok {
 		return true
 	}
-	if f, ok := w.is(Flapping, z); ok {
+	if f, ok := w.activeFault(Flapping, z); ok {
 		return int((w.now-f.At)/f.By)%2 == 0
 	}
 	return false
 }
 
-func (w *world) cut(from, to int) bool {
-	for _, f := range w.s.Faults {
+func (w *world) linkCut(from, to int) bool {
+	for _, f := range w.settings.Faults {
 		if w.now >= f.At && w.now < f.Until && (f.Kind == Link && (f.Zone == from && f.To == to || f.Zone == to && f.To == from) ||
 			f.Kind == OneWay && f.Zone == from && f.To == to) {
 			return true
@@ -224,64 +228,64 @@
 	return false
 }
 
-func (w *world) faults() {
-	w.frozen = false
-	away := make([]bool, w.s.Zones)
+func (w *world) applyFaults() {
+	w.ownerStopped = false
+	draining := make([]bool, w.settings.Zones)
 	for z := range w.zones {
 		x := &w.zones[z]
 		if w.down(z) {
-			x.goneAt = w.now
-			if _, ok := w.r.Lost[z]; !ok {
-				w.r.Lost[z] = w.now
+			x.lastDownAt = w.now
+			if _, ok := w.result.Lost[z]; !ok {
+				w.result.Lost[z] = w.now
 			}
-		} else if x.goneAt >= 0 {
-			x.backAt, x.goneAt = w.now, -1
+		} else if x.lastDownAt >= 0 {
+			x.upSince, x.lastDownAt = w.now, -1
 		}
-		_, away[z] = w.is(Drain, z)
-		if _, ok := w.is(Controller, z); ok {
-			w.frozen = true
+		_, draining[z] = w.activeFault(Drain, z)
+		if _, ok := w.activeFault(Controller, z); ok {
+			w.ownerStopped = true
 		}
 	}
-	w.orders.Evacuate = away
+	w.orders.Evacuate = draining
 }
 
-// can is what a zone can do now.
-func (w *world) can(z int) float64 {
+// capacity returns the current capacity of a zone.
+func (w *world) capacity(z int) float64 {
 	x := &w.zones[z]
 	if w.down(z) {
 		return 0
 	}
-	c := x.full * min(coldStart+(1-coldStart)*(w.now-x.backAt)/warm, 1)
-	if f, ok := w.is(Slowed, z); ok {
+	c := x.fullCapacity * min(coldCapacityShare+(1-coldCapacityShare)*(w.now-x.upSince)/warmUpSeconds, 1)
+	if f, ok := w.activeFault(Slowed, z); ok {
 		c /= f.By
 	}
 	return c
 }
 
-// listed is what lists say that it has ready.
-func (w *world) listed(z int) float64 {
+// listedCores returns the ready cores of a zone according to the lists.
+func (w *world) listedCores(z int) float64 {
 	x := &w.zones[z]
-	if _, ok := w.is(Lists, z); ok {
+	if _, ok := w.activeFault(Lists, z); ok {
 		return 0
 	}
 	if w.down(z) {
-		if w.now-max(x.backAt, w.r.Lost[z]) > 6 { // lists are late
+		if w.now-max(x.upSince, w.result.Lost[z]) > 6 { // lists name servers for up to 6 s after they went down
 			return 0
 		}
 		return x.cores
 	}
-	return x.cores * min(coldStart+(1-coldStart)*(w.now-x.backAt)/warm, 1)
+	return x.cores * min(coldCapacityShare+(1-coldCapacityShare)*(w.now-x.upSince)/warmUpSeconds, 1)
 }
 
-// talks tells whether a router reaches the keepers.
-func (w *world) talks(r *router) bool {
-	if _, ok := w.is(Power, r.zone); ok {
+// reachesCoordinators reports whether a router reaches the coordinators.
+func (w *world) reachesCoordinators(r *router) bool {
+	if _, ok := w.activeFault(Power, r.zone); ok {
 		return false
 	}
-	if _, ok := w.is(Deaf, r.zone); ok {
+	if _, ok := w.activeFault(Deaf, r.zone); ok {
 		return false
 	}
-	for _, f := range w.s.Faults {
+	for _, f := range w.settings.Faults {
 		if f.Kind == Minority && w.now >= f.At && w.now < f.Until && w.regionOf[f.Zone] == w.regionOf[r.zone] {
 			return false
 		}
@@ -289,25 +293,26 @@
 	return true
 }
 
-// lead has the owner's controller look once a second. Where the owner is gone another takes over after a lease.
-func (w *world) lead() {
+// runController lets the owner's controller plan every half second. When the owner is lost, another router takes over
+// after a lease.
+func (w *world) runController() {
 	const lease = 2.0
-	if w.pending != nil && w.now >= w.pendAt+agreement {
-		w.agreed, w.agreedAt, w.pending = *w.pending, w.now, nil
+	if w.pending != nil && w.now >= w.pendingSince+commitDelay {
+		w.committed, w.committedAt, w.pending = *w.pending, w.now, nil
 	}
-	if w.now < w.nextTick {
+	if w.now < w.nextDecision {
 		return
 	}
-	w.nextTick = w.now + 0.5
-	if w.owner >= 0 && !w.talks(&w.routers[w.owner]) || w.frozen && w.control != nil {
-		w.owner, w.control = -1, nil
-		w.nextTick = w.now + lease
+	w.nextDecision = w.now + 0.5
+	if w.owner >= 0 && !w.reachesCoordinators(&w.routers[w.owner]) || w.ownerStopped && w.controller != nil {
+		w.owner, w.controller = -1, nil
+		w.nextDecision = w.now + lease
 		return
 	}
 	if w.owner < 0 {
 		for n := range w.routers {
 			k := (n*7 + int(w.now)) % len(w.routers)
-			if w.talks(&w.routers[k]) {
+			if w.reachesCoordinators(&w.routers[k]) {
 				w.owner = k
 				break
 			}
@@ -315,115 +320,117 @@
 		if w.owner < 0 {
 			return
 		}
-		w.control = failover.NewController(failover.Config{Lifetime: failover.Lifetime, Drift: 0.05, RoundTrip: w.ways}, w.s.Zones, w.now, w.agreed)
+		w.controller = failover.NewController(failover.Config{Lifetime: failover.Lifetime, Drift: 0.05, RoundTrip: w.roundTrips}, w.settings.Zones, w.now, w.committed)
 	}
 	var reports []failover.Report
 	sessions := 0
 	for k := range w.routers {
 		r := &w.routers[k]
-		if w.talks(r) {
+		if w.reachesCoordinators(r) {
 			sessions++
-			if r.fresh {
-				reports = append(reports, r.reports)
+			if r.reportFresh {
+				reports = append(reports, r.report)
 			}
 		}
 	}
-	if p, ok := w.control.Next(w.now, reports, sessions, w.orders); ok {
-		w.pending, w.pendAt = &p, w.now
-		if len(w.control.Changes) > 0 && w.control.Changes[len(w.control.Changes)-1] == w.now { // no note of what is asked for
-			w.r.Changes = append(w.r.Changes, w.now)
+	if p, ok := w.controller.Next(w.now, reports, sessions, w.orders); ok {
+		w.pending, w.pendingSince = &p, w.now
+		// A publication that only updates the recorded demand is not counted.
+		if len(w.controller.Changes) > 0 && w.controller.Changes[len(w.controller.Changes)-1] == w.now {
+			w.result.Changes = append(w.result.Changes, w.now)
 		}
-		load := failover.MaxMixedLoad(w.control.Demand, p.Plan, w.agreed.Plan)
-		before := failover.MaxMixedLoad(w.control.Demand, w.agreed.Plan)
+		load := failover.MaxMixedLoad(w.controller.Demand, p.Plan, w.committed.Plan)
+		before := failover.MaxMixedLoad(w.controller.Demand, w.committed.Plan)
 		for z := range load {
-			if room := w.control.PlanCapacity[z]; room > 0 && load[z] > before[z]+1e-6 { // what a plan adds
-				w.r.Planned = max(w.r.Planned, load[z]/room)
+			// Only load that the plan adds.
+			if capacity := w.controller.PlanCapacity[z]; capacity > 0 && load[z] > before[z]+1e-6 {
+				w.result.Planned = max(w.result.Planned, load[z]/capacity)
 			}
 		}
 		for z := range w.zones {
-			if p.Plan.Load(ones(w.s.Zones))[z] == 0 && w.agreed.Plan.Load(ones(w.s.Zones))[z] > 0 && w.well(z) {
-				w.r.Given = append(w.r.Given, fmt.Sprintf("zone %d at %.1f: %s", z, w.now, p.Reason))
+			if p.Plan.Load(ones(w.settings.Zones))[z] == 0 && w.committed.Plan.Load(ones(w.settings.Zones))[z] > 0 && w.undisturbed(z) {
+				w.result.Given = append(w.result.Given, fmt.Sprintf("zone %d at %.1f: %s", z, w.now, p.Reason))
 			}
 		}
 	}
 }
 
 func ones(n int) []float64 {
-	x := make([]float64, n)
-	for k := range x {
-		x[k] = 1
+	row := make([]float64, n)
+	for k := range row {
+		row[k] = 1
 	}
-	return x
+	return row
 }
 
 func (w *world) demands() []float64 {
-	d := make([]float64, w.s.Zones)
+	zoneDemand := make([]float64, w.settings.Zones)
 	for k := range w.routers {
-		if r := &w.routers[k]; !w.off(r) {
-			d[r.zone] += r.demand
+		if r := &w.routers[k]; !w.routerDown(r) {
+			zoneDemand[r.zone] += r.demand
 		}
 	}
-	return d
+	return zoneDemand
 }
 
-// well: nothing is the matter with a zone, nor was of late, nor is it drained.
-func (w *world) well(z int) bool {
-	for _, f := range w.s.Faults {
-		touches := f.Zone == z && f.Kind != Controller && f.Kind != Deaf && f.Kind != Minority && f.Kind != OneWay && f.Kind != Link
-		if touches && w.now >= f.At && w.now < f.Until+40 {
+// undisturbed reports whether a zone has no fault of its own, had none in the last 40 s and is not drained.
+func (w *world) undisturbed(z int) bool {
+	for _, f := range w.settings.Faults {
+		affects := f.Zone == z && f.Kind != Controller && f.Kind != Deaf && f.Kind != Minority && f.Kind != OneWay && f.Kind != Link
+		if affects && w.now >= f.At && w.now < f.Until+40 {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) off(r *router) bool {
-	_, ok := w.is(Power, r.zone)
+func (w *world) routerDown(r *router) bool {
+	_, ok := w.activeFault(Power, r.zone)
 	return ok
 }
 
-// hear: each router asks once a second, and tells what it saw.
-func (w *world) hear() {
+// contactCoordinators lets each router fetch the plan and report its observations once a second.
+func (w *world) contactCoordinators() {
 	for k := range w.routers {
 		r := &w.routers[k]
-		if w.now < r.hearAt {
+		if w.now < r.nextContact {
 			continue
 		}
-		span := w.now - r.toldAt
-		r.toldAt, r.hearAt = w.now, w.now+hearEvery*(0.9+0.2*w.rnd.Float64())
-		if w.off(r) {
-			r.fresh = false
+		span := w.now - r.lastContact
+		r.lastContact, r.nextContact = w.now, w.now+contactInterval*(0.9+0.2*w.random.Float64())
+		if w.routerDown(r) {
+			r.reportFresh = false
 			continue
 		}
-		if !w.talks(r) {
-			r.fresh = false
+		if !w.reachesCoordinators(r) {
+			r.reportFresh = false
 		} else {
-			if r.heard.Epoch != w.agreed.Epoch {
-				r.heard = w.agreed
+			if r.plan.Epoch != w.committed.Epoch {
+				r.plan = w.committed
 			}
-			r.guide.Receive(w.now, w.agreed)
-			r.fresh = true
+			r.follower.Receive(w.now, w.committed)
+			r.reportFresh = true
 		}
-		rep := failover.Report{Zone: r.zone, Demand: r.demand, Epoch: r.guide.Epoch(w.now), Span: span}
+		newReport := failover.Report{Zone: r.zone, Demand: r.demand, Epoch: r.follower.Epoch(w.now), Span: span}
 		for z := range w.zones {
-			s := failover.ZoneObservation{Attempts: r.sent[z] * 5, Failed: min(r.failed[z], r.sent[z]) * 5, Late: r.late[z] * 5, Work: r.served[z], Ready: w.listed(z), Slow: 1}
-			if s.Ready > 0 {
-				s.ColdCores = w.zones[z].cores - s.Ready
+			observation := failover.ZoneObservation{Attempts: r.attemptedWork[z] * 5, Failed: min(r.failedWork[z], r.attemptedWork[z]) * 5, Late: r.lateWork[z] * 5, Work: r.servedWork[z], Ready: w.listedCores(z), Slow: 1}
+			if observation.Ready > 0 {
+				observation.ColdCores = w.zones[z].cores - observation.Ready
 			}
-			if f, ok := w.is(Slowed, z); ok {
-				s.Slow = f.By
+			if f, ok := w.activeFault(Slowed, z); ok {
+				observation.Slow = f.By
 			}
-			if r.bad[z] > 0.5 {
-				s.SuspectCores = s.Ready
+			if r.failureRate[z] > 0.5 {
+				observation.SuspectCores = observation.Ready
 			}
-			if r.liar {
-				s.SuspectCores, s.Failed, s.Slow, s.Late = 0, s.Attempts*w.rnd.Float64(), 20*w.rnd.Float64(), 0
+			if r.misreports {
+				observation.SuspectCores, observation.Failed, observation.Slow, observation.Late = 0, observation.Attempts*w.random.Float64(), 20*w.random.Float64(), 0
 			}
-			rep.Observations = append(rep.Observations, s)
+			newReport.Observations = append(newReport.Observations, observation)
 		}
-		r.reports = rep
+		r.report = newReport
 		for z := range w.zones {
-			r.sent[z], r.failed[z], r.late[z], r.served[z] = 0, 0, 0, 0
+			r.attemptedWork[z], r.failedWork[z], r.lateWork[z], r.servedWork[z] = 0, 0, 0, 0
 		}
 	}
 }
--- a/emulator/zones/zones_test.go
+++ b/emulator/zones/zones_test.go
@@ -13,38 +13,40 @@
 	return r
 }
 
-func worth(r Result, from, to int) (sum float64) {
+func servedShare(r Result, from, to int) (sum float64) {
 	for _, x := range r.Worth[from:to] {
 		sum += x / float64(to-from)
 	}
 	return sum
 }
 
-// TestCalm: with nothing wrong there is no plan, and everything stays near.
-func TestCalm(t *testing.T) {
-	if r := play(t, Planned); len(r.Changes) > 0 || r.Near < 0.99 || worth(r, 5, 90) < 0.999 {
-		t.Errorf("changes at %v, near %.3f, worth %.3f", r.Changes, r.Near, worth(r, 5, 90))
+// TestWithoutFaults checks that without faults no plan is made and all work is served in its own zone.
+func TestWithoutFaults(t *testing.T) {
+	if r := play(t, Planned); len(r.Changes) > 0 || r.Near < 0.99 || servedShare(r, 5, 90) < 0.999 {
+		t.Errorf("plan changes at %v, share served in the own zone %.3f, share served %.3f", r.Changes, r.Near, servedShare(r, 5, 90))
 	}
 }
 
-// TestLoss: a zone is lost at 20 s and returns cold at 45 s. Beside the bound that knows all and moves at once, little is lost, the
-// plan comes within seconds, no zone is planned past what it is taken to bear, and everything is near again soon after.
-func TestLoss(t *testing.T) {
+// TestZoneLost loses a zone at 20 s; it returns cold at 45 s. Almost as much is served as with full knowledge and no
+// delay, the plan comes within seconds, no zone is planned above the capacity that it is assumed to have, and all work
+// is back in its own zone soon after.
+func TestZoneLost(t *testing.T) {
 	fault := Fault{At: 20, Until: 45, Kind: Engines, Zone: 0}
 	r, best := play(t, Planned, fault), play(t, Knowing, fault)
-	if got := worth(r, 20, 50) / worth(best, 20, 50); got < 0.95 {
-		t.Errorf("%.3f of the bound", got)
+	if got := servedShare(r, 20, 50) / servedShare(best, 20, 50); got < 0.95 {
+		t.Errorf("served %.3f of what is possible with full knowledge", got)
 	}
 	if len(r.Changes) == 0 || r.Changes[0] > 24 {
 		t.Errorf("plans at %v", r.Changes)
 	}
 	if r.Planned > 1+1e-6 || r.Worst > 1.05 || !(r.Back < 20) {
-		t.Errorf("planned %.3f, real %.3f, back after %.0f s", r.Planned, r.Worst, r.Back)
+		t.Errorf("highest planned load %.3f, highest real load %.3f, back after %.0f s", r.Planned, r.Worst, r.Back)
 	}
 }
 
-// TestHome: whatever a zone's loss has moved comes home to the last hundredth, also where that is less than a plan is worth else.
-func TestHome(t *testing.T) {
+// TestWorkReturnsHome checks that all work that a zone's loss has moved returns to its own zone, to within one percent,
+// even where the rest is less than a change of plan is otherwise worth.
+func TestWorkReturnsHome(t *testing.T) {
 	for seed := range uint64(40) {
 		r, err := Play(Settings{Zones: 3, Regions: 1, Routers: 30, Load: 0.3 + 0.01*float64(seed%20), Skew: 0.3, Seed: seed, Rule: Planned, Length: 120,
 			Faults: []Fault{{At: 20, Until: 35, Kind: Engines, Zone: int(seed % 3)}}})
@@ -52,36 +54,38 @@
 			t.Fatal(err)
 		}
 		if !(r.Back < 60) {
-			t.Errorf("seed %d: not home after %.0f s; plans at %v", seed, r.Back, r.Changes)
+			t.Errorf("seed %d: back in the own zone only after %.0f s; plans at %v", seed, r.Back, r.Changes)
 		}
 	}
 }
 
-// TestTwoLost: what is left can't carry all. Today's rule throws it all on the third zone; the plan sheds at origin.
-func TestTwoLost(t *testing.T) {
+// TestTwoZonesLost loses two of three zones, so that the last one can't serve everything. Without a plan all traffic
+// goes to that zone; the plan rejects the excess at its origin.
+func TestTwoZonesLost(t *testing.T) {
 	faults := []Fault{{At: 20, Until: 45, Kind: Engines, Zone: 0}, {At: 21, Until: 45, Kind: Engines, Zone: 1}}
 	r, local := play(t, Planned, faults...), play(t, Local, faults...)
 	if r.Worst > 1.05 || local.Worst < 1.1 {
-		t.Errorf("the third zone gets %.3f of what it can with the plan, %.3f without", r.Worst, local.Worst)
+		t.Errorf("the third zone gets %.3f of its capacity with the plan, %.3f without", r.Worst, local.Worst)
 	}
-	if worth(r, 25, 45) < worth(local, 25, 45) {
-		t.Errorf("worth %.3f with the plan, %.3f without", worth(r, 25, 45), worth(local, 25, 45))
+	if servedShare(r, 25, 45) < servedShare(local, 25, 45) {
+		t.Errorf("share served %.3f with the plan, %.3f without", servedShare(r, 25, 45), servedShare(local, 25, 45))
 	}
 }
 
-// TestCutOff: observers that are cut off, or links, give no zone up.
-func TestCutOff(t *testing.T) {
+// TestObserversCutOff checks that no zone is given up because observers or links are cut off.
+func TestObserversCutOff(t *testing.T) {
 	for _, f := range []Fault{{Kind: Link, Zone: 0, To: 1}, {Kind: OneWay, Zone: 2, To: 0}, {Kind: Deaf, Zone: 1}, {Kind: Controller, Zone: 0}} {
 		f.At, f.Until = 20, 45
-		if r := play(t, Planned, f); len(r.Given) > 0 || worth(r, 20, 50) < 0.99 {
-			t.Errorf("%v: given up %v, worth %.3f", f.Kind, r.Given, worth(r, 20, 50))
+		if r := play(t, Planned, f); len(r.Given) > 0 || servedShare(r, 20, 50) < 0.99 {
+			t.Errorf("%v: zones given up %v, share served %.3f", f.Kind, r.Given, servedShare(r, 20, 50))
 		}
 	}
 }
 
-// TestDrawn: whatever fails together, no zone that is well is given up, no plan offers a zone, under any mixture with the last one,
-// more than it is planned with, and none really gets more than 1.05 of what it can over a second because of others.
-func TestDrawn(t *testing.T) {
+// TestRandomFaults checks with random faults, several at a time, that no healthy zone is given up, that no plan offers
+// a zone more than its planned capacity under any mixture with the previous plan, and that other zones' traffic never
+// loads a zone above 1.05 of its capacity over a second.
+func TestRandomFaults(t *testing.T) {
 	planned, changes := 0.0, 0
 	for seed := range uint64(150) {
 		r, err := Play(Drawn(seed))
@@ -90,17 +94,18 @@
 		}
 		changes += len(r.Changes)
 		if planned = max(planned, r.Planned); r.Planned > 1+1e-6 || len(r.Given) > 0 || r.Worst > 1.05 {
-			t.Errorf("seed %d: planned %.4f, real %.4f, given up %v", seed, r.Planned, r.Worst, r.Given)
+			t.Errorf("seed %d: highest planned load %.4f, highest real load %.4f, zones given up %v", seed, r.Planned, r.Worst, r.Given)
 		}
 	}
 	if changes < 100 || planned < 0.9 {
-		t.Errorf("%d plans, at most %.2f of a zone: the days show too little", changes, planned)
+		t.Errorf("%d plans, highest planned load %.2f: the runs cover too little", changes, planned)
 	}
 }
 
-// TestLyingAtStart: four in ten observers lie from the first second on, when the reports of the others are about a part of a second and
-// weigh little. No zone is given up, and no work is moved by one look at such reports. On these seeds it once was, at 1.1 s.
-func TestLyingAtStart(t *testing.T) {
+// TestMisreportsAtStart has four in ten observers report random values from the first second on, when the reports of the
+// others cover only part of a second and have little weight. No zone may be given up and no work moved because of a
+// single round of such reports. With these seeds that happened once, at 1.1 s.
+func TestMisreportsAtStart(t *testing.T) {
 	for _, seed := range []uint64{10, 13, 103, 129, 173, 257, 263, 264, 288, 298, 783, 849} {
 		settings := Settings{Zones: 3 + int(seed%5), Regions: 1 + int(seed%2), Routers: 30, Load: 0.4 + 0.02*float64(seed%16), Skew: 0.2,
 			Seed: seed, Rule: Planned, Length: 20, Liars: 0.4}
@@ -109,7 +114,7 @@
 			t.Fatal(err)
 		}
 		if len(result.Given) > 0 || len(result.Changes) > 0 {
-			t.Errorf("seed %d: given up %v, plans at %v", seed, result.Given, result.Changes)
+			t.Errorf("seed %d: zones given up %v, plans at %v", seed, result.Given, result.Changes)
 		}
 	}
 }
