--- a/cmd/dunedemo/main.go
+++ b/cmd/dunedemo/main.go
@@ -26,14 +26,14 @@
 		}}
 	self, _ := os.Executable()
 	f := root.Flags()
-	f.StringVar(&o.Router, "router", filepath.Join(filepath.Dir(self), "dunereach"), "path of the router's program")
+	f.StringVar(&o.RouterPath, "router", filepath.Join(filepath.Dir(self), "dunereach"), "path of the router's program")
 	o.Seconds = 10
 	f.Var((*seconds.Flag)(&o.Seconds), "seconds", "how long the clients send requests: 30s, 1m, or a number of seconds")
-	f.IntVar(&o.Engines, "engines", 2, "number of simulated servers, each with four cores")
-	f.IntVar(&o.Planner, "planners", 6, "number of clients that request reports, one at a time each")
-	f.IntVar(&o.Flood, "clerks", 120, "number of clients that send lookups continuously")
+	f.IntVar(&o.Servers, "engines", 2, "number of simulated servers, each with four cores")
+	f.IntVar(&o.PlanningClients, "planners", 6, "number of clients that request reports, one at a time each")
+	f.IntVar(&o.ClerksClients, "clerks", 120, "number of clients that send lookups continuously")
 	root.AddCommand(&cobra.Command{Use: "fleet", Short: "Run three coordinators and four routers; kill one owner and stop another", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return demo.Fleet(filepath.Dir(self), os.Stdout) }})
+		RunE: func(c *cobra.Command, _ []string) error { return demo.RunFleet(filepath.Dir(self), os.Stdout) }})
 	ctx, stopNotify := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stopNotify()
 	if err := root.ExecuteContext(ctx); err != nil {
--- a/cmd/dunefleet/main.go
+++ b/cmd/dunefleet/main.go
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	extensions := cli.Extensions{FleetCommand: agentdriver.Words(), Fleet: func(c config.Config, log *zap.Logger) (router.Fleet, error) { return agentdriver.New(c, log) },
+	extensions := cli.Extensions{FleetCommand: agentdriver.FleetCommand(), Fleet: func(c config.Config, log *zap.Logger) (router.Fleet, error) { return agentdriver.New(c, log) },
 		State: func(cfg operator.State, name string, log *zap.Logger) router.State { return state.New(cfg, name, log) }}
 	if err := cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr, extensions); err != nil {
 		if !cli.AlreadyReported(err) {
--- a/cmd/dunekeep/main.go
+++ b/cmd/dunekeep/main.go
@@ -93,7 +93,7 @@
 		}}
 	f = runCommand.Flags()
 	f.StringVar(&options.Listen, "listen", "", "address and port to listen on, if it differs from the address that the others use")
-	f.StringVar(&options.From, "from", "", "source address of connections to other coordinators")
+	f.StringVar(&options.LocalAddr, "from", "", "source address of connections to other coordinators")
 	root.AddCommand(initCommand, joinCommand, runCommand)
 	return root
 }
--- a/cmd/dunereach/accept_test.go
+++ b/cmd/dunereach/accept_test.go
@@ -28,7 +28,7 @@
 	w.cmd.Process.Signal(syscall.SIGTERM)
 	w.cmd.Process.Signal(syscall.SIGCONT)
 	for k, c := range clients {
-		got := c.Next()
+		got := c.NextAnswer()
 		if !strings.Contains(got, " 0={") && !strings.Contains(got, " 1={") {
 			t.Errorf("client %d got %q", k, got)
 		}
@@ -46,7 +46,7 @@
 		c := fake.NewClient(t, w.addr)
 		seq := w.request(c, "lookup", 30000, "SELECT 1")
 		w.cmd.Process.Kill()
-		if got := c.Next(); strings.HasPrefix(got, "2/") {
+		if got := c.NextAnswer(); strings.HasPrefix(got, "2/") {
 			t.Errorf("request %d got %q", seq, got)
 		}
 		w.cmd.Wait()
@@ -83,7 +83,7 @@
 	for range 6 {
 		w.completeRequest(c, "lookup")
 	}
-	w.nameServer.Down(true)
+	w.nameServer.SetDown(true)
 	nameServer := fake.NewNameServer(t, discovery.ServiceName)
 	target := func(k int) string {
 		return fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"east","model":"std","state":"ready"}`, k, w.servers[k].Addr)
@@ -98,7 +98,7 @@
 	entry := func(k, priority int) string {
 		return fmt.Sprintf("s-%d.east %d 10 std 0 0 %s", k, priority, w.servers[k].Addr)
 	}
-	nameServer.Set(4, entry(1, 1), entry(2, 0))
+	nameServer.SetList(4, entry(1, 1), entry(2, 0))
 	from := time.Now()
 	w.cmd.Process.Signal(syscall.SIGHUP)
 	w.waitForLog(`"msg":"new configuration"`)
@@ -108,7 +108,7 @@
 		t.Errorf("the list with the drain arrived after %v", took)
 	}
 	for range 20 {
-		if s := w.completeRequest(c, "lookup"); s.Engine != w.servers[2] {
+		if s := w.completeRequest(c, "lookup"); s.Server != w.servers[2] {
 			t.Error("a removed or draining server received a request")
 		}
 	}
@@ -122,17 +122,17 @@
 	entry := func(k, priority int) string {
 		return fmt.Sprintf("s-%d.east %d 10 std 0 0 %s", k, priority, w.servers[k].Addr)
 	}
-	w.nameServer.Asked()
+	w.nameServer.AwaitQuery()
 	for rev := uint32(2); rev <= 4; rev++ {
-		w.nameServer.Forget()
+		w.nameServer.IgnoreClients()
 		drains := int(rev % 2)
-		w.nameServer.Set(rev, entry(drains, 1), entry(1-drains, 0))
+		w.nameServer.SetList(rev, entry(drains, 1), entry(1-drains, 0))
 		from := time.Now()
 		w.waitForLog(fmt.Sprintf(`"list of engines","rev":%d`, rev))
 		if took := time.Since(from); took > 3*time.Second {
 			t.Errorf("list %d arrived after %v", rev, took)
 		}
-		if s := w.completeRequest(fake.NewClient(t, w.addr), "lookup"); s.Engine != w.servers[1-drains] {
+		if s := w.completeRequest(fake.NewClient(t, w.addr), "lookup"); s.Server != w.servers[1-drains] {
 			t.Error("a draining server received a request")
 		}
 	}
--- a/cmd/dunereach/crowd_states_test.go
+++ b/cmd/dunereach/crowd_states_test.go
@@ -39,16 +39,16 @@
 		}
 		switch clientKind {
 		case partialMessageCrowd:
-			c.Raw(partialMessage)
+			c.SendRaw(partialMessage)
 		case resetCrowd:
-			c.Raw(partialMessage)
+			c.SendRaw(partialMessage)
 			c.Reset()
 		case idleCrowd:
-			c.AskHealth()
+			c.SendHealthCheck()
 		case slowCrowd:
 			go func() {
 				for _, b := range make([]byte, 30) {
-					c.Raw([]byte{b, 50}[1:])
+					c.SendRaw([]byte{b, 50}[1:])
 					time.Sleep(time.Second)
 				}
 			}()
@@ -117,10 +117,10 @@
 func testHalfRead(w *cluster, c *fake.Client) {
 	w.lastRef++
 	message := fake.Call(2, "SELECT 1", "service", "lookup", "project", "acme", "allow", "30000", "ref", fmt.Sprintf("%016x", w.lastRef))
-	c.Raw(message[:20])
+	c.SendRaw(message[:20])
 	w.connectCrowd(silentCrowd, sparedCrowdSize)
 	w.waitForLog(`"why":"room needed"`)
-	c.Raw(message[20:])
+	c.SendRaw(message[20:])
 	w.completeNext(c, 2)
 }
 
@@ -178,7 +178,7 @@
 	expectAnswers := func(w *cluster, clients []*fake.Client) {
 		w.t.Helper()
 		for k, c := range clients {
-			if got := c.Next(); !strings.Contains(got, " 0={") && !strings.Contains(got, " 1={") {
+			if got := c.NextAnswer(); !strings.Contains(got, " 0={") && !strings.Contains(got, " 1={") {
 				w.t.Errorf("client %d got %q", k, got)
 			}
 		}
@@ -198,11 +198,11 @@
 		w := newClusterWithLimit(t, 2, smallDescriptorLimit)
 		w.waitForLog("serving")
 		w.connectCrowd(mixedCrowd, size)
-		w.nameServer.Set(2, fmt.Sprintf("s-0.east 1 10 std 0 0 %s", w.servers[0].Addr), fmt.Sprintf("s-1.east 0 10 std 0 0 %s", w.servers[1].Addr))
+		w.nameServer.SetList(2, fmt.Sprintf("s-0.east 1 10 std 0 0 %s", w.servers[0].Addr), fmt.Sprintf("s-1.east 0 10 std 0 0 %s", w.servers[1].Addr))
 		w.waitForLog(`"list of engines","rev":2`)
 		w.connectCrowd(mixedCrowd, size)
 		for range 5 {
-			if s := w.completeRequest(fake.NewClient(t, w.addr), "lookup"); s.Engine != w.servers[1] {
+			if s := w.completeRequest(fake.NewClient(t, w.addr), "lookup"); s.Server != w.servers[1] {
 				t.Error("a draining server received a request")
 			}
 		}
--- a/cmd/dunereach/crowd_test.go
+++ b/cmd/dunereach/crowd_test.go
@@ -19,7 +19,7 @@
 }
 
 // startRequests sends requests of a client until the given number of them runs at the server, all unanswered.
-func (w *cluster) startRequests(client *fake.Client, requests int) (open []fake.Said) {
+func (w *cluster) startRequests(client *fake.Client, requests int) (open []fake.Message) {
 	w.t.Helper()
 	for range requests {
 		w.request(client, "lookup", 30000, "SELECT 1")
@@ -29,11 +29,11 @@
 }
 
 // completeAll lets the server answer the running requests one by one and checks that each result reaches the client.
-func (w *cluster) completeAll(client *fake.Client, open []fake.Said) {
+func (w *cluster) completeAll(client *fake.Client, open []fake.Message) {
 	w.t.Helper()
 	for _, s := range open {
 		s.Answer("served", "count=1", "x\t\t\n")
-		if got := client.Next(); !strings.Contains(got, " 0={") {
+		if got := client.NextAnswer(); !strings.Contains(got, " 0={") {
 			w.t.Errorf("a running request got %q", got)
 		}
 	}
@@ -51,13 +51,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := prepareCluster(t, 1, c.settings)
 			w.descriptorLimit = c.system
-			w.nameServer.Down(true)
+			w.nameServer.SetDown(true)
 			w.start()
 			w.waitForLog("serving")
 			for k := range 2 * descriptorLimit { // idle clients, which stay connected until the end of the test
 				idle := fake.NewClient(t, w.addr)
 				if k%2 == 0 {
-					idle.AskHealth()
+					idle.SendHealthCheck()
 				}
 			}
 			w.waitForLog("the name server does not answer")
@@ -69,8 +69,8 @@
 			}
 			w.cmd.Process.Signal(syscall.SIGHUP)
 			w.waitForLog(`"msg":"new configuration"`)
-			w.nameServer.Set(2, fmt.Sprintf("s-0.east 0 10 std 0 0 %s", w.servers[0].Addr))
-			w.nameServer.Down(false)
+			w.nameServer.SetList(2, fmt.Sprintf("s-0.east 0 10 std 0 0 %s", w.servers[0].Addr))
+			w.nameServer.SetDown(false)
 			from := time.Now()
 			w.waitForLog(`"list of engines","rev":2`)
 			if took := time.Since(from); took > time.Second {
--- a/cmd/dunereach/earlier_list_test.go
+++ b/cmd/dunereach/earlier_list_test.go
@@ -33,12 +33,12 @@
 func newRestartedCluster(t *testing.T, staleNumber uint32, staleList func(w *cluster) []string) *cluster {
 	t.Helper()
 	w := newCluster(t, 2)
-	w.nameServer.Set(3, w.listEntry(0, 0), w.listEntry(1, 0))
+	w.nameServer.SetList(3, w.listEntry(0, 0), w.listEntry(1, 0))
 	w.waitForLog(`"list of engines","rev":3`)
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
-	w.nameServer.Set(1, w.listEntry(0, 0), w.listEntry(1, 0))
-	w.nameServer.Stray(staleNumber, staleList(w)...)
+	w.nameServer.SetList(1, w.listEntry(0, 0), w.listEntry(1, 0))
+	w.nameServer.QueueAnswer(staleNumber, staleList(w)...)
 	w.start()
 	w.waitForLog(`"serving"`)
 	return w
@@ -54,7 +54,7 @@
 		}
 		for range concurrent {
 			s := w.receive("fetch")
-			if s.Engine == w.servers[server] {
+			if s.Server == w.servers[server] {
 				w.t.Fatalf("server %d received a request", server)
 			}
 			s.Answer("served", "count=1", "x\t\t\n")
@@ -73,10 +73,10 @@
 	t.Run("a number that no other passes", func(t *testing.T) { testDrainAfterStaleList(t, 1<<32-1, 2) })
 	t.Run("same number after an outage", func(t *testing.T) {
 		w := newRestartedCluster(t, staleNumber, func(w *cluster) []string {
-			w.nameServer.Down(true)
+			w.nameServer.SetDown(true)
 			return w.bothReadyList()
 		})
-		w.nameServer.Down(false)
+		w.nameServer.SetDown(false)
 		w.waitForLog(fmt.Sprintf(`"list of engines","rev":%d`, staleNumber))
 		w.drainFirst(staleNumber)
 		w.expectAvoids(fake.NewClient(t, w.addr), 0)
@@ -98,15 +98,15 @@
 
 // drainFirst lets the name server report the drain of the first server under a list number, and waits for the end of the grace.
 func (w *cluster) drainFirst(number uint32) {
-	w.nameServer.Set(number, w.listEntry(0, 1), w.listEntry(1, 0))
-	w.nameServer.Sent()
+	w.nameServer.SetList(number, w.listEntry(0, 1), w.listEntry(1, 0))
+	w.nameServer.AwaitListSent()
 	time.Sleep(grace)
 }
 
 // testDrainAfterStaleList gives a router the stale list, then the current list, then a drain under the given number.
 func testDrainAfterStaleList(t *testing.T, staleNumber, number uint32) {
 	w := newRestartedCluster(t, staleNumber, (*cluster).bothReadyList)
-	w.nameServer.Sent() // the stale list was sent before this one
+	w.nameServer.AwaitListSent() // the stale list was sent before this one
 	w.drainFirst(number)
 	w.expectAvoids(fake.NewClient(t, w.addr), 0)
 }
@@ -115,12 +115,12 @@
 func testStaleListAlone(t *testing.T, staleNumber uint32, changeConfig func(w *cluster)) {
 	w := prepareCluster(t, 2, 1024)
 	changeConfig(w)
-	w.nameServer.Down(true)
-	w.nameServer.Stray(staleNumber, w.bothReadyList()...)
+	w.nameServer.SetDown(true)
+	w.nameServer.QueueAnswer(staleNumber, w.bothReadyList()...)
 	w.start()
 	w.waitForLog(`"serving"`)
-	w.nameServer.Down(false)
+	w.nameServer.SetDown(false)
 	w.waitForLog(fmt.Sprintf(`"list of engines","rev":%d`, staleNumber))
-	w.nameServer.Down(true)
+	w.nameServer.SetDown(true)
 	w.expectAvoids(fake.NewClient(t, w.addr), 0)
 }
--- a/cmd/dunereach/flood_test.go
+++ b/cmd/dunereach/flood_test.go
@@ -17,7 +17,7 @@
 	for j := 0; ; j++ {
 		from := time.Now()
 		c.Call("SELECT 1", fields(j)...)
-		if got := c.Next(); strings.Contains(got, " 0={") {
+		if got := c.NextAnswer(); strings.Contains(got, " 0={") {
 			served++
 		}
 		took = append(took, time.Since(from))
@@ -58,12 +58,12 @@
 		for n := range 40 {
 			c.Call("SELECT 1", fields(ref(k, 100*j+n))...)
 		}
-		c.Leave()
+		c.Disconnect()
 	})
-	flood(2, func(k, j int) { fake.NewClient(t, w.addr).Raw([]byte{0}) }) // part of a message
+	flood(2, func(k, j int) { fake.NewClient(t, w.addr).SendRaw([]byte{0}) }) // part of a message
 	slowWriter, nonReader := fake.NewClient(t, w.addr), fake.NewClient(t, w.addr)
 	message := fake.Call(1, "SELECT 1", fields(ref(3, 0))...)
-	flood(3, func(_, j int) { slowWriter.Raw(message[j%len(message):][:1]) })
+	flood(3, func(_, j int) { slowWriter.SendRaw(message[j%len(message):][:1]) })
 	flood(4, func(k, j int) {
 		for n := range 40 {
 			nonReader.Call("SELECT 1", fields(ref(k, 100*j+n))...)
--- a/cmd/dunereach/forms_test.go
+++ b/cmd/dunereach/forms_test.go
@@ -42,7 +42,7 @@
 func writeInPieces(c *fake.Client, text []byte, piece int) {
 	for len(text) > 0 {
 		n := min(piece, len(text))
-		c.Raw(text[:n])
+		c.SendRaw(text[:n])
 		text = text[n:]
 	}
 }
@@ -87,7 +87,7 @@
 				}
 				s.Answer("served", "count=1", "x\t\t\n")
 				w.expectAnswer(c, resultMessage(1, "x\t\t\n"))
-				c.Leave()
+				c.Disconnect()
 			})
 		}
 	}
@@ -100,11 +100,11 @@
 			return binary.BigEndian.AppendUint32(thrift.AppendField(b, thrift.I32, 1), 3)
 		})
 		three := encodeMessage(thrift.Call, "call", 5, forms["usual"])
-		c.Raw(bytes.Join([][]byte{one, health, two, cancel, three}, nil))
+		c.SendRaw(bytes.Join([][]byte{one, health, two, cancel, three}, nil))
 		w.expectAnswer(c, `2/2 health{ 0={ 1="" 2=[ ] 3=1 } }`)
 		go answerRequests(w) // the cancelled request may already have been sent, or may have been withdrawn
-		got := map[string]bool{c.Next(): true}
-		got[c.Next()] = true
+		got := map[string]bool{c.NextAnswer(): true}
+		got[c.NextAnswer()] = true
 		if !got[resultMessage(1, "x\t\t\n")] || !got[resultMessage(5, "x\t\t\n")] {
 			t.Errorf("the client got %v", got)
 		}
--- a/cmd/dunereach/life_soak_test.go
+++ b/cmd/dunereach/life_soak_test.go
@@ -238,7 +238,7 @@
 }
 
 // sentTimeLimit is the time limit that the router sent to the server.
-func sentTimeLimit(said fake.Said) time.Duration {
+func sentTimeLimit(said fake.Message) time.Duration {
 	for _, field := range strings.Split(said.Words[2], ",") {
 		if text, ok := strings.CutPrefix(field, "ms="); ok {
 			ms, _ := strconv.ParseFloat(text, 64)
@@ -248,14 +248,14 @@
 	return 0
 }
 
-func (l *soakRun) answerAttempt(said fake.Said) {
+func (l *soakRun) answerAttempt(said fake.Message) {
 	if said.Words[0] != "fetch" {
 		return
 	}
 	l.mu.Lock()
-	l.record.attempts = append(l.record.attempts, attemptRecord{said.Words[1], said.At, sentTimeLimit(said)})
+	l.record.attempts = append(l.record.attempts, attemptRecord{said.Words[1], said.ReceivedAt, sentTimeLimit(said)})
 	l.mu.Unlock()
-	if said.Engine == l.servers[0] && l.firstServerHangs.Load() {
+	if said.Server == l.servers[0] && l.firstServerHangs.Load() {
 		return
 	}
 	time.AfterFunc(5*time.Millisecond, func() { said.Answer("served", "count=1", "x\t\t\n") })
--- a/cmd/dunereach/list_soak_test.go
+++ b/cmd/dunereach/list_soak_test.go
@@ -37,7 +37,7 @@
 // listedServer is one server of the soak.
 type listedServer struct {
 	id         string
-	server     *fake.Engine
+	server     *fake.Server
 	draining   bool
 	reportedAt time.Time // when the drain or removal was reported to the current router process; zero: not yet
 	removed    bool      // no longer in the list
@@ -46,7 +46,7 @@
 // listSoak holds the servers and the state of the name server. The lock guards all of it.
 type listSoak struct {
 	t        *testing.T
-	received chan fake.Said
+	received chan fake.Message
 
 	mu           sync.Mutex
 	rng          *rand.Rand
@@ -85,7 +85,7 @@
 }
 
 func (k *listSoak) addServer() {
-	k.servers = append(k.servers, &listedServer{id: fmt.Sprintf("s-%04d", len(k.servers)), server: fake.NewEngine(k.t, k.received)})
+	k.servers = append(k.servers, &listedServer{id: fmt.Sprintf("s-%04d", len(k.servers)), server: fake.NewServer(k.t, k.received)})
 }
 
 // changeList drains one server and adds another, or removes a draining one.
@@ -158,7 +158,7 @@
 		return nil
 	}
 	id := binary.BigEndian.Uint16(question)
-	good := func() []byte { return fake.Reply(id, k.listNumber, discovery.ServiceName, k.listEntries()...) }
+	good := func() []byte { return fake.ListAnswer(id, k.listNumber, discovery.ServiceName, k.listEntries()...) }
 	if k.rng.IntN(100) >= badAnswerPercent {
 		k.markReported(now)
 		k.goodAnswers++
@@ -176,11 +176,11 @@
 		msg := good()
 		return [][]byte{msg[:k.rng.IntN(len(msg))]}
 	case 3: // wrong id
-		return [][]byte{fake.Reply(id^1, k.listNumber, discovery.ServiceName, k.listEntries()...)}
+		return [][]byte{fake.ListAnswer(id^1, k.listNumber, discovery.ServiceName, k.listEntries()...)}
 	default: // a list of any earlier time
 		k.staleAnswers++
 		earlier := k.history[k.rng.IntN(len(k.history))]
-		return [][]byte{fake.Reply(id, earlier.listNumber, discovery.ServiceName, earlier.listEntries...)}
+		return [][]byte{fake.ListAnswer(id, earlier.listNumber, discovery.ServiceName, earlier.listEntries...)}
 	}
 }
 
@@ -207,11 +207,11 @@
 }
 
 // checkMessage answers a request that reached a server, and records it if it came too late.
-func (k *listSoak) checkMessage(said fake.Said) {
+func (k *listSoak) checkMessage(said fake.Message) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range k.servers {
-		if late := said.At.Sub(s.reportedAt); s.server == said.Engine && !s.reportedAt.IsZero() && late > grace+machineLag {
+		if late := said.ReceivedAt.Sub(s.reportedAt); s.server == said.Server && !s.reportedAt.IsZero() && late > grace+machineLag {
 			k.late = append(k.late, fmt.Sprintf("request %s reached %s %v after its drain was reported", said.Words[1], s.id, late))
 		}
 	}
--- a/cmd/dunereach/list_test.go
+++ b/cmd/dunereach/list_test.go
@@ -12,9 +12,9 @@
 // change counts as reported.
 func TestFlowLost(t *testing.T) {
 	w := newCluster(t, 2)
-	w.nameServer.Asked() // from the socket whose answers are lost next
-	w.nameServer.Forget()
-	w.nameServer.Set(2, fmt.Sprintf("s-0.east 0 10 std 0 0 %s", w.servers[0].Addr), fmt.Sprintf("s-1.east 1 10 std 0 0 %s", w.servers[1].Addr))
+	w.nameServer.AwaitQuery() // from the socket whose answers are lost next
+	w.nameServer.IgnoreClients()
+	w.nameServer.SetList(2, fmt.Sprintf("s-0.east 0 10 std 0 0 %s", w.servers[0].Addr), fmt.Sprintf("s-1.east 1 10 std 0 0 %s", w.servers[1].Addr))
 	from := time.Now()
 	w.waitForLog(`"list of engines","rev":2`)
 	if took := time.Since(from); took > 3*time.Second {
@@ -22,7 +22,7 @@
 	}
 	c := fake.NewClient(t, w.addr)
 	for range 9 {
-		if s := w.completeRequest(c, "lookup"); s.Engine != w.servers[0] {
+		if s := w.completeRequest(c, "lookup"); s.Server != w.servers[0] {
 			t.Error("a draining server received a request")
 		}
 	}
--- a/cmd/dunereach/main_test.go
+++ b/cmd/dunereach/main_test.go
@@ -108,9 +108,9 @@
 	configPath   string
 	operatorPath string // the operators' file; empty: none
 	nameServer   *fake.NameServer
-	servers      []*fake.Engine
-	received     chan fake.Said // messages that reach the servers
-	text         string         // contents of the configuration file
+	servers      []*fake.Server
+	received     chan fake.Message // messages that reach the servers
+	text         string            // contents of the configuration file
 	cmd          *exec.Cmd
 	logLines     chan string
 	lastRef      int // id of the last request
@@ -130,12 +130,12 @@
 
 // prepareCluster returns a cluster whose router is not yet started.
 func prepareCluster(t testing.TB, servers, descriptors int) *cluster {
-	w := &cluster{t: t, nameServer: fake.NewNameServer(t, discovery.ServiceName), received: make(chan fake.Said, 1000)}
+	w := &cluster{t: t, nameServer: fake.NewNameServer(t, discovery.ServiceName), received: make(chan fake.Message, 1000)}
 	// The router gets an address of its own: on a shared address, a port that was free may belong to a server by the time it starts.
 	w.addr = fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))
 	var targets []string
 	for k := range servers {
-		w.servers = append(w.servers, fake.NewEngine(t, w.received))
+		w.servers = append(w.servers, fake.NewServer(t, w.received))
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d","endpoint":"%s","az":"east","model":"std","state":"ready"}`,
 			k, w.servers[k].Addr))
 	}
@@ -210,7 +210,7 @@
 // waitForLog waits for a log line that contains part.
 func (w *cluster) waitForLog(part string) {
 	w.t.Helper()
-	timeout := time.After(fake.Patience)
+	timeout := time.After(fake.Timeout)
 	for {
 		select {
 		case line, ok := <-w.logLines:
@@ -227,7 +227,7 @@
 }
 
 // receive waits for the next message that a server receives. It must start with the given verb.
-func (w *cluster) receive(verb string) fake.Said {
+func (w *cluster) receive(verb string) fake.Message {
 	w.t.Helper()
 	select {
 	case s := <-w.received:
@@ -235,14 +235,14 @@
 			w.t.Fatalf("a server received %q, want %s", s.Words, verb)
 		}
 		return s
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.Timeout):
 		w.cmd.Process.Kill()
 		for line := range w.logLines {
 			w.t.Log(line)
 		}
 		w.t.Fatalf("no server received %s", verb)
 	}
-	return fake.Said{}
+	return fake.Message{}
 }
 
 // request sends a statement with a client timeout in milliseconds and returns its sequence number.
@@ -252,7 +252,7 @@
 }
 
 // completeRequest lets a server run a request and checks that the client receives the result.
-func (w *cluster) completeRequest(c *fake.Client, profile string) fake.Said {
+func (w *cluster) completeRequest(c *fake.Client, profile string) fake.Message {
 	w.t.Helper()
 	seq := w.request(c, profile, 30000, "SELECT 1")
 	s := w.receive("fetch")
@@ -263,7 +263,7 @@
 
 func (w *cluster) expectAnswer(c *fake.Client, want string) {
 	w.t.Helper()
-	if diff := cmp.Diff(want, c.Next()); diff != "" {
+	if diff := cmp.Diff(want, c.NextAnswer()); diff != "" {
 		w.t.Fatalf("the client got (-want +got):\n%s", diff)
 	}
 }
@@ -325,14 +325,14 @@
 	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
 	seq := w.request(c, "order", 30000, "UPDATE sales_3.x")
-	w.receive("fetch").Die()
+	w.receive("fetch").Reset()
 	w.expectAnswer(c, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, seq))
 	seq = w.request(c, "lookup", 30000, "SELECT 1")
 	first := w.receive("fetch")
 	first.Answer("served", "count=2", "old\t\t\n")
-	w.receive("more").Die()
+	w.receive("more").Reset()
 	again := w.receive("fetch")
-	if again.Engine == first.Engine || again.Words[1] != first.Words[1] {
+	if again.Server == first.Server || again.Words[1] != first.Words[1] {
 		t.Errorf("retry %q has another id or is at the same server", again.Words)
 	}
 	again.Answer("served", "count=1", "new\t\t\n")
@@ -344,18 +344,18 @@
 func TestSpoilt(t *testing.T) {
 	w := newCluster(t, 2)
 	c := fake.NewClient(t, w.addr)
-	var open []fake.Said
+	var open []fake.Message
 	var seqs []int32
 	for range 4 {
 		seqs = append(seqs, w.request(c, "lookup", 30000, "SELECT 1"))
 		open = append(open, w.receive("fetch"))
 	}
-	open[0].Raw(open[0].Words[1] + " served count=1 3000000000\r\nnoise")
+	open[0].SendRaw(open[0].Words[1] + " served count=1 3000000000\r\nnoise")
 	again := w.receive("fetch")
-	if again.Words[1] != open[0].Words[1] || again.Engine == open[0].Engine {
+	if again.Words[1] != open[0].Words[1] || again.Server == open[0].Server {
 		t.Errorf("retry %q has another id or is at the same server", again.Words)
 	}
-	for k, s := range append([]fake.Said{again}, open[1:]...) {
+	for k, s := range append([]fake.Message{again}, open[1:]...) {
 		s.Answer("served", "count=1", "x\t\t\n")
 		s.Answer("served", "count=1", "y\t\t\n")
 		w.expectAnswer(c, resultMessage(seqs[k], "x\t\t\n"))
@@ -370,7 +370,7 @@
 	w.servers[0].Close()
 	c := fake.NewClient(t, w.addr)
 	for range 6 {
-		if s := w.completeRequest(c, "order"); s.Engine != w.servers[1] {
+		if s := w.completeRequest(c, "order"); s.Server != w.servers[1] {
 			t.Error("an unreachable server received a request")
 		}
 	}
@@ -386,13 +386,13 @@
 	running := w.request(c, "lookup", 30000, "SELECT 1")
 	there := w.receive("fetch")
 	drains := 0
-	if there.Engine == w.servers[1] {
+	if there.Server == w.servers[1] {
 		drains = 1
 	}
-	w.nameServer.Set(2, entry(drains, 1), entry(1-drains, 0))
+	w.nameServer.SetList(2, entry(drains, 1), entry(1-drains, 0))
 	w.waitForLog(`"list of engines","rev":2`)
 	for range 20 {
-		if s := w.completeRequest(c, "lookup"); s.Engine == there.Engine {
+		if s := w.completeRequest(c, "lookup"); s.Server == there.Server {
 			t.Fatal("a draining server received a request")
 		}
 	}
@@ -412,8 +412,8 @@
 		t.Error("not ready")
 	}
 	runs.Answer("served", "count=1", "unwanted\t\t\n")
-	bad.Raw([]byte("GET / HTTP/1.1\r\n\r\n"))
-	if got := bad.Next(); got != "closed" && !strings.Contains(got, "reset") {
+	bad.SendRaw([]byte("GET / HTTP/1.1\r\n\r\n"))
+	if got := bad.NextAnswer(); got != "closed" && !strings.Contains(got, "reset") {
 		t.Errorf("a client that speaks another protocol got %q", got)
 	}
 	seq := w.request(c, "nobody's", 30000, "SELECT 1")
@@ -432,12 +432,12 @@
 	for k := range 60 {
 		crowd = append(crowd, fake.NewClient(t, w.addr))
 		if k%2 == 0 {
-			crowd[k].Raw([]byte{0, 0, 0, 50, 0x80})
+			crowd[k].SendRaw([]byte{0, 0, 0, 50, 0x80})
 		}
 	}
 	w.completeRequest(fake.NewClient(t, w.addr), "lookup")
 	for _, c := range crowd {
-		if got := c.Next(); got != "closed" && !strings.Contains(got, "reset") {
+		if got := c.NextAnswer(); got != "closed" && !strings.Contains(got, "reset") {
 			t.Errorf("a client without requests got %q", got)
 		}
 	}
@@ -492,11 +492,11 @@
 	nameServer := fake.NewNameServer(t, discovery.ServiceName)
 	other := strings.Replace(string(good), w.nameServer.Addr, nameServer.Addr, 1)
 	reload(strings.Replace(other, "192", "96", 1), `"kept until a restart":["limits"]`)
-	w.nameServer.Set(9)
-	nameServer.Set(2, fmt.Sprintf("s-1.east 0 10 std 0 0 %s", w.servers[1].Addr))
+	w.nameServer.SetList(9)
+	nameServer.SetList(2, fmt.Sprintf("s-1.east 0 10 std 0 0 %s", w.servers[1].Addr))
 	w.waitForLog(`"list of engines","rev":2`)
 	for range 9 {
-		if s := w.completeRequest(c, "lookup"); s.Engine != w.servers[1] {
+		if s := w.completeRequest(c, "lookup"); s.Server != w.servers[1] {
 			t.Error("a removed server received a request")
 		}
 	}
@@ -558,7 +558,7 @@
 		w.lastRef++
 		c.Call("select 1", "service", "lookup", "project", "acme", "team", team, "allow", "20000", "ref", fmt.Sprintf("%016x", w.lastRef))
 		w.receive("fetch").Answer("served", "count=1,ticks=5", "a\tb\tc\n")
-		return c.Next()
+		return c.NextAnswer()
 	}
 	fields := regexp.MustCompile(`2=\[ wait_p50=\d+ wait_p90=\d+ waited=0 \]`)
 	if got := completeAs("b"); !fields.MatchString(got) {
@@ -603,7 +603,7 @@
 		group.Go(func() {
 			for n := k; n < b.N; n += clients {
 				c.Call("select 1", "service", "lookup", "project", "acme", "allow", "20000", "ref", fmt.Sprintf("%016x", n+1))
-				if got := c.Next(); !strings.Contains(got, "call{ 0={") {
+				if got := c.NextAnswer(); !strings.Contains(got, "call{ 0={") {
 					b.Error(got)
 					return
 				}
--- a/cmd/dunereach/profiles_test.go
+++ b/cmd/dunereach/profiles_test.go
@@ -19,9 +19,9 @@
 	}
 	seq := call("f67149c9:8847")
 	first := w.receive("fetch")
-	first.Die()
+	first.Reset()
 	again := w.receive("fetch")
-	for _, s := range []fake.Said{first, again} {
+	for _, s := range []fake.Message{first, again} {
 		if !strings.HasSuffix(s.Words[2], ",token=f67149c9:8847") {
 			t.Errorf("a server received %q", s.Words)
 		}
@@ -30,7 +30,7 @@
 	w.expectAnswer(c, resultMessage(seq, "x\t\t\n"))
 	for _, bad := range []string{"a,ms=1", "a b", "a\r\nabort", "a=b", strings.Repeat("x", 129)} {
 		call(bad)
-		if got := c.Next(); !strings.Contains(got, "replay can't be used") {
+		if got := c.NextAnswer(); !strings.Contains(got, "replay can't be used") {
 			t.Errorf("%q: %s", bad, got)
 		}
 	}
@@ -90,7 +90,7 @@
 	first.Answer("served", "count=1", "1\t\t\n")
 	w.expectAnswer(a, resultMessage(one, "1\t\t\n"))
 	three := call(b, "a")
-	w.receive("fetch").Die() // the request may have run
+	w.receive("fetch").Reset() // the request may have run
 	w.expectAnswer(b, fmt.Sprintf(`2/%d call{ 2={ 1=[ ] } }`, three))
 	four := call(b, "a")
 	w.receive("fetch").Answer("served", "count=1", "4\t\t\n")
--- a/cmd/dunereach/restart_test.go
+++ b/cmd/dunereach/restart_test.go
@@ -21,7 +21,7 @@
 		if !fake.NewClient(t, r.addr).Health() {
 			t.Fatal("not ready at first")
 		}
-		r.nameServer.Down(true)
+		r.nameServer.SetDown(true)
 	}
 	for _, r := range w {
 		r.cmd.Process.Kill()
@@ -43,8 +43,8 @@
 	}
 	returnedAt := time.Now()
 	for _, r := range w {
-		r.nameServer.Set(2, fmt.Sprintf("s-0.east 0 10 std 0 0 %s", r.servers[0].Addr))
-		r.nameServer.Down(false)
+		r.nameServer.SetList(2, fmt.Sprintf("s-0.east 0 10 std 0 0 %s", r.servers[0].Addr))
+		r.nameServer.SetDown(false)
 	}
 	listAfter := sortedWaits(w, func(r *cluster) time.Time {
 		r.waitForLog(`"list of engines","rev":2`)
--- a/cmd/dunereach/signal_test.go
+++ b/cmd/dunereach/signal_test.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.Timeout):
 		t.Error("the router does not exit")
 	}
 }
@@ -115,8 +115,8 @@
 	cmd.Process.Signal(syscall.SIGHUP) // the router logs the reload
 	for range 3 {
 		bad := fake.NewClient(t, w.addr) // the router logs the bad message
-		bad.Raw([]byte("GET / HTTP/1.0\r\n\r\n"))
-		bad.Next()
+		bad.SendRaw([]byte("GET / HTTP/1.0\r\n\r\n"))
+		bad.NextAnswer()
 	}
 	if c := fake.NewClient(t, w.addr); !c.Health() {
 		t.Error("not ready")
--- a/cmd/dunereach/subset_test.go
+++ b/cmd/dunereach/subset_test.go
@@ -13,16 +13,16 @@
 	w.writeOperatorFile(`{"subset":{"size":2,"room":0,"least":0}}`)
 	w.start()
 	c := fake.NewClient(t, w.addr)
-	var subset []*fake.Engine
+	var subset []*fake.Server
 	const requests = 8 // concurrent, so that they spread over all servers in the subset
-	var running []fake.Said
+	var running []fake.Message
 	for range requests {
 		w.request(c, "lookup", 30000, "SELECT 1")
 	}
 	for range requests {
 		s := w.receive("fetch")
-		if running = append(running, s); !slices.Contains(subset, s.Engine) {
-			subset = append(subset, s.Engine)
+		if running = append(running, s); !slices.Contains(subset, s.Server) {
+			subset = append(subset, s.Server)
 		}
 	}
 	if len(subset) != 2 {
@@ -30,7 +30,7 @@
 	}
 	for _, s := range running {
 		s.Answer("served", "count=1", "x\t\t\n")
-		c.Next()
+		c.NextAnswer()
 	}
 
 	w.cmd.Process.Kill()
@@ -42,7 +42,7 @@
 	w.start() // the same name gives the same subset
 	c = fake.NewClient(t, w.addr)
 	for range 6 {
-		if s := w.completeRequest(c, "order"); slices.Contains(subset, s.Engine) {
+		if s := w.completeRequest(c, "order"); slices.Contains(subset, s.Server) {
 			t.Error("an unreachable server received a request")
 		}
 	}
--- a/cmd/dunereach/undelivered_test.go
+++ b/cmd/dunereach/undelivered_test.go
@@ -90,7 +90,7 @@
 	close(s.resumed)
 	select {
 	case <-s.ended:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.Timeout):
 		t.Fatal("the server does not stop reading")
 	}
 	close(s.requestIDs)
@@ -124,7 +124,7 @@
 // drainStalled lets the name server report that the only server drains, and waits for the end of the grace.
 func (w *cluster) drainStalled(server *stalledServer) {
 	w.t.Helper()
-	w.nameServer.Set(2, fmt.Sprintf("s-0.east 1 10 std 0 0 %s", server.addr))
+	w.nameServer.SetList(2, fmt.Sprintf("s-0.east 1 10 std 0 0 %s", server.addr))
 	w.waitForLog(`"to":"draining"`)
 	time.Sleep(grace)
 }
@@ -172,7 +172,7 @@
 	c := fake.NewClient(t, w.addr)
 	w.requestWritten(c, "lookup", 30000, overWindow)
 	w.requestWritten(c, "lookup", 30000, 1)
-	c.Leave()
+	c.Disconnect()
 	w.waitForLog(`"why":"requests undelivered"`)
 	if ids := server.resumeAndRead(t); len(ids) > 0 {
 		t.Errorf("requests %q ran for a client that had left", ids)
--- a/cmd/dunereach/waited_test.go
+++ b/cmd/dunereach/waited_test.go
@@ -41,7 +41,7 @@
 			w.request(client, "lookup", int(timeout.Milliseconds()), "SELECT 1")
 			c.after(w)
 			said := w.receive("fetch")
-			waited := said.At.Sub(from)
+			waited := said.ReceivedAt.Sub(from)
 			if timeLimit := sentTimeLimit(said); waited < timeLimitSlack || timeLimit > timeout-waited+timeLimitSlack {
 				t.Errorf("the server received a time limit of %v, the client has waited %v of %v", timeLimit, waited, timeout)
 			}
@@ -55,7 +55,7 @@
 func (w *cluster) suspend() {
 	w.t.Helper()
 	w.cmd.Process.Signal(syscall.SIGSTOP)
-	for end := time.Now().Add(fake.Patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(fake.Timeout); ; time.Sleep(time.Millisecond) {
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", w.cmd.Process.Pid))
 		if err == nil && strings.Contains(string(status), ") T ") {
 			return
--- a/cmd/duneshow/hollow.go
+++ b/cmd/duneshow/hollow.go
@@ -22,7 +22,7 @@
 	command := &cobra.Command{Use: "control", Short: "Measure one part of the scale tests' control alone"}
 	command.PersistentFlags().IntVar(&routers, "routers", scale.TargetRouters, "the largest number of routers")
 	for _, part := range scale.ControlParts {
-		command.AddCommand(&cobra.Command{Use: part.Name, Short: part.About, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+		command.AddCommand(&cobra.Command{Use: part.Name, Short: part.Description, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			rows, err := part.Run(routers)
 			if err == nil && !measure.Print(os.Stdout, rows) {
 				err = errBelowBound
--- a/cmd/duneshow/main.go
+++ b/cmd/duneshow/main.go
@@ -18,7 +18,7 @@
 func main() {
 	root := &cobra.Command{Use: "duneshow", Short: "Measure one subsystem and check the results against their bounds", SilenceUsage: true,
 		SilenceErrors: true}
-	for _, s := range measure.All {
+	for _, s := range measure.Subsystems {
 		root.AddCommand(subsystemCommand(s))
 	}
 	root.AddCommand(&cobra.Command{Use: "fleet-seeds FROM COUNT SECONDS", Short: "Simulate a fleet with random faults in virtual time and print the results as JSON",
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			out, err := measure.SaySeeds(from, count, length)
+			out, err := measure.RunSeedsJSON(from, count, length)
 			if err == nil {
 				_, err = fmt.Printf("%s\n", out)
 			}
@@ -47,7 +47,7 @@
 			if err != nil {
 				return err
 			}
-			rows, err := measure.Explore(from, count, length)
+			rows, err := measure.ExploreSeeds(from, count, length)
 			if err == nil && !measure.Print(os.Stdout, rows) {
 				err = errBelowBound
 			}
@@ -61,7 +61,7 @@
 			if err != nil {
 				return err
 			}
-			p99, err := measure.Late(args[0] == "with", length)
+			p99, err := measure.TimerLateness(args[0] == "with", length)
 			if err == nil {
 				_, err = fmt.Println(p99)
 			}
@@ -73,7 +73,7 @@
 			if _, err := fmt.Sscan(args[0]+" "+args[1], &from, &count); err != nil {
 				return err
 			}
-			broken, planned, offered, plans, err := measure.DrawnDays(from, count)
+			broken, planned, offered, plans, err := measure.RandomDays(from, count)
 			if err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 		}})
 	root.AddCommand(&cobra.Command{Use: "zone-charts FOLDER", Short: "Write charts of three simulated days of zone faults", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			tables, err := measure.Charts(args[0])
+			tables, err := measure.WriteCharts(args[0])
 			if err == nil {
 				fmt.Println(tables)
 			}
@@ -112,7 +112,7 @@
 // subsystemCommand returns the command that measures one subsystem.
 func subsystemCommand(subsystem measure.Subsystem) *cobra.Command {
 	short := false
-	command := &cobra.Command{Use: subsystem.Name, Short: subsystem.About, Args: cobra.NoArgs}
+	command := &cobra.Command{Use: subsystem.Name, Short: subsystem.Description, Args: cobra.NoArgs}
 	command.Flags().BoolVar(&short, "short", false, "run the short form used by CI: fewer cases, the same bounds")
 	command.RunE = func(*cobra.Command, []string) error {
 		run := subsystem.Run
--- a/cmd/duneshow/scale.go
+++ b/cmd/duneshow/scale.go
@@ -24,7 +24,7 @@
 			parts = nil
 		}
 		for _, name := range names {
-			part, err := scale.Find(name)
+			part, err := scale.FindPart(name)
 			if err != nil {
 				return err
 			}
@@ -40,7 +40,7 @@
 func runScale(parts []scale.Part, short bool) error {
 	passed := true
 	for _, part := range parts {
-		fmt.Printf("# %s: %s\n", part.Name, part.About)
+		fmt.Printf("# %s: %s\n", part.Name, part.Description)
 		rows, err := part.Run(short)
 		if err != nil {
 			return fmt.Errorf("%s: %w", part.Name, err)
--- a/emulator/cluster/cold_test.go
+++ b/emulator/cluster/cold_test.go
@@ -32,18 +32,18 @@
 // (docs/design.md, Turns on cold engines). The ramp is quadratic in the server's age, the slower of the two ramps that
 // the settings allow.
 func coldCapacity(settings *Settings, server int, age, work float64) float64 {
-	b := &settings.Brain
+	b := &settings.Controller
 	ramp := b.ColdFrom + (1-b.ColdFrom)*math.Pow(min(age/b.WarmUp, 1), 2)
-	n := b.FallMultiple * settings.Engines[server].Cores * ramp * b.FallWindow / work
+	n := b.FallMultiple * settings.Servers[server].Cores * ramp * b.FallWindow / work
 	return n + 2*math.Sqrt(n) + 2
 }
 
-func (w *coldWatch) watch(m *Moment) bool {
-	b := &w.settings.Brain
-	if m.On != Sent || m.Engine != w.server || m.Now < w.start || m.Now >= w.start+b.WarmUp {
+func (w *coldWatch) watch(m *Observation) bool {
+	b := &w.settings.Controller
+	if m.Kind != AttemptSent || m.Server != w.server || m.Now < w.start || m.Now >= w.start+b.WarmUp {
 		return true
 	}
-	w.attempts = append(w.attempts, coldAttempt{m.Now, m.Stream.Work, m.Age >= 0})
+	w.attempts = append(w.attempts, coldAttempt{m.Now, m.Stream.Work, m.ServerAge >= 0})
 	for w.attempts[0].at <= m.Now-b.FallWindow {
 		w.attempts = w.attempts[1:]
 	}
@@ -69,23 +69,23 @@
 	const back, cold = 1.0, 1
 	work := rapid.SampledFrom([]float64{0.005, 0.02, 0.08, 0.3}).Draw(t, "work")
 	target := rapid.SampledFrom([]float64{0.1, 0.4, 1.5}).Draw(t, "target")
-	s := Settings{Seed: rapid.Uint64().Draw(t, "seed"), Length: 5, Routers: rapid.IntRange(20, 30).Draw(t, "routers"),
-		Brain: admission.Settings{Tick: 0.005, MaxSends: 4, Priorities: true, MaxPause: 0.5, ColdFrom: rapid.SampledFrom([]float64{0.15, 0.35}).Draw(t, "cold from"),
+	s := Settings{Seed: rapid.Uint64().Draw(t, "seed"), Duration: 5, Routers: rapid.IntRange(20, 30).Draw(t, "routers"),
+		Controller: admission.Settings{Tick: 0.005, MaxSends: 4, Priorities: true, MaxPause: 0.5, ColdFrom: rapid.SampledFrom([]float64{0.15, 0.35}).Draw(t, "cold from"),
 			WarmUp: rapid.SampledFrom([]float64{3, 8, 15}).Draw(t, "warm-up"), FallMultiple: 2, FallWindow: 1,
 			Profiles: []admission.Profile{{Target: target, Stretch: 2, Benefit: 1, Threads: 1}, {Target: 4 * target, Stretch: 2, Benefit: 1, Threads: 1}}}}
 	cores := rapid.SampledFrom([]float64{2, 4, 8}).Draw(t, "cores")
 	for range 3 {
-		s.Engines = append(s.Engines, Engine{Settings: engine.Settings{Cores: cores, Knee: 2, Thrash: 0.3}})
+		s.Servers = append(s.Servers, Server{Settings: engine.Settings{Cores: cores, Knee: 2, ContentionLoss: 0.3}})
 	}
 	load := rapid.Float64Range(0.3, 1.5).Draw(t, "load")
 	const maxRate = 2500 // requests per second; limits the time of one run to one or two seconds
 	rate := min(3*cores*load/(1.3*work), maxRate)
 	for k, keys := range []int{0, 1, 3} { // spread evenly, all to one router, and over three routers
-		stream := Stream{Work: work, CV: 1, Deadline: 4, Scatter: 0.3, Keys: keys, Tries: 2, Ignores: 0.3}
+		stream := Stream{Work: work, CV: 1, Deadline: 4, EstimateCV: 0.3, Keys: keys, MaxRequests: 2, IgnoresPauseShare: 0.3}
 		if k == 2 {
 			stream.Work, stream.Profile = 4*work, 1
 		}
-		stream.Rate, stream.Peak = Steady(rate * []float64{0.5, 0.4, 0.1}[k])
+		stream.Rate, stream.PeakRate = ConstantRate(rate * []float64{0.5, 0.4, 0.1}[k])
 		s.Streams = append(s.Streams, stream)
 	}
 	pickRouters := func(name string, share int) (routers []int) {
@@ -96,15 +96,15 @@
 		}
 		return routers
 	}
-	s.Happens = []Happening{{At: 0.5, For: back - 0.5, Act: Gone, Engines: []int{cold}}}
+	s.Faults = []Fault{{At: 0.5, Duration: back - 0.5, Kind: StopServers, Servers: []int{cold}}}
 	if late := pickRouters("informed late", 2); late != nil {
-		s.Happens = append(s.Happens, Happening{At: 0.2, For: rapid.Float64Range(0.5, 3).Draw(t, "for"), Act: ListLost, Routers: late})
+		s.Faults = append(s.Faults, Fault{At: 0.2, Duration: rapid.Float64Range(0.5, 3).Draw(t, "for"), Kind: LoseList, Routers: late})
 	}
 	if restart := pickRouters("restarted", 2); restart != nil {
-		s.Happens = append(s.Happens, Happening{At: back + rapid.Float64Range(0.1, 2).Draw(t, "at"), For: 0.2, Act: Restart, Routers: restart})
+		s.Faults = append(s.Faults, Fault{At: back + rapid.Float64Range(0.1, 2).Draw(t, "at"), Duration: 0.2, Kind: RestartRouter, Routers: restart})
 	}
 	w := &coldWatch{settings: s, server: cold, start: back}
-	s.Watch = w.watch
+	s.Observe = w.watch
 	return s, w
 }
 
--- a/emulator/cluster/events.go
+++ b/emulator/cluster/events.go
@@ -30,10 +30,10 @@
 	incarnation int // incarnation of the router that the event is for; events for an ended incarnation are dropped
 	token       uint64
 	attempt     int
-	request     Try
+	request     Request
 	end         admission.End
 	answer      []byte
-	fault       Happening
+	fault       Fault
 }
 
 type events []event
@@ -51,7 +51,7 @@
 	return x
 }
 
-func (sim *Town) push(e event) {
+func (sim *Simulation) push(e event) {
 	sim.seq++
 	e.seq = sim.seq
 	heap.Push(&sim.queue, e)
--- a/emulator/cluster/faults.go
+++ b/emulator/cluster/faults.go
@@ -13,48 +13,48 @@
 	"dunereach/internal/fake"
 )
 
-// Act is the kind of a scheduled change to servers, lists, routers or traffic.
-type Act uint8
+// FaultKind is the kind of a scheduled change to servers, lists, routers or traffic.
+type FaultKind uint8
 
 // The kinds of faults and other changes.
 const (
-	Drain       Act = iota // servers finish their queries but are to receive no more
-	Gone                   // servers stop: running queries are cut off and new attempts fail
-	Back                   // servers start again, cold
-	Pace                   // Value: factor on the servers' speed
-	Silent                 // servers make no progress and send nothing
-	Errors                 // Value: share of attempts that servers answer at once with an error
-	Lose                   // Value: share of answers that are lost
-	ListLate               // Value: delay of the name server's answers in seconds
-	ListLost               // the name server's answers are lost
-	ListOld                // the name server's answers contain the previous list
-	ListDamaged            // the name server's answers arrive truncated
-	Burst                  // Value: factor on the rate of the stream
-	Restart                // a router is killed and starts again after the duration
-	Reload                 // a router reloads its configuration, which contains the current list
+	DrainServers  FaultKind = iota // servers finish their queries but are to receive no more
+	StopServers                    // servers stop: running queries are cut off and new attempts fail
+	StartServers                   // servers start again, cold
+	SetSpeed                       // Value: factor on the servers' speed
+	StallServers                   // servers make no progress and send nothing
+	FailAttempts                   // Value: share of attempts that servers answer at once with an error
+	LoseAnswers                    // Value: share of answers that are lost
+	DelayList                      // Value: delay of the name server's answers in seconds
+	LoseList                       // the name server's answers are lost
+	StaleList                      // the name server's answers contain the previous list
+	TruncateList                   // the name server's answers arrive truncated
+	TrafficBurst                   // Value: factor on the rate of the stream
+	RestartRouter                  // a router is killed and starts again after the duration
+	ReloadConfig                   // a router reloads its configuration, which contains the current list
 )
 
 var faultKindNames = [...]string{"drain", "gone", "back", "pace", "silent", "errors", "lose", "list_late", "list_lost", "list_old",
 	"list_damaged", "burst", "restart", "reload"}
 
-func (a Act) String() string { return faultKindNames[a] }
+func (a FaultKind) String() string { return faultKindNames[a] }
 
-// ActOf returns the kind of fault with the given name.
-func ActOf(name string) (Act, bool) {
+// ParseFaultKind returns the kind of fault with the given name.
+func ParseFaultKind(name string) (FaultKind, bool) {
 	k := slices.Index(faultKindNames[:], name)
-	return Act(max(k, 0)), k >= 0
+	return FaultKind(max(k, 0)), k >= 0
 }
 
-// Happening is one fault, scheduled at a time.
-type Happening struct {
-	// At is in seconds; For is the time until the fault is reverted, 0: never. After DrainServers and StopServers the
+// Fault is one fault, scheduled at a time.
+type Fault struct {
+	// At is in seconds; Duration is the time until the fault is reverted, 0: never. After DrainServers and StopServers the
 	// servers then start again; StartServers has nothing to revert.
-	At, For float64
-	Act     Act
-	Engines []int
-	Routers []int // routers whose list is affected or that restart; nil: all
-	Stream  int
-	Value   float64
+	At, Duration float64
+	Kind         FaultKind
+	Servers      []int
+	Routers      []int // routers whose list is affected or that restart; nil: all
+	Stream       int
+	Value        float64
 }
 
 type listedState struct {
@@ -65,7 +65,7 @@
 // server is a simulated server with its current faults.
 type server struct {
 	*engine.Engine
-	settings    Engine
+	settings    Server
 	discoveryID uint32 // identifier in the routers' lists; 0: not listed yet
 	state       admission.State
 	startedAt   float64
@@ -91,11 +91,11 @@
 }
 
 func newServer(s *Settings, k int) *server {
-	e := s.Engines[k]
+	e := s.Servers[k]
 	if e.Name == "" {
 		e.Name = fmt.Sprintf("e-%d", k)
 	}
-	h := &server{Engine: engine.New(e.Settings, 0), settings: e, state: admission.Ready, startedAt: e.Born}
+	h := &server{Engine: engine.New(e.Settings, 0), settings: e, state: admission.Ready, startedAt: e.StartedAt}
 	if e.Absent {
 		h.state = admission.Gone
 	}
@@ -114,7 +114,7 @@
 }
 
 // update makes a new revision of the list from the servers' states.
-func (l *serverList) update(sim *Town) {
+func (l *serverList) update(sim *Simulation) {
 	if l.delays == nil {
 		n := sim.settings.Routers
 		l.delays, l.lost, l.stale, l.damaged = make([]float64, n), make([]bool, n), make([]bool, n), make([]bool, n)
@@ -135,7 +135,7 @@
 }
 
 // asConfig returns the current list in the form in which a configuration contains it.
-func (l *serverList) asConfig(sim *Town) discovery.ConfiguredList {
+func (l *serverList) asConfig(sim *Simulation) discovery.ConfiguredList {
 	n := discovery.Event{Rev: l.revision}
 	n.Pool = &struct {
 		All     bool               `json:"all"`
@@ -171,7 +171,7 @@
 	if l.stale[r.index] {
 		revision, lines = revision-1, l.previousLines
 	}
-	answer := fake.Reply(id, revision, discovery.ServiceName, lines...)
+	answer := fake.ListAnswer(id, revision, discovery.ServiceName, lines...)
 	if l.damaged[r.index] {
 		answer = answer[:len(answer)*2/3]
 	}
@@ -200,11 +200,11 @@
 			r.serverStates[k] = listedState{state, sim.now}
 		}
 	}
-	if sim.settings.Watch != nil {
-		m := Moment{On: Listed, Now: sim.now, Router: r.index, Engine: -1, Rev: r.follower.Revision()}
+	if sim.settings.Observe != nil {
+		m := Observation{Kind: ListUpdated, Now: sim.now, Router: r.index, Server: -1, ListRevision: r.follower.Revision()}
 		for _, s := range states {
 			if s == admission.Ready {
-				m.Listed++
+				m.ReadyListed++
 			}
 		}
 		sim.callWatch(&m)
@@ -227,39 +227,39 @@
 	return held
 }
 
-func (sim *Town) serverIndex(id uint32) int {
+func (sim *Simulation) serverIndex(id uint32) int {
 	return slices.IndexFunc(sim.servers, func(h *server) bool { return h.discoveryID == id })
 }
 
 // startFault applies a fault.
-func (sim *Town) startFault(fault Happening) {
-	for _, k := range fault.Engines {
+func (sim *Simulation) startFault(fault Fault) {
+	for _, k := range fault.Servers {
 		server := sim.servers[k]
 		server.Advance(sim.now)
-		switch fault.Act {
-		case Drain:
+		switch fault.Kind {
+		case DrainServers:
 			if server.state == admission.Ready {
 				server.state = admission.Draining
 			}
-		case Gone:
+		case StopServers:
 			sim.killServer(k)
-		case Back:
+		case StartServers:
 			server.Engine, server.state, server.startedAt = engine.New(server.settings.Settings, sim.now), admission.Ready, sim.now
-		case Pace:
-			server.Pace(sim.now, fault.Value)
-		case Silent:
+		case SetSpeed:
+			server.SetSpeed(sim.now, fault.Value)
+		case StallServers:
 			server.Paused = true
-		case Errors:
+		case FailAttempts:
 			server.errorShare = fault.Value
-		case Lose:
+		case LoseAnswers:
 			server.lossShare = fault.Value
 		}
 	}
-	switch fault.Act {
-	case Drain, Gone, Back:
+	switch fault.Kind {
+	case DrainServers, StopServers, StartServers:
 		sim.list.update(sim)
-	case Burst: // rateFactor applies it to the arrivals
-	case Reload:
+	case TrafficBurst: // rateFactor applies it to the arrivals
+	case ReloadConfig:
 		for _, me := range sim.affectedRouters(fault) {
 			r := sim.routers[me]
 			if !r.up {
@@ -269,43 +269,43 @@
 				r.updateServers(admission.Full)
 			}
 		}
-	case Restart:
+	case RestartRouter:
 		for _, me := range sim.affectedRouters(fault) {
 			sim.killRouter(sim.routers[me])
 		}
 	default:
 		for _, me := range sim.affectedRouters(fault) {
-			sim.list.setFault(me, fault.Act, fault.Value, true)
+			sim.list.setFault(me, fault.Kind, fault.Value, true)
 		}
 	}
-	if fault.For > 0 {
-		sim.push(event{at: sim.now + fault.For, kind: faultEndEvent, fault: fault})
+	if fault.Duration > 0 {
+		sim.push(event{at: sim.now + fault.Duration, kind: faultEndEvent, fault: fault})
 	}
 }
 
 // endFault reverts a fault after its duration.
-func (sim *Town) endFault(fault Happening) {
-	for _, k := range fault.Engines {
+func (sim *Simulation) endFault(fault Fault) {
+	for _, k := range fault.Servers {
 		server := sim.servers[k]
 		server.Advance(sim.now)
-		switch fault.Act {
-		case Pace:
-			server.Pace(sim.now, 1)
-		case Silent:
+		switch fault.Kind {
+		case SetSpeed:
+			server.SetSpeed(sim.now, 1)
+		case StallServers:
 			server.Paused = false
-		case Errors:
+		case FailAttempts:
 			server.errorShare = 0
-		case Lose:
+		case LoseAnswers:
 			server.lossShare = 0
-		case Drain, Gone: // the server starts again, cold
+		case DrainServers, StopServers: // the server starts again, cold
 			server.Engine, server.state, server.startedAt = engine.New(server.settings.Settings, sim.now), admission.Ready, sim.now
 		}
 	}
-	switch fault.Act {
-	case Drain, Gone:
+	switch fault.Kind {
+	case DrainServers, StopServers:
 		sim.list.update(sim)
-	case Burst, Reload:
-	case Restart:
+	case TrafficBurst, ReloadConfig:
+	case RestartRouter:
 		for _, me := range sim.affectedRouters(fault) {
 			if r := sim.routers[me]; !r.up {
 				r.incarnation++
@@ -316,25 +316,25 @@
 		}
 	default:
 		for _, me := range sim.affectedRouters(fault) {
-			sim.list.setFault(me, fault.Act, 0, false)
+			sim.list.setFault(me, fault.Kind, 0, false)
 		}
 	}
 }
 
-func (l *serverList) setFault(router int, kind Act, value float64, active bool) {
+func (l *serverList) setFault(router int, kind FaultKind, value float64, active bool) {
 	switch kind {
-	case ListLate:
+	case DelayList:
 		l.delays[router] = value
-	case ListLost:
+	case LoseList:
 		l.lost[router] = active
-	case ListOld:
+	case StaleList:
 		l.stale[router] = active
-	case ListDamaged:
+	case TruncateList:
 		l.damaged[router] = active
 	}
 }
 
-func (sim *Town) affectedRouters(fault Happening) []int {
+func (sim *Simulation) affectedRouters(fault Fault) []int {
 	if fault.Routers != nil {
 		return fault.Routers
 	}
@@ -346,7 +346,7 @@
 }
 
 // killServer stops a server. Its running queries end with a lost connection.
-func (sim *Town) killServer(k int) {
+func (sim *Simulation) killServer(k int) {
 	killed := sim.servers[k]
 	killed.state = admission.Gone
 	killed.Engine = engine.New(killed.settings.Settings, sim.now)
@@ -366,8 +366,8 @@
 }
 
 // killRouter stops a router at once. Its unfinished requests are lost; their queries continue on the servers.
-func (sim *Town) killRouter(r *router) {
-	if sim.settings.Recall != nil {
+func (sim *Simulation) killRouter(r *router) {
+	if sim.settings.RestoreMemory != nil {
 		r.learned, r.stoppedAt = r.controller.Learned(), sim.now
 	}
 	r.up = false
@@ -379,7 +379,7 @@
 	for _, id := range ids {
 		if active := r.requests[id]; !active.finished {
 			active.outstanding = false
-			sim.finish(active, Lost)
+			sim.finish(active, RouterStopped)
 		}
 	}
 }
--- a/emulator/cluster/host.go
+++ b/emulator/cluster/host.go
@@ -16,24 +16,24 @@
 		r.retryTimes = append(r.retryTimes, sim.now)
 	}
 	active.server, active.sentAt = k, sim.now
-	sim.observe(Sent, active) // called before this attempt is marked as outstanding, so that it reports only an earlier one
+	sim.observe(AttemptSent, active) // called before this attempt is marked as outstanding, so that it reports only an earlier one
 	if active.outstanding = true; active.firstServer < 0 {
 		active.firstServer, active.firstSentAt = k, sim.now
 	}
-	request := &sim.Tries[active.requestIndex]
+	request := &sim.Requests[active.requestIndex]
 	if active.attempt == 0 {
-		request.Sent = sim.now
+		request.FirstSentAt = sim.now
 	}
 	if timeout <= 0 {
-		timeout = request.Taken + sim.settings.Streams[request.Stream].Deadline - sim.now
+		timeout = request.ReceivedAt + sim.settings.Streams[request.Stream].Deadline - sim.now
 	}
 	s := &sim.settings.Streams[request.Stream]
-	p := &sim.settings.Brain.Profiles[s.Profile]
+	p := &sim.settings.Controller.Profiles[s.Profile]
 	result := event{kind: outcomeEvent, router: r.index, incarnation: r.incarnation, token: uint64(id), attempt: active.attempt}
 	target := sim.servers[k]
 	sim.lastQueryID++
 	active.queryID = sim.lastQueryID
-	q := engine.Query{ID: sim.lastQueryID, Work: request.Work, Threads: float64(p.Threads), Memory: s.Memory, Level: active.priority}
+	q := engine.Query{ID: sim.lastQueryID, Work: request.Work, Threads: float64(p.Threads), Memory: s.Memory, Priority: active.priority}
 	switch {
 	case target.state == admission.Gone:
 		result.at, result.end = sim.now+roundTrip, admission.Unreachable
@@ -50,21 +50,21 @@
 
 func (r *router) Reject(id uint32, pause float64) {
 	sim, active := r.sim, r.requests[id]
-	sim.Tries[active.requestIndex].Pause = pause
-	sim.finish(active, Shed)
-	request := sim.Tries[active.requestIndex]
-	if sim.settings.Shadows > 0 && r.index == 0 && sim.now == request.Taken && request.HasTold[waittime.RetryAdmission] {
-		if sim.rejected++; sim.rejected%sim.settings.Shadows == 0 {
+	sim.Requests[active.requestIndex].RetryAfter = pause
+	sim.finish(active, Rejected)
+	request := sim.Requests[active.requestIndex]
+	if sim.settings.ShadowEvery > 0 && r.index == 0 && sim.now == request.ReceivedAt && request.HasEstimate[waittime.RetryAdmission] {
+		if sim.rejected++; sim.rejected%sim.settings.ShadowEvery == 0 {
 			sim.push(event{at: sim.now + shadowInterval, kind: shadowEvent, token: uint64(len(sim.Shadows))})
-			sim.Shadows = append(sim.Shadows, Shadow{Stream: request.Stream, At: sim.now, Told: request.Told[waittime.RetryAdmission], admissionRequest: active.admissionRequest})
+			sim.Shadows = append(sim.Shadows, Shadow{Stream: request.Stream, At: sim.now, Estimate: request.Estimates[waittime.RetryAdmission], admissionRequest: active.admissionRequest})
 		}
 	}
-	if s := &sim.settings.Streams[request.Stream]; request.Number < s.Tries {
-		if request.Ignores {
+	if s := &sim.settings.Streams[request.Stream]; request.ClientRequest < s.MaxRequests {
+		if request.IgnoresPause {
 			pause = 0
 		}
-		retry := Try{Stream: request.Stream, Number: request.Number + 1, Mark: request.Mark, Key: request.Key, First: request.First, Work: request.Work,
-			Guess: request.Guess, Ignores: request.Ignores}
+		retry := Request{Stream: request.Stream, ClientRequest: request.ClientRequest + 1, RequestKey: request.RequestKey, Key: request.Key, FirstRequestedAt: request.FirstRequestedAt, Work: request.Work,
+			Cost: request.Cost, IgnoresPause: request.IgnoresPause}
 		sim.push(event{at: sim.now + roundTrip + pause, kind: arrivalEvent, request: retry})
 	}
 	r.removeIfDone(active)
@@ -79,15 +79,15 @@
 func (r *router) Priority(id uint32, priority int, _ float64) {
 	sim, active := r.sim, r.requests[id]
 	if active.priority = priority; active.outstanding {
-		sim.Changes = append(sim.Changes, sim.now)
-		sim.servers[active.server].Renice(sim.now, active.queryID, priority)
-		sim.observe(Reniced, active)
+		sim.PriorityChanges = append(sim.PriorityChanges, sim.now)
+		sim.servers[active.server].SetPriority(sim.now, active.queryID, priority)
+		sim.observe(PriorityChanged, active)
 	}
 }
 
 func (r *router) ReportEstimate(id uint32, k waittime.TimeKind, e waittime.Estimate) {
-	request := &r.sim.Tries[r.requests[id].requestIndex]
-	request.Told[k], request.HasTold[k] = e, true
+	request := &r.sim.Requests[r.requests[id].requestIndex]
+	request.Estimates[k], request.HasEstimate[k] = e, true
 }
 
 func (r *router) Wake(after float64, token uint64) {
--- a/emulator/cluster/memory_test.go
+++ b/emulator/cluster/memory_test.go
@@ -20,17 +20,17 @@
 
 // peakScenario loads the pool to its limit, with estimates that are wrong by half and a stalled server. With restart
 // set, all routers restart at 40 s.
-func peakScenario(seed uint64, restart bool, recall Recall) Settings {
+func peakScenario(seed uint64, restart bool, recall RestoreMemoryFunc) Settings {
 	s := smallScenario()
-	s.Seed, s.Length, s.Routers, s.Recall = seed, 60, 3, recall
-	s.Brain.Profiles = append(s.Brain.Profiles, admission.Profile{Target: 3, Stretch: 2, Benefit: 1, Threads: 1})
-	long := Stream{Work: 0.8, CV: 1, Deadline: 8, Scatter: 0.3, Bias: 0.4, Profile: 1}
-	long.Rate, long.Peak = Steady(10)
-	s.Streams[0].Bias = 2
+	s.Seed, s.Duration, s.Routers, s.RestoreMemory = seed, 60, 3, recall
+	s.Controller.Profiles = append(s.Controller.Profiles, admission.Profile{Target: 3, Stretch: 2, Benefit: 1, Threads: 1})
+	long := Stream{Work: 0.8, CV: 1, Deadline: 8, EstimateCV: 0.3, EstimateBias: 0.4, Profile: 1}
+	long.Rate, long.PeakRate = ConstantRate(10)
+	s.Streams[0].EstimateBias = 2
 	s.Streams = append(s.Streams, long)
-	s.Happens = []Happening{{At: 36, For: 12, Act: Silent, Engines: []int{0}}}
+	s.Faults = []Fault{{At: 36, Duration: 12, Kind: StallServers, Servers: []int{0}}}
 	if restart {
-		s.Happens = append(s.Happens, Happening{At: 40, For: 0.5, Act: Restart, Routers: []int{0, 1, 2}})
+		s.Faults = append(s.Faults, Fault{At: 40, Duration: 0.5, Kind: RestartRouter, Routers: []int{0, 1, 2}})
 	}
 	return s
 }
@@ -43,8 +43,8 @@
 		t.Fatal(err)
 	}
 	inTime, all := 0.0, 0.0
-	for k := range r.Tries {
-		if x := &r.Tries[k]; x.Taken >= from && x.Taken < to {
+	for k := range r.Requests {
+		if x := &r.Requests[k]; x.ReceivedAt >= from && x.ReceivedAt < to {
 			all++
 			if x.InTime() {
 				inTime++
@@ -80,35 +80,35 @@
 	violation string
 }
 
-func (w *ruleChecker) watch(m *Moment) bool {
-	if m.On != Sent || w.violation != "" {
+func (w *ruleChecker) watch(m *Observation) bool {
+	if m.Kind != AttemptSent || w.violation != "" {
 		return w.violation == ""
 	}
-	p := &w.s.Brain.Profiles[m.Stream.Profile]
+	p := &w.s.Controller.Profiles[m.Stream.Profile]
 	fail := func(format string, a ...any) {
-		w.violation = fmt.Sprintf("at %.3f, attempt %d: ", m.Now, m.Number) + fmt.Sprintf(format, a...)
+		w.violation = fmt.Sprintf("at %.3f, attempt %d: ", m.Now, m.Attempt) + fmt.Sprintf(format, a...)
 	}
-	b := w.s.Brain
+	b := w.s.Controller
 	// The work sent to a cold server in a window may reach what the settings allow plus a margin of three standard
 	// deviations for chance, in units of the stream's mean work.
 	coldLimit := func(age float64) float64 {
-		cores := w.s.Engines[m.Engine].Cores
+		cores := w.s.Servers[m.Server].Cores
 		n := b.FallMultiple * cores * (b.ColdFrom + (1-b.ColdFrom)*age/b.WarmUp) * b.FallWindow / m.Stream.Work
 		return (n + 3*math.Sqrt(n) + 3) * m.Stream.Work
 	}
 	switch {
-	case m.Number > 0 && m.Out > 1: // assumes that OutstandingAttempts counts this attempt
+	case m.Attempt > 0 && m.OutstandingAttempts > 1: // assumes that OutstandingAttempts counts this attempt
 		fail("another attempt of the request is outstanding")
-	case m.Number > 0 && p.Effect == admission.NonIdempotent && !m.LastEnd.NeverRan():
+	case m.Attempt > 0 && p.Effect == admission.NonIdempotent && !m.LastEnd.NeverRan():
 		fail("a non-idempotent request that may have run is retried")
-	case m.Told != admission.Ready && m.ToldFor > w.grace:
-		fail("sent to a server that was listed as not ready for %.2f s", m.ToldFor)
-	case p.Ordered && m.KeyOpen:
+	case m.ListedState != admission.Ready && m.ListedStateAge > w.grace:
+		fail("sent to a server that was listed as not ready for %.2f s", m.ListedStateAge)
+	case p.Ordered && m.EarlierKeyUnfinished:
 		fail("an earlier request with its key is unfinished")
-	case m.Number > 0 && float64(m.Further) > b.BudgetFree+b.BudgetShare*float64(m.Commands)+1:
-		fail("%d retries of %d requests", m.Further, m.Commands)
-	case m.Age >= 0 && m.Age < b.WarmUp && m.Recent > coldLimit(m.Age):
-		fail("%.1f core seconds in a window to a server of age %.1f, limit %.1f", m.Recent, m.Age, coldLimit(m.Age))
+	case m.Attempt > 0 && float64(m.Retries) > b.BudgetFree+b.BudgetShare*float64(m.Requests)+1:
+		fail("%d retries of %d requests", m.Retries, m.Requests)
+	case m.ServerAge >= 0 && m.ServerAge < b.WarmUp && m.RecentWork > coldLimit(m.ServerAge):
+		fail("%.1f core seconds in a window to a server of age %.1f, limit %.1f", m.RecentWork, m.ServerAge, coldLimit(m.ServerAge))
 	}
 	return w.violation == ""
 }
@@ -116,27 +116,27 @@
 // faultyScenario has faults of every kind, ordered requests and a retry budget. Routers restart while a server is cold.
 func faultyScenario() (Settings, *ruleChecker) {
 	s := smallScenario()
-	s.Length = 16
-	s.Brain.Profiles[0].Effect = admission.NonIdempotent
-	s.Brain.Profiles = append(s.Brain.Profiles, admission.Profile{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1, Ordered: true})
-	s.Brain.KeyRest, s.Brain.BudgetFree, s.Brain.BudgetShare, s.Brain.BudgetWindow = 0.5, 3, 0.1, 5
-	stream := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Profile: 1, Keys: 6}
-	stream.Rate, stream.Peak = Steady(20)
+	s.Duration = 16
+	s.Controller.Profiles[0].Effect = admission.NonIdempotent
+	s.Controller.Profiles = append(s.Controller.Profiles, admission.Profile{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1, Ordered: true})
+	s.Controller.KeyRest, s.Controller.BudgetFree, s.Controller.BudgetShare, s.Controller.BudgetWindow = 0.5, 3, 0.1, 5
+	stream := Stream{Work: 0.1, CV: 1, Deadline: 4, EstimateCV: 0.3, Profile: 1, Keys: 6}
+	stream.Rate, stream.PeakRate = ConstantRate(20)
 	s.Streams = append(s.Streams, stream)
-	s.Happens = append(s.Happens, Happening{At: 7.2, For: 0.3, Act: Restart, Routers: []int{0, 1}})
+	s.Faults = append(s.Faults, Fault{At: 7.2, Duration: 0.3, Kind: RestartRouter, Routers: []int{0, 1}})
 	w := &ruleChecker{s: s, grace: 0.25}
-	s.Watch = w.watch
+	s.Observe = w.watch
 	return s, w
 }
 
 // checkCompleted fails the test for requests that were not answered before their deadline.
 func checkCompleted(t *rapid.T, r Result) {
-	for _, try := range r.Tries {
+	for _, try := range r.Requests {
 		switch {
-		case try.How == Open && try.Taken < 11:
-			t.Fatalf("received at %.2f and never answered", try.Taken)
-		case try.How != Open && try.How != Lost && (try.Ended-try.Taken > 4.01 || math.IsNaN(try.Ended)):
-			t.Fatalf("answered after %.2f s", try.Ended-try.Taken)
+		case try.Outcome == Unfinished && try.ReceivedAt < 11:
+			t.Fatalf("received at %.2f and never answered", try.ReceivedAt)
+		case try.Outcome != Unfinished && try.Outcome != RouterStopped && (try.EndedAt-try.ReceivedAt > 4.01 || math.IsNaN(try.EndedAt)):
+			t.Fatalf("answered after %.2f s", try.EndedAt-try.ReceivedAt)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 		age := rapid.SampledFrom([]float64{0.1, 5, 60, 1e4}).Draw(t, "age")
 		sure := rapid.Bool().Draw(t, "sure")
 		s.Seed = rapid.Uint64().Draw(t, "seed")
-		s.Recall = func(k warmstart.Knowledge, _ float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
+		s.RestoreMemory = func(k warmstart.Knowledge, _ float64, s *admission.Settings) *warmstart.DiscountedKnowledge {
 			b := warmstart.Discount(k, age, sure, admission.Fingerprints(s.Profiles), s.TenantRates())
 			return &b
 		}
@@ -194,8 +194,8 @@
 			return b
 		}
 		s, w := faultyScenario()
-		s.Recall, s.Brain.WarmUp = hostile, 0
-		w.s.Brain.WarmUp = 0 // turns the check of the cold servers' limit off
+		s.RestoreMemory, s.Controller.WarmUp = hostile, 0
+		w.s.Controller.WarmUp = 0 // turns the check of the cold servers' limit off
 		r, err := Run(s)
 		if err != nil {
 			t.Fatal(err)
--- a/emulator/cluster/simulation.go
+++ b/emulator/cluster/simulation.go
@@ -17,49 +17,49 @@
 	"dunereach/warmstart"
 )
 
-// Engine configures one simulated server.
-type Engine struct {
+// Server configures one simulated server.
+type Server struct {
 	Name             string
 	Kind, Zone, Cell int     // indexes into Settings.Kinds, Settings.Zones and the cells
 	Absent           bool    // not there at the start; a StartServers fault starts it
-	Born             float64 // start time; 0: it started long before the run
+	StartedAt        float64 // start time; 0: it started long before the run
 	engine.Settings
 }
 
 // Settings configures a run.
 type Settings struct {
-	Seed    uint64
-	Routers int // 0: 1
-	Engines []Engine
-	Brain   admission.Settings // settings of all controllers; the run sets Seed, Me, Routers, Teams and Waits
-	Zones   []string           // nil: one zone
-	Kinds   []string           // nil: a kind for each server, with its cores
-	Teams   *fairshare.Spec    // nil: none
-	Waits   bool
-	Streams []Stream
-	Happens []Happening
-	Length  float64                   // seconds
-	Shadows int                       // of the requests rejected on arrival, each n-th is followed as a Shadow; 0: none
-	Watch   func(*Moment) (goOn bool) // called with every decision; the run ends when it returns false; nil: not called
-	Stop    func() bool               // polled from time to time; the run ends when it returns true; nil: not called
-	Recall  Recall                    // memory that a restarted router restores; nil: none
-	Keep    func(client int) bool     // selects clients by number, in order of arrival; the others send nothing; nil: all
+	Seed          uint64
+	Routers       int // 0: 1
+	Servers       []Server
+	Controller    admission.Settings // settings of all controllers; the run sets Seed, Me, Routers, Teams and Waits
+	Zones         []string           // nil: one zone
+	Kinds         []string           // nil: a kind for each server, with its cores
+	Teams         *fairshare.Spec    // nil: none
+	EstimateWaits bool
+	Streams       []Stream
+	Faults        []Fault
+	Duration      float64                        // seconds
+	ShadowEvery   int                            // of the requests rejected on arrival, each n-th is followed as a Shadow; 0: none
+	Observe       func(*Observation) (goOn bool) // called with every decision; the run ends when it returns false; nil: not called
+	Stop          func() bool                    // polled from time to time; the run ends when it returns true; nil: not called
+	RestoreMemory RestoreMemoryFunc              // memory that a restarted router restores; nil: none
+	KeepClient    func(client int) bool          // selects clients by number, in order of arrival; the others send nothing; nil: all
 
 	Subset  func(router, database int) bool // whether a router's controller gets a server of the list; nil: all
 	Sharers int                             // number of routers that share each server, for the controllers' settings; 0: all
 }
 
-// Recall returns the memory that a router restores from the knowledge of its previous run, which ended age seconds ago.
-type Recall func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge
+// RestoreMemoryFunc returns the memory that a router restores from the knowledge of its previous run, which ended age seconds ago.
+type RestoreMemoryFunc func(k warmstart.Knowledge, age float64, s *admission.Settings) *warmstart.DiscountedKnowledge
 
 // Shadow follows a rejected request that its client doesn't send again: every 50 ms the controller is asked whether it
 // would admit the request now.
 type Shadow struct {
 	Stream           int
 	At               float64
-	Told             waittime.Estimate
-	Took             float64
-	In               bool // false: not admitted within shadowTimeout
+	Estimate         waittime.Estimate
+	Elapsed          float64
+	Admitted         bool // false: not admitted within shadowTimeout
 	admissionRequest admission.Request
 }
 
@@ -68,46 +68,46 @@
 	shadowTimeout  = 40.0
 )
 
-// How is the way in which a request ended.
-type How uint8
+// Outcome is the way in which a request ended.
+type Outcome uint8
 
-// The ways in which a request ends; Open is one that has not ended.
+// The ways in which a request ends; Unfinished is one that has not ended.
 const (
-	Open How = iota
-	Answered
-	Shed
+	Unfinished Outcome = iota
+	Completed
+	Rejected
 	Failed
-	Lost // its router ended
+	RouterStopped // its router ended
 )
 
-func (h How) String() string { return [...]string{"open", "answered", "shed", "failed", "lost"}[h] }
+func (h Outcome) String() string { return [...]string{"open", "answered", "shed", "failed", "lost"}[h] }
 
-// Try is one request of a client.
-type Try struct {
-	Stream  int
-	Router  int
-	Mark    uint64  // identifies the client's request over its retries
-	Guess   float64 // the client's estimate of the work
-	Number  int     // of the client's requests, from 1
-	Key     uint64
-	Ignores bool
-	First   float64 // time of the client's first request
-	Taken   float64
-	Sent    float64 // time of the first attempt, NaN: none
-	Ended   float64
-	How     How
-	Work    float64
-	Target  float64 // latency target, seconds from ReceivedAt
-	Told    [3]waittime.Estimate
-	HasTold [3]bool
-	Pause   float64
+// Request is one request of a client.
+type Request struct {
+	Stream           int
+	Router           int
+	RequestKey       uint64  // identifies the client's request over its retries
+	Cost             float64 // the client's estimate of the work
+	ClientRequest    int     // of the client's requests, from 1
+	Key              uint64
+	IgnoresPause     bool
+	FirstRequestedAt float64 // time of the client's first request
+	ReceivedAt       float64
+	FirstSentAt      float64 // time of the first attempt, NaN: none
+	EndedAt          float64
+	Outcome          Outcome
+	Work             float64
+	Target           float64 // latency target, seconds from ReceivedAt
+	Estimates        [3]waittime.Estimate
+	HasEstimate      [3]bool
+	RetryAfter       float64
 }
 
 // InTime reports whether the request was completed within its latency target.
-func (t *Try) InTime() bool { return t.How == Answered && t.Ended-t.Taken <= t.Target }
+func (t *Request) InTime() bool { return t.Outcome == Completed && t.EndedAt-t.ReceivedAt <= t.Target }
 
-// Ran is a query that a server completed.
-type Ran struct {
+// CompletedQuery is a query that a server completed.
+type CompletedQuery struct {
 	At     float64
 	Stream int
 	Work   float64
@@ -115,13 +115,13 @@
 
 // Result holds what a run recorded.
 type Result struct {
-	Tries   []Try
-	Ran     []Ran // queries completed by servers, whether or not a client still waited
-	Shadows []Shadow
-	Changes []float64 // times at which the priority of a running attempt was changed
-	Wasted  float64   // core seconds lost to spilling
-	Teams   *fairshare.Tree
-	Clients int // all that arrived, also those that KeepClient left out
+	Requests        []Request
+	Completed       []CompletedQuery // queries completed by servers, whether or not a client still waited
+	Shadows         []Shadow
+	PriorityChanges []float64 // times at which the priority of a running attempt was changed
+	WastedWork      float64   // core seconds lost to spilling
+	Teams           *fairshare.Tree
+	Clients         int // all that arrived, also those that KeepClient left out
 }
 
 type activeRequest struct {
@@ -141,8 +141,8 @@
 	admissionRequest admission.Request
 }
 
-// Town is the state of one run.
-type Town struct {
+// Simulation is the state of one run.
+type Simulation struct {
 	settings    Settings
 	now         float64
 	seq         uint64
@@ -168,7 +168,7 @@
 
 // router is one simulated router: its controller and the state of its surroundings.
 type router struct {
-	sim           *Town
+	sim           *Simulation
 	index         int
 	incarnation   int
 	up            bool
@@ -187,7 +187,7 @@
 
 // Run simulates a run with the given settings.
 func Run(settings Settings) (Result, error) {
-	sim := &Town{settings: settings, clientRand: rand.New(rand.NewPCG(settings.Seed, 1)), serverRand: rand.New(rand.NewPCG(settings.Seed, 3)), running: map[uint64]query{}}
+	sim := &Simulation{settings: settings, clientRand: rand.New(rand.NewPCG(settings.Seed, 1)), serverRand: rand.New(rand.NewPCG(settings.Seed, 3)), running: map[uint64]query{}}
 	if err := sim.setUp(); err != nil {
 		return sim.Result, err
 	}
@@ -196,26 +196,26 @@
 	}
 	sim.runEvents()
 	for _, e := range sim.servers {
-		sim.Wasted += e.Wasted
+		sim.WastedWork += e.WastedWork
 	}
 	return sim.Result, nil
 }
 
-func (sim *Town) setUp() error {
+func (sim *Simulation) setUp() error {
 	s := &sim.settings
 	s.Routers = max(s.Routers, 1)
 	if s.Zones == nil {
 		s.Zones = []string{"here"}
 	}
 	if s.Kinds == nil {
-		s.Engines, s.Brain.KindCores = append([]Engine(nil), s.Engines...), nil
-		for k := range s.Engines {
-			s.Engines[k].Kind = k
+		s.Servers, s.Controller.KindCores = append([]Server(nil), s.Servers...), nil
+		for k := range s.Servers {
+			s.Servers[k].Kind = k
 			s.Kinds = append(s.Kinds, kindName(k))
-			s.Brain.KindCores = append(s.Brain.KindCores, s.Engines[k].Cores)
+			s.Controller.KindCores = append(s.Controller.KindCores, s.Servers[k].Cores)
 		}
 	}
-	for k := range s.Engines {
+	for k := range s.Servers {
 		sim.servers = append(sim.servers, newServer(s, k))
 	}
 	sim.list.update(sim)
@@ -226,7 +226,7 @@
 			return err
 		}
 	}
-	for _, fault := range s.Happens {
+	for _, fault := range s.Faults {
 		sim.push(event{at: fault.At, kind: faultStartEvent, fault: fault})
 	}
 	return nil
@@ -235,7 +235,7 @@
 // start starts a router with the current list.
 func (r *router) start() error {
 	sim := r.sim
-	controllerSettings := sim.settings.Brain
+	controllerSettings := sim.settings.Controller
 	controllerSettings.Seed, controllerSettings.Me, controllerSettings.Routers = sim.settings.Seed+uint64(r.index)<<32+uint64(r.incarnation)<<48, r.index, sim.settings.Routers
 	if sim.settings.Sharers > 0 {
 		controllerSettings.Me, controllerSettings.Routers = r.index%sim.settings.Sharers, sim.settings.Sharers
@@ -250,7 +250,7 @@
 			sim.Teams = tree
 		}
 	}
-	if sim.settings.Waits {
+	if sim.settings.EstimateWaits {
 		controllerSettings.Waits = waittime.New(len(controllerSettings.Profiles), controllerSettings.MaxPause)
 	}
 	r.up, r.requests, r.lastRequestID = true, map[uint32]*activeRequest{}, 0
@@ -260,8 +260,8 @@
 	if _, err := r.follower.ApplyConfig(sim.list.asConfig(sim)); err != nil {
 		return err
 	}
-	if sim.settings.Recall != nil && r.incarnation > 0 {
-		controllerSettings.Memory = sim.settings.Recall(r.learned, sim.now-r.stoppedAt, &controllerSettings)
+	if sim.settings.RestoreMemory != nil && r.incarnation > 0 {
+		controllerSettings.Memory = sim.settings.RestoreMemory(r.learned, sim.now-r.stoppedAt, &controllerSettings)
 	}
 	r.controller = admission.New(controllerSettings, sim.now, r)
 	r.updateServers(admission.Cached)
@@ -269,7 +269,7 @@
 	return nil
 }
 
-func (sim *Town) runEvents() {
+func (sim *Simulation) runEvents() {
 	for n := 1; ; n++ {
 		const stopCheckInterval = 4096 // steps, which take some milliseconds
 		if n%stopCheckInterval == 0 && sim.settings.Stop != nil && sim.settings.Stop() {
@@ -284,7 +284,7 @@
 				at, k = n, i
 			}
 		}
-		if at > sim.settings.Length || sim.stopped {
+		if at > sim.settings.Duration || sim.stopped {
 			return
 		}
 		sim.now = max(sim.now, at)
@@ -299,12 +299,12 @@
 	}
 }
 
-func (sim *Town) handleEvent(e event) {
+func (sim *Simulation) handleEvent(e event) {
 	switch e.kind {
 	case arrivalEvent:
-		if e.request.Number == 1 {
+		if e.request.ClientRequest == 1 {
 			sim.scheduleArrival(e.request.Stream, sim.now)
-			if sim.Clients++; sim.settings.Keep != nil && !sim.settings.Keep(sim.Clients-1) {
+			if sim.Clients++; sim.settings.KeepClient != nil && !sim.settings.KeepClient(sim.Clients-1) {
 				return
 			}
 		}
@@ -312,9 +312,9 @@
 		return
 	case shadowEvent:
 		s := &sim.Shadows[e.token]
-		if s.Took = sim.now - s.At; sim.routers[0].controller.WouldAdmit(sim.now, s.admissionRequest) {
-			s.In = true
-		} else if s.Took < shadowTimeout {
+		if s.Elapsed = sim.now - s.At; sim.routers[0].controller.WouldAdmit(sim.now, s.admissionRequest) {
+			s.Admitted = true
+		} else if s.Elapsed < shadowTimeout {
 			sim.push(event{at: sim.now + shadowInterval, kind: shadowEvent, token: e.token})
 		}
 		return
@@ -346,10 +346,10 @@
 }
 
 // handleServerEvent processes an event of a server.
-func (sim *Town) handleServerEvent(k int, ev engine.Event) {
+func (sim *Simulation) handleServerEvent(k int, ev engine.Event) {
 	q, ok := sim.running[ev.ID]
-	if ev.What == engine.Done {
-		sim.Ran = append(sim.Ran, Ran{sim.now, q.stream, ev.Value})
+	if ev.Kind == engine.Completed {
+		sim.Completed = append(sim.Completed, CompletedQuery{sim.now, q.stream, ev.Value})
 		delete(sim.running, ev.ID)
 	}
 	active := q.request
@@ -359,8 +359,8 @@
 	server := sim.servers[k]
 	progress := admission.Progress{ID: active.id, Server: server.discoveryID, Attempt: active.attempt, Value: ev.Value}
 	controller := sim.routers[active.router].controller
-	switch ev.What {
-	case engine.Done:
+	switch ev.Kind {
+	case engine.Completed:
 		if server.lossShare > 0 && sim.serverRand.Float64() < server.lossShare {
 			return // the answer is lost; the attempt ends at its timeout
 		}
@@ -368,18 +368,18 @@
 	case engine.Progress:
 		progress.Kind = admission.ShareDone
 		controller.Progress(sim.now, progress)
-	case engine.Spills:
+	case engine.Spilled:
 		progress.Kind = admission.Spilling
 		controller.Progress(sim.now, progress)
 	}
 }
 
-func (sim *Town) endAttempt(active *activeRequest, end admission.End, work float64) {
+func (sim *Simulation) endAttempt(active *activeRequest, end admission.End, work float64) {
 	active.outstanding = false
-	sim.observe(SendEnded, active, end)
+	sim.observe(AttemptEnded, active, end)
 	active.lastEnd = end
 	if end == admission.Completed && !active.finished {
-		sim.finish(active, Answered)
+		sim.finish(active, Completed)
 	}
 	outcome := admission.Outcome{ID: active.id, Server: sim.servers[active.server].discoveryID, Attempt: active.attempt, End: end, Latency: sim.now - active.sentAt, Final: active.finished, Work: work}
 	r := sim.routers[active.router]
@@ -387,11 +387,11 @@
 	r.removeIfDone(active)
 }
 
-func (sim *Town) finish(active *activeRequest, how How) {
+func (sim *Simulation) finish(active *activeRequest, how Outcome) {
 	active.finished = true
-	request := &sim.Tries[active.requestIndex]
-	request.Ended, request.How = sim.now, how
-	sim.observe(Final, active)
+	request := &sim.Requests[active.requestIndex]
+	request.EndedAt, request.Outcome = sim.now, how
+	sim.observe(RequestFinished, active)
 }
 
 func (r *router) removeIfDone(active *activeRequest) {
--- a/emulator/cluster/simulation_test.go
+++ b/emulator/cluster/simulation_test.go
@@ -10,36 +10,36 @@
 )
 
 func smallScenario() Settings {
-	s := Settings{Seed: 7, Length: 20, Routers: 2, Brain: admission.Settings{Tick: 0.005, MaxSends: 4, Priorities: true, MaxPause: 0.5,
+	s := Settings{Seed: 7, Duration: 20, Routers: 2, Controller: admission.Settings{Tick: 0.005, MaxSends: 4, Priorities: true, MaxPause: 0.5,
 		ColdFrom: 0.35, WarmUp: 15, FallMultiple: 2, FallWindow: 1, Profiles: []admission.Profile{{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1}}}}
 	for range 3 {
-		s.Engines = append(s.Engines, Engine{Settings: engine.Settings{Cores: 4, Knee: 2, Thrash: 0.3, Notes: 2}})
+		s.Servers = append(s.Servers, Server{Settings: engine.Settings{Cores: 4, Knee: 2, ContentionLoss: 0.3, ProgressInterval: 2}})
 	}
-	stream := Stream{Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3, Tries: 2, Ignores: 0.3}
-	stream.Rate, stream.Peak = Steady(60)
+	stream := Stream{Work: 0.1, CV: 1, Deadline: 4, EstimateCV: 0.3, MaxRequests: 2, IgnoresPauseShare: 0.3}
+	stream.Rate, stream.PeakRate = ConstantRate(60)
 	s.Streams = []Stream{stream}
-	s.Happens = []Happening{{At: 2, For: 3, Act: Silent, Engines: []int{0}}, {At: 3, For: 4, Act: Gone, Engines: []int{1}},
-		{At: 6, For: 4, Act: Errors, Engines: []int{2}, Value: 0.5}, {At: 8, For: 3, Act: Lose, Engines: []int{0}, Value: 0.5},
-		{At: 9, For: 1, Act: Restart, Routers: []int{1}}, {At: 11, For: 3, Act: Drain, Engines: []int{2}}}
+	s.Faults = []Fault{{At: 2, Duration: 3, Kind: StallServers, Servers: []int{0}}, {At: 3, Duration: 4, Kind: StopServers, Servers: []int{1}},
+		{At: 6, Duration: 4, Kind: FailAttempts, Servers: []int{2}, Value: 0.5}, {At: 8, Duration: 3, Kind: LoseAnswers, Servers: []int{0}, Value: 0.5},
+		{At: 9, Duration: 1, Kind: RestartRouter, Routers: []int{1}}, {At: 11, Duration: 3, Kind: DrainServers, Servers: []int{2}}}
 	return s
 }
 
 // TestReproducible checks that a run with faults is reproducible: equal settings and seed give equal results, another
 // seed gives others.
 func TestReproducible(t *testing.T) {
-	run := func(seed uint64) []Try {
+	run := func(seed uint64) []Request {
 		s := smallScenario()
 		s.Seed = seed
 		r, err := Run(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.Tries
+		return r.Requests
 	}
 	one, two := run(7), run(7)
 	for k := range one { // NaN is not equal to itself
-		if one[k].Sent != one[k].Sent {
-			one[k].Sent, two[k].Sent = 0, 0
+		if one[k].FirstSentAt != one[k].FirstSentAt {
+			one[k].FirstSentAt, two[k].FirstSentAt = 0, 0
 		}
 	}
 	if diff := cmp.Diff(one, two); diff != "" {
@@ -58,16 +58,16 @@
 		t.Fatal(err)
 	}
 	lost := 0
-	for _, try := range r.Tries {
+	for _, try := range r.Requests {
 		switch {
-		case try.How == Open && try.Taken < 15:
-			t.Errorf("received at %.2f and never answered", try.Taken)
-		case try.How == Lost:
-			if lost++; try.Ended != 9 || try.Router != 1 {
-				t.Errorf("lost at %.2f by router %d", try.Ended, try.Router)
+		case try.Outcome == Unfinished && try.ReceivedAt < 15:
+			t.Errorf("received at %.2f and never answered", try.ReceivedAt)
+		case try.Outcome == RouterStopped:
+			if lost++; try.EndedAt != 9 || try.Router != 1 {
+				t.Errorf("lost at %.2f by router %d", try.EndedAt, try.Router)
 			}
-		case try.How != Open && try.Ended-try.Taken > 4.01:
-			t.Errorf("answered after %.2f s", try.Ended-try.Taken)
+		case try.Outcome != Unfinished && try.EndedAt-try.ReceivedAt > 4.01:
+			t.Errorf("answered after %.2f s", try.EndedAt-try.ReceivedAt)
 		}
 	}
 	if lost == 0 {
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	s := smallScenario()
-	s.Keep = func(client int) bool { return client >= 100 }
+	s.KeepClient = func(client int) bool { return client >= 100 }
 	some, err := Run(s)
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 	if some.Clients != all.Clients {
 		t.Errorf("%d clients in all, but %d when some are left out", all.Clients, some.Clients)
 	}
-	if first := some.Tries[0].First; first <= all.Tries[50].First {
+	if first := some.Requests[0].FirstRequestedAt; first <= all.Requests[50].FirstRequestedAt {
 		t.Errorf("the first kept client arrived at %.3f", first)
 	}
 }
@@ -102,9 +102,9 @@
 	s.Sharers = 1
 	s.Subset = func(router, database int) bool { return database == 0 || database == 1+router }
 	sent := map[[2]int]bool{}
-	s.Watch = func(m *Moment) bool {
-		if m.On == Sent {
-			sent[[2]int{m.Router, m.Engine}] = true
+	s.Observe = func(m *Observation) bool {
+		if m.Kind == AttemptSent {
+			sent[[2]int{m.Router, m.Server}] = true
 		}
 		return true
 	}
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -18,40 +18,40 @@
 
 // Settings configures one server.
 type Settings struct {
-	Cores    float64
-	Speed    float64 // core seconds per second that one core does, 0: 1
-	Sessions int     // most queries at once, 0: unlimited
-	Knee     float64 // threads per core above which they contend, 0: no contention
-	Thrash   float64 // throughput lost to contention: with 1+x times as many threads as at the knee it is divided by 1+Thrash*x
-	Memory   float64 // 0: unlimited
-	Spill    float64 // extra work of a query that gets no memory at all, as a multiple of its own work
-	Notes    float64 // seconds between progress reports, 0: none
+	Cores            float64
+	Speed            float64 // core seconds per second that one core does, 0: 1
+	MaxQueries       int     // most queries at once, 0: unlimited
+	Knee             float64 // threads per core above which they contend, 0: no contention
+	ContentionLoss   float64 // throughput lost to contention: with 1+x times as many threads as at the knee it is divided by 1+Thrash*x
+	Memory           float64 // 0: unlimited
+	SpillOverhead    float64 // extra work of a query that gets no memory at all, as a multiple of its own work
+	ProgressInterval float64 // seconds between progress reports, 0: none
 }
 
 // Query is a query to run.
 type Query struct {
-	ID      uint64
-	Work    float64 // total over all threads
-	Threads float64
-	Memory  float64
-	Level   int // priority, 0 to 3
+	ID       uint64
+	Work     float64 // total over all threads
+	Threads  float64
+	Memory   float64
+	Priority int // priority, 0 to 3
 }
 
-// What is the kind of an event.
-type What uint8
+// EventKind is the kind of an event.
+type EventKind uint8
 
 // The kinds of events.
 const (
-	Done     What = iota
-	Progress      // Value: share of the work that is done
-	Spills        // Value: missing memory in MB
+	Completed EventKind = iota
+	Progress            // Value: share of the work that is done
+	Spilled             // Value: missing memory in MB
 )
 
 // Event reports what happened to a query.
 type Event struct {
 	At    float64
 	ID    uint64
-	What  What
+	Kind  EventKind
 	Value float64
 }
 
@@ -73,8 +73,8 @@
 	events      []Event
 	ratesStale  bool // updateRates has to compute the rates again
 	order       []int
-	Did         float64 // core seconds done, without the overhead of spilling
-	Wasted      float64 // core seconds lost to spilling
+	DoneWork    float64 // core seconds done, without the overhead of spilling
+	WastedWork  float64 // core seconds lost to spilling
 	speedFactor float64
 	Paused      bool // no progress and no events
 
@@ -95,27 +95,27 @@
 // Submit starts a query and reports false if the server is full.
 func (e *Engine) Submit(now float64, q Query) bool {
 	e.Advance(now)
-	if e.settings.Sessions > 0 && len(e.queries) >= e.settings.Sessions {
+	if e.settings.MaxQueries > 0 && len(e.queries) >= e.settings.MaxQueries {
 		return false
 	}
 	q.Threads = max(q.Threads, 1)
-	e.queries = append(e.queries, running{Query: q, remaining: max(q.Work, 1e-6), nextProgressAt: now + cmp.Or(e.settings.Notes, math.Inf(1))})
+	e.queries = append(e.queries, running{Query: q, remaining: max(q.Work, 1e-6), nextProgressAt: now + cmp.Or(e.settings.ProgressInterval, math.Inf(1))})
 	e.ratesStale = true
 	return true
 }
 
-// Pace sets the speed, as a factor on the configured one.
-func (e *Engine) Pace(now, factor float64) {
+// SetSpeed sets the speed, as a factor on the configured one.
+func (e *Engine) SetSpeed(now, factor float64) {
 	e.Advance(now)
 	e.speedFactor, e.ratesStale = factor, true
 }
 
-// Renice changes the priority level of a query. It ignores a query that is not running.
-func (e *Engine) Renice(now float64, id uint64, level int) {
+// SetPriority changes the priority level of a query. It ignores a query that is not running.
+func (e *Engine) SetPriority(now float64, id uint64, level int) {
 	e.Advance(now)
 	for k := range e.queries {
 		if r := &e.queries[k]; r.ID == id {
-			r.Level, e.ratesStale = min(max(level, 0), 3), true
+			r.Priority, e.ratesStale = min(max(level, 0), 3), true
 		}
 	}
 }
@@ -191,21 +191,21 @@
 		r := e.queries[k]
 		done := r.rate * elapsed
 		r.remaining -= done
-		e.Did += done
+		e.DoneWork += done
 		if r.memorySpilled > 0 {
-			e.Wasted += done * e.settings.Spill * r.memorySpilled / r.Memory
+			e.WastedWork += done * e.settings.SpillOverhead * r.memorySpilled / r.Memory
 			if !r.spillReported {
 				r.spillReported = true
-				e.events = append(e.events, Event{to, r.ID, Spills, r.memorySpilled})
+				e.events = append(e.events, Event{to, r.ID, Spilled, r.memorySpilled})
 			}
 		}
 		if r.remaining <= roundingError {
-			e.events = append(e.events, Event{to, r.ID, Done, r.Work})
+			e.events = append(e.events, Event{to, r.ID, Completed, r.Work})
 			e.ratesStale = true
 			continue
 		}
 		if to >= r.nextProgressAt {
-			r.nextProgressAt += e.settings.Notes
+			r.nextProgressAt += e.settings.ProgressInterval
 			e.events = append(e.events, Event{to, r.ID, Progress, 1 - r.remaining/r.Work})
 		}
 		kept = append(kept, r)
@@ -228,29 +228,29 @@
 	e.allocateMemory()
 	coresLeft := e.settings.Cores
 	if crowding := threads/(max(e.settings.Knee, 1e-9)*e.settings.Cores) - 1; e.settings.Knee > 0 && crowding > 0 {
-		coresLeft /= 1 + e.settings.Thrash*crowding
+		coresLeft /= 1 + e.settings.ContentionLoss*crowding
 	}
 	// Water-filling: queries with fewer threads than their share of the cores leave the rest to the others.
 	e.order = e.order[:0]
 	weightSum := 0.0
 	for k := range e.queries {
 		e.order = append(e.order, k)
-		weightSum += weights[e.queries[k].Level] * e.queries[k].Threads
+		weightSum += weights[e.queries[k].Priority] * e.queries[k].Threads
 	}
 	slices.SortStableFunc(e.order, func(a, b int) int { return levelWeight(&e.queries[b]) - levelWeight(&e.queries[a]) })
 	for _, k := range e.order {
 		r := &e.queries[k]
-		w := weights[r.Level] * r.Threads
+		w := weights[r.Priority] * r.Threads
 		cores := min(r.Threads, coresLeft*w/weightSum)
 		coresLeft, weightSum = coresLeft-cores, weightSum-w
 		r.rate = cores * e.settings.Speed * e.speedFactor
 		if r.memorySpilled > 0 {
-			r.rate /= 1 + e.settings.Spill*r.memorySpilled/r.Memory
+			r.rate /= 1 + e.settings.SpillOverhead*r.memorySpilled/r.Memory
 		}
 	}
 }
 
-func levelWeight(r *running) int { return int(weights[r.Level]) }
+func levelWeight(r *running) int { return int(weights[r.Priority]) }
 
 // allocateMemory gives queries the memory that they need for their progress, in order of priority level, the highest
 // first, and then of arrival. When none is left, queries of lower levels lose memory to those of higher levels.
@@ -265,7 +265,7 @@
 	for level := len(weights) - 1; level >= 0; level-- {
 		for k := range e.queries {
 			r := &e.queries[k]
-			if r.Level != level {
+			if r.Priority != level {
 				continue
 			}
 			const fullMemoryShare = 0.5 // share of a query's work after which it needs all of its memory
@@ -282,7 +282,7 @@
 func (e *Engine) reclaimMemory(level int, missing float64) (reclaimed float64) {
 	for below := 0; below < level && reclaimed < missing; below++ {
 		for k := len(e.queries) - 1; k >= 0 && reclaimed < missing; k-- {
-			if r := &e.queries[k]; r.Level == below {
+			if r := &e.queries[k]; r.Priority == below {
 				taken := min(r.memoryHeld, missing-reclaimed)
 				r.memoryHeld, r.memorySpilled, reclaimed = r.memoryHeld-taken, r.memorySpilled+taken, reclaimed+taken
 			}
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -26,7 +26,7 @@
 	for e.Running() > 0 {
 		e.Advance(e.Next())
 		for _, ev := range e.Events() {
-			if ev.What == Done {
+			if ev.Kind == Completed {
 				ended[ev.ID] = ev.At
 			}
 		}
@@ -37,7 +37,7 @@
 // TestPriorityWeights checks that two queries of levels 0 and 1 share one core 1 : 4, and that the remaining one then
 // has the whole core.
 func TestPriorityWeights(t *testing.T) {
-	got := endTimes(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Level: 0}, Query{ID: 2, Work: 1, Level: 1})
+	got := endTimes(New(Settings{Cores: 1}, 0), Query{ID: 1, Work: 1, Priority: 0}, Query{ID: 2, Work: 1, Priority: 1})
 	if !almostEqual(got[2], 1.25) || !almostEqual(got[1], 2) {
 		t.Errorf("ended at %v, want 1.25 and 2", got)
 	}
@@ -54,17 +54,17 @@
 // TestSpill checks that memory goes to the query of the higher level. The other one spills what is missing and takes
 // longer, even after memory is free again.
 func TestSpill(t *testing.T) {
-	set := Settings{Cores: 2, Memory: 100, Spill: 2, Notes: 0.01}
-	first, second := Query{ID: 1, Work: 1, Level: 1, Memory: 100}, Query{ID: 2, Work: 1, Level: 0, Memory: 100}
+	set := Settings{Cores: 2, Memory: 100, SpillOverhead: 2, ProgressInterval: 0.01}
+	first, second := Query{ID: 1, Work: 1, Priority: 1, Memory: 100}, Query{ID: 2, Work: 1, Priority: 0, Memory: 100}
 	e := New(set, 0)
 	got := endTimes(e, first, second)
-	if !almostEqual(got[1], 1) || got[2] < 1.2 || e.Wasted < 0.2 {
-		t.Errorf("ended at %v with %v wasted", got, e.Wasted)
+	if !almostEqual(got[1], 1) || got[2] < 1.2 || e.WastedWork < 0.2 {
+		t.Errorf("ended at %v with %v wasted", got, e.WastedWork)
 	}
-	second.Level = 1
+	second.Priority = 1
 	set.Memory = 200
-	if e = New(set, 0); !almostEqual(endTimes(e, first, second)[2], 1) || e.Wasted != 0 {
-		t.Errorf("%v wasted with memory for both", e.Wasted)
+	if e = New(set, 0); !almostEqual(endTimes(e, first, second)[2], 1) || e.WastedWork != 0 {
+		t.Errorf("%v wasted with memory for both", e.WastedWork)
 	}
 }
 
@@ -72,12 +72,12 @@
 // is done.
 func TestWorkConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := New(Settings{Cores: 4, Notes: 2}, 0)
+		e := New(Settings{Cores: 4, ProgressInterval: 2}, 0)
 		sum := 0.0
 		var qs []Query
 		for k := range rapid.IntRange(1, 20).Draw(t, "queries") {
 			q := Query{ID: uint64(k), Work: rapid.Float64Range(0.01, 5).Draw(t, "work"), Threads: 4,
-				Level: rapid.IntRange(0, 3).Draw(t, "level")}
+				Priority: rapid.IntRange(0, 3).Draw(t, "level")}
 			sum += q.Work
 			qs = append(qs, q)
 		}
@@ -85,8 +85,8 @@
 		for _, at := range endTimes(e, qs...) {
 			last = max(last, at)
 		}
-		if !almostEqual(last, sum/4) || !almostEqual(e.Did, sum) {
-			t.Fatalf("%v of work done by %v, want %v by %v", e.Did, last, sum, sum/4)
+		if !almostEqual(last, sum/4) || !almostEqual(e.DoneWork, sum) {
+			t.Fatalf("%v of work done by %v, want %v by %v", e.DoneWork, last, sum, sum/4)
 		}
 	})
 }
@@ -95,20 +95,20 @@
 // between.
 func TestNextIsWorkedOutAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := New(Settings{Cores: 2, Memory: 100, Spill: 1, Notes: 0.3}, 0)
+		e := New(Settings{Cores: 2, Memory: 100, SpillOverhead: 1, ProgressInterval: 0.3}, 0)
 		now, id := 0.0, uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				id++
-				e.Submit(now, Query{ID: id, Work: rapid.Float64Range(0.01, 2).Draw(t, "work"), Memory: 60, Level: int(id % 4)})
+				e.Submit(now, Query{ID: id, Work: rapid.Float64Range(0.01, 2).Draw(t, "work"), Memory: 60, Priority: int(id % 4)})
 			case 1:
 				now += rapid.Float64Range(0, 0.5).Draw(t, "pause")
 				e.Advance(now)
 			case 2:
-				e.Renice(now, max(id, 1), rapid.IntRange(0, 3).Draw(t, "level"))
+				e.SetPriority(now, max(id, 1), rapid.IntRange(0, 3).Draw(t, "level"))
 			case 3:
-				e.Pace(now, rapid.Float64Range(0.1, 2).Draw(t, "pace"))
+				e.SetSpeed(now, rapid.Float64Range(0.1, 2).Draw(t, "pace"))
 			case 4:
 				e.Paused = !e.Paused
 			case 5:
--- a/emulator/fleet/audit.go
+++ b/emulator/fleet/audit.go
@@ -18,7 +18,7 @@
 
 // audit observes all processes at once, in true time, and does not rely on their own statistics.
 type audit struct {
-	w            *World
+	w            *Simulation
 	err          error
 	checks       int
 	raftMessages int                          // messages between coordinators
@@ -47,7 +47,7 @@
 	granted bool
 }
 
-func (a *audit) init(w *World) {
+func (a *audit) init(w *Simulation) {
 	a.w, a.fenceOwners, a.highestFence, a.recentShares = w, map[string]map[uint64]string{}, map[string]uint64{}, map[string][]shareUse{}
 	a.lastGrantAt = map[uint32]float64{}
 	a.annotations = map[string]annotation{}
@@ -315,7 +315,7 @@
 }
 
 // Figures returns the statistics so far.
-func (w *World) Figures() Figures {
+func (w *Simulation) Figures() Figures {
 	a := &w.audit
 	f := Figures{Seconds: w.now, Worst: a.maxAllowance, Twice: a.doubleOwners, Looks: a.checks, Raft: a.raftMessages, Requests: a.requests, Acts: a.actions, Gaps: a.gaps}
 	f.OldTried, f.Operations = a.staleActions, len(a.history)
@@ -334,9 +334,9 @@
 	return f
 }
 
-// Whole reports an error if the fleet has not recovered after the last fault: the history is not linearizable, a task
+// CheckRecovered reports an error if the fleet has not recovered after the last fault: the history is not linearizable, a task
 // has no owner, or no share of an allowance is granted.
-func (w *World) Whole() error {
+func (w *Simulation) CheckRecovered() error {
 	if w.audit.err != nil {
 		return w.audit.err
 	}
@@ -352,7 +352,7 @@
 			owned = owned || r.up && !r.stopped && w.owns(r, task)
 		}
 		if !owned {
-			return fmt.Errorf("seed %d: %s has no owner %.1f s after the last fault", w.file.Seed, task, w.file.Settle)
+			return fmt.Errorf("seed %d: %s has no owner %.1f s after the last fault", w.file.Seed, task, w.file.SettleTime)
 		}
 	}
 	for _, e := range w.servers {
--- a/emulator/fleet/fleet_test.go
+++ b/emulator/fleet/fleet_test.go
@@ -18,7 +18,7 @@
 	}
 	var all Figures
 	for seed := range seeds {
-		f, err := Play(Drawn(seed), nil)
+		f, err := Play(RandomScenario(seed), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -34,7 +34,7 @@
 // TestReproducible checks that a seed gives the same run every time.
 func TestReproducible(t *testing.T) {
 	run := func() (lines []string) {
-		if _, err := Play(Drawn(7), func(s string) { lines = append(lines, s) }); err != nil {
+		if _, err := Play(RandomScenario(7), func(s string) { lines = append(lines, s) }); err != nil {
 			t.Fatal(err)
 		}
 		return lines
@@ -51,7 +51,7 @@
 }
 
 func TestWithoutFaults(t *testing.T) {
-	f, err := Play(scenario.File{Keepers: 3, Routers: 4, Zones: 2, Engines: 2, Lease: 2, Drift: 0.05, Settle: 10, Seed: 1}, nil)
+	f, err := Play(scenario.File{Coordinators: 3, Routers: 4, Zones: 2, Servers: 2, Lease: 2, Drift: 0.05, SettleTime: 10, Seed: 1}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	if testing.Short() {
 		t.Skip("takes ten seconds")
 	}
-	f := scenario.File{Name: "flapping", Keepers: 3, Routers: 300, Zones: 3, Engines: 3, Lease: 3, Drift: 0.05, Seed: 5, Settle: 20}
+	f := scenario.File{Name: "flapping", Coordinators: 3, Routers: 300, Zones: 3, Servers: 3, Lease: 3, Drift: 0.05, Seed: 5, SettleTime: 20}
 	w, err := New(f)
 	if err != nil {
 		t.Fatal(err)
@@ -99,9 +99,9 @@
 		w.after(5+2*w.random.Float64(), func() {
 			w.every(2+2*w.random.Float64(), func() {
 				if r.up {
-					w.Do("kill", r.name)
+					w.ApplyFault("kill", r.name)
 				} else {
-					w.Do("start", r.name)
+					w.ApplyFault("start", r.name)
 				}
 			})
 		})
--- a/emulator/fleet/play.go
+++ b/emulator/fleet/play.go
@@ -17,22 +17,22 @@
 	defer w.Close()
 	w.Log = log
 	const maxSeconds = 600 // of virtual time; ends a script that waits for a condition that never holds
-	for !w.Quiet && w.now < maxSeconds {
+	for !w.ScriptDone && w.now < maxSeconds {
 		if err := w.Run(w.now + 0.5); err != nil {
 			return w.Figures(), err
 		}
 	}
-	if err := w.Run(w.now + f.Settle); err != nil {
+	if err := w.Run(w.now + f.SettleTime); err != nil {
 		return w.Figures(), err
 	}
-	return w.Figures(), w.Whole()
+	return w.Figures(), w.CheckRecovered()
 }
 
-// Drawn returns a random scenario with faults of every kind, several at a time, all of which are over at the end.
-func Drawn(seed uint64) scenario.File {
+// RandomScenario returns a random scenario with faults of every kind, several at a time, all of which are over at the end.
+func RandomScenario(seed uint64) scenario.File {
 	r := rand.New(rand.NewPCG(seed, 21))
-	f := scenario.File{Name: fmt.Sprint("drawn ", seed), Keepers: 1 + 2*r.IntN(3), Routers: 2 + r.IntN(5), Zones: 1 + r.IntN(3),
-		Engines: 1 + r.IntN(3), Lease: 1 + 3*r.Float64(), Drift: 0.05, Folders: r.IntN(2) == 0, Seed: seed}
+	f := scenario.File{Name: fmt.Sprint("drawn ", seed), Coordinators: 1 + 2*r.IntN(3), Routers: 2 + r.IntN(5), Zones: 1 + r.IntN(3),
+		Servers: 1 + r.IntN(3), Lease: 1 + 3*r.Float64(), Drift: 0.05, PersistentFolders: r.IntN(2) == 0, Seed: seed}
 	process := func() string {
 		switch r.IntN(7) {
 		case 0:
@@ -40,7 +40,7 @@
 		case 1, 2:
 			return "owner"
 		case 3:
-			return fmt.Sprint("keeper:", 1+r.IntN(f.Keepers))
+			return fmt.Sprint("keeper:", 1+r.IntN(f.Coordinators))
 		case 4:
 			return fmt.Sprint("zone:", 1+r.IntN(f.Zones))
 		default:
@@ -58,33 +58,33 @@
 		}
 	}
 	add := func(e scenario.Event) { f.Events = append(f.Events, e) }
-	add(scenario.Event{When: "owned", Do: "heal"})
+	add(scenario.Event{Condition: "owned", Action: "heal"})
 	for range 3 + r.IntN(7) {
 		e := scenario.Event{After: r.ExpFloat64() * f.Lease / 2}
 		switch r.IntN(7) {
 		case 6:
-			e.Do, e.Who = "release", "owner"
+			e.Action, e.Target = "release", "owner"
 		case 0:
-			e.Do, e.Who = "stop", process()
+			e.Action, e.Target = "stop", process()
 		case 1:
-			e.Do, e.Who = "kill", process()
+			e.Action, e.Target = "kill", process()
 		case 2:
-			e.Do, e.Who = "end", process()
+			e.Action, e.Target = "end", process()
 		case 3, 4:
-			e.Do, e.Who, e.To, e.Both = "cut", linkEnd(), linkEnd(), r.IntN(2) == 0
+			e.Action, e.Target, e.LinkEnd, e.BothWays = "cut", linkEnd(), linkEnd(), r.IntN(2) == 0
 		case 5:
-			e.Do, e.Who, e.To, e.For = "hold", linkEnd(), linkEnd(), r.Float64()*30
+			e.Action, e.Target, e.LinkEnd, e.Duration = "hold", linkEnd(), linkEnd(), r.Float64()*30
 		}
 		add(e)
 		if r.IntN(3) == 0 { // ends some faults while others go on
-			add(scenario.Event{After: r.Float64() * 2 * f.Lease, Do: []string{"continue", "start", "heal"}[r.IntN(3)], Who: "routers"})
+			add(scenario.Event{After: r.Float64() * 2 * f.Lease, Action: []string{"continue", "start", "heal"}[r.IntN(3)], Target: "routers"})
 		}
 	}
 	for _, group := range []string{"keepers", "routers"} {
-		add(scenario.Event{After: r.Float64() * 2 * f.Lease, Do: "continue", Who: group})
-		add(scenario.Event{Do: "start", Who: group})
+		add(scenario.Event{After: r.Float64() * 2 * f.Lease, Action: "continue", Target: group})
+		add(scenario.Event{Action: "start", Target: group})
 	}
-	add(scenario.Event{Do: "heal"})
-	f.Settle = 6*f.Lease + 12
+	add(scenario.Event{Action: "heal"})
+	f.SettleTime = 6*f.Lease + 12
 	return f
 }
--- a/emulator/fleet/regression_test.go
+++ b/emulator/fleet/regression_test.go
@@ -6,7 +6,7 @@
 // confirmed by the answer to a heartbeat that did not count, and acted after the next one.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{5001794, 5003625, 5005704} {
-		if _, err := Play(Drawn(seed), nil); err != nil {
+		if _, err := Play(RandomScenario(seed), nil); err != nil {
 			t.Error(err)
 		}
 	}
--- a/emulator/fleet/script.go
+++ b/emulator/fleet/script.go
@@ -13,7 +13,7 @@
 )
 
 // Leader returns the coordinator that considers itself the leader in the highest term, "" if there is none.
-func (w *World) Leader() string {
+func (w *Simulation) Leader() string {
 	name, term := "", uint64(0)
 	for _, k := range w.coordinators {
 		if k.up && !k.stopped && k.node.IsLeader() && k.node.Status().Term > term {
@@ -24,7 +24,7 @@
 }
 
 // Owner returns the router that considers itself the owner of the first task, "" if there is none.
-func (w *World) Owner() string {
+func (w *Simulation) Owner() string {
 	for _, r := range w.routers {
 		if r.up && r.member != nil && w.owns(r, w.tasks()[0]) {
 			return r.name
@@ -33,21 +33,21 @@
 	return ""
 }
 
-func (w *World) owns(r *routerProcess, task string) bool {
+func (w *Simulation) owns(r *routerProcess, task string) bool {
 	_, ok := r.member.Permit(r.clock.at(w.now), task)
 	return ok
 }
 
-func (w *World) tasks() (all []string) {
+func (w *Simulation) tasks() (all []string) {
 	for _, e := range w.servers {
 		all = append(all, fmt.Sprintf("%s/%d@%.3f", agent.WarmUpKind, e.ID, e.Start))
 	}
 	return all
 }
 
-func (w *World) scheduleNextEvent() {
+func (w *Simulation) scheduleNextEvent() {
 	if len(w.pendingEvents) == 0 {
-		w.Quiet = true
+		w.ScriptDone = true
 		w.log("the script is over")
 		return
 	}
@@ -55,9 +55,9 @@
 	started := w.now
 	var poll func()
 	poll = func() {
-		if !w.conditionMet(e.When) {
+		if !w.conditionMet(e.Condition) {
 			if w.now-started > 60 {
-				w.audit.fail("event %q %q: the condition that it waits for (%s) is not met", e.Do, e.Who, e.When)
+				w.audit.fail("event %q %q: the condition that it waits for (%s) is not met", e.Action, e.Target, e.Condition)
 				return
 			}
 			w.after(0.01, poll)
@@ -72,7 +72,7 @@
 	poll()
 }
 
-func (w *World) conditionMet(condition string) bool {
+func (w *Simulation) conditionMet(condition string) bool {
 	switch condition {
 	case "owned", "dealt":
 		for _, task := range w.tasks() {
@@ -91,37 +91,37 @@
 	return true
 }
 
-func (w *World) playEvent(e scenario.Event) {
+func (w *Simulation) playEvent(e scenario.Event) {
 	if o := w.Owner(); o != "" {
 		w.previousOwner = o
 	}
-	targets := w.file.Whom(e.Who, w)
-	if len(targets) == 0 && e.Do != "heal" {
+	targets := w.file.Resolve(e.Target, w)
+	if len(targets) == 0 && e.Action != "heal" {
 		targets = nil
-		w.log("%s %s: no process matches now", e.Do, e.Who)
+		w.log("%s %s: no process matches now", e.Action, e.Target)
 	}
-	w.log("%s %s %s", e.Do, strings.Join(targets, ","), e.To)
+	w.log("%s %s %s", e.Action, strings.Join(targets, ","), e.LinkEnd)
 	for _, name := range targets {
-		w.Do(e.Do, name)
+		w.ApplyFault(e.Action, name)
 	}
-	switch e.Do {
+	switch e.Action {
 	case "heal":
 		clear(w.linksCut)
 		clear(w.linksHeldUntil)
 	case "cut", "hold":
 		for _, from := range targets {
-			for _, to := range w.file.Whom(e.To, w) {
-				w.Link(e.Do, from, to, e.For)
-				if e.Both {
-					w.Link(e.Do, to, from, e.For)
+			for _, to := range w.file.Resolve(e.LinkEnd, w) {
+				w.ImpairLink(e.Action, from, to, e.Duration)
+				if e.BothWays {
+					w.ImpairLink(e.Action, to, from, e.Duration)
 				}
 			}
 		}
 	}
 }
 
-// Link cuts the link from one process to another, or delays its messages for some seconds.
-func (w *World) Link(kind, from, to string, seconds float64) {
+// ImpairLink cuts the link from one process to another, or delays its messages for some seconds.
+func (w *Simulation) ImpairLink(kind, from, to string, seconds float64) {
 	if kind == "cut" {
 		w.linksCut[[2]string{from, to}] = true
 	} else {
@@ -129,8 +129,8 @@
 	}
 }
 
-// Do applies a fault, or the end of one, to a process.
-func (w *World) Do(action, name string) {
+// ApplyFault applies a fault, or the end of one, to a process.
+func (w *Simulation) ApplyFault(action, name string) {
 	p := w.processes[name]
 	var k *coordinatorProcess
 	var r *routerProcess
@@ -176,7 +176,7 @@
 	case "start":
 		if p.up {
 			if p.exiting { // retries until the process has ended
-				w.after(0.05, func() { w.Do("start", name) })
+				w.after(0.05, func() { w.ApplyFault("start", name) })
 			}
 			return
 		}
--- a/emulator/fleet/simulation.go
+++ b/emulator/fleet/simulation.go
@@ -24,8 +24,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// World is the state of one run.
-type World struct {
+// Simulation is the state of one run.
+type Simulation struct {
 	file               scenario.File
 	now                float64
 	queue              events
@@ -45,7 +45,7 @@
 	pendingEvents      []scenario.Event
 	playNextEvent      func() // schedules the next event of the script
 	previousOwner      string // owner of the first task when the previous event was applied
-	Quiet              bool   // the script is over
+	ScriptDone         bool   // the script is over
 	servers            []agent.Server
 }
 
@@ -121,20 +121,20 @@
 }
 
 // New sets a scenario up.
-func New(f scenario.File) (*World, error) {
-	w := &World{file: f, random: mathrand.New(mathrand.NewPCG(f.Seed, 11)), processes: map[string]*process{},
+func New(f scenario.File) (*Simulation, error) {
+	w := &Simulation{file: f, random: mathrand.New(mathrand.NewPCG(f.Seed, 11)), processes: map[string]*process{},
 		linksCut: map[[2]string]bool{}, linksHeldUntil: map[[2]string]float64{}, requests: map[uint64]*request{}, pendingEvents: f.Events}
 	// The raft library draws election timeouts from crypto/rand.Reader; a seeded reader makes the run reproducible.
 	w.originalRandReader, rand.Reader = rand.Reader, randSource{mathrand.New(mathrand.NewPCG(f.Seed, 12))}
 	w.audit.init(w)
-	for n := range f.Engines {
+	for n := range f.Servers {
 		w.servers = append(w.servers, agent.Server{ID: uint32(n + 1), Start: 1, Zone: f.Zone(n)})
 	}
 	var members []registry.Coordinator
-	for n := range f.Keepers {
+	for n := range f.Coordinators {
 		members = append(members, registry.Coordinator{ID: uint64(n + 1), Name: fmt.Sprint("k", n+1), Addr: fmt.Sprint("k", n+1), Zone: f.Zone(n)})
 	}
-	for n := range f.Keepers {
+	for n := range f.Coordinators {
 		k := &coordinatorProcess{process: w.newProcess(members[n].Name, f.Zone(n)), id: uint64(n + 1)}
 		var err error
 		if k.disk, err = coordinator.InitialState(members, f.Lease, f.Drift); err != nil {
@@ -155,20 +155,20 @@
 }
 
 // Close restores crypto/rand.Reader.
-func (w *World) Close() { rand.Reader = w.originalRandReader }
+func (w *Simulation) Close() { rand.Reader = w.originalRandReader }
 
-func (w *World) newProcess(name, zone string) *process {
+func (w *Simulation) newProcess(name, zone string) *process {
 	p := &process{name: name, zone: zone}
 	w.processes[name] = p
 	return p
 }
 
-func (w *World) after(d float64, run func()) {
+func (w *Simulation) after(d float64, run func()) {
 	w.lastOrder++
 	heap.Push(&w.queue, event{w.now + d, w.lastOrder, run})
 }
 
-func (w *World) every(d float64, run func()) {
+func (w *Simulation) every(d float64, run func()) {
 	var repeat func()
 	repeat = func() {
 		run()
@@ -177,14 +177,14 @@
 	w.after(d, repeat)
 }
 
-func (w *World) log(format string, args ...any) {
+func (w *Simulation) log(format string, args ...any) {
 	if w.Log != nil {
 		w.Log(fmt.Sprintf("%8.3f ", w.now) + fmt.Sprintf(format, args...))
 	}
 }
 
 // Run runs the simulation until a time, or until the audit finds an error.
-func (w *World) Run(until float64) error {
+func (w *Simulation) Run(until float64) error {
 	for len(w.queue) > 0 && w.queue[0].at <= until && w.audit.err == nil {
 		e := heap.Pop(&w.queue).(event)
 		w.now = max(w.now, e.at)
@@ -196,7 +196,7 @@
 
 // runWhenActive runs a function in a process: at once, or after the process continues if it is stopped, or never if
 // that incarnation has ended.
-func (w *World) runWhenActive(p *process, incarnation uint64, run func()) {
+func (w *Simulation) runWhenActive(p *process, incarnation uint64, run func()) {
 	switch {
 	case !p.up || p.incarnation != incarnation:
 	case p.stopped:
@@ -207,7 +207,7 @@
 }
 
 // deliver passes a message over the link between two processes.
-func (w *World) deliver(from, to *process, receive func()) {
+func (w *Simulation) deliver(from, to *process, receive func()) {
 	link := [2]string{from.name, to.name}
 	if !from.up || w.linksCut[link] || w.random.Float64() < w.messageLoss {
 		return
@@ -221,18 +221,18 @@
 }
 
 // newClock returns a clock with a rate within the drift and an offset of up to a minute.
-func (w *World) newClock() clock {
+func (w *Simulation) newClock() clock {
 	return clock{60 * w.random.Float64(), 1 + w.file.Drift*(2*w.random.Float64()-1)}
 }
 
-func (w *World) startProcess(p *process) uint64 {
+func (w *Simulation) startProcess(p *process) uint64 {
 	p.up, p.stopped, p.exiting, p.backlog = true, false, false, nil
 	p.incarnation++
 	p.clock = w.newClock()
 	return p.incarnation
 }
 
-func (w *World) startCoordinator(k *coordinatorProcess) {
+func (w *Simulation) startCoordinator(k *coordinatorProcess) {
 	incarnation := w.startProcess(k.process)
 	var err error
 	k.node, err = coordinator.New(coordinator.Config{ID: k.id, Name: k.name, HoldTime: min(1, w.file.Lease/4), Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
@@ -257,7 +257,7 @@
 
 // processOutput handles the output of a coordinator. Its data is persisted at once, as by a driver that syncs before it
 // sends.
-func (w *World) processOutput(k *coordinatorProcess) {
+func (w *Simulation) processOutput(k *coordinatorProcess) {
 	for {
 		out, ok := k.node.Output()
 		if !ok {
@@ -302,7 +302,7 @@
 	}
 }
 
-func (w *World) coordinatorByID(id uint64) *coordinatorProcess {
+func (w *Simulation) coordinatorByID(id uint64) *coordinatorProcess {
 	for _, k := range w.coordinators {
 		if k.id == id {
 			return k
@@ -311,7 +311,7 @@
 	return nil
 }
 
-func (w *World) startRouter(r *routerProcess) {
+func (w *Simulation) startRouter(r *routerProcess) {
 	incarnation := w.startProcess(r.process)
 	var addrs []string
 	for _, k := range w.coordinators {
@@ -323,7 +323,7 @@
 	r.finder = agent.NewFinder(addrs, w.random.IntN(len(addrs)))
 	r.member = agent.New(agent.Config{Name: r.name, Zone: r.zone, Region: "r", Incarnation: incarnation, Seed: w.random.Uint64(),
 		CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind}, RouterCount: w.file.Routers, Window: 1,
-		StartedAt: r.clock.at(w.now), CleanStart: incarnation == 1, Persistent: w.file.Folders,
+		StartedAt: r.clock.at(w.now), CleanStart: incarnation == 1, Persistent: w.file.PersistentFolders,
 		Trace: func(t agent.Trace) { w.audit.recordTrace(r, t) },
 		Log:   func(text string) { w.log("%s: %s", r.name, text) }}, r.disk)
 	share := 1 / float64(w.file.Routers)
@@ -356,7 +356,7 @@
 }
 
 // sendRequests sends a router's requests.
-func (w *World) sendRequests(r *routerProcess, all []agent.Request) {
+func (w *Simulation) sendRequests(r *routerProcess, all []agent.Request) {
 	incarnation := r.incarnation
 	for _, req := range all {
 		if req.Persist != nil {
@@ -384,7 +384,7 @@
 	}
 }
 
-func (w *World) sendAttempt(id uint64, c *request) {
+func (w *Simulation) sendAttempt(id uint64, c *request) {
 	c.target = c.from.finder.Target()
 	c.attempts++
 	if len(w.coordinators) == 0 {
@@ -430,7 +430,7 @@
 	}
 }
 
-func (w *World) deliverResponse(k *coordinatorProcess, response coordinator.Response) {
+func (w *Simulation) deliverResponse(k *coordinatorProcess, response coordinator.Response) {
 	c := w.requests[response.Request]
 	if c == nil {
 		return
@@ -451,7 +451,7 @@
 	})
 }
 
-func (w *World) finishRequest(id uint64, c *request, value any, err error) {
+func (w *Simulation) finishRequest(id uint64, c *request, value any, err error) {
 	if !c.open {
 		return
 	}
--- a/emulator/modelcheck/explore.go
+++ b/emulator/modelcheck/explore.go
@@ -14,26 +14,26 @@
 
 // Bounds limits an exploration. A lost message is one that does not arrive within them.
 type Bounds struct {
-	Time     int // in ticks
-	Lease    int
-	Beats    [2]int // heartbeats of each owner
-	Acts     int
-	Lets     int // voluntary releases of the task by each owner
-	Loses    int // how often each owner is told, wrongly or late, that its session is over
-	Restarts int // of the receiver
-	Repeats  int // messages that are delivered twice
-	Most     int // most states to explore
+	Time          int // in ticks
+	Lease         int
+	Heartbeats    [2]int // heartbeats of each owner
+	Actions       int
+	Releases      int // voluntary releases of the task by each owner
+	SessionLosses int // how often each owner is told, wrongly or late, that its session is over
+	Restarts      int // of the receiver
+	Duplicates    int // messages that are delivered twice
+	MaxStates     int // most states to explore
 }
 
-// Short explores for some seconds, Long for minutes.
+// ShortBounds explores for some seconds, LongBounds for minutes.
 var (
-	Short = Bounds{Time: 4, Lease: 2, Beats: [2]int{1, 1}, Acts: 1, Restarts: 1, Repeats: 0, Most: 400_000}
-	// Letting covers releases: two heartbeats of an owner are outstanding at a time, and their answers overtake each
+	ShortBounds = Bounds{Time: 4, Lease: 2, Heartbeats: [2]int{1, 1}, Actions: 1, Restarts: 1, Duplicates: 0, MaxStates: 400_000}
+	// ReleaseBounds covers releases: two heartbeats of an owner are outstanding at a time, and their answers overtake each
 	// other.
-	Letting = Bounds{Time: 2, Lease: 6, Beats: [2]int{3, 1}, Lets: 1, Most: 2_000_000}
-	// Losing covers sessions that are lost and opened again while a release is on its way.
-	Losing = Bounds{Time: 1, Lease: 6, Beats: [2]int{2, 1}, Lets: 1, Loses: 1, Most: 2_000_000}
-	Long   = Bounds{Time: 6, Lease: 2, Beats: [2]int{2, 2}, Acts: 1, Restarts: 1, Repeats: 1, Most: 20_000_000}
+	ReleaseBounds = Bounds{Time: 2, Lease: 6, Heartbeats: [2]int{3, 1}, Releases: 1, MaxStates: 2_000_000}
+	// SessionLossBounds covers sessions that are lost and opened again while a release is on its way.
+	SessionLossBounds = Bounds{Time: 1, Lease: 6, Heartbeats: [2]int{2, 1}, Releases: 1, SessionLosses: 1, MaxStates: 2_000_000}
+	LongBounds        = Bounds{Time: 6, Lease: 2, Heartbeats: [2]int{2, 2}, Actions: 1, Restarts: 1, Duplicates: 1, MaxStates: 20_000_000}
 )
 
 const task = "w/1"
@@ -117,24 +117,24 @@
 	return &c
 }
 
-// Found is a violation of a rule, with the steps that led to it.
-type Found struct {
-	What  string
-	Trail []string
+// Violation is a violation of a rule, with the steps that led to it.
+type Violation struct {
+	Message string
+	Steps   []string
 }
 
-func (f *Found) Error() string { return f.What + ":\n  " + strings.Join(f.Trail, "\n  ") }
+func (f *Violation) Error() string { return f.Message + ":\n  " + strings.Join(f.Steps, "\n  ") }
 
 func (s *state) violation(format string, args ...any) error {
-	found := &Found{What: fmt.Sprintf(format, args...)}
+	found := &Violation{Message: fmt.Sprintf(format, args...)}
 	for x := s.trail; x != nil; x = x.previous {
-		found.Trail = append([]string{x.action}, found.Trail...)
+		found.Steps = append([]string{x.action}, found.Steps...)
 	}
 	return found
 }
 
-// Walk explores all states within the bounds. complete is false if there were more than MaxStates.
-func Walk(bounds Bounds) (states int, complete bool, err error) {
+// Explore explores all states within the bounds. complete is false if there were more than MaxStates.
+func Explore(bounds Bounds) (states int, complete bool, err error) {
 	terms := lease.Terms{Lease: float64(bounds.Lease), Drift: 0}
 	first := &state{decoded: map[string]*registry.Registry{}, receiver: lease.NewFenceChecker(), fenceOwner: map[uint64]int{}}
 	initial := registry.New()
@@ -166,7 +166,7 @@
 			if seen[k] {
 				continue
 			}
-			if len(seen) >= bounds.Most {
+			if len(seen) >= bounds.MaxStates {
 				return states, false, nil
 			}
 			seen[k] = true
@@ -247,25 +247,25 @@
 // ownerSteps returns the steps of an owner: send a heartbeat, act, lose its session, release the task.
 func (s *state) ownerSteps(b Bounds, k int) (all []*state) {
 	o := &s.owners[k]
-	if o.heartbeats < b.Beats[k] {
+	if o.heartbeats < b.Heartbeats[k] {
 		n := s.copy(ownerNames[k] + " sends a heartbeat")
 		n.owners[k].heartbeats++
 		n.inFlight = append(n.inFlight, message{kind: 'b', owner: k, sentAt: s.now, session: o.session})
 		all = append(all, n)
 	}
-	if fence, ok := o.holder.Permit(ownerClock(s.now), task, 0); ok && o.actions < b.Acts {
+	if fence, ok := o.holder.Permit(ownerClock(s.now), task, 0); ok && o.actions < b.Actions {
 		n := s.copy(fmt.Sprint(ownerNames[k], " acts under ", fence))
 		n.owners[k].actions++
 		n.inFlight = append(n.inFlight, message{kind: 'a', owner: k, sentAt: s.now, fence: fence})
 		all = append(all, n)
 	}
-	if o.sessionLosses < b.Loses && o.holder.SessionID() != 0 {
+	if o.sessionLosses < b.SessionLosses && o.holder.SessionID() != 0 {
 		n := s.copy(ownerNames[k] + " is told that its session has ended")
 		n.owners[k].sessionLosses++
 		n.owners[k].holder.EndSession()
 		all = append(all, n)
 	}
-	if o.releases < b.Lets {
+	if o.releases < b.Releases {
 		n := s.copy(ownerNames[k] + " releases the task")
 		if c, ok := n.owners[k].holder.Release(task); ok {
 			n.owners[k].releases++
@@ -316,7 +316,7 @@
 			return nil, err
 		}
 		all = append(all, n)
-		if s.repeats < b.Repeats && !m.repeated {
+		if s.repeats < b.Duplicates && !m.repeated {
 			second := n.copy("the message is in flight a second time")
 			second.repeats++
 			m.repeated = true
--- a/emulator/modelcheck/explore_test.go
+++ b/emulator/modelcheck/explore_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestExplore(t *testing.T) {
-	states, complete, err := Walk(Short)
+	states, complete, err := Explore(ShortBounds)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -16,9 +16,9 @@
 // TestReleases explores releases whose answers overtake each other, and releases by an owner that is told that its
 // session is over.
 func TestReleases(t *testing.T) {
-	for name, b := range map[string]Bounds{"letting": Letting, "losing": Losing} {
+	for name, b := range map[string]Bounds{"letting": ReleaseBounds, "losing": SessionLossBounds} {
 		t.Run(name, func(t *testing.T) {
-			states, complete, err := Walk(b)
+			states, complete, err := Explore(b)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/emulator/zones/traffic.go
+++ b/emulator/zones/traffic.go
@@ -94,7 +94,7 @@
 	routerDemands := make([][]float64, len(w.routers)) // core seconds per second that each router sends to each zone
 	requested := 0.0
 	var optimal failover.Plan
-	if w.settings.Rule == Knowing {
+	if w.settings.Rule == FullKnowledge {
 		roundTrips := make([][]float64, n)
 		capacities := make([]float64, n)
 		for o := range roundTrips {
@@ -114,7 +114,7 @@
 			continue
 		}
 		requested += r.demand
-		if w.settings.Rule == Knowing {
+		if w.settings.Rule == FullKnowledge {
 			rows[k] = optimal.Share[r.zone]
 		} else {
 			rows[k] = w.shares(r)
@@ -161,7 +161,7 @@
 		if !(full > 0 && offered[z]-ownLoad[z] > 0.02*full && ownLoad[z] < 0.97*full) {
 			x.notOverloadedAt = w.now
 		} else if w.now > max(x.changedUntil, 3) && w.now >= x.notOverloadedAt+1 {
-			w.result.Worst = max(w.result.Worst, mean/full)
+			w.result.MaxFailoverLoad = max(w.result.MaxFailoverLoad, mean/full)
 		}
 		x.lastCapacity = full
 	}
@@ -202,20 +202,20 @@
 		}
 	}
 	second := int(w.now + 1e-6)
-	for len(w.result.Worth) <= second {
-		w.result.Worth = append(w.result.Worth, 0)
-		w.result.Timeline = append(w.result.Timeline, make([]float64, n))
-		w.result.Home = append(w.result.Home, 0)
+	for len(w.result.Served) <= second {
+		w.result.Served = append(w.result.Served, 0)
+		w.result.OfferedBySecond = append(w.result.OfferedBySecond, make([]float64, n))
+		w.result.OwnZoneServed = append(w.result.OwnZoneServed, 0)
 	}
 	if requested > 0 {
-		w.result.Worth[second] += served / (requested * stepSeconds) / 10
-		w.result.Home[second] += local / (requested * stepSeconds) / 10
+		w.result.Served[second] += served / (requested * stepSeconds) / 10
+		w.result.OwnZoneServed[second] += local / (requested * stepSeconds) / 10
 	}
 	for z := range w.zones {
-		w.result.Timeline[second][z] += offered[z] / 10
+		w.result.OfferedBySecond[second][z] += offered[z] / 10
 	}
 	if served > 0 {
-		w.result.Near += local / served * stepSeconds / w.settings.Length
+		w.result.OwnZoneShare += local / served * stepSeconds / w.settings.Duration
 	}
 }
 
@@ -225,7 +225,7 @@
 func (w *world) limitColdTraffic(z int, routerDemands [][]float64) {
 	x := &w.zones[z]
 	age := w.now - x.upSince
-	if w.settings.Rule == Knowing || w.down(z) || age >= warmUpSeconds {
+	if w.settings.Rule == FullKnowledge || w.down(z) || age >= warmUpSeconds {
 		return
 	}
 	warmShare := age / warmUpSeconds
@@ -257,26 +257,26 @@
 	for _, f := range w.settings.Faults {
 		last = max(last, f.Until)
 	}
-	w.result.Back = math.NaN()
-	before := w.result.Home[min(10, len(w.result.Home)-1)] // of a second without faults
-	for t := int(math.Ceil(last)); t < len(w.result.Home)-1; t++ {
-		if w.result.Home[t] >= 0.99*before {
-			w.result.Back = float64(t) - last
+	w.result.RecoveryTime = math.NaN()
+	before := w.result.OwnZoneServed[min(10, len(w.result.OwnZoneServed)-1)] // of a second without faults
+	for t := int(math.Ceil(last)); t < len(w.result.OwnZoneServed)-1; t++ {
+		if w.result.OwnZoneServed[t] >= 0.99*before {
+			w.result.RecoveryTime = float64(t) - last
 			break
 		}
 	}
 }
 
-// Drawn returns settings with random faults, several at a time.
-func Drawn(seed uint64) Settings {
+// RandomSettings returns settings with random faults, several at a time.
+func RandomSettings(seed uint64) Settings {
 	r := rand.New(rand.NewPCG(seed, 42))
-	s := Settings{Zones: 3 + r.IntN(5), Regions: 1 + r.IntN(3), Routers: 30, Load: 0.35 + 0.35*r.Float64(), Skew: 0.3 * r.Float64(), Seed: seed, Length: 90}
+	s := Settings{Zones: 3 + r.IntN(5), Regions: 1 + r.IntN(3), Routers: 30, Load: 0.35 + 0.35*r.Float64(), Skew: 0.3 * r.Float64(), Seed: seed, Duration: 90}
 	for range 1 + r.IntN(3) {
 		f := Fault{At: 15 + 30*r.Float64(), Kind: Kind(r.IntN(int(kinds))), Zone: r.IntN(s.Zones)}
 		f.To = (f.Zone + 1 + r.IntN(s.Zones-1)) % s.Zones
 		f.Until = f.At + 3 + 25*r.Float64()
 		switch f.Kind {
-		case Slowed:
+		case SlowServers:
 			f.By = 3 + 8*r.Float64()
 		case Flapping:
 			f.By, f.Until = 5, f.At+30
--- a/emulator/zones/zones.go
+++ b/emulator/zones/zones.go
@@ -21,20 +21,20 @@
 	// By zones' health with an overprovisioning factor of 1.4 and a panic threshold of one half, as published for
 	// Envoy.
 	Locality
-	Knowing // with full knowledge and no delay: the upper bound
+	FullKnowledge // with full knowledge and no delay: the upper bound
 )
 
 // Settings configures a run.
 type Settings struct {
-	Zones, Regions int
-	Routers        int
-	Load           float64 // as a share of the total capacity
-	Skew           float64 // spread of the zones' demands: standard deviation of the logarithm; 0: proportional to capacity
-	Seed           uint64
-	Rule           Rule
-	Length         float64
-	Liars          float64 // share of each zone's routers that report random observations
-	Faults         []Fault
+	Zones, Regions    int
+	Routers           int
+	Load              float64 // as a share of the total capacity
+	Skew              float64 // spread of the zones' demands: standard deviation of the logarithm; 0: proportional to capacity
+	Seed              uint64
+	Rule              Rule
+	Duration          float64
+	MisreportingShare float64 // share of each zone's routers that report random observations
+	Faults            []Fault
 }
 
 // Fault is a fault of a zone during some time.
@@ -50,17 +50,17 @@
 
 // The kinds of faults.
 const (
-	Power      Kind = iota // servers and routers of a zone are down
-	Engines                // servers of a zone are down
-	Link                   // between two zones, both ways
-	OneWay                 // from one zone to another
-	Slowed                 // servers of a zone are slower by the factor By
-	Controller             // the process of the owner stops, possibly with a plan on its way
-	Deaf                   // the routers of a zone can't reach the coordinators
-	Minority               // the routers of a region can't reach the coordinators
-	Flapping               // servers of a zone go down and return, every By seconds
-	Drain                  // the operator evacuates the zone
-	Lists                  // lists name no servers of the zone
+	PowerLoss               Kind = iota // servers and routers of a zone are down
+	ServersDown                         // servers of a zone are down
+	LinkCut                             // between two zones, both ways
+	OneWayCut                           // from one zone to another
+	SlowServers                         // servers of a zone are slower by the factor By
+	ControllerStopped                   // the process of the owner stops, possibly with a plan on its way
+	CoordinatorsUnreachable             // the routers of a zone can't reach the coordinators
+	RegionCutOff                        // the routers of a region can't reach the coordinators
+	Flapping                            // servers of a zone go down and return, every By seconds
+	Drain                               // the operator evacuates the zone
+	EmptyLists                          // lists name no servers of the zone
 	kinds
 )
 
@@ -110,19 +110,19 @@
 
 // Result holds what a run recorded.
 type Result struct {
-	Worth []float64 // share of all work that was served, by second
-	Worst float64   // highest ratio of a zone's load over a second to its capacity, where traffic from other zones caused it
+	Served          []float64 // share of all work that was served, by second
+	MaxFailoverLoad float64   // highest ratio of a zone's load over a second to its capacity, where traffic from other zones caused it
 	// Highest ratio of a zone's load to its planned capacity, under any mixture of the plans that routers may
 	// follow.
-	Planned  float64
-	Near     float64   // share of the served work that was served in its own zone
-	Changes  []float64 // times at which the plan changed
-	Given    []string  // healthy zones that a plan gave up
-	Lost     map[int]float64
-	Home     []float64 // share of all work that was served in its own zone, by second
-	Back     float64   // seconds from the end of the last fault until work in its own zone is back at 99 % of the value before; NaN: not within the run
-	Timeline [][]float64
-	Bytes    float64 // size of a report
+	MaxPlannedLoad  float64
+	OwnZoneShare    float64   // share of the served work that was served in its own zone
+	PlanChanges     []float64 // times at which the plan changed
+	GivenUp         []string  // healthy zones that a plan gave up
+	DownAt          map[int]float64
+	OwnZoneServed   []float64 // share of all work that was served in its own zone, by second
+	RecoveryTime    float64   // seconds from the end of the last fault until work in its own zone is back at 99 % of the value before; NaN: not within the run
+	OfferedBySecond [][]float64
+	ReportBytes     float64 // size of a report
 }
 
 type world struct {
@@ -148,7 +148,7 @@
 // Play simulates a run.
 func Play(s Settings) (Result, error) {
 	w := &world{settings: s, random: rand.New(rand.NewPCG(s.Seed, 41)), owner: -1}
-	w.result.Lost = map[int]float64{}
+	w.result.DownAt = map[int]float64{}
 	total := 0.0
 	for z := range s.Zones {
 		zoneCores := 20 * (0.7 + 0.6*w.random.Float64())
@@ -181,10 +181,10 @@
 		n := (s.Routers + s.Zones - 1 - z) / s.Zones
 		w.routers = append(w.routers, router{zone: z, demand: w.zones[z].demand / float64(n), follower: failover.NewPlanFollower(z, s.Zones, 0.05),
 			nextContact: w.random.Float64() * contactInterval, planUntil: math.Inf(-1), failureRate: make([]float64, s.Zones), attemptedWork: make([]float64, s.Zones),
-			failedWork: make([]float64, s.Zones), lateWork: make([]float64, s.Zones), servedWork: make([]float64, s.Zones), misreports: k/s.Zones < int(s.Liars*float64(n))})
+			failedWork: make([]float64, s.Zones), lateWork: make([]float64, s.Zones), servedWork: make([]float64, s.Zones), misreports: k/s.Zones < int(s.MisreportingShare*float64(n))})
 	}
 	w.committed = failover.PublishedPlan{Epoch: 1, Plan: failover.LocalPlan(s.Zones), Fallback: failover.LocalPlan(s.Zones)}
-	for w.now = 0; w.now < s.Length; w.now += stepSeconds {
+	for w.now = 0; w.now < s.Duration; w.now += stepSeconds {
 		w.applyFaults()
 		if s.Rule == Planned {
 			w.runController()
@@ -206,10 +206,10 @@
 }
 
 func (w *world) down(z int) bool {
-	if _, ok := w.activeFault(Power, z); ok {
+	if _, ok := w.activeFault(PowerLoss, z); ok {
 		return true
 	}
-	if _, ok := w.activeFault(Engines, z); ok {
+	if _, ok := w.activeFault(ServersDown, z); ok {
 		return true
 	}
 	if f, ok := w.activeFault(Flapping, z); ok {
@@ -220,8 +220,8 @@
 
 func (w *world) linkCut(from, to int) bool {
 	for _, f := range w.settings.Faults {
-		if w.now >= f.At && w.now < f.Until && (f.Kind == Link && (f.Zone == from && f.To == to || f.Zone == to && f.To == from) ||
-			f.Kind == OneWay && f.Zone == from && f.To == to) {
+		if w.now >= f.At && w.now < f.Until && (f.Kind == LinkCut && (f.Zone == from && f.To == to || f.Zone == to && f.To == from) ||
+			f.Kind == OneWayCut && f.Zone == from && f.To == to) {
 			return true
 		}
 	}
@@ -235,14 +235,14 @@
 		x := &w.zones[z]
 		if w.down(z) {
 			x.lastDownAt = w.now
-			if _, ok := w.result.Lost[z]; !ok {
-				w.result.Lost[z] = w.now
+			if _, ok := w.result.DownAt[z]; !ok {
+				w.result.DownAt[z] = w.now
 			}
 		} else if x.lastDownAt >= 0 {
 			x.upSince, x.lastDownAt = w.now, -1
 		}
 		_, draining[z] = w.activeFault(Drain, z)
-		if _, ok := w.activeFault(Controller, z); ok {
+		if _, ok := w.activeFault(ControllerStopped, z); ok {
 			w.ownerStopped = true
 		}
 	}
@@ -256,7 +256,7 @@
 		return 0
 	}
 	c := x.fullCapacity * min(coldCapacityShare+(1-coldCapacityShare)*(w.now-x.upSince)/warmUpSeconds, 1)
-	if f, ok := w.activeFault(Slowed, z); ok {
+	if f, ok := w.activeFault(SlowServers, z); ok {
 		c /= f.By
 	}
 	return c
@@ -265,11 +265,11 @@
 // listedCores returns the ready cores of a zone according to the lists.
 func (w *world) listedCores(z int) float64 {
 	x := &w.zones[z]
-	if _, ok := w.activeFault(Lists, z); ok {
+	if _, ok := w.activeFault(EmptyLists, z); ok {
 		return 0
 	}
 	if w.down(z) {
-		if w.now-max(x.upSince, w.result.Lost[z]) > 6 { // lists name servers for up to 6 s after they went down
+		if w.now-max(x.upSince, w.result.DownAt[z]) > 6 { // lists name servers for up to 6 s after they went down
 			return 0
 		}
 		return x.cores
@@ -279,14 +279,14 @@
 
 // reachesCoordinators reports whether a router reaches the coordinators.
 func (w *world) reachesCoordinators(r *router) bool {
-	if _, ok := w.activeFault(Power, r.zone); ok {
+	if _, ok := w.activeFault(PowerLoss, r.zone); ok {
 		return false
 	}
-	if _, ok := w.activeFault(Deaf, r.zone); ok {
+	if _, ok := w.activeFault(CoordinatorsUnreachable, r.zone); ok {
 		return false
 	}
 	for _, f := range w.settings.Faults {
-		if f.Kind == Minority && w.now >= f.At && w.now < f.Until && w.regionOf[f.Zone] == w.regionOf[r.zone] {
+		if f.Kind == RegionCutOff && w.now >= f.At && w.now < f.Until && w.regionOf[f.Zone] == w.regionOf[r.zone] {
 			return false
 		}
 	}
@@ -337,19 +337,19 @@
 		w.pending, w.pendingSince = &p, w.now
 		// A publication that only updates the recorded demand is not counted.
 		if len(w.controller.Changes) > 0 && w.controller.Changes[len(w.controller.Changes)-1] == w.now {
-			w.result.Changes = append(w.result.Changes, w.now)
+			w.result.PlanChanges = append(w.result.PlanChanges, w.now)
 		}
 		load := failover.MaxMixedLoad(w.controller.Demand, p.Plan, w.committed.Plan)
 		before := failover.MaxMixedLoad(w.controller.Demand, w.committed.Plan)
 		for z := range load {
 			// Only load that the plan adds.
 			if capacity := w.controller.PlanCapacity[z]; capacity > 0 && load[z] > before[z]+1e-6 {
-				w.result.Planned = max(w.result.Planned, load[z]/capacity)
+				w.result.MaxPlannedLoad = max(w.result.MaxPlannedLoad, load[z]/capacity)
 			}
 		}
 		for z := range w.zones {
 			if p.Plan.Load(ones(w.settings.Zones))[z] == 0 && w.committed.Plan.Load(ones(w.settings.Zones))[z] > 0 && w.undisturbed(z) {
-				w.result.Given = append(w.result.Given, fmt.Sprintf("zone %d at %.1f: %s", z, w.now, p.Reason))
+				w.result.GivenUp = append(w.result.GivenUp, fmt.Sprintf("zone %d at %.1f: %s", z, w.now, p.Reason))
 			}
 		}
 	}
@@ -376,7 +376,7 @@
 // undisturbed reports whether a zone has no fault of its own, had none in the last 40 s and is not drained.
 func (w *world) undisturbed(z int) bool {
 	for _, f := range w.settings.Faults {
-		affects := f.Zone == z && f.Kind != Controller && f.Kind != Deaf && f.Kind != Minority && f.Kind != OneWay && f.Kind != Link
+		affects := f.Zone == z && f.Kind != ControllerStopped && f.Kind != CoordinatorsUnreachable && f.Kind != RegionCutOff && f.Kind != OneWayCut && f.Kind != LinkCut
 		if affects && w.now >= f.At && w.now < f.Until+40 {
 			return false
 		}
@@ -385,7 +385,7 @@
 }
 
 func (w *world) routerDown(r *router) bool {
-	_, ok := w.activeFault(Power, r.zone)
+	_, ok := w.activeFault(PowerLoss, r.zone)
 	return ok
 }
 
@@ -417,7 +417,7 @@
 			if observation.Ready > 0 {
 				observation.ColdCores = w.zones[z].cores - observation.Ready
 			}
-			if f, ok := w.activeFault(Slowed, z); ok {
+			if f, ok := w.activeFault(SlowServers, z); ok {
 				observation.Slow = f.By
 			}
 			if r.failureRate[z] > 0.5 {
--- a/fleet/failover/capacity.go
+++ b/fleet/failover/capacity.go
@@ -15,7 +15,7 @@
 	updatedAt       float64
 }
 
-// How a capacity is confidentSeconds.
+// Constants of the capacity estimate.
 const (
 	// Assumed load per core before a limit has been observed. Discovery reports the number of cores, and work is measured in core
 	// seconds. A lower value would reject requests that a zone serves well. A value that is too high shows as overload within a second
--- a/internal/agentdriver/commands.go
+++ b/internal/agentdriver/commands.go
@@ -25,7 +25,7 @@
 const registryTimeout = 4 * time.Second
 
 // FleetCommand returns the command `dunereach fleet` with its subcommands.
-func Words() *cobra.Command {
+func FleetCommand() *cobra.Command {
 	var addrs []string
 	var asJSON bool
 	root := &cobra.Command{Use: "fleet", Short: "Show and control the tasks done on behalf of all routers", Args: cobra.NoArgs,
@@ -54,15 +54,15 @@
 		ctx, cancel := context.WithTimeout(c.Context(), 10*time.Second)
 		return coordserver.NewClient(addrs, ""), ctx, cancel, nil
 	}
-	addTable := func(use, short string, print func(io.Writer, coordserver.Picture)) {
+	addTable := func(use, short string, print func(io.Writer, coordserver.RegistrySnapshot)) {
 		root.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			conn, ctx, cancel, err := client(c)
 			if err != nil {
 				return err
 			}
 			defer cancel()
-			var snapshot coordserver.Picture
-			if err := conn.Ask(ctx, "/v1/record", nil, &snapshot); err != nil {
+			var snapshot coordserver.RegistrySnapshot
+			if err := conn.HedgedCall(ctx, "/v1/record", nil, &snapshot); err != nil {
 				return err
 			}
 			if asJSON {
@@ -73,9 +73,9 @@
 			return w.Flush()
 		}})
 	}
-	addTable("owners", "Print the tasks, their owners and fences", func(w io.Writer, snapshot coordserver.Picture) {
+	addTable("owners", "Print the tasks, their owners and fences", func(w io.Writer, snapshot coordserver.RegistrySnapshot) {
 		fmt.Fprintln(w, "work\towner\tfence\tzone\t")
-		for _, row := range snapshot.Works {
+		for _, row := range snapshot.Tasks {
 			owner := snapshot.Owners[row.Name]
 			if owner == "" {
 				owner = "-"
@@ -86,7 +86,7 @@
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t\n", row.Name, owner, row.Fence, row.Zone)
 		}
 	})
-	addTable("sessions", "Print the routers that take part", func(w io.Writer, snapshot coordserver.Picture) {
+	addTable("sessions", "Print the routers that take part", func(w io.Writer, snapshot coordserver.RegistrySnapshot) {
 		fmt.Fprintln(w, "router\tsession\tincarnation\tzone\tregion\t\t")
 		for _, row := range snapshot.Sessions {
 			note := ""
@@ -106,21 +106,21 @@
 			}
 			defer cancel()
 			var statuses []*coordinator.Status
-			var snapshot coordserver.Picture
+			var snapshot coordserver.RegistrySnapshot
 			var registryErr error
 			var both sync.WaitGroup
-			both.Go(func() { statuses = conn.Each(ctx, addrs) })
+			both.Go(func() { statuses = conn.Statuses(ctx, addrs) })
 			both.Go(func() {
 				ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 				defer cancel()
-				registryErr = conn.Ask(ctx, "/v1/record", nil, &snapshot)
+				registryErr = conn.HedgedCall(ctx, "/v1/record", nil, &snapshot)
 			})
 			both.Wait()
 			out := c.OutOrStdout()
 			if asJSON {
 				v := map[string]any{"keepers": statuses, "agreed": registryErr == nil}
 				if registryErr == nil {
-					v["sessions"], v["works"], v["fence"] = len(snapshot.Sessions), len(snapshot.Works), snapshot.Fence
+					v["sessions"], v["works"], v["fence"] = len(snapshot.Sessions), len(snapshot.Tasks), snapshot.Fence
 				}
 				return printJSON(out, v)
 			}
@@ -141,7 +141,7 @@
 			if registryErr != nil {
 				return fmt.Errorf("nothing can be agreed: %v; routers serve on without it", registryErr)
 			}
-			_, err = fmt.Fprintf(out, "\n%d routers take part, %d tasks, highest fence %d, leases of %g s\n", len(snapshot.Sessions), len(snapshot.Works), snapshot.Fence, snapshot.Lease)
+			_, err = fmt.Fprintf(out, "\n%d routers take part, %d tasks, highest fence %d, leases of %g s\n", len(snapshot.Sessions), len(snapshot.Tasks), snapshot.Fence, snapshot.Lease)
 			return err
 		}})
 	root.AddCommand(&cobra.Command{Use: "release WORK", Short: "Ask a task's owner to release it", Args: cobra.ExactArgs(1),
@@ -165,23 +165,23 @@
 // release asks the present owner of a task to release it. The order names the owner's fence, so it can be repeated
 // until a leader has accepted it: a repeated order never asks a later owner.
 func release(ctx context.Context, client *coordserver.Client, task string) error {
-	var snapshot coordserver.Picture
-	if err := client.Ask(ctx, "/v1/record", nil, &snapshot); err != nil {
+	var snapshot coordserver.RegistrySnapshot
+	if err := client.HedgedCall(ctx, "/v1/record", nil, &snapshot); err != nil {
 		return err
 	}
-	i := slices.IndexFunc(snapshot.Works, func(t registry.Task) bool { return t.Name == task })
-	if i < 0 || snapshot.Works[i].Owner == 0 {
+	i := slices.IndexFunc(snapshot.Tasks, func(t registry.Task) bool { return t.Name == task })
+	if i < 0 || snapshot.Tasks[i].Owner == 0 {
 		return registry.ErrNoTask
 	}
-	order := coordinator.Order{Kind: "release", Task: task, Fence: snapshot.Works[i].Fence}
-	return client.Ask(ctx, "/v1/order", order, &coordinator.PostResult{})
+	order := coordinator.Order{Kind: "release", Task: task, Fence: snapshot.Tasks[i].Fence}
+	return client.HedgedCall(ctx, "/v1/order", order, &coordinator.PostResult{})
 }
 
 // namedSnapshot is a snapshot of the registry for scripts, in which each task has its owner's name beside the number of
 // the session.
 type namedSnapshot struct {
-	coordserver.Picture
-	Works []namedTask `json:"works"`
+	coordserver.RegistrySnapshot
+	Tasks []namedTask `json:"works"`
 }
 
 type namedTask struct {
@@ -189,10 +189,10 @@
 	Owner string `json:"owner,omitempty"` // the router's name, empty for a free task
 }
 
-func withOwnerNames(snapshot coordserver.Picture) namedSnapshot {
-	result := namedSnapshot{Picture: snapshot, Works: []namedTask{}}
-	for _, task := range snapshot.Works {
-		result.Works = append(result.Works, namedTask{task, snapshot.Owners[task.Name]})
+func withOwnerNames(snapshot coordserver.RegistrySnapshot) namedSnapshot {
+	result := namedSnapshot{RegistrySnapshot: snapshot, Tasks: []namedTask{}}
+	for _, task := range snapshot.Tasks {
+		result.Tasks = append(result.Tasks, namedTask{task, snapshot.Owners[task.Name]})
 	}
 	return result
 }
--- a/internal/agentdriver/link.go
+++ b/internal/agentdriver/link.go
@@ -31,7 +31,7 @@
 // Driver carries a member's requests to the coordinators and their answers back. Only one goroutine may use the member;
 // it calls the functions that it receives from News.
 type Driver struct {
-	M         *agent.Member
+	Member    *agent.Member
 	client    *coordserver.Client
 	fenceFile *fenceFile
 	updates   chan func() // to be called by the goroutine that owns the member
@@ -40,7 +40,7 @@
 
 // newDriver returns a driver over a client. f may be nil.
 func newDriver(m *agent.Member, c *coordserver.Client, f *fenceFile) *Driver {
-	return &Driver{M: m, client: c, fenceFile: f, updates: make(chan func(), queueLength), requests: make(chan agent.Request, queueLength)}
+	return &Driver{Member: m, client: c, fenceFile: f, updates: make(chan func(), queueLength), requests: make(chan agent.Request, queueLength)}
 }
 
 // NewDriver returns the driver of a member that stores nothing.
@@ -122,7 +122,7 @@
 
 // Plan returns the plan that admission follows, or nil if there is none.
 func (l *Link) Plan() admission.Plan {
-	if l.M.Guide() == nil {
+	if l.Member.Guide() == nil {
 		return nil
 	}
 	return planFollower{l}
@@ -132,13 +132,13 @@
 type planFollower struct{ l *Link }
 
 func (g planFollower) Price(now float64, zone int, work float64) (float64, bool) {
-	return g.l.M.Guide().Price(now+g.l.clockOffset, zone, work)
+	return g.l.Member.Guide().Price(now+g.l.clockOffset, zone, work)
 }
 func (g planFollower) Sent(now float64, zone int, work float64) {
-	g.l.M.Guide().RecordSent(now+g.l.clockOffset, zone, work)
+	g.l.Member.Guide().RecordSent(now+g.l.clockOffset, zone, work)
 }
 func (g planFollower) Keeps(now, price, work float64) bool {
-	return g.l.M.Guide().Admits(now+g.l.clockOffset, price, work)
+	return g.l.Member.Guide().Admits(now+g.l.clockOffset, price, work)
 }
 
 // Run starts the driver's goroutines.
@@ -169,7 +169,7 @@
 func (l *Driver) execute(ctx context.Context, r agent.Request) {
 	if r.Persist != nil {
 		err := l.fenceFile.persist(*r.Persist)
-		l.sendUpdate(ctx, func() { l.M.Persisted(r.Seq, *r.Persist, err) })
+		l.sendUpdate(ctx, func() { l.Member.Persisted(r.Seq, *r.Persist, err) })
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -194,29 +194,29 @@
 		}
 		value = result
 	}
-	l.sendUpdate(ctx, func() { l.M.Answer(boottime.Now(), r.Seq, value, err) })
+	l.sendUpdate(ctx, func() { l.Member.Answer(boottime.Now(), r.Seq, value, err) })
 }
 
 func (l *Driver) sendUpdate(ctx context.Context, apply func()) {
 	select {
 	case l.updates <- func() {
 		apply()
-		l.Put(l.M.Tick(boottime.Now()))
+		l.Submit(l.Member.Tick(boottime.Now()))
 	}:
 	case <-ctx.Done():
 	}
 }
 
 // Submit queues requests. A request that does not fit into the queue gets ErrNoAnswer.
-func (l *Driver) Put(batch []agent.Request) {
+func (l *Driver) Submit(batch []agent.Request) {
 	for _, r := range batch {
 		select {
 		case l.requests <- r:
 		default:
 			if r.Persist != nil {
-				l.M.Persisted(r.Seq, *r.Persist, agent.ErrNoAnswer)
+				l.Member.Persisted(r.Seq, *r.Persist, agent.ErrNoAnswer)
 			} else {
-				l.M.Answer(boottime.Now(), r.Seq, nil, agent.ErrNoAnswer)
+				l.Member.Answer(boottime.Now(), r.Seq, nil, agent.ErrNoAnswer)
 			}
 		}
 	}
@@ -253,8 +253,8 @@
 		return agent.Health{Server: agent.Server{ID: id, Start: start}, Unhealthy: unhealthy, SinceAnswer: sinceAnswer}, ok
 	}
 	demand.Report = func() failover.Report { return controller.Report(now, len(l.zones)) }
-	l.M.SetDemand(bootNow, demand)
-	l.Put(l.M.Tick(bootNow))
+	l.Member.SetDemand(bootNow, demand)
+	l.Submit(l.Member.Tick(bootNow))
 	l.logActivity(bootNow)
 }
 
@@ -264,36 +264,36 @@
 	if now < l.loggedAt+interval {
 		return
 	}
-	s, last := l.M.Stats, l.loggedStats
+	s, last := l.Member.Stats, l.loggedStats
 	l.loggedStats, l.loggedAt = s, now
 	if s.Granted+s.Relinquishments+s.RejectedStale+s.LateGrants+s.StaleNotices != last.Granted+last.Relinquishments+last.RejectedStale+last.LateGrants+last.StaleNotices {
-		l.log.Info("work for the fleet", zap.Int("sessions", l.M.FleetSize()), zap.Int("works", len(l.M.Held())), zap.Int("dealt", s.Granted-last.Granted),
+		l.log.Info("work for the fleet", zap.Int("sessions", l.Member.FleetSize()), zap.Int("works", len(l.Member.Held())), zap.Int("dealt", s.Granted-last.Granted),
 			zap.Int("pledged", s.Relinquishments-last.Relinquishments), zap.Int("late", s.LateGrants-last.LateGrants), zap.Int("refused", s.RejectedStale-last.RejectedStale+s.StaleNotices-last.StaleNotices))
 	}
 }
 
 // End releases the tasks.
-func (l *Link) End(float64) { l.Put(l.M.Close(boottime.Now())) }
+func (l *Link) End(float64) { l.Submit(l.Member.Close(boottime.Now())) }
 
 // Methods that admission calls, with times by the router's clock.
 
 // WarmUpShare returns this router's share of a cold server's allowance, if the fleet has granted one.
 func (l *Link) WarmUpShare(now float64, server uint32, start float64) (float64, bool) {
-	return l.M.WarmUpShare(now+l.clockOffset, server, start)
+	return l.Member.WarmUpShare(now+l.clockOffset, server, start)
 }
 
 // QuotaShare returns this router's share of a tenant's quota, if the fleet has granted one.
 func (l *Link) QuotaShare(now float64, tenant int) (float64, bool) {
-	return l.M.QuotaShare(now+l.clockOffset, tenant)
+	return l.Member.QuotaShare(now+l.clockOffset, tenant)
 }
 
 // NextProbe returns the time at which this router may probe a suspected server, given the time that it would choose by
 // itself.
 func (l *Link) NextProbe(now float64, server uint32, start, ownTime float64) float64 {
-	return l.M.NextProbe(now+l.clockOffset, server, start, ownTime+l.clockOffset) - l.clockOffset
+	return l.Member.NextProbe(now+l.clockOffset, server, start, ownTime+l.clockOffset) - l.clockOffset
 }
 
 // Probed records the result of a probe of a suspected server.
 func (l *Link) Probed(now float64, server uint32, start float64, healthy bool) {
-	l.M.Probed(now+l.clockOffset, server, start, healthy)
+	l.Member.Probed(now+l.clockOffset, server, start, healthy)
 }
--- a/internal/agentdriver/plan.go
+++ b/internal/agentdriver/plan.go
@@ -22,12 +22,12 @@
 func addPlanCommands(root *cobra.Command, asJSON *bool, client func(*cobra.Command) (*coordserver.Client, context.Context, context.CancelFunc, error)) {
 	// loadPlan reads the plan and the operators' orders from the registry.
 	loadPlan := func(conn *coordserver.Client, ctx context.Context) (p failover.PublishedPlan, o failover.Orders, err error) {
-		var snapshot coordserver.Picture
-		if err = conn.Ask(ctx, "/v1/record", nil, &snapshot); err != nil {
+		var snapshot coordserver.RegistrySnapshot
+		if err = conn.HedgedCall(ctx, "/v1/record", nil, &snapshot); err != nil {
 			return p, o, err
 		}
 		found := false
-		for _, task := range snapshot.Works {
+		for _, task := range snapshot.Tasks {
 			switch {
 			case len(task.Annotation) == 0:
 			case task.Name == agent.PlanTask:
--- a/internal/agentdriver/subset_test.go
+++ b/internal/agentdriver/subset_test.go
@@ -28,7 +28,7 @@
 		var out strings.Builder
 		root := &cobra.Command{Use: "dunereach", SilenceErrors: true, SilenceUsage: true}
 		root.PersistentFlags().String("operator", file, "")
-		root.AddCommand(Words())
+		root.AddCommand(FleetCommand())
 		root.SetOut(&out)
 		root.SetErr(&out)
 		root.SetArgs(append([]string{"fleet"}, strings.Fields(c.args)...))
--- a/internal/coordserver/admin.go
+++ b/internal/coordserver/admin.go
@@ -17,7 +17,7 @@
 
 // ParseCoordinators parses a list such as "k1=127.0.0.1:7001@east,k2=...". Each item has a name, an address and, after
 // the @, a zone.
-func ParseKeepers(text string) (coordinators []registry.Coordinator, err error) {
+func ParseCoordinators(text string) (coordinators []registry.Coordinator, err error) {
 	names := map[string]bool{}
 	for n, item := range strings.Split(text, ",") {
 		name, rest, ok := strings.Cut(strings.TrimSpace(item), "=")
@@ -43,7 +43,7 @@
 // Init creates the folder of one coordinator of a new registry. Without a token the coordinator must be the first of
 // the list, and a token is generated.
 func Init(folder, name, keepers, token string, lease, drift float64) (Identity, error) {
-	coordinators, err := ParseKeepers(keepers)
+	coordinators, err := ParseCoordinators(keepers)
 	if err != nil {
 		return Identity{}, err
 	}
@@ -102,7 +102,7 @@
 		case <-ctx.Done():
 		}
 	}
-	var snapshot Picture
+	var snapshot RegistrySnapshot
 	if err := client.Call(ctx, "/v1/record", nil, &snapshot); err != nil {
 		return Identity{}, err
 	}
@@ -110,6 +110,6 @@
 	if err != nil {
 		return Identity{}, err
 	}
-	id := Identity{ID: number, Name: name, Listen: listen, Zone: zone, Token: status.Registry, Peers: snapshot.Keepers}
+	id := Identity{ID: number, Name: name, Listen: listen, Zone: zone, Token: status.Registry, Peers: snapshot.Coordinators}
 	return id, Create(folder, id, coordinator.PersistedState{})
 }
--- a/internal/coordserver/client.go
+++ b/internal/coordserver/client.go
@@ -108,11 +108,11 @@
 // NewClient returns a client of the coordinators at these addresses. Its connections come from the address from, or
 // from one that the system chooses if from is empty.
 func NewClient(addrs []string, from string) *Client {
-	return NewClientOver(addrs, dialer(from).DialContext)
+	return NewClientWithDial(addrs, dialer(from).DialContext)
 }
 
 // NewClientWithDial is NewClient with connections opened by dial.
-func NewClientOver(addrs []string, dial Dial) *Client {
+func NewClientWithDial(addrs []string, dial Dial) *Client {
 	c := &Client{addrs: addrs, finder: agent.NewFinder(addrs, int(time.Now().UnixNano()&0xffff))}
 	c.http = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -195,7 +195,7 @@
 		io.Copy(io.Discard, respBody)
 		return "", nil
 	}
-	var fault Fault
+	var fault ErrorResponse
 	if err := json.NewDecoder(respBody).Decode(&fault); err != nil {
 		return "", fmt.Errorf("%w: %s", agent.ErrNoAnswer, resp.Status)
 	}
@@ -210,7 +210,7 @@
 const statusTimeout = time.Second
 
 // Statuses returns each coordinator's own status, nil for one that does not answer within a second.
-func (c *Client) Each(ctx context.Context, addrs []string) []*coordinator.Status {
+func (c *Client) Statuses(ctx context.Context, addrs []string) []*coordinator.Status {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	statuses := make([]*coordinator.Status, len(addrs))
--- a/internal/coordserver/hedgedcall.go
+++ b/internal/coordserver/hedgedcall.go
@@ -27,7 +27,7 @@
 // successful answer wins, and the other requests are cancelled. Coordinators that are not the leader or do not answer
 // are asked again until the context ends, since there is no leader for some seconds while leadership moves. The error
 // returned then is the last one that a coordinator gave.
-func (c *Client) Ask(ctx context.Context, path string, in, out any) error {
+func (c *Client) HedgedCall(ctx context.Context, path string, in, out any) error {
 	var body []byte
 	if in != nil {
 		var err error
--- a/internal/coordserver/hedgedcall_test.go
+++ b/internal/coordserver/hedgedcall_test.go
@@ -37,11 +37,11 @@
 	return l.Addr().String()
 }
 
-func respondAsLeader(int64) (int, any) { return http.StatusOK, Picture{Fence: 7} }
+func respondAsLeader(int64) (int, any) { return http.StatusOK, RegistrySnapshot{Fence: 7} }
 
 func redirectTo(leader string) func(int64) (int, any) {
 	return func(int64) (int, any) {
-		return http.StatusMisdirectedRequest, &Fault{Error: "elsewhere", Leader: leader}
+		return http.StatusMisdirectedRequest, &ErrorResponse{Error: "elsewhere", Leader: leader}
 	}
 }
 
@@ -59,9 +59,9 @@
 	stopped := unresponsiveCoordinator(t)
 	addrs := []string{stopped, follower, leader}
 	for _, first := range addrs {
-		var p Picture
+		var p RegistrySnapshot
 		start := time.Now()
-		err := startAt(NewClient(addrs, ""), first).Ask(t.Context(), "/v1/record", nil, &p)
+		err := startAt(NewClient(addrs, ""), first).HedgedCall(t.Context(), "/v1/record", nil, &p)
 		if took := time.Since(start); err != nil || p.Fence != 7 || took > 3*time.Second { // with Call it takes 5 s
 			t.Errorf("%v, fence %d after %v", err, p.Fence, took)
 		}
@@ -75,16 +75,16 @@
 	respond := func(n int64) (int, any) {
 		switch {
 		case n < unsureAt:
-			return http.StatusMisdirectedRequest, &Fault{Error: "elsewhere"}
+			return http.StatusMisdirectedRequest, &ErrorResponse{Error: "elsewhere"}
 		case n == unsureAt:
-			return http.StatusConflict, &Fault{Error: "unsure"}
+			return http.StatusConflict, &ErrorResponse{Error: "unsure"}
 		}
 		return http.StatusOK, coordinator.PostResult{}
 	}
 	a, _ := fakeCoordinator(t, respond)
 	b, _ := fakeCoordinator(t, redirectTo(a))
 	order := coordinator.Order{Kind: "release", Task: "w", Fence: 3}
-	if err := NewClient([]string{a, b}, "").Ask(t.Context(), "/v1/order", order, &coordinator.PostResult{}); err != nil {
+	if err := NewClient([]string{a, b}, "").HedgedCall(t.Context(), "/v1/order", order, &coordinator.PostResult{}); err != nil {
 		t.Error(err)
 	}
 }
@@ -94,8 +94,8 @@
 func TestHedgedCallUnlistedLeader(t *testing.T) {
 	leader, _ := fakeCoordinator(t, respondAsLeader)
 	follower, _ := fakeCoordinator(t, redirectTo(leader))
-	var p Picture
-	if err := NewClient([]string{follower}, "").Ask(t.Context(), "/v1/record", nil, &p); err != nil || p.Fence != 7 {
+	var p RegistrySnapshot
+	if err := NewClient([]string{follower}, "").HedgedCall(t.Context(), "/v1/record", nil, &p); err != nil || p.Fence != 7 {
 		t.Errorf("%v, fence %d", err, p.Fence)
 	}
 }
@@ -104,13 +104,13 @@
 // no coordinator decides, the context ends the request.
 func TestHedgedCallDecision(t *testing.T) {
 	rejecting, requests := fakeCoordinator(t, func(int64) (int, any) { return http.StatusConflict, newFault(registry.ErrNoTask, "") })
-	if err := NewClient([]string{rejecting}, "").Ask(t.Context(), "/v1/order", coordinator.Order{}, &coordinator.PostResult{}); !errors.Is(err, registry.ErrNoTask) || requests.Load() != 1 {
+	if err := NewClient([]string{rejecting}, "").HedgedCall(t.Context(), "/v1/order", coordinator.Order{}, &coordinator.PostResult{}); !errors.Is(err, registry.ErrNoTask) || requests.Load() != 1 {
 		t.Errorf("%v after %d requests", err, requests.Load())
 	}
 	follower, _ := fakeCoordinator(t, redirectTo(""))
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	if err := NewClient([]string{follower, unresponsiveCoordinator(t)}, "").Ask(ctx, "/v1/record", nil, &json.RawMessage{}); !errors.Is(err, coordinator.ErrNotLeader) {
+	if err := NewClient([]string{follower, unresponsiveCoordinator(t)}, "").HedgedCall(ctx, "/v1/record", nil, &json.RawMessage{}); !errors.Is(err, coordinator.ErrNotLeader) {
 		t.Errorf("without a leader: %v", err)
 	}
 }
--- a/internal/coordserver/serve.go
+++ b/internal/coordserver/serve.go
@@ -31,17 +31,17 @@
 }
 
 // ErrorResponse is the body of a response that reports an error.
-type Fault struct {
-	Error  string           `json:"error"`
-	Text   string           `json:"text,omitempty"`
-	Leader string           `json:"leader,omitempty"` // the leader's address
-	Old    *lease.TaskFence `json:"old,omitempty"`
+type ErrorResponse struct {
+	Error      string           `json:"error"`
+	Text       string           `json:"text,omitempty"`
+	Leader     string           `json:"leader,omitempty"` // the leader's address
+	StaleFence *lease.TaskFence `json:"old,omitempty"`
 }
 
 // Err returns the error that the response reports.
-func (f *Fault) Err() error {
-	if f.Old != nil {
-		return &lease.StaleFenceError{Task: f.Old.Task, Highest: f.Old.Fence}
+func (f *ErrorResponse) Err() error {
+	if f.StaleFence != nil {
+		return &lease.StaleFenceError{Task: f.StaleFence.Task, Highest: f.StaleFence.Fence}
 	}
 	if known := errorsByCode[f.Error]; known != nil {
 		if f.Text != "" {
@@ -53,17 +53,17 @@
 }
 
 // newFault returns the response for an error. leader is the address of the leader, if it is known.
-func newFault(err error, leader string) *Fault {
+func newFault(err error, leader string) *ErrorResponse {
 	var stale *lease.StaleFenceError
 	if errors.As(err, &stale) {
-		return &Fault{Error: "fence", Text: err.Error(), Old: &lease.TaskFence{Task: stale.Task, Fence: stale.Highest}}
+		return &ErrorResponse{Error: "fence", Text: err.Error(), StaleFence: &lease.TaskFence{Task: stale.Task, Fence: stale.Highest}}
 	}
 	for code, known := range errorsByCode {
 		if errors.Is(err, known) {
-			return &Fault{Error: code, Text: err.Error(), Leader: leader}
+			return &ErrorResponse{Error: code, Text: err.Error(), Leader: leader}
 		}
 	}
-	return &Fault{Error: "other", Text: err.Error()}
+	return &ErrorResponse{Error: "other", Text: err.Error()}
 }
 
 // request is a request for the goroutine that runs the coordinator.
@@ -100,8 +100,8 @@
 
 // Options are the settings of a coordinator that depend on this machine.
 type Options struct {
-	Listen string // address to listen on, if it is not the one that the others use; "": the one in the coordinator's identity
-	From   string // source address of its connections, "": chosen by the system
+	Listen    string // address to listen on, if it is not the one that the others use; "": the one in the coordinator's identity
+	LocalAddr string // source address of its connections, "": chosen by the system
 }
 
 // Serve runs the coordinator of a folder until the context ends.
@@ -128,7 +128,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %v", folder, err)
 	}
-	s := &server{localAddr: o.From, store: store, log: log, funcs: make(chan func(float64), 1024), requests: make(chan *request, 1024), pending: map[uint64]*request{}}
+	s := &server{localAddr: o.LocalAddr, store: store, log: log, funcs: make(chan func(float64), 1024), requests: make(chan *request, 1024), pending: map[uint64]*request{}}
 	group, ctx := errgroup.WithContext(ctx)
 	s.raftTransport = newTransport(ctx, group, id, s)
 	httpServer := &http.Server{Handler: s.routes(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
@@ -216,7 +216,7 @@
 		if !ok {
 			return nil
 		}
-		if err := s.store.Keep(&output); err != nil {
+		if err := s.store.Persist(&output); err != nil {
 			return err
 		}
 		s.raftTransport.send(output.Messages, s.coord)
@@ -243,28 +243,28 @@
 }
 
 // RegistrySnapshot is a copy of the registry for people and scripts.
-type Picture struct {
-	Index    uint64                 `json:"index"`
-	Fence    uint64                 `json:"fence"`
-	Lease    float64                `json:"lease"`
-	Drift    float64                `json:"drift"`
-	Keepers  []registry.Coordinator `json:"keepers"`
-	Sessions []registry.Session     `json:"sessions"`
-	Works    []registry.Task        `json:"works"`
-	Owners   map[string]string      `json:"owners"` // name of the owner of each owned task
+type RegistrySnapshot struct {
+	Index        uint64                 `json:"index"`
+	Fence        uint64                 `json:"fence"`
+	Lease        float64                `json:"lease"`
+	Drift        float64                `json:"drift"`
+	Coordinators []registry.Coordinator `json:"keepers"`
+	Sessions     []registry.Session     `json:"sessions"`
+	Tasks        []registry.Task        `json:"works"`
+	Owners       map[string]string      `json:"owners"` // name of the owner of each owned task
 }
 
-func newSnapshot(r *registry.Registry) Picture {
-	snap := Picture{Index: r.Index(), Fence: r.Fence(), Owners: map[string]string{}, Sessions: []registry.Session{}, Works: []registry.Task{}}
+func newSnapshot(r *registry.Registry) RegistrySnapshot {
+	snap := RegistrySnapshot{Index: r.Index(), Fence: r.Fence(), Owners: map[string]string{}, Sessions: []registry.Session{}, Tasks: []registry.Task{}}
 	snap.Lease, snap.Drift = r.LeaseTerms()
 	for _, k := range r.Coordinators() {
-		snap.Keepers = append(snap.Keepers, *k)
+		snap.Coordinators = append(snap.Coordinators, *k)
 	}
 	for _, x := range r.Sessions() {
 		snap.Sessions = append(snap.Sessions, *x)
 	}
 	for _, x := range r.Tasks() {
-		snap.Works = append(snap.Works, *x)
+		snap.Tasks = append(snap.Tasks, *x)
 		if o := r.Session(x.Owner); o != nil {
 			snap.Owners[x.Name] = o.Name
 		}
@@ -305,7 +305,7 @@
 func handleJSON[T any](s *server, w http.ResponseWriter, r *http.Request, startFunc func(*T) func(*coordinator.Coordinator, float64, uint64)) {
 	var message T
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&message); err != nil {
-		writeJSON(w, http.StatusBadRequest, &Fault{Error: "bad", Text: err.Error()})
+		writeJSON(w, http.StatusBadRequest, &ErrorResponse{Error: "bad", Text: err.Error()})
 		return
 	}
 	s.awaitResponse(w, r, startFunc(&message))
@@ -321,7 +321,7 @@
 	select {
 	case s.requests <- req:
 	case <-timeout.C:
-		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the coordinator is busy"})
+		writeJSON(w, http.StatusServiceUnavailable, &ErrorResponse{Error: "unsure", Text: "the coordinator is busy"})
 		return
 	case <-r.Context().Done():
 		return
@@ -338,7 +338,7 @@
 		}
 		writeJSON(w, http.StatusOK, resp.Value)
 	case <-timeout.C:
-		writeJSON(w, http.StatusServiceUnavailable, &Fault{Error: "unsure", Text: "the request was not committed in time: no majority of coordinators answers"})
+		writeJSON(w, http.StatusServiceUnavailable, &ErrorResponse{Error: "unsure", Text: "the request was not committed in time: no majority of coordinators answers"})
 	case <-r.Context().Done():
 		select {
 		case s.funcs <- func(float64) {
--- a/internal/coordserver/store.go
+++ b/internal/coordserver/store.go
@@ -51,7 +51,7 @@
 const formatVersion = "dunekeep 1"
 
 // ErrNoRegistry is the error of a folder that holds no registry.
-var ErrEmpty = errors.New("the folder holds no record: `dunekeep init` creates a registry, `dunekeep join` replaces a coordinator that was lost")
+var ErrNoRegistry = errors.New("the folder holds no record: `dunekeep init` creates a registry, `dunekeep join` replaces a coordinator that was lost")
 
 // Create creates the folder of a new coordinator.
 func Create(folder string, id Identity, initial coordinator.PersistedState) error {
@@ -86,7 +86,7 @@
 	}
 	var output coordinator.Output
 	output.Persist.Snapshot, output.Persist.HardState = initial.Snapshot, initial.HardState
-	return s.Keep(&output)
+	return s.Persist(&output)
 }
 
 // Open opens a folder. Only one process at a time can open it; the lock ends with the process.
@@ -94,7 +94,7 @@
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
 		if errors.Is(err, os.ErrNotExist) {
-			return nil, fmt.Errorf("%s: %w", folder, ErrEmpty)
+			return nil, fmt.Errorf("%s: %w", folder, ErrNoRegistry)
 		}
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 }
 
 // Persist stores everything that must be on the disk before anything is sent. It stores all of it or nothing.
-func (s *Store) Keep(output *coordinator.Output) error {
+func (s *Store) Persist(output *coordinator.Output) error {
 	persist := &output.Persist
 	if persist.Snapshot == nil && persist.HardState == nil && len(persist.Entries) == 0 {
 		return nil
--- a/internal/coordserver/store_test.go
+++ b/internal/coordserver/store_test.go
@@ -35,7 +35,7 @@
 // overwritten.
 func TestStore(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "k1")
-	if _, err := Open(folder); !errors.Is(err, ErrEmpty) {
+	if _, err := Open(folder); !errors.Is(err, ErrNoRegistry) {
 		t.Errorf("opening an empty folder: %v", err)
 	}
 	initial, err := coordinator.InitialState([]registry.Coordinator{{ID: 1, Name: "k1", Addr: "127.0.0.1:1"}}, 4, 0.05)
@@ -59,7 +59,7 @@
 		t.Helper()
 		var o coordinator.Output
 		f(&o)
-		if err := s.Keep(&o); err != nil {
+		if err := s.Persist(&o); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -99,7 +99,7 @@
 		"k1=127.0.0.1:1,k1=127.0.0.1:2,k3=127.0.0.1:3": "named twice",
 		"k1=host:1": "is not an address with a port",
 	} {
-		_, err := ParseKeepers(text)
+		_, err := ParseCoordinators(text)
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -30,11 +30,11 @@
 
 // Options of a demonstration.
 type Options struct {
-	Router  string  // path of the program
-	Seconds float64 // duration of the load
-	Engines int
-	Planner int // clients of the team planning, each with one report at a time
-	Flood   int // clients of the team clerks, each with one lookup at a time
+	RouterPath      string  // path of the program
+	Seconds         float64 // duration of the load
+	Servers         int
+	PlanningClients int // clients of the team planning, each with one report at a time
+	ClerksClients   int // clients of the team clerks, each with one lookup at a time
 }
 
 // team is the results of one team.
@@ -55,8 +55,8 @@
 
 // Run runs the demonstration and prints the table.
 func Run(ctx context.Context, o Options, out io.Writer) error {
-	d := &fake.Desk{}
-	defer d.End()
+	d := &fake.Standalone{}
+	defer d.RunCleanups()
 	dir, err := os.MkdirTemp("", "dunereach-demo")
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.CommandContext(ctx, o.Router, "serve")
+	cmd := exec.CommandContext(ctx, o.RouterPath, "serve")
 	cmd.Env = append(os.Environ(), "BALANCER_NAME=demo", "BALANCER_LISTEN="+routerFiles.addr, "BALANCER_CONFIG="+routerFiles.config, "DUNEREACH_OPERATOR="+routerFiles.operators)
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
 	log, err := os.Create(filepath.Join(dir, "log"))
@@ -78,18 +78,18 @@
 	d.Cleanup(func() { log.Close() })
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %v (run `make build` to build it)", o.Router, err)
+		return fmt.Errorf("%s: %v (run `make build` to build it)", o.RouterPath, err)
 	}
 	exited := make(chan error, 1)
 	go func() { exited <- cmd.Wait() }()
 	fmt.Fprintf(out, "A router at %s, %d model engines of %d cores, a name server; %.0f s of load by two teams of equal weight:\n"+
 		"planning requests reports of 1 core second, %d at a time; clerks sends lookups continuously, %d at a time.\n\n",
-		routerFiles.addr, o.Engines, cores, o.Seconds, o.Planner, o.Flood)
+		routerFiles.addr, o.Servers, cores, o.Seconds, o.PlanningClients, o.ClerksClients)
 	planning, clerks := o.load(d, routerFiles.addr)
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err = <-exited:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.Timeout):
 		err = fmt.Errorf("the router did not exit in time")
 	}
 	if err != nil {
@@ -103,17 +103,17 @@
 type files struct{ addr, config, operators string }
 
 // setUp starts a name server and model servers, and writes the router's files to a folder.
-func (o *Options) setUp(ctx context.Context, d *fake.Desk, dir string) (f files, err error) {
+func (o *Options) setUp(ctx context.Context, d *fake.Standalone, dir string) (f files, err error) {
 	nameServer := fake.NewNameServer(d, discovery.ServiceName)
 	var list, targets []string
-	for k := range o.Engines {
-		messages := make(chan fake.Said, 1000) // more than the sessions of a server, so that readers never block
-		e := fake.NewEngine(d, messages)
-		go fake.Model(ctx, engine.Settings{Cores: cores, Sessions: 64, Knee: 2, Thrash: 0.3, Notes: 2}, messages)
+	for k := range o.Servers {
+		messages := make(chan fake.Message, 1000) // more than the sessions of a server, so that readers never block
+		e := fake.NewServer(d, messages)
+		go fake.RunModel(ctx, engine.Settings{Cores: cores, MaxQueries: 64, Knee: 2, ContentionLoss: 0.3, ProgressInterval: 2}, messages)
 		list = append(list, fmt.Sprintf("e-%d.hall 0 10 small 0 0 %s", k, e.Addr))
 		targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"hall","model":"small","state":"ready"}`, k, e.Addr))
 	}
-	nameServer.Set(1, list...)
+	nameServer.SetList(1, list...)
 	f.addr = fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254)) // a random loopback address, used by this router only
 	f.config, f.operators = filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
 	if err := write(f.config, configuration(f.addr, nameServer.Addr, targets)); err != nil {
@@ -126,13 +126,13 @@
 }
 
 // load runs the clients of both teams for the configured time and returns the results of the teams.
-func (o *Options) load(d *fake.Desk, addr string) (planning, clerks *team) {
+func (o *Options) load(d *fake.Standalone, addr string) (planning, clerks *team) {
 	planning, clerks = &team{name: "planning"}, &team{name: "clerks"}
 	until := time.Now().Add(time.Duration(o.Seconds * 1e9))
 	var clients sync.WaitGroup
-	for k := range o.Planner + o.Flood {
+	for k := range o.PlanningClients + o.ClerksClients {
 		clients.Go(func() {
-			if k < o.Planner {
+			if k < o.PlanningClients {
 				planning.client(d, addr, uint64(k), until, "report", "hq", 1, 2, reportTarget)
 			} else {
 				clerks.client(d, addr, uint64(k), until, "lookup", "depot", 0.05, 1, lookupTarget)
@@ -166,7 +166,7 @@
 var responseField = regexp.MustCompile(`(cooldown|waited)=(\d+)`)
 
 // client sends one request after another until the end of the load, and pauses for as long as a rejection asks for.
-func (t *team) client(d *fake.Desk, addr string, seed uint64, until time.Time, profile, tenant string, work, threads, target float64) {
+func (t *team) client(d *fake.Standalone, addr string, seed uint64, until time.Time, profile, tenant string, work, threads, target float64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	size := distuv.LogNormal{Mu: math.Log(work) - 0.2, Sigma: math.Sqrt(0.4), Src: rnd}
 	c := fake.NewClient(d, addr)
@@ -176,7 +176,7 @@
 		c.Call(fmt.Sprintf("select * from plan_%d.legs /* work=%.4f threads=%.0f */", n%5, cost, threads),
 			"service", profile, "project", tenant, "allow", "15000", "ref", fmt.Sprintf("%08x%08x", seed, n),
 			"effort", fmt.Sprintf("%.1f", cost*1000))
-		answer := c.Next()
+		answer := c.NextAnswer()
 		pause := t.recordAnswer(answer, time.Since(began).Seconds()*1000, target)
 		time.Sleep(pause)
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -15,7 +15,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	var out bytes.Buffer
-	if err := Run(t.Context(), Options{Router: filepath.Join(dir, "dunereach"), Seconds: 1, Engines: 1, Planner: 2, Flood: 8}, &out); err != nil {
+	if err := Run(t.Context(), Options{RouterPath: filepath.Join(dir, "dunereach"), Seconds: 1, Servers: 1, PlanningClients: 2, ClerksClients: 8}, &out); err != nil {
 		t.Fatal(err)
 	}
 	for _, team := range []string{"planning", "clerks"} {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -13,16 +13,16 @@
 	"dunereach/internal/faultrig"
 )
 
-// Fleet starts three coordinators and four routers, ends two owners, one by SIGKILL and one by SIGTERM, and prints
+// RunFleet starts three coordinators and four routers, ends two owners, one by SIGKILL and one by SIGTERM, and prints
 // which router takes over and when.
-func Fleet(bin string, out io.Writer) error {
+func RunFleet(bin string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "dunereach-demo")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	const lease = 2.0
-	r, err := faultrig.New(scenario.File{Name: "demo", Keepers: 3, Routers: 4, Zones: 2, Engines: 2, Lease: lease, Drift: 0.05, Folders: true}, bin, dir, nil)
+	r, err := faultrig.New(scenario.File{Name: "demo", Coordinators: 3, Routers: 4, Zones: 2, Servers: 2, Lease: lease, Drift: 0.05, PersistentFolders: true}, bin, dir, nil)
 	if err != nil {
 		return err
 	}
@@ -32,13 +32,13 @@
 		return err
 	}
 	runCommand := func(args ...string) error {
-		c := exec.Command(filepath.Join(bin, "dunefleet"), append([]string{"fleet", "--keepers", strings.Join(r.Fronts(), ",")}, args...)...)
+		c := exec.Command(filepath.Join(bin, "dunefleet"), append([]string{"fleet", "--keepers", strings.Join(r.CoordinatorAddrs(), ",")}, args...)...)
 		text, err := c.CombinedOutput()
 		fmt.Fprintf(out, "$ dunereach fleet %s\n%s\n", strings.Join(args, " "), text)
 		return err
 	}
 	if err := r.Await("dealt"); err != nil {
-		return fmt.Errorf("%v\n%s", err, r.Tail())
+		return fmt.Errorf("%v\n%s", err, r.LogTails())
 	}
 	for _, subcommand := range []string{"status", "sessions", "owners"} {
 		if err := runCommand(subcommand); err != nil {
@@ -46,12 +46,12 @@
 		}
 	}
 	for _, removal := range []struct{ action, description string }{{"kill", "is killed (SIGKILL)"}, {"end", "is asked to exit (SIGTERM)"}} {
-		owner := r.Note()
+		owner := r.RememberOwner()
 		if owner == "" {
 			if err := r.Await("owned"); err != nil {
 				return err
 			}
-			owner = r.Note()
+			owner = r.RememberOwner()
 		}
 		began := time.Now()
 		if err := r.Do(removal.action, owner); err != nil {
@@ -69,9 +69,9 @@
 		}
 	}
 	f := r.Figures()
-	fmt.Fprintf(out, "%d acts, %d of them under a stale fence; at most %.2f of an allowance in use at any time.\n", f.Acts, f.Old, f.Worst)
-	if len(f.Wrong) > 0 {
-		return fmt.Errorf("%s", strings.Join(f.Wrong, "\n"))
+	fmt.Fprintf(out, "%d acts, %d of them under a stale fence; at most %.2f of an allowance in use at any time.\n", f.Acts, f.StaleActs, f.MaxInUse)
+	if len(f.Violations) > 0 {
+		return fmt.Errorf("%s", strings.Join(f.Violations, "\n"))
 	}
 	return nil
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -22,7 +22,7 @@
 		{"uid":"s-00c41f7c","endpoint":"10.1.0.7:4100","az":"east","model":"big","pod_group":1,"state":"ready","capacity_hint":8,"boot_ms":1700000000500}]}}]}`
 
 func reply(id uint16, serial uint32, servers ...string) []byte {
-	return fake.Reply(id, serial, ServiceName, servers...)
+	return fake.ListAnswer(id, serial, ServiceName, servers...)
 }
 
 func configuredFollower(t *testing.T) *Follower {
--- a/internal/discovery/trust_test.go
+++ b/internal/discovery/trust_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// answerWith passes a list to the follower as an answerWith of the name server. Servers are given by name; "-" marks those
+// answerWith passes a list to the follower as an answer of the name server. Servers are given by name; "-" marks those
 // that drain.
 func (f *Follower) answerWith(serial uint32, servers ...string) (fresh bool, err error) {
 	lines := make([]string, len(servers))
--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -18,39 +18,39 @@
 
 // The statuses. Their values appear in reports.
 const (
-	Passed Status = "passed"
-	Failed Status = "failed"
-	Void   Status = "void"            // the expectation names a server that is not in the server list
-	Idle   Status = "never exercised" // no observed event met the conditions
-	Broken Status = "can't be read"
+	Passed         Status = "passed"
+	Failed         Status = "failed"
+	UnknownServer  Status = "void"            // the expectation names a server that is not in the server list
+	NeverExercised Status = "never exercised" // no observed event met the conditions
+	Unreadable     Status = "can't be read"
 )
 
 // Outcome is the result of checking one expectation.
 type Outcome struct {
-	File      string   `json:"file"`
-	Name      string   `json:"name"`
-	Says      string   `json:"says"`
-	Status    Status   `json:"status"`
-	Why       string   `json:"why,omitempty"`
-	Seed      uint64   `json:"seed,omitempty"` // the seed that it failed with
-	At        float64  `json:"at,omitempty"`   // time of the first violation, in seconds
-	Knew      string   `json:"knew,omitempty"` // the router's state at that time
-	Exercised int      `json:"exercised"`
-	Margin    float64  `json:"margin"` // smallest over holds and seeds: share above the required share, or seconds to spare; 1 if neither applies
-	Trace     []string `json:"trace,omitempty"`
-	Seconds   float64  `json:"seconds"`
+	File        string   `json:"file"`
+	Name        string   `json:"name"`
+	Description string   `json:"says"`
+	Status      Status   `json:"status"`
+	Reason      string   `json:"why,omitempty"`
+	Seed        uint64   `json:"seed,omitempty"` // the seed that it failed with
+	FailedAt    float64  `json:"at,omitempty"`   // time of the first violation, in seconds
+	RouterState string   `json:"knew,omitempty"` // the router's state at that time
+	Exercised   int      `json:"exercised"`
+	Margin      float64  `json:"margin"` // smallest over holds and seeds: share above the required share, or seconds to spare; 1 if neither applies
+	Trace       []string `json:"trace,omitempty"`
+	Seconds     float64  `json:"seconds"`
 }
 
 // Held reports whether the expectation passed.
-func (o *Outcome) Good() bool { return o.Status == Passed }
+func (o *Outcome) Held() bool { return o.Status == Passed }
 
 // Options of a check.
 type Options struct {
-	Seed  uint64        // the only seed to use; 0: the seeds of each expectation
-	Trace bool          // keep a reduced trace of failures
-	Bound time.Duration // time limit of one expectation; 0: half a minute
-	Cores int           // expectations checked in parallel; 0: one per core of the machine
-	Seen  func(done int)
+	Seed      uint64        // the only seed to use; 0: the seeds of each expectation
+	Trace     bool          // keep a reduced trace of failures
+	TimeLimit time.Duration // time limit of one expectation; 0: half a minute
+	Cores     int           // expectations checked in parallel; 0: one per core of the machine
+	Progress  func(done int)
 }
 
 // expectationCheck is one expectation with the file that it comes from.
@@ -61,20 +61,20 @@
 }
 
 // Check checks all expectations of the sources. The outcomes are in the order of the sources, for any number of cores.
-func Check(u Under, sources []Source, o Options) []Outcome {
+func Check(u Configuration, sources []Source, o Options) []Outcome {
 	var all []expectationCheck
 	var out []Outcome
 	names := map[string]string{}
 	for _, s := range sources {
 		if s.Err != nil {
-			out = append(out, Outcome{File: s.Name, Name: s.Name, Status: Broken, Why: s.Err.Error()})
+			out = append(out, Outcome{File: s.Name, Name: s.Name, Status: Unreadable, Reason: s.Err.Error()})
 			continue
 		}
 		for k := range s.File.Expectations {
 			e := &s.File.Expectations[k]
 			if other, duplicate := names[e.Name]; duplicate {
-				out = append(out, Outcome{File: s.Name, Name: e.Name, Says: e.Says, Status: Broken,
-					Why: fmt.Sprintf("/expectations/%d/name: %s already has an expectation of that name", k, other)})
+				out = append(out, Outcome{File: s.Name, Name: e.Name, Description: e.Description, Status: Unreadable,
+					Reason: fmt.Sprintf("/expectations/%d/name: %s already has an expectation of that name", k, other)})
 				continue
 			}
 			names[e.Name] = s.Name
@@ -90,8 +90,8 @@
 		group.Go(func() error {
 			out[broken+k] = a.check(u, o)
 			done <- struct{}{}
-			if o.Seen != nil {
-				o.Seen(len(done))
+			if o.Progress != nil {
+				o.Progress(len(done))
 			}
 			return nil
 		})
@@ -101,16 +101,16 @@
 }
 
 // check simulates the expectation with each seed until one fails.
-func (a expectationCheck) check(u Under, o Options) (out Outcome) {
+func (a expectationCheck) check(u Configuration, o Options) (out Outcome) {
 	began := time.Now()
-	out = Outcome{File: a.source.Name, Name: a.expectation.Name, Says: a.expectation.Says, Status: Passed, Margin: 1}
+	out = Outcome{File: a.source.Name, Name: a.expectation.Name, Description: a.expectation.Description, Status: Passed, Margin: 1}
 	defer func() {
 		out.Seconds = time.Since(began).Seconds()
 		if p := recover(); p != nil { // a panic in the module under test is a failure of the expectation and must not end the checker
-			out.Status, out.Why = Failed, fmt.Sprintf("the router module panicked: %v", p)
+			out.Status, out.Reason = Failed, fmt.Sprintf("the router module panicked: %v", p)
 		}
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(o.Bound, 30*time.Second))
+	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(o.TimeLimit, 30*time.Second))
 	defer cancel()
 	seeds := a.expectation.Seeds
 	if o.Seed != 0 {
@@ -121,22 +121,22 @@
 	for _, seed := range seeds {
 		r, err := a.play(ctx, u, seed, nil)
 		if err != nil {
-			out.Status, out.Why = Broken, err.Error()
+			out.Status, out.Reason = Unreadable, err.Error()
 			return out
 		}
 		if len(r.simulation.voidReasons) > 0 {
-			out.Status, out.Why, out.Seed = Void, r.simulation.voidReasons[0], seed
+			out.Status, out.Reason, out.Seed = UnknownServer, r.simulation.voidReasons[0], seed
 			return out
 		}
 		out.Exercised += r.exercised
 		out.Margin = min(out.Margin, r.margin)
 		if r.failure == "" && ctx.Err() != nil {
 			out.Status, out.Seed = Failed, seed
-			out.Why = fmt.Sprintf("stopped at the time limit of %v", cmp.Or(o.Bound, 30*time.Second))
+			out.Reason = fmt.Sprintf("stopped at the time limit of %v", cmp.Or(o.TimeLimit, 30*time.Second))
 			return out
 		}
 		if r.failure != "" {
-			out.Status, out.Why, out.Seed, out.At, out.Knew = Failed, r.failure, seed, r.violatedAt, r.routerState
+			out.Status, out.Reason, out.Seed, out.FailedAt, out.RouterState = Failed, r.failure, seed, r.violatedAt, r.routerState
 			if o.Trace {
 				out.Trace = a.shortestTrace(ctx, u, seed, r)
 			}
@@ -144,8 +144,8 @@
 		}
 		for _, h := range r.conditions {
 			if h.tested == 0 && !a.expectation.MayIdle {
-				out.Status, out.Seed = Idle, seed
-				out.Why = fmt.Sprintf("%s: no event met its condition", h.path)
+				out.Status, out.Seed = NeverExercised, seed
+				out.Reason = fmt.Sprintf("%s: no event met its condition", h.path)
 				return out
 			}
 		}
@@ -168,7 +168,7 @@
 }
 
 // play simulates the expectation with one seed, without the parts that c omits.
-func (a expectationCheck) play(ctx context.Context, u Under, seed uint64, c *reduction) (*run, error) {
+func (a expectationCheck) play(ctx context.Context, u Configuration, seed uint64, c *reduction) (*run, error) {
 	w, err := newSimulation(u, a.file, a.expectation, seed)
 	if err != nil {
 		return nil, err
@@ -182,9 +182,9 @@
 	}
 	values := w.values()
 	w.setup.Stop = func() bool { return ctx.Err() != nil }
-	w.setup.Watch = func(m *cluster.Moment) bool {
+	w.setup.Observe = func(m *cluster.Observation) bool {
 		w.setValues(values, m)
-		if c != nil && c.trace && (m.Try == nil || m.Try.Mark == c.tracedClient) {
+		if c != nil && c.trace && (m.Request == nil || m.Request.RequestKey == c.tracedClient) {
 			r.record(w, m)
 		}
 		for _, h := range r.conditions {
@@ -194,8 +194,8 @@
 			}
 			if violation != "" {
 				r.failure, r.path, r.violatedAt, r.routerState = h.path+": "+violation, h.path, m.Now, w.routerState(m)
-				if m.Try != nil {
-					r.client = m.Try.Mark
+				if m.Request != nil {
+					r.client = m.Request.RequestKey
 				}
 				return false
 			}
@@ -211,7 +211,7 @@
 	}
 	for _, h := range r.conditions {
 		if violation := h.finalViolation(); violation != "" && r.failure == "" {
-			r.failure, r.path, r.violatedAt = h.path+": "+violation, h.path, w.setup.Length
+			r.failure, r.path, r.violatedAt = h.path+": "+violation, h.path, w.setup.Duration
 			r.routerState = h.firstViolation
 		}
 		r.exercised += h.tested
@@ -221,7 +221,9 @@
 }
 
 // record adds an event to the trace.
-func (r *run) record(w *simulation, m *cluster.Moment) { r.lines = append(r.lines, w.traceLine(m)) }
+func (r *run) record(w *simulation, m *cluster.Observation) {
+	r.lines = append(r.lines, w.traceLine(m))
+}
 
 // Count counts outcomes by status.
 func Count(all []Outcome) map[Status]int {
--- a/internal/expect/cli.go
+++ b/internal/expect/cli.go
@@ -45,7 +45,7 @@
 	f.StringVar(&v.operatorFile, "operator", env("DUNEREACH_OPERATOR"), "the operators' file under test")
 	f.StringVar(&v.only, "run", "", "only expectations whose name contains this")
 	f.Uint64Var(&v.Seed, "seed", 0, "only this seed, for all of them")
-	f.DurationVar(&v.Bound, "bound", 30*time.Second, "longest time for one expectation")
+	f.DurationVar(&v.TimeLimit, "bound", 30*time.Second, "longest time for one expectation")
 	f.IntVar(&v.Cores, "cores", 0, "expectations checked in parallel (default: the machine's cores)")
 	f.StringVar(&v.format, "format", "text", "text, json or junit")
 	f.BoolVarP(&v.verbose, "verbose", "v", false, "also print expectations that passed")
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	sources, err := Read(args, v.checkSchema)
+	sources, err := ReadFiles(args, v.checkSchema)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 		return runMutations(u, sources, v.Options, v.out)
 	}
 	if terminal(os.Stderr) { // report progress
-		v.Seen = func(done int) { fmt.Fprintf(os.Stderr, "\r%d done ", done) }
+		v.Progress = func(done int) { fmt.Fprintf(os.Stderr, "\r%d done ", done) }
 		defer fmt.Fprint(os.Stderr, "\r")
 	}
 	all := Check(u, sources, v.Options)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	for _, line := range Differ(Check(old, sources, v.Options), all) {
+	for _, line := range Differences(Check(old, sources, v.Options), all) {
 		fmt.Fprintln(v.out, line)
 	}
 	return nil
@@ -105,11 +105,11 @@
 func (v *invocation) reportOutcomes(all []Outcome) error {
 	err := v.print(all)
 	if err == nil && v.recordFile != "" {
-		err = Save(v.recordFile, all)
+		err = SaveFigures(v.recordFile, all)
 	}
 	shrunk := []string(nil)
 	if err == nil && v.baselineFile != "" {
-		shrunk, err = Against(v.baselineFile, all, v.allowedShrink)
+		shrunk, err = CompareFigures(v.baselineFile, all, v.allowedShrink)
 		for _, line := range shrunk {
 			fmt.Fprintln(v.out, "shrank  "+line)
 		}
@@ -118,8 +118,8 @@
 	switch {
 	case err != nil:
 		return err
-	case n[Broken] > 0:
-		return fmt.Errorf("%d expectations can't be read", n[Broken])
+	case n[Unreadable] > 0:
+		return fmt.Errorf("%d expectations can't be read", n[Unreadable])
 	case n[Passed] < len(all) || len(shrunk) > 0:
 		return ErrNotHeld
 	}
@@ -130,11 +130,11 @@
 func (v *invocation) print(all []Outcome) error {
 	switch v.format {
 	case "text":
-		Text(v.out, all, v.verbose)
+		WriteText(v.out, all, v.verbose)
 	case "json":
-		return JSON(v.out, all)
+		return WriteJSON(v.out, all)
 	case "junit":
-		return JUnit(v.out, all)
+		return WriteJUnit(v.out, all)
 	default:
 		return fmt.Errorf("--format %s: must be text, json or junit", v.format)
 	}
@@ -148,24 +148,24 @@
 }
 
 // runMutations breaks the configuration in each known way and prints the mutations that no expectation detects.
-func runMutations(u Under, sources []Source, o Options, out io.Writer) error {
+func runMutations(u Configuration, sources []Source, o Options, out io.Writer) error {
 	for _, r := range Check(u, sources, o) {
-		if !r.Good() {
-			return fmt.Errorf("%s does not hold for the unmodified configuration: %s", r.Name, r.Why)
+		if !r.Held() {
+			return fmt.Errorf("%s does not hold for the unmodified configuration: %s", r.Name, r.Reason)
 		}
 	}
-	all, err := Mutate(u, sources, o, func(string) {})
+	all, err := CheckMutations(u, sources, o, func(string) {})
 	if err != nil {
 		return err
 	}
-	if unnoticed := Mutations(out, all); len(unnoticed) > 0 {
+	if unnoticed := WriteMutations(out, all); len(unnoticed) > 0 {
 		return fmt.Errorf("%w: %d of %d mutations were detected by none", ErrNotHeld, len(unnoticed), len(all))
 	}
 	return nil
 }
 
 // readConfigurations reads the router's configuration and the operators' file under test.
-func readConfigurations(config, operator string) (u Under, err error) {
+func readConfigurations(config, operator string) (u Configuration, err error) {
 	if config == "" {
 		return u, errors.New("no configuration: set --config or BALANCER_CONFIG")
 	}
--- a/internal/expect/conditions.go
+++ b/internal/expect/conditions.go
@@ -79,38 +79,38 @@
 }
 
 // setValues sets the variables to the state at an event.
-func (w *simulation) setValues(v map[string]any, m *cluster.Moment) {
-	v["now"], v["router"], v["rev"], v["ready"] = m.Now, int64(m.Router), int64(m.Rev), int64(m.Listed)
+func (w *simulation) setValues(v map[string]any, m *cluster.Observation) {
+	v["now"], v["router"], v["rev"], v["ready"] = m.Now, int64(m.Router), int64(m.ListRevision), int64(m.ReadyListed)
 	v["engine"], v["kind"], v["zone"], v["cell"] = "", "", "", int64(0)
 	v["told"], v["state"] = "", ""
-	if m.Engine >= 0 {
-		e := &w.setup.Engines[m.Engine]
+	if m.Server >= 0 {
+		e := &w.setup.Servers[m.Server]
 		v["engine"], v["kind"], v["zone"], v["cell"] = e.Name, w.settings.Kinds[e.Kind], w.settings.Zones[e.Zone], int64(e.Cell)
-		v["told"], v["state"] = stateName(m.Told), stateName(m.True)
+		v["told"], v["state"] = stateName(m.ListedState), stateName(m.ActualState)
 	}
-	v["told_for"], v["age"] = m.ToldFor, m.Age
-	if m.Age < 0 {
+	v["told_for"], v["age"] = m.ListedStateAge, m.ServerAge
+	if m.ServerAge < 0 {
 		v["age"] = math.Inf(1) // the server started long ago
 	}
-	v["number"], v["out"], v["queries"], v["level"] = int64(m.Number), int64(m.Out), int64(m.EngineN), int64(m.Level)
-	v["ended"], v["further"], v["taken"], v["key_open"] = endTexts[m.End], int64(m.Further), int64(m.Commands), m.KeyOpen
-	if m.On != cluster.SendEnded {
+	v["number"], v["out"], v["queries"], v["level"] = int64(m.Attempt), int64(m.OutstandingAttempts), int64(m.ServerQueries), int64(m.Priority)
+	v["ended"], v["further"], v["taken"], v["key_open"] = endTexts[m.End], int64(m.Retries), int64(m.Requests), m.EarlierKeyUnfinished
+	if m.Kind != cluster.AttemptEnded {
 		v["ended"] = ""
 	}
-	v["recent"], v["cores"], v["last_end"], v["first_zone"], v["since_first"] = m.Recent, 0.0, "", "", m.Since
-	if m.Engine >= 0 {
-		v["cores"] = w.setup.Engines[m.Engine].Cores
+	v["recent"], v["cores"], v["last_end"], v["first_zone"], v["since_first"] = m.RecentWork, 0.0, "", "", m.SinceFirstAttempt
+	if m.Server >= 0 {
+		v["cores"] = w.setup.Servers[m.Server].Cores
 	}
-	if m.Number > 0 {
+	if m.Attempt > 0 {
 		v["last_end"] = endTexts[m.LastEnd]
 	}
-	if m.First >= 0 {
-		v["first_zone"] = w.settings.Zones[w.setup.Engines[m.First].Zone]
+	if m.FirstServer >= 0 {
+		v["first_zone"] = w.settings.Zones[w.setup.Servers[m.FirstServer].Zone]
 	}
-	if m.Try == nil {
+	if m.Request == nil {
 		return
 	}
-	t, s := m.Try, m.Stream
+	t, s := m.Request, m.Stream
 	v["traffic"], v["profile"] = s.Name, w.settings.Profiles[s.Profile]
 	if s.Tenant < len(w.settings.Tenants) {
 		v["tenant"] = w.settings.Tenants[s.Tenant]
@@ -118,10 +118,10 @@
 	if v["team"] = ""; s.Team < len(w.teamNames) {
 		v["team"] = w.teamNames[s.Team]
 	}
-	v["how"], v["key"], v["waited"], v["target"] = t.How.String(), int64(t.Key), m.Waited, t.Target
-	v["took"], v["in_time"] = t.Ended-t.Taken, t.InTime()
-	v["deadline"], v["work"], v["estimate"], v["tries"] = s.Deadline, t.Work, t.Guess, int64(t.Number)
-	v["pause"], v["was_sent"] = t.Pause, !math.IsNaN(t.Sent)
+	v["how"], v["key"], v["waited"], v["target"] = t.Outcome.String(), int64(t.Key), m.Waited, t.Target
+	v["took"], v["in_time"] = t.EndedAt-t.ReceivedAt, t.InTime()
+	v["deadline"], v["work"], v["estimate"], v["tries"] = s.Deadline, t.Work, t.Cost, int64(t.ClientRequest)
+	v["pause"], v["was_sent"] = t.RetryAfter, !math.IsNaN(t.FirstSentAt)
 }
 
 // conditions compiles the conditions of an expectation and notes servers in them that the server list never contains.
