--- a/internal/scale/datapath_process.go
+++ b/internal/scale/datapath_process.go
@@ -20,13 +20,13 @@
 
 // routerProcess is a real router process, with fakes on loopback for the databases and the name server.
 type routerProcess struct {
-	fakes      *fake.Desk
+	fakes      *fake.Standalone
 	folder     string
 	config     string // path
 	addr       string
 	options    routerOptions
 	nameServer *fake.NameServer
-	received   chan fake.Said
+	received   chan fake.Message
 	command    *exec.Cmd
 	exited     chan error
 	log        chan string // lines
@@ -75,21 +75,21 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &routerProcess{fakes: &fake.Desk{}, folder: folder, config: filepath.Join(folder, "config.json"), options: options,
-		received: make(chan fake.Said, 4096), exited: make(chan error, 1), log: make(chan string, 4096),
+	r := &routerProcess{fakes: &fake.Standalone{}, folder: folder, config: filepath.Join(folder, "config.json"), options: options,
+		received: make(chan fake.Message, 4096), exited: make(chan error, 1), log: make(chan string, 4096),
 		addr: fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254))}
 	r.nameServer = fake.NewNameServer(r.fakes, discovery.ServiceName)
-	r.nameServer.Set(1) // the revision of the list in the configuration
+	r.nameServer.SetList(1) // the revision of the list in the configuration
 	r.fakes.Cleanup(func() { os.RemoveAll(folder) })
 	var endpoints []string
 	for range fakeDatabases {
-		endpoints = append(endpoints, fake.NewEngine(r.fakes, r.received).Addr)
+		endpoints = append(endpoints, fake.NewServer(r.fakes, r.received).Addr)
 	}
 	if err = r.configure(options, endpoints); err == nil {
 		err = r.spawn(program)
 	}
 	if err != nil {
-		r.fakes.End()
+		r.fakes.RunCleanups()
 		return nil, err
 	}
 	if _, err := r.awaitLog("serving"); err != nil {
@@ -149,7 +149,7 @@
 
 // stop kills the process and closes its fakes. No shutdown is measured.
 func (r *routerProcess) stop() {
-	defer r.fakes.End()
+	defer r.fakes.RunCleanups()
 	r.command.Process.Kill()
 	<-r.exited
 }
@@ -187,9 +187,9 @@
 
 // usage is the kernel's accounting of a process.
 type usage struct {
-	Processor   time.Duration // user and system, all live threads
-	ResidentKB  float64
-	Descriptors float64
+	ProcessorTime time.Duration // user and system, all live threads
+	ResidentKB    float64
+	Descriptors   float64
 }
 
 // readUsage returns the current usage of the process.
@@ -209,7 +209,7 @@
 		if err != nil {
 			return u, err
 		}
-		u.Processor += time.Duration(nanoseconds)
+		u.ProcessorTime += time.Duration(nanoseconds)
 	}
 	status, err := os.ReadFile(filepath.Join(folder, "status"))
 	if err != nil {
--- a/internal/scale/datapath_process_test.go
+++ b/internal/scale/datapath_process_test.go
@@ -53,7 +53,7 @@
 	if opened := after.Descriptors - before.Descriptors; opened < connections+1 || opened > 2*connections+fakeDatabases {
 		t.Errorf("%v more descriptors for %d clients", opened, connections)
 	}
-	if after.Processor <= before.Processor || after.ResidentKB < 1000 {
+	if after.ProcessorTime <= before.ProcessorTime || after.ResidentKB < 1000 {
 		t.Errorf("usage before %+v, after %+v", before, after)
 	}
 	if reloadTime, err := r.reload(1); err != nil || reloadTime <= 0 {
--- a/internal/scale/datapath_sockets.go
+++ b/internal/scale/datapath_sockets.go
@@ -59,9 +59,9 @@
 	return append(rows,
 		measure.AtMost("requests on connections that were not completed, most of all sizes", mostUncompleted, 0),
 		measure.Between("descriptors a client connection", descriptorFit.Slope, 0.98, 1.02),
-		measure.Figure("resident MB at the target's 2,313 client connections, idle", idleFit.At(clientsPerRouter)/1000),
-		measure.Figure("resident MB at the target's 2,313 client connections, with a request each", requestFit.At(clientsPerRouter)/1000),
-		measure.Figure("resident MB with a third of the routers lost (3,469), with a request each", requestFit.At(clientsAfterLoss)/1000),
+		measure.Figure("resident MB at the target's 2,313 client connections, idle", idleFit.CostAt(clientsPerRouter)/1000),
+		measure.Figure("resident MB at the target's 2,313 client connections, with a request each", requestFit.CostAt(clientsPerRouter)/1000),
+		measure.Figure("resident MB with a third of the routers lost (3,469), with a request each", requestFit.CostAt(clientsAfterLoss)/1000),
 		measure.Figure("descriptors that the settings must allow for these (clients get half)", 2*clientsAfterLoss)), nil
 }
 
@@ -88,7 +88,7 @@
 	if err != nil {
 		return cost, err
 	}
-	cost.idleCore = (later.Processor - cost.afterHealthChecks.Processor).Seconds() / idleInterval.Seconds()
+	cost.idleCore = (later.ProcessorTime - cost.afterHealthChecks.ProcessorTime).Seconds() / idleInterval.Seconds()
 	cost.completed = float64(requestOnEach(clients))
 	cost.afterRequests, err = r.readUsage()
 	return cost, err
@@ -179,7 +179,7 @@
 			return nil, fmt.Errorf("%d databases: %w", size, err)
 		}
 		resident, started = append(resident, u.ResidentKB), append(started, startTime.Seconds()*1000)
-		processorTimes, reloadTimes = append(processorTimes, u.Processor.Seconds()*1000), append(reloadTimes, reloadTime.Seconds()*1000)
+		processorTimes, reloadTimes = append(processorTimes, u.ProcessorTime.Seconds()*1000), append(reloadTimes, reloadTime.Seconds()*1000)
 	}
 	rows, residentFit, err := slopeRows("resident KB, by databases in the list", sizes, resident)
 	if err != nil {
@@ -198,8 +198,8 @@
 	}
 	const maxReloadMillis = 5000 // ms, the limit for all routers
 	return append(rows,
-		measure.Figure("resident MB at rest with all databases of the target", residentFit.At(TargetDatabases)/1000),
-		measure.Figure("resident MB at rest with 64 databases", residentFit.At(64)/1000),
+		measure.Figure("resident MB at rest with all databases of the target", residentFit.CostAt(TargetDatabases)/1000),
+		measure.Figure("resident MB at rest with 64 databases", residentFit.CostAt(64)/1000),
 		measure.AtMost("ms from a signal to a new list in force, one process, whole pool", reloadTimes[len(reloadTimes)-1], maxReloadMillis)), nil
 }
 
@@ -282,7 +282,7 @@
 				return nil, Fit{}, errNoneCompleted
 			}
 		}
-		core := (after.Processor - before.Processor).Seconds() / elapsed
+		core := (after.ProcessorTime - before.ProcessorTime).Seconds() / elapsed
 		points = append(points, Point{float64(completedRequests) / elapsed, core})
 		rows = append(rows, measure.Figure(fmt.Sprintf("core over %d databases, sent %d requests a second", pool, rate), core))
 	}
@@ -296,7 +296,7 @@
 		measure.Figure(name+"us of processor time a request, slope", fit.Slope*1e6),
 		measure.Figure(name+"us of processor time a request, slope's standard error", fit.SlopeError*1e6),
 		measure.Figure(name+"core with no request, intercept", fit.Intercept),
-		measure.Figure(name+"core at the target's 750 requests a second", fit.At(statementsPerRouter)),
+		measure.Figure(name+"core at the target's 750 requests a second", fit.CostAt(statementsPerRouter)),
 		measure.Figure(name+"smallest share of requests completed", leastCompleted),
 		measure.Figure(name+"descriptors in the end, with 64 clients", u.Descriptors)), fit, err
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -78,7 +78,7 @@
 	fit.Intercept = meanCost - fit.Slope*meanSize
 	squaredResiduals := 0.0
 	for k, point := range points {
-		residual := point.Cost - fit.At(point.Size)
+		residual := point.Cost - fit.CostAt(point.Size)
 		squaredResiduals += weights[k] / total * count * residual * residual
 	}
 	fit.Residual = math.Sqrt(squaredResiduals / (count - 2))
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// At returns the cost of the line at a size.
-func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
+// CostAt returns the cost of the line at a size.
+func (f Fit) CostAt(size float64) float64 { return f.Intercept + f.Slope*size }
 
 // String returns the line, the standard errors of its slope and intercept, and the range of sizes that it was fitted to.
 func (f Fit) String() string {
--- a/internal/scale/fit_rows_test.go
+++ b/internal/scale/fit_rows_test.go
@@ -13,7 +13,7 @@
 		math.Abs(many.InterceptError-math.Sqrt(2*(0.25+1.5*1.5/5))) > 1e-9 {
 		t.Errorf("example computed by hand: %+v", many)
 	}
-	if many.From != 0 || many.To != 3 || many.Points != 4 || math.Abs(many.At(10)-10) > 1e-9 {
+	if many.From != 0 || many.To != 3 || many.Points != 4 || math.Abs(many.CostAt(10)-10) > 1e-9 {
 		t.Errorf("range and value: %+v", many)
 	}
 	two := lineThrough([]float64{1, 2}, []float64{1, 3})
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -21,7 +21,7 @@
 		}
 		checkNear(t, name+" slope", fit.Slope, 2)
 		checkNear(t, name+" intercept", fit.Intercept, 3)
-		checkNear(t, name+" cost at 1,000", fit.At(1000), 2003)
+		checkNear(t, name+" cost at 1,000", fit.CostAt(1000), 2003)
 		if fit.SlopeError > 1e-9 || fit.InterceptError > 1e-6 || fit.From != 8 || fit.To != 3900 || fit.Points != 4 {
 			t.Errorf("%s: %+v", name, fit)
 		}
@@ -53,11 +53,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if math.Abs(relative.At(8)/18-1) > 0.05 {
-		t.Errorf("the relative fit gives %v at 8, measured was 18", relative.At(8))
+	if math.Abs(relative.CostAt(8)/18-1) > 0.05 {
+		t.Errorf("the relative fit gives %v at 8, measured was 18", relative.CostAt(8))
 	}
-	if math.Abs(plain.At(8)-18) < math.Abs(relative.At(8)-18) {
-		t.Errorf("the plain fit is nearer at the smallest size: %v against %v", plain.At(8), relative.At(8))
+	if math.Abs(plain.CostAt(8)-18) < math.Abs(relative.CostAt(8)-18) {
+		t.Errorf("the plain fit is nearer at the smallest size: %v against %v", plain.CostAt(8), relative.CostAt(8))
 	}
 }
 
--- a/internal/scale/primary_change.go
+++ b/internal/scale/primary_change.go
@@ -31,7 +31,7 @@
 
 // primaryChange is the state of one change.
 type primaryChange struct {
-	fakes      *fake.Desk
+	fakes      *fake.Standalone
 	nameServer *fake.NameServer
 	stop       chan struct{}
 	goroutines sync.WaitGroup
@@ -56,12 +56,12 @@
 	if err != nil {
 		return primaryResult{}, err
 	}
-	p := &primaryChange{fakes: &fake.Desk{}, stop: make(chan struct{})}
-	defer p.fakes.End()
+	p := &primaryChange{fakes: &fake.Standalone{}, stop: make(chan struct{})}
+	defer p.fakes.RunCleanups()
 	p.fakes.Cleanup(func() { os.RemoveAll(folder) })
 	p.nameServer = fake.NewNameServer(p.fakes, discovery.ServiceName)
-	oldReceived, newReceived := make(chan fake.Said, 1024), make(chan fake.Said, 1024)
-	old := fake.NewEngine(p.fakes, oldReceived)
+	oldReceived, newReceived := make(chan fake.Message, 1024), make(chan fake.Message, 1024)
+	old := fake.NewServer(p.fakes, oldReceived)
 	p.announce(1, 0, old.Addr)
 	p.goroutines.Go(func() { p.serveOld(oldReceived) })
 	p.goroutines.Go(func() { p.serveNew(newReceived) })
@@ -83,7 +83,7 @@
 	}
 	p.kill(old)
 	time.Sleep(electionDelay)
-	replacement := fake.NewEngine(p.fakes, newReceived)
+	replacement := fake.NewServer(p.fakes, newReceived)
 	p.mu.Lock()
 	p.announced = time.Now()
 	p.mu.Unlock()
@@ -94,11 +94,11 @@
 
 // announce updates the name server with the address and start time of the database, in milliseconds since 1970 (0: long ago).
 func (p *primaryChange) announce(revision uint32, started int64, addr string) {
-	p.nameServer.Set(revision, fmt.Sprintf("e-1.hall 0 10 std 0 %d %s", started, addr))
+	p.nameServer.SetList(revision, fmt.Sprintf("e-1.hall 0 10 std 0 %d %s", started, addr))
 }
 
 // kill ends the old process: its listener closes at once, each connection at its next message.
-func (p *primaryChange) kill(old *fake.Engine) {
+func (p *primaryChange) kill(old *fake.Server) {
 	old.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +106,7 @@
 }
 
 // serveOld answers until the old process exits. After that it resets each connection that sends a message.
-func (p *primaryChange) serveOld(received <-chan fake.Said) {
+func (p *primaryChange) serveOld(received <-chan fake.Message) {
 	for {
 		select {
 		case message := <-received:
@@ -123,7 +123,7 @@
 			}
 			p.mu.Unlock()
 			if exited {
-				message.Die()
+				message.Reset()
 				continue
 			}
 			message.Answer("served", "count=1,ticks=5", "x\t\t\n")
@@ -134,7 +134,7 @@
 }
 
 // serveNew answers for the new process.
-func (p *primaryChange) serveNew(received <-chan fake.Said) {
+func (p *primaryChange) serveNew(received <-chan fake.Message) {
 	for {
 		select {
 		case message := <-received:
@@ -205,7 +205,7 @@
 		}
 		client.Call(fmt.Sprintf("/* router=%d request=%d */", number, sequence), "service", "lookup", "project", "acme",
 			"allow", "2000", "ref", fmt.Sprintf("%04x%012x", number, sequence))
-		p.recordAnswer(number, client.Next())
+		p.recordAnswer(number, client.NextAnswer())
 	}
 }
 
--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -13,22 +13,22 @@
 	TargetRouters           = 1600
 	TargetDatabases         = 3900
 	TargetClientConnections = 3_700_000
-	TargetStatements        = 1_200_000 // a second
+	TargetStatementRate     = 1_200_000 // a second
 	TargetZones             = 7
 	TargetRegions           = 2
 )
 
 // Limits on the cost of control per router, and the number of machines reserved for control.
 const (
-	ControlCore         = 0.025 // of one core
-	ControlMemoryMB     = 128
-	ControlBytes        = 11_000 // a second
+	MaxControlCore      = 0.025 // of one core
+	MaxControlMemoryMB  = 128
+	MaxControlByteRate  = 11_000 // a second
 	CoordinatorMachines = 7
 )
 
 // Part is one group of measurements that can be run alone.
 type Part struct {
-	Name, About string
+	Name, Description string
 	// Run measures. Short is the form for CI: smaller sizes, under half a minute.
 	Run func(short bool) ([]measure.Row, error)
 }
@@ -42,8 +42,8 @@
 	{"subset", "Subsets of the databases: spread, churn, cost, and decisions", Subset},
 }
 
-// Find returns the part with the given name.
-func Find(name string) (Part, error) {
+// FindPart returns the part with the given name.
+func FindPart(name string) (Part, error) {
 	for _, part := range Parts {
 		if part.Name == name {
 			return part, nil
--- a/internal/scale/service.go
+++ b/internal/scale/service.go
@@ -26,8 +26,8 @@
 
 // requestMix is the mix of requests of the clients.
 var requestMix = []cluster.Stream{
-	{Name: "lookup", Profile: lookupProfile, Work: 0.1, CV: 1, Deadline: 4, Scatter: 0.3},
-	{Name: "report", Profile: reportProfile, Work: 1, CV: 1, Deadline: 15, Scatter: 0.3},
+	{Name: "lookup", Profile: lookupProfile, Work: 0.1, CV: 1, Deadline: 4, EstimateCV: 0.3},
+	{Name: "report", Profile: reportProfile, Work: 1, CV: 1, Deadline: 15, EstimateCV: 0.3},
 }
 
 const lookupShare = 0.6 // of the work
@@ -64,19 +64,19 @@
 
 // settings returns the settings of the run.
 func (p poolRun) settings() cluster.Settings {
-	s := cluster.Settings{Seed: p.Seed, Routers: poolRouters, Length: warmUpSeconds + p.Seconds + drainSeconds,
+	s := cluster.Settings{Seed: p.Seed, Routers: poolRouters, Duration: warmUpSeconds + p.Seconds + drainSeconds,
 		Zones: []string{"z1", "z2", "z3", "z4"}, Kinds: []string{"std"},
-		Brain: admission.Settings{Tick: 0.005, MaxSends: 4, Priorities: true, MaxPause: 0.5, KindCores: []float64{poolCores},
+		Controller: admission.Settings{Tick: 0.005, MaxSends: 4, Priorities: true, MaxPause: 0.5, KindCores: []float64{poolCores},
 			ColdFrom: 0.35, WarmUp: 15, FallMultiple: 2, FallWindow: 1,
 			Profiles: []admission.Profile{
 				{Target: 0.8, Stretch: 2, Benefit: 1, Threads: 1},
 				{Target: 2, Stretch: 2.5, Benefit: 10, Threads: 2}}}}
 	for k := range poolDatabases {
-		s.Engines = append(s.Engines, cluster.Engine{Zone: k % poolZones,
-			Settings: engine.Settings{Cores: poolCores, Sessions: 64, Knee: 2, Thrash: 0.3}})
+		s.Servers = append(s.Servers, cluster.Server{Zone: k % poolZones,
+			Settings: engine.Settings{Cores: poolCores, MaxQueries: 64, Knee: 2, ContentionLoss: 0.3}})
 	}
 	s.Streams = p.streams()
-	s.Happens = p.events()
+	s.Faults = p.events()
 	if p.Subset != wholePool {
 		held := roundSubsets(poolRouters, poolDatabases, p.Subset, p.Seed)
 		s.Subset = func(router, database int) bool { return held[router][database] }
@@ -109,7 +109,7 @@
 			variants, rates = append(variants, hot), []float64{rate * (1 - hotShare), rate * hotShare}
 		}
 		for k := range variants {
-			variants[k].Peak = rates[k]
+			variants[k].PeakRate = rates[k]
 			variants[k].Rate = func(t float64) float64 {
 				if active(t) {
 					return rates[k]
@@ -122,7 +122,7 @@
 	return streams
 }
 
-func (p poolRun) events() []cluster.Happening {
+func (p poolRun) events() []cluster.Fault {
 	switch p.Disturbance {
 	case slowDatabases:
 		const every, pace = 20, 1.0 / 3
@@ -130,13 +130,13 @@
 		for k := 0; k < poolDatabases; k += every {
 			slow = append(slow, k)
 		}
-		return []cluster.Happening{{At: disturbanceStart, Act: cluster.Pace, Engines: slow, Value: pace}}
+		return []cluster.Fault{{At: disturbanceStart, Kind: cluster.SetSpeed, Servers: slow, Value: pace}}
 	case zoneLost:
 		var lost []int
 		for k := 0; k < poolDatabases; k += poolZones {
 			lost = append(lost, k)
 		}
-		return []cluster.Happening{{At: disturbanceStart - 0.1, Act: cluster.ListLost}, {At: disturbanceStart, Act: cluster.Gone, Engines: lost}}
+		return []cluster.Fault{{At: disturbanceStart - 0.1, Kind: cluster.LoseList}, {At: disturbanceStart, Kind: cluster.StopServers, Servers: lost}}
 	}
 	return nil
 }
--- a/internal/scale/service_measure.go
+++ b/internal/scale/service_measure.go
@@ -29,21 +29,21 @@
 	}
 	inTimeBenefit, totalBenefit := 0.0, 0.0
 	var waits, answers []float64
-	for k := range result.Tries {
-		request := &result.Tries[k]
-		if request.Taken < warmUpSeconds {
+	for k := range result.Requests {
+		request := &result.Requests[k]
+		if request.ReceivedAt < warmUpSeconds {
 			continue
 		}
-		benefit := settings.Brain.Profiles[settings.Streams[request.Stream].Profile].Benefit
+		benefit := settings.Controller.Profiles[settings.Streams[request.Stream].Profile].Benefit
 		totalBenefit += benefit
 		if request.InTime() {
 			inTimeBenefit += benefit
 		}
-		if !math.IsNaN(request.Sent) {
-			waits = append(waits, request.Sent-request.Taken)
+		if !math.IsNaN(request.FirstSentAt) {
+			waits = append(waits, request.FirstSentAt-request.ReceivedAt)
 		}
-		if request.How == cluster.Answered {
-			answers = append(answers, request.Ended-request.Taken)
+		if request.Outcome == cluster.Completed {
+			answers = append(answers, request.EndedAt-request.ReceivedAt)
 		}
 	}
 	if totalBenefit == 0 || len(waits) == 0 || len(answers) == 0 {
--- a/internal/scale/service_test.go
+++ b/internal/scale/service_test.go
@@ -36,7 +36,7 @@
 	p := poolRun{Seed: 3, Subset: 16, Load: 0.3, Seconds: 1}
 	work := 0.0
 	for _, stream := range p.streams() {
-		work += stream.Peak * stream.Work
+		work += stream.PeakRate * stream.Work
 	}
 	if want := 0.3 * poolDatabases * poolCores; work < 0.999*want || work > 1.001*want {
 		t.Errorf("the streams request %v cores of work, the load is %v", work, want)
@@ -56,7 +56,7 @@
 	runs := []serviceResult{{Share: 1}, {Share: 1}, {Share: 1}, {Share: 1}, {Share: 0.9}, {Share: 0.9}, {Share: 0.9}, {Share: 0.8}}
 	rows := serviceRows(plan, runs, serviceResult{})
 	last := rows[len(rows)-1]
-	if last.Holds() || last.Value < 0.055 || last.Value > 0.056 {
+	if last.WithinBounds() || last.Value < 0.055 || last.Value > 0.056 {
 		t.Errorf("a loss of 0.85 against 0.9 is reported as %+v", last)
 	}
 }
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -23,8 +23,8 @@
 	Name         string                    `json:"name"`
 	Generation   uint64                    `json:"generation"`
 	Records      int                       `json:"records"`
-	Cut          bool                      `json:"cut_short"`
-	Passed       []string                  `json:"passed_over,omitempty"`
+	CutShort     bool                      `json:"cut_short"`
+	Skipped      []string                  `json:"passed_over,omitempty"`
 	Bytes        int64                     `json:"bytes"`
 	Files        int                       `json:"files"`
 	Age          float64                   `json:"age_s"`
@@ -46,8 +46,8 @@
 		Name:       name,
 		Generation: r.Generation,
 		Records:    len(r.Records),
-		Cut:        r.Cut,
-		Passed:     r.Passed,
+		CutShort:   r.CutShort,
+		Skipped:    r.Skipped,
 		body:       r.Body,
 		records:    r.Records,
 	}
@@ -57,7 +57,7 @@
 	}
 	snapshot, recordsSince, err := decodeState(r.Body, r.Records)
 	if err != nil {
-		rep.Passed = append(rep.Passed, err.Error())
+		rep.Skipped = append(rep.Skipped, err.Error())
 	}
 	rep.LastSnapshot, rep.Quick = &snapshot, recordsSince
 	now, newest := timestampNow(), snapshot.Quick.At
@@ -176,13 +176,13 @@
 func (t *stateTool) verify(_ string, reports []report) error {
 	damaged := false
 	for _, rep := range reports {
-		for _, why := range rep.Passed {
+		for _, why := range rep.Skipped {
 			fmt.Fprintf(t.out, "%s: %s\n", rep.Name, why)
 		}
-		switch damaged = damaged || len(rep.Passed) > 0 || rep.Generation == 0; {
+		switch damaged = damaged || len(rep.Skipped) > 0 || rep.Generation == 0; {
 		case rep.Generation == 0:
 			fmt.Fprintf(t.out, "%s: nothing whole\n", rep.Name)
-		case rep.Cut:
+		case rep.CutShort:
 			fmt.Fprintf(t.out, "%s: generation %d and %d records, the last one cut short as by a kill\n", rep.Name, rep.Generation, rep.Records)
 		default:
 			fmt.Fprintf(t.out, "%s: generation %d and %d records\n", rep.Name, rep.Generation, rep.Records)
@@ -226,7 +226,7 @@
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("generation %d, %d bytes", rep.Generation+1, len(body)), s.Snapshot(body)
+	return fmt.Sprintf("generation %d, %d bytes", rep.Generation+1, len(body)), s.WriteSnapshot(body)
 }
 
 // drop removes all state of a router.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -34,7 +34,7 @@
 )
 
 // Persister stores the state of one router in a folder.
-type Keeper struct {
+type Persister struct {
 	cfg    operator.State
 	name   string
 	log    *zap.Logger
@@ -50,8 +50,8 @@
 }
 
 // New returns the persister of a router's folder. It reads and writes nothing yet.
-func New(cfg operator.State, name string, log *zap.Logger) *Keeper {
-	k := &Keeper{cfg: cfg, name: name, log: log, startedAt: time.Now()}
+func New(cfg operator.State, name string, log *zap.Logger) *Persister {
+	k := &Persister{cfg: cfg, name: name, log: log, startedAt: time.Now()}
 	k.cfg.SnapshotInterval, k.cfg.FastStateInterval = cmp.Or(cfg.SnapshotInterval, defaultSnapshotInterval), cmp.Or(cfg.FastStateInterval, defaultRecordInterval)
 	k.cfg.MaxMB, k.cfg.MaxCPU, k.cfg.MaxBytesPerSecond = cmp.Or(cfg.MaxMB, defaultMB), cmp.Or(cfg.MaxCPU, defaultCPU), cmp.Or(cfg.MaxBytesPerSecond, defaultBytes)
 	k.runner = jobrunner.New(bg.Limits{CPU: k.cfg.MaxCPU, Bytes: k.cfg.MaxBytesPerSecond, MaxLateness: maxLateness}, k.logJobResult)
@@ -63,9 +63,9 @@
 
 // Recall reads the state that an earlier process left and restores it in the router. If the disk does not answer or
 // nothing can be read, the router starts without it, and this is logged.
-func (k *Keeper) Recall(m *router.Router) {
+func (k *Persister) Recall(m *router.Router) {
 	type result struct {
-		contents store.Read
+		contents store.Contents
 		err      error
 	}
 	results := make(chan result, 1)
@@ -79,7 +79,7 @@
 	case <-time.After(diskTimeout):
 		loaded.err = errDiskTimeout
 	}
-	for _, why := range loaded.contents.Passed {
+	for _, why := range loaded.contents.Skipped {
 		k.log.Warn("state passed over", zap.String("why", why))
 	}
 	if loaded.err != nil || loaded.contents.Generation == 0 {
@@ -100,12 +100,12 @@
 	}
 	m.RestoreState(r)
 	k.log.Info("remembered", zap.Uint64("generation", loaded.contents.Generation), zap.Int("records", len(records)), zap.Bool("age known", r.AgesKnown),
-		zap.Float64("age", r.Age), zap.Float64("of the snapshot", r.SnapshotAge), zap.Uint32("rev", r.Serial), zap.Int("engines", len(r.Engines)), zap.Bool("cut short", loaded.contents.Cut))
+		zap.Float64("age", r.Age), zap.Float64("of the snapshot", r.SnapshotAge), zap.Uint32("rev", r.Serial), zap.Int("engines", len(r.Engines)), zap.Bool("cut short", loaded.contents.CutShort))
 }
 
 // Run starts the goroutines. After the context has ended they end when the last snapshot is written, or after
 // diskTimeout.
-func (k *Keeper) Run(ctx context.Context, group *errgroup.Group) {
+func (k *Persister) Run(ctx context.Context, group *errgroup.Group) {
 	group.Go(func() error {
 		// A job that still waits for the disk uses the folder, so the store stays open and locked until the process
 		// ends.
@@ -117,7 +117,7 @@
 }
 
 // Tick is called by the goroutine that owns the router's state, about ten times a second.
-func (k *Keeper) Tick(now float64, r *router.Router) {
+func (k *Persister) Tick(now float64, r *router.Router) {
 	if k.lastTickAt > 0 {
 		k.runner.ObserveLateness(now - k.lastTickAt - tickInterval)
 	}
@@ -133,25 +133,25 @@
 }
 
 // End captures the final state, to be written at shutdown.
-func (k *Keeper) End(r *router.Router) {
+func (k *Persister) End(r *router.Router) {
 	k.captureSnapshot(r)
 	k.captureRecord(r)
 }
 
-func (k *Keeper) captureSnapshot(r *router.Router) {
+func (k *Persister) captureSnapshot(r *router.Router) {
 	snapshot := warmstart.Snapshot{At: timestampNow()}
 	snapshot.Profiles, snapshot.Waits = r.SlowState()
 	k.latestSnapshot.Store(&snapshot)
 }
 
-func (k *Keeper) captureRecord(r *router.Router) {
+func (k *Persister) captureRecord(r *router.Router) {
 	record := r.FastState()
 	record.At, record.Up = timestampNow(), time.Since(k.startedAt).Seconds()
 	k.latestRecord.Store(&record)
 }
 
 // writeSnapshot writes the latest captured state as a new snapshot.
-func (k *Keeper) writeSnapshot(_ context.Context, meter *jobrunner.Meter) error {
+func (k *Persister) writeSnapshot(_ context.Context, meter *jobrunner.Meter) error {
 	snapshot, latestRecord := k.latestSnapshot.Load(), k.latestRecord.Load()
 	if snapshot == nil || latestRecord == nil {
 		return nil // nothing has been captured yet
@@ -167,19 +167,19 @@
 			k.store = nil
 			return err
 		}
-		k.store.Bound(int(k.cfg.MaxMB * (1 << 20)))
+		k.store.LimitSize(int(k.cfg.MaxMB * (1 << 20)))
 	}
 	meter.AddBytes(len(body))
-	return k.closeOnError(k.store.Snapshot(body))
+	return k.closeOnError(k.store.WriteSnapshot(body))
 }
 
 // writeRecord appends the latest fast-changing state to the journal.
-func (k *Keeper) writeRecord(ctx context.Context, meter *jobrunner.Meter) error {
+func (k *Persister) writeRecord(ctx context.Context, meter *jobrunner.Meter) error {
 	latestRecord := k.latestRecord.Load()
 	if latestRecord == nil {
 		return nil
 	}
-	if k.store == nil || !k.store.Begun() {
+	if k.store == nil || !k.store.HasJournal() {
 		return k.writeSnapshot(ctx, meter)
 	}
 	data, err := encodeRecord(*latestRecord)
@@ -197,7 +197,7 @@
 
 // closeOnError closes a store that failed. It is opened again the next time, as the folder may have been removed or
 // come back.
-func (k *Keeper) closeOnError(err error) error {
+func (k *Persister) closeOnError(err error) error {
 	if err != nil {
 		k.store.Close()
 		k.store = nil
@@ -206,7 +206,7 @@
 }
 
 // logJobResult logs the first failure of a job, and its first success afterwards.
-func (k *Keeper) logJobResult(job string, failures int, err error) {
+func (k *Persister) logJobResult(job string, failures int, err error) {
 	switch {
 	case failures == 0:
 		k.log.Info("state is kept again", zap.String("folder", k.cfg.Folder), zap.String("job", job))
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -53,7 +53,7 @@
 	k, q := sampleState()
 	body, err := encodeSnapshot(k)
 	if err == nil {
-		err = s.Snapshot(body)
+		err = s.WriteSnapshot(body)
 	}
 	record, _ := encodeRecord(q)
 	if err == nil {
@@ -77,8 +77,8 @@
 	k, q := sampleState()
 	for v := 1; v <= store.Version; v++ {
 		r, _, err := store.Load(filepath.Join("testdata", fmt.Sprint("v", v)), "n1")
-		if err != nil || len(r.Passed) > 0 {
-			t.Fatalf("version %d: %v %v", v, err, r.Passed)
+		if err != nil || len(r.Skipped) > 0 {
+			t.Fatalf("version %d: %v %v", v, err, r.Skipped)
 		}
 		kept, quick, err := decodeState(r.Body, r.Records)
 		if err != nil {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -20,7 +20,7 @@
 	body := make([]byte, 50<<10)
 	for n := 0; b.Loop(); n++ {
 		binary.LittleEndian.PutUint64(body, uint64(n))
-		if err := s.Snapshot(body); err != nil {
+		if err := s.WriteSnapshot(body); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -32,13 +32,13 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Snapshot([]byte("first")); err != nil {
+	if err := s.WriteSnapshot([]byte("first")); err != nil {
 		b.Fatal(err)
 	}
 	record := make([]byte, 500)
 	for n := 0; b.Loop(); n++ {
 		if n%4000 == 3999 {
-			if err := s.Snapshot([]byte("next")); err != nil {
+			if err := s.WriteSnapshot([]byte("next")); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -34,7 +34,7 @@
 	for {
 		n++
 		binary.LittleEndian.PutUint64(body, n)
-		if err := s.Snapshot(body); err != nil {
+		if err := s.WriteSnapshot(body); err != nil {
 			return err
 		}
 		fmt.Println(n)
@@ -51,7 +51,7 @@
 	}
 }
 
-func lastNumber(r Read) (n uint64) {
+func lastNumber(r Contents) (n uint64) {
 	if r.Generation > 0 {
 		n = binary.LittleEndian.Uint64(r.Body)
 	}
@@ -82,8 +82,8 @@
 		timer.Stop()
 		writer.Wait()
 		r := load(t, dir)
-		if len(r.Passed) > 0 {
-			t.Fatalf("kill %d: %v", kill, r.Passed)
+		if len(r.Skipped) > 0 {
+			t.Fatalf("kill %d: %v", kill, r.Skipped)
 		}
 		if n := lastNumber(r); n < synced || n < previous || r.Generation < generation {
 			t.Fatalf("kill %d: read %d of generation %d, but %d was synced, and %d of generation %d was read before", kill, n, r.Generation, synced, previous, generation)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -36,9 +36,9 @@
 // Limits on what is written and read. Anything that declares a greater length is not read: the length itself may be
 // damaged.
 const (
-	MostBody    = 4 << 20
-	MostRecord  = 64 << 10
-	MostJournal = 4 << 20
+	MaxBody    = 4 << 20
+	MaxRecord  = 64 << 10
+	MaxJournal = 4 << 20
 )
 
 // Errors of a folder.
@@ -59,34 +59,34 @@
 }
 
 // Contents is what was read from a folder.
-type Read struct {
+type Contents struct {
 	Generation uint64   // 0: no intact snapshot
 	Body       []byte   // of the newest intact snapshot
 	Records    [][]byte // of the journal since then, up to the first damaged one
-	Cut        bool     // the journal ends within a record, as after a kill
-	Passed     []string // the files that were skipped, and why
+	CutShort   bool     // the journal ends within a record, as after a kill
+	Skipped    []string // the files that were skipped, and why
 }
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 // Open locks a name in a folder and reads its files. The lock ends with the process, however it ends. Open returns
 // ErrLocked if another process has the lock.
-func Open(dir, name string) (*Store, Read, error) {
+func Open(dir, name string) (*Store, Contents, error) {
 	if !validName.MatchString(name) {
-		return nil, Read{}, fmt.Errorf("store: %q is not a valid name", name)
+		return nil, Contents{}, fmt.Errorf("store: %q is not a valid name", name)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, Read{}, fmt.Errorf("store: %v", err)
+		return nil, Contents{}, fmt.Errorf("store: %v", err)
 	}
 	lock, err := os.OpenFile(filepath.Join(dir, name+".lock"), os.O_CREATE|os.O_RDWR|unix.O_NOFOLLOW|unix.O_CLOEXEC, 0o600)
 	if err != nil {
-		return nil, Read{}, fmt.Errorf("store: %v", err)
+		return nil, Contents{}, fmt.Errorf("store: %v", err)
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, Read{}, fmt.Errorf("store: %s in %s: %w", name, dir, ErrLocked)
+		return nil, Contents{}, fmt.Errorf("store: %s in %s: %w", name, dir, ErrLocked)
 	}
-	s := &Store{dir: dir, name: name, lock: lock, maxSizes: [2]int{MostBody, MostJournal}}
+	s := &Store{dir: dir, name: name, lock: lock, maxSizes: [2]int{MaxBody, MaxJournal}}
 	r, newest, err := Load(dir, name)
 	if err != nil {
 		s.Close()
@@ -98,13 +98,13 @@
 
 // LimitSize limits the bytes of all files together: the generations that are kept and one that is being written, each
 // with a snapshot and its journal.
-func (s *Store) Bound(total int) {
+func (s *Store) LimitSize(total int) {
 	share := total / (2 * (keptSnapshots + 1))
-	s.maxSizes = [2]int{min(share, MostBody), min(share, MostJournal)}
+	s.maxSizes = [2]int{min(share, MaxBody), min(share, MaxJournal)}
 }
 
 // HasJournal reports whether there is a journal to append to.
-func (s *Store) Begun() bool { return s.journal != nil }
+func (s *Store) HasJournal() bool { return s.journal != nil }
 
 // Close unlocks the folder. Records that were appended and not synced may be lost.
 func (s *Store) Close() error {
@@ -121,7 +121,7 @@
 
 // WriteSnapshot writes the next generation to a temporary file, syncs it, renames it and syncs the folder. It starts a
 // new journal.
-func (s *Store) Snapshot(body []byte) error {
+func (s *Store) WriteSnapshot(body []byte) error {
 	if len(body) > s.maxSizes[0] {
 		return fmt.Errorf("store: the snapshot has %d bytes, at most %d are allowed", len(body), s.maxSizes[0])
 	}
@@ -162,8 +162,8 @@
 	switch {
 	case s.journal == nil:
 		return errors.New("store: no snapshot has been written yet")
-	case len(record) == 0 || len(record) > MostRecord:
-		return fmt.Errorf("store: the record has %d bytes, 1 to %d are allowed", len(record), MostRecord)
+	case len(record) == 0 || len(record) > MaxRecord:
+		return fmt.Errorf("store: the record has %d bytes, 1 to %d are allowed", len(record), MaxRecord)
 	case s.journalSize+frameSize+len(record) > s.maxSizes[1]:
 		return fmt.Errorf("store: %w", ErrFull)
 	}
@@ -272,7 +272,7 @@
 }
 
 // Load reads a folder that another process may be writing to. newest is the highest generation of any file there.
-func Load(dir, name string) (r Read, newest uint64, err error) {
+func Load(dir, name string) (r Contents, newest uint64, err error) {
 	all := listFiles(dir, name)
 	for _, f := range all {
 		newest = max(newest, f.generation)
@@ -286,13 +286,13 @@
 			return r, newest, fmt.Errorf("store: %s: %w", f.name, err)
 		}
 		if err != nil {
-			r.Passed = append(r.Passed, fmt.Sprintf("%s: %v", f.name, err))
+			r.Skipped = append(r.Skipped, fmt.Sprintf("%s: %v", f.name, err))
 			continue
 		}
 		r.Generation, r.Body = f.generation, body
 		var damage string
-		if r.Records, r.Cut, damage = readJournal(filepath.Join(dir, fmt.Sprintf("%s.%d.log", name, f.generation))); damage != "" {
-			r.Passed = append(r.Passed, fmt.Sprintf("%s.%d.log: %s", name, f.generation, damage))
+		if r.Records, r.CutShort, damage = readJournal(filepath.Join(dir, fmt.Sprintf("%s.%d.log", name, f.generation))); damage != "" {
+			r.Skipped = append(r.Skipped, fmt.Sprintf("%s.%d.log: %s", name, f.generation, damage))
 		}
 		break
 	}
@@ -337,7 +337,7 @@
 	switch {
 	case binary.LittleEndian.Uint64(h[12:]) != generation:
 		return nil, errors.New("the generation does not match the file name")
-	case length > MostBody || int64(length) != size-headerSize:
+	case length > MaxBody || int64(length) != size-headerSize:
 		return nil, fmt.Errorf("the length does not match the file size")
 	}
 	body := make([]byte, length)
@@ -361,7 +361,7 @@
 		return nil, false, err.Error()
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, min(size, MostJournal)))
+	data, err := io.ReadAll(io.LimitReader(f, min(size, MaxJournal)))
 	if err != nil {
 		damage = err.Error()
 	}
@@ -370,7 +370,7 @@
 			return records, true, damage
 		}
 		n := int(binary.LittleEndian.Uint32(data))
-		if n == 0 || n > MostRecord {
+		if n == 0 || n > MaxRecord {
 			return records, false, fmt.Sprintf("damaged at byte %d, %d records before it are intact", at, len(records))
 		}
 		if len(data) < frameSize+n {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -27,9 +27,9 @@
 	if r.Generation != 0 || r.Body != nil {
 		t.Fatalf("an empty folder contains %+v", r)
 	}
-	must(t, s.Snapshot([]byte("first")))
+	must(t, s.WriteSnapshot([]byte("first")))
 	must(t, s.Append([]byte("lost with the next snapshot")))
-	must(t, s.Snapshot([]byte("second")))
+	must(t, s.WriteSnapshot([]byte("second")))
 	for n := range 3 {
 		must(t, s.Append(fmt.Appendf(nil, "record %d", n)))
 	}
@@ -38,7 +38,7 @@
 	return dir
 }
 
-func load(t *testing.T, dir string) Read {
+func load(t *testing.T, dir string) Contents {
 	t.Helper()
 	r, _, err := Load(dir, "n1")
 	must(t, err)
@@ -48,14 +48,14 @@
 func TestRoundTrip(t *testing.T) {
 	dir := newFolder(t)
 	r := load(t, dir)
-	if string(r.Body) != "second" || r.Generation != 2 || len(r.Records) != 3 || string(r.Records[2]) != "record 2" || r.Cut || len(r.Passed) > 0 {
+	if string(r.Body) != "second" || r.Generation != 2 || len(r.Records) != 3 || string(r.Records[2]) != "record 2" || r.CutShort || len(r.Skipped) > 0 {
 		t.Errorf("%+v", r)
 	}
 	s, _, err := Open(dir, "n1")
 	must(t, err)
 	defer s.Close()
 	for n := range 5 {
-		must(t, s.Snapshot(fmt.Appendf(nil, "later %d", n)))
+		must(t, s.WriteSnapshot(fmt.Appendf(nil, "later %d", n)))
 	}
 	if r := load(t, dir); string(r.Body) != "later 4" || r.Generation != 7 {
 		t.Errorf("%+v", r)
@@ -92,7 +92,7 @@
 			if err == nil && string(r.Body) != "second" && string(r.Body) != "first" {
 				t.Fatalf("%s %s: the body is %q", name, what, r.Body)
 			}
-			if name == "n1.2.snap" && err == nil && string(r.Body) == "first" && len(r.Passed) == 0 {
+			if name == "n1.2.snap" && err == nil && string(r.Body) == "first" && len(r.Skipped) == 0 {
 				t.Fatalf("%s %s: the damage is not reported", name, what)
 			}
 			for n, x := range r.Records {
@@ -114,12 +114,12 @@
 	path := filepath.Join(dir, "n1.2.log")
 	intact, _ := os.ReadFile(path)
 	must(t, os.WriteFile(path, intact[:len(intact)-3], 0o600))
-	if r := load(t, dir); !r.Cut || len(r.Records) != 2 || len(r.Passed) > 0 {
+	if r := load(t, dir); !r.CutShort || len(r.Records) != 2 || len(r.Skipped) > 0 {
 		t.Errorf("a truncated journal: %+v", r)
 	}
 	intact[frameSize] ^= 1
 	must(t, os.WriteFile(path, intact, 0o600))
-	if r := load(t, dir); r.Cut || len(r.Records) != 0 || len(r.Passed) != 1 || !strings.Contains(r.Passed[0], "damaged at byte 0") {
+	if r := load(t, dir); r.CutShort || len(r.Records) != 0 || len(r.Skipped) != 1 || !strings.Contains(r.Skipped[0], "damaged at byte 0") {
 		t.Errorf("a journal damaged in the middle: %+v", r)
 	}
 }
@@ -136,12 +136,12 @@
 	must(t, os.WriteFile(filepath.Join(dir, "n1.99999999999999999999.snap"), nil, 0o600))
 	must(t, os.WriteFile(filepath.Join(dir, "n1.x.snap"), nil, 0o600))
 	r := load(t, dir)
-	if string(r.Body) != "second" || len(r.Passed) != 3 {
+	if string(r.Body) != "second" || len(r.Skipped) != 3 {
 		t.Errorf("%+v", r)
 	}
 	s, _, err := Open(dir, "n1")
 	must(t, err)
-	must(t, s.Snapshot([]byte("third")))
+	must(t, s.WriteSnapshot([]byte("third")))
 	s.Close()
 	if r := load(t, dir); string(r.Body) != "third" || r.Generation != 10 {
 		t.Errorf("%+v", r)
@@ -177,26 +177,26 @@
 	if s.Append([]byte("x")) == nil {
 		t.Error("a record was accepted before any snapshot")
 	}
-	if s.Snapshot(make([]byte, MostBody+1)) == nil {
+	if s.WriteSnapshot(make([]byte, MaxBody+1)) == nil {
 		t.Error("a snapshot that is too long was accepted")
 	}
-	must(t, s.Snapshot(nil))
-	if s.Append(nil) == nil || s.Append(make([]byte, MostRecord+1)) == nil {
+	must(t, s.WriteSnapshot(nil))
+	if s.Append(nil) == nil || s.Append(make([]byte, MaxRecord+1)) == nil {
 		t.Error("a record that is too short or too long was accepted")
 	}
 	n := 0
 	for ; ; n++ {
-		if err := s.Append(make([]byte, MostRecord)); err != nil {
+		if err := s.Append(make([]byte, MaxRecord)); err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Error(err)
 			}
 			break
 		}
 	}
-	if n*(MostRecord+frameSize) > MostJournal || n < 50 {
+	if n*(MaxRecord+frameSize) > MaxJournal || n < 50 {
 		t.Errorf("%d records fit", n)
 	}
-	must(t, s.Snapshot([]byte("anew")))
+	must(t, s.WriteSnapshot([]byte("anew")))
 	must(t, s.Append([]byte("x")))
 }
 
@@ -227,11 +227,11 @@
 	s, _, err := Open(dir, "n1")
 	must(t, err)
 	defer s.Close()
-	must(t, s.Snapshot([]byte("third")))
+	must(t, s.WriteSnapshot([]byte("third")))
 	must(t, s.Append([]byte("before")))
 	for g := 4; g < 10; g++ { // a folder stands in the place of each snapshot
 		must(t, os.MkdirAll(filepath.Join(dir, fmt.Sprintf("n1.%d.snap", g), "x"), 0o700))
-		if s.Snapshot([]byte("lost")) == nil {
+		if s.WriteSnapshot([]byte("lost")) == nil {
 			t.Fatal("a snapshot was written over a folder")
 		}
 	}
@@ -243,12 +243,12 @@
 	for g := 4; g < 10; g++ {
 		must(t, os.RemoveAll(filepath.Join(dir, fmt.Sprintf("n1.%d.snap", g))))
 	}
-	must(t, s.Snapshot([]byte("fourth")))
+	must(t, s.WriteSnapshot([]byte("fourth")))
 	path := filepath.Join(dir, "n1.10.snap")
 	text, err := os.ReadFile(path)
 	must(t, err)
 	must(t, os.WriteFile(path, text[:len(text)-1], 0o600)) // as if the disk had lost a write that it acknowledged
-	if r := load(t, dir); string(r.Body) != "third" || len(r.Passed) != 1 {
+	if r := load(t, dir); string(r.Body) != "third" || len(r.Skipped) != 1 {
 		t.Errorf("the generation before is not read: %+v", r)
 	}
 }
