--- a/fleet/failover/capacity.go
+++ b/fleet/failover/capacity.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// ZoneCapacity returns the estimated capacity of a zone with the given ready cores and slowdown. A zone with few observations gets a wider
+// Estimate returns the estimated capacity of a zone with the given ready cores and slowdown. A zone with few observations gets a wider
 // safety margin.
 func (c *Capacity) Estimate(zone int, cores, slowdown float64) float64 {
 	return max(cores, 0) * c.perCore(zone) / max(slowdown, 1)
