--- a/Makefile
+++ b/Makefile
@@ -33,11 +33,11 @@
 	go test ./fleet/registry -fuzz FuzzRestore -fuzztime 10s
 	go test ./internal/state -fuzz FuzzBody -fuzztime 10s
 
-# A router with stand-ins for all it talks to, for ten seconds.
+# A router with fakes of all it talks to, for ten seconds.
 demo: build
 	bin/dunedemo
 
-# Cost of decisions, and of commands from client to engine and back.
+# Cost of decisions, and of requests from client to server and back.
 bench:
 	go test -run XXX -bench . -benchmem ./admission ./cmd/dunereach
 
@@ -55,11 +55,11 @@
 show-expect:
 	go run ./cmd/duneshow expect
 
-# Team budgets and honest waits, on virtual time; fails where a figure falls short.
+# Team budgets and reported waits, on virtual time; fails where a figure falls short.
 show-budgets:
 	go run ./cmd/duneshow budgets
 
-# Three keepers and four routers: an owner is killed, and who takes over when.
+# Three coordinators and four routers: an owner is killed, and who takes over when.
 demo-fleet: build
 	bin/dunedemo fleet
 
@@ -89,6 +89,6 @@
 soak-lives:
 	go test ./cmd/dunereach -count=1 -run TestLifeSoak -v -timeout 60m -life-seed $(SEED) -life-seeds $(SEEDS)
 
-# Ten minutes of drawn faults over five keepers and forty routers; its table is kept in docs/soak-fleet.md.
+# Ten minutes of drawn faults over five coordinators and forty routers; its table is kept in docs/soak-fleet.md.
 soak-fleet: build
 	bin/duneshow soak-fleet 10
