--- a/internal/mutation/planted_test.go
+++ b/internal/mutation/planted_test.go
@@ -81,7 +81,7 @@
 	{"grow before shrink", "fleet/failover/plan.go", "freeCapacity[z], withinCapacity[z] = max(capacity[z]-load, 0), load <= capacity[z]+1e-9", "freeCapacity[z], withinCapacity[z] = capacity[z], load <= capacity[z]+1e-9", "./fleet/failover"},
 	{"a zone's load does not explain its speed", "fleet/failover/evidence.go", "slowdown*(1-min(work/cores, maxUtilization))", "slowdown", "./fleet/failover"},
 	{"the load of a slow zone stays its limit", "fleet/failover/capacity.go", "perCore = max(perCore, min(perCore*max(slowdown, 1), 1))", "_ = slowdown", "./fleet/failover"},
-	{"one observation moves a zone's work", "fleet/failover/sustained.go", "return c.unreached[to].value > 0", "return c.Verdict.Cut[to][to]", "./fleet/failover"},
+	{"one observation moves a zone's work", "fleet/failover/sustained.go", "return c.unreached[to].value > 0", "return c.LastAssessment.Unreachable[to][to]", "./fleet/failover"},
 	{"one slow observation counts at once", "fleet/failover/sustained.go", "if now >= s.since+delay {", "if true {", "./fleet/failover"},
 	{"a zone's own routers may not leave it", "fleet/failover/evidence.go", "(o != z || !j.Isolated[o])", "o != z", "./fleet/failover"},
 	{"returning work counts as moved away", "fleet/failover/controller.go", "\t\t\tif z != o {\n\t\t\t\tmoved +=", "\t\t\tif true {\n\t\t\t\tmoved +=", "./fleet/failover"},
