--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -38,12 +38,12 @@
 
 // team is how one fared.
 type team struct {
-	name           string
-	mu             sync.Mutex
-	answered, shed int
-	failed         int
-	waited, took   []float64 // before the first send, and in all; ms
-	inTime         int
+	name                string
+	mu                  sync.Mutex
+	completed, rejected int
+	failed              int
+	waits, latency      []float64 // before the first send, and in all; ms
+	inTime              int
 }
 
 const (
@@ -103,19 +103,19 @@
 
 // setUp starts a name server and model servers, and writes the router's files to a folder.
 func (o *Options) setUp(ctx context.Context, d *fake.Desk, dir string) (f files, err error) {
-	names := fake.NewNameServer(d, discovery.ServiceName)
+	nameServer := fake.NewNameServer(d, discovery.ServiceName)
 	var list, targets []string
 	for k := range o.Engines {
-		heard := make(chan fake.Said, 1000) // more than an engine has sessions: a reader waits for none
-		e := fake.NewEngine(d, heard)
-		go fake.Model(ctx, engine.Settings{Cores: cores, Sessions: 64, Knee: 2, Thrash: 0.3, Notes: 2}, heard)
+		messages := make(chan fake.Said, 1000) // more than an engine has sessions: a reader waits for none
+		e := fake.NewEngine(d, messages)
+		go fake.Model(ctx, engine.Settings{Cores: cores, Sessions: 64, Knee: 2, Thrash: 0.3, Notes: 2}, messages)
 		list = append(list, fmt.Sprintf("e-%d.hall 0 10 small 0 0 %s", k, e.Addr))
 		targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"hall","model":"small","state":"ready"}`, k, e.Addr))
 	}
-	names.Set(1, list...)
+	nameServer.Set(1, list...)
 	f.addr = fmt.Sprintf("127.%d.%d.%d:4100", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254)) // this router's own
 	f.config, f.operators = filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
-	if err := write(f.config, configuration(f.addr, names.Addr, targets)); err != nil {
+	if err := write(f.config, configuration(f.addr, nameServer.Addr, targets)); err != nil {
 		return f, err
 	}
 	if err := write(f.operators, teamsFile); err != nil {
@@ -147,8 +147,8 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "team\tanswered\tin time\tshed\tfailed\twaited p50\tp90 (ms)\ttook p50\tp90 (ms)\t")
 	for _, t := range teams {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", t.name, t.answered, t.inTime, t.shed, t.failed,
-			quantile(t.waited, 0.5), quantile(t.waited, 0.9), quantile(t.took, 0.5), quantile(t.took, 0.9))
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", t.name, t.completed, t.inTime, t.rejected, t.failed,
+			quantile(t.waits, 0.5), quantile(t.waits, 0.9), quantile(t.latency, 0.5), quantile(t.latency, 0.9))
 	}
 	return table.Flush()
 }
@@ -161,7 +161,7 @@
 	return stat.Quantile(q, stat.Empirical, x, nil)
 }
 
-var field = regexp.MustCompile(`(cooldown|waited)=(\d+)`)
+var responseField = regexp.MustCompile(`(cooldown|waited)=(\d+)`)
 
 // client asks one thing after another until the time is over, and stays away as long as it is told.
 func (t *team) client(d *fake.Desk, addr string, seed uint64, until time.Time, profile, tenant string, work, threads, target float64) {
@@ -175,28 +175,28 @@
 			"service", profile, "project", tenant, "allow", "15000", "ref", fmt.Sprintf("%08x%08x", seed, n),
 			"effort", fmt.Sprintf("%.1f", cost*1000))
 		answer := c.Next()
-		pause := t.note(answer, time.Since(began).Seconds()*1000, target)
+		pause := t.recordAnswer(answer, time.Since(began).Seconds()*1000, target)
 		time.Sleep(pause)
 	}
 }
 
-func (t *team) note(answer string, took, target float64) (pause time.Duration) {
+func (t *team) recordAnswer(answer string, latency, target float64) (pause time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told := map[string]float64{}
-	for _, m := range field.FindAllStringSubmatch(answer, -1) {
-		told[m[1]], _ = strconv.ParseFloat(m[2], 64)
+	fields := map[string]float64{}
+	for _, m := range responseField.FindAllStringSubmatch(answer, -1) {
+		fields[m[1]], _ = strconv.ParseFloat(m[2], 64)
 	}
 	switch {
 	case strings.Contains(answer, "call{ 0={"):
-		t.answered++
-		t.took, t.waited = append(t.took, took), append(t.waited, told["waited"])
-		if took <= target {
+		t.completed++
+		t.latency, t.waits = append(t.latency, latency), append(t.waits, fields["waited"])
+		if latency <= target {
 			t.inTime++
 		}
 	case strings.Contains(answer, "call{ 1={"):
-		t.shed++
-		return time.Duration(told["cooldown"] * 1e6)
+		t.rejected++
+		return time.Duration(fields["cooldown"] * 1e6)
 	default:
 		t.failed++
 	}
@@ -215,9 +215,9 @@
   "waits": {"fields": true}
 }`
 
-func configuration(addr, names string, targets []string) string {
+func configuration(addr, nameServerAddr string, targets []string) string {
 	text, _ := json.Marshal(map[string]any{
-		"name": "demo", "listen": addr, "seed": "8c1f30d27a5be964", "nameserver": names,
+		"name": "demo", "listen": addr, "seed": "8c1f30d27a5be964", "nameserver": nameServerAddr,
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known": map[string]any{"rev": 1, "notices": []any{map[string]any{"rev": 1, "pool": map[string]any{"rev": 1,
 			"all": true, "targets": json.RawMessage("[" + strings.Join(targets, ",") + "]")}}}},
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -31,7 +31,7 @@
 	if err := r.Start(); err != nil {
 		return err
 	}
-	words := func(args ...string) error {
+	runCommand := func(args ...string) error {
 		c := exec.Command(filepath.Join(bin, "dunefleet"), append([]string{"fleet", "--keepers", strings.Join(r.Fronts(), ",")}, args...)...)
 		text, err := c.CombinedOutput()
 		fmt.Fprintf(out, "$ dunereach fleet %s\n%s\n", strings.Join(args, " "), text)
@@ -41,30 +41,30 @@
 		return fmt.Errorf("%v\n%s", err, r.Tail())
 	}
 	for _, w := range []string{"status", "sessions", "owners"} {
-		if err := words(w); err != nil {
+		if err := runCommand(w); err != nil {
 			return err
 		}
 	}
-	for _, how := range []struct{ do, said string }{{"kill", "is killed (SIGKILL)"}, {"end", "is asked to end (SIGTERM)"}} {
-		who := r.Note()
-		if who == "" {
+	for _, removal := range []struct{ action, description string }{{"kill", "is killed (SIGKILL)"}, {"end", "is asked to end (SIGTERM)"}} {
+		owner := r.Note()
+		if owner == "" {
 			if err := r.Await("owned"); err != nil {
 				return err
 			}
-			who = r.Note()
+			owner = r.Note()
 		}
 		began := time.Now()
-		if err := r.Do(how.do, who); err != nil {
+		if err := r.Do(removal.action, owner); err != nil {
 			return err
 		}
 		if err := r.Await("moved"); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s, the owner of the first work, %s; %s acts on it %.2f s later.\n\n", who, how.said, r.Owner(), time.Since(began).Seconds())
+		fmt.Fprintf(out, "%s, the owner of the first work, %s; %s acts on it %.2f s later.\n\n", owner, removal.description, r.Owner(), time.Since(began).Seconds())
 		if err := r.Await("owned"); err != nil {
 			return err
 		}
-		if err := words("owners"); err != nil {
+		if err := runCommand("owners"); err != nil {
 			return err
 		}
 	}
--- a/internal/expect/check.go
+++ b/internal/expect/check.go
@@ -53,15 +53,15 @@
 	Seen  func(done int)
 }
 
-type one struct {
-	source Source
-	file   *File
-	e      *Expectation
+type expectationCheck struct {
+	source      Source
+	file        *File
+	expectation *Expectation
 }
 
 // Check tries all expectations of the sources. The outcomes stand in the order of the sources, whatever the cores.
 func Check(u Under, sources []Source, o Options) []Outcome {
-	var all []one
+	var all []expectationCheck
 	var out []Outcome
 	names := map[string]string{}
 	for _, s := range sources {
@@ -77,7 +77,7 @@
 				continue
 			}
 			names[e.Name] = s.Name
-			all = append(all, one{s, s.File, e})
+			all = append(all, expectationCheck{s, s.File, e})
 		}
 	}
 	first := len(out)
@@ -99,9 +99,9 @@
 	return out
 }
 
-func (a one) check(u Under, o Options) (out Outcome) {
+func (a expectationCheck) check(u Under, o Options) (out Outcome) {
 	began := time.Now()
-	out = Outcome{File: a.source.Name, Name: a.e.Name, Says: a.e.Says, Status: Passed, Margin: 1}
+	out = Outcome{File: a.source.Name, Name: a.expectation.Name, Says: a.expectation.Says, Status: Passed, Margin: 1}
 	defer func() {
 		out.Seconds = time.Since(began).Seconds()
 		if p := recover(); p != nil { // of the module: that is a finding, not the checker's end
@@ -110,7 +110,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(o.Bound, 30*time.Second))
 	defer cancel()
-	seeds := a.e.Seeds
+	seeds := a.expectation.Seeds
 	if o.Seed != 0 {
 		seeds = []uint64{o.Seed}
 	} else if len(seeds) == 0 {
@@ -122,28 +122,28 @@
 			out.Status, out.Why = Broken, err.Error()
 			return out
 		}
-		if len(r.world.notes) > 0 {
-			out.Status, out.Why, out.Seed = Void, r.world.notes[0], seed
+		if len(r.simulation.voidReasons) > 0 {
+			out.Status, out.Why, out.Seed = Void, r.simulation.voidReasons[0], seed
 			return out
 		}
 		out.Exercised += r.exercised
 		out.Margin = min(out.Margin, r.margin)
-		if r.broken == "" && ctx.Err() != nil {
+		if r.failure == "" && ctx.Err() != nil {
 			out.Status, out.Seed = Failed, seed
 			out.Why = fmt.Sprintf("it was stopped at its bound of %v", cmp.Or(o.Bound, 30*time.Second))
 			return out
 		}
-		if r.broken != "" {
-			out.Status, out.Why, out.Seed, out.At, out.Knew = Failed, r.broken, seed, r.at, r.knew
+		if r.failure != "" {
+			out.Status, out.Why, out.Seed, out.At, out.Knew = Failed, r.failure, seed, r.violatedAt, r.routerState
 			if o.Trace {
-				out.Trace = a.shortest(ctx, u, seed, r)
+				out.Trace = a.shortestTrace(ctx, u, seed, r)
 			}
 			return out
 		}
-		for _, h := range r.holds {
-			if h.n == 0 && !a.e.MayIdle {
+		for _, h := range r.conditions {
+			if h.tested == 0 && !a.expectation.MayIdle {
 				out.Status, out.Seed = Idle, seed
-				out.Why = fmt.Sprintf("%s: no moment met its condition", h.place)
+				out.Why = fmt.Sprintf("%s: no moment met its condition", h.path)
 				return out
 			}
 		}
@@ -153,44 +153,44 @@
 
 // run is what playing an expectation once came to.
 type run struct {
-	world     *world
-	holds     []*hold
-	exercised int
-	margin    float64
-	broken    string // the hold that broke and how, "": none
-	place     string
-	at        float64
-	knew      string
-	client    uint64
-	lines     []string
+	simulation  *simulation
+	conditions  []*hold
+	exercised   int
+	margin      float64
+	failure     string // the hold that broke and how, "": none
+	path        string
+	violatedAt  float64
+	routerState string
+	client      uint64
+	traceLines  []string
 }
 
-func (a one) play(ctx context.Context, u Under, seed uint64, c *cut) (*run, error) {
-	w, err := build(u, a.file, a.e, seed)
+func (a expectationCheck) play(ctx context.Context, u Under, seed uint64, c *reduction) (*run, error) {
+	w, err := newSimulation(u, a.file, a.expectation, seed)
 	if err != nil {
 		return nil, err
 	}
-	r := &run{world: w, margin: 1}
-	if r.holds, err = a.holds(w); err != nil || len(w.notes) > 0 {
+	r := &run{simulation: w, margin: 1}
+	if r.conditions, err = a.conditions(w); err != nil || len(w.voidReasons) > 0 {
 		return r, err
 	}
 	if c != nil {
 		c.apply(w)
 	}
 	values := w.values()
-	w.set.Stop = func() bool { return ctx.Err() != nil }
-	w.set.Watch = func(m *cluster.Moment) bool {
-		w.fill(values, m)
-		if c != nil && c.trace && (m.Try == nil || m.Try.Mark == c.keep) {
-			r.note(w, m)
+	w.setup.Stop = func() bool { return ctx.Err() != nil }
+	w.setup.Watch = func(m *cluster.Moment) bool {
+		w.setValues(values, m)
+		if c != nil && c.trace && (m.Try == nil || m.Try.Mark == c.tracedClient) {
+			r.record(w, m)
 		}
-		for _, h := range r.holds {
-			why, err := h.see(m, values)
+		for _, h := range r.conditions {
+			violation, err := h.observe(m, values)
 			if err != nil {
-				why = err.Error()
+				violation = err.Error()
 			}
-			if why != "" {
-				r.broken, r.place, r.at, r.knew = h.place+": "+why, h.place, m.Now, w.knew(m)
+			if violation != "" {
+				r.failure, r.path, r.violatedAt, r.routerState = h.path+": "+violation, h.path, m.Now, w.routerState(m)
 				if m.Try != nil {
 					r.client = m.Try.Mark
 				}
@@ -199,25 +199,27 @@
 		}
 		return true
 	}
-	result, err := cluster.Run(w.set)
+	result, err := cluster.Run(w.setup)
 	if err != nil {
 		return nil, err
 	}
 	if c != nil {
-		c.count = result.Clients
+		c.clientCount = result.Clients
 	}
-	for _, h := range r.holds {
-		if why := h.over(); why != "" && r.broken == "" {
-			r.broken, r.place, r.at = h.place+": "+why, h.place, w.set.Length
-			r.knew = h.worst
+	for _, h := range r.conditions {
+		if violation := h.finalViolation(); violation != "" && r.failure == "" {
+			r.failure, r.path, r.violatedAt = h.path+": "+violation, h.path, w.setup.Length
+			r.routerState = h.firstViolation
 		}
-		r.exercised += h.n
+		r.exercised += h.tested
 		r.margin = min(r.margin, h.margin())
 	}
 	return r, nil
 }
 
-func (r *run) note(w *world, m *cluster.Moment) { r.lines = append(r.lines, w.line(m)) }
+func (r *run) record(w *simulation, m *cluster.Moment) {
+	r.traceLines = append(r.traceLines, w.traceLine(m))
+}
 
 // Count outcomes by status.
 func Count(all []Outcome) map[Status]int {
--- a/internal/expect/conditions.go
+++ b/internal/expect/conditions.go
@@ -14,7 +14,7 @@
 // program is a condition; none holds always.
 type program struct{ cel.Program }
 
-func (p program) is(values map[string]any) (bool, error) {
+func (p program) matches(values map[string]any) (bool, error) {
 	if p.Program == nil {
 		return true, nil
 	}
@@ -25,8 +25,8 @@
 	return v.Value().(bool), nil
 }
 
-// variables are the fields that conditions may use.
-var variables = map[string]*cel.Type{
+// celVariables are the fields that conditions may use.
+var celVariables = map[string]*cel.Type{
 	"now": cel.DoubleType, "router": cel.IntType,
 	"traffic": cel.StringType, "profile": cel.StringType, "tenant": cel.StringType, "team": cel.StringType,
 	"engine": cel.StringType, "kind": cel.StringType, "zone": cel.StringType, "cell": cel.IntType,
@@ -43,21 +43,21 @@
 	"further_share": cel.DoubleType, "key_rest": cel.DoubleType, "routers": cel.IntType, "priorities": cel.BoolType,
 }
 
-func environment() (*cel.Env, error) {
+func newCELEnvironment() (*cel.Env, error) {
 	var options []cel.EnvOption
-	for _, name := range sorted(variables) {
-		options = append(options, cel.Variable(name, variables[name]))
+	for _, name := range sorted(celVariables) {
+		options = append(options, cel.Variable(name, celVariables[name]))
 	}
 	return cel.NewEnv(options...)
 }
 
 // values are the fields' places; what does not change is set.
-func (w *world) values() map[string]any {
+func (w *simulation) values() map[string]any {
 	b := &w.settings.Admission
-	v := map[string]any{"grace": w.grace, "longest_pause": b.MaxPause, "key_rest": b.KeyRest, "fall_multiple": b.FallMultiple, "warm_up": b.WarmUp,
+	v := map[string]any{"grace": w.drainGrace, "longest_pause": b.MaxPause, "key_rest": b.KeyRest, "fall_multiple": b.FallMultiple, "warm_up": b.WarmUp,
 		"cold_from": b.ColdFrom, "sends_most": int64(b.MaxSends),
-		"further_free": b.BudgetFree, "further_share": b.BudgetShare, "routers": int64(w.set.Routers), "priorities": b.Priorities}
-	for name, t := range variables {
+		"further_free": b.BudgetFree, "further_share": b.BudgetShare, "routers": int64(w.setup.Routers), "priorities": b.Priorities}
+	for name, t := range celVariables {
 		if _, set := v[name]; set {
 			continue
 		}
@@ -75,13 +75,13 @@
 	return v
 }
 
-// fill sets the fields as a moment has them.
-func (w *world) fill(v map[string]any, m *cluster.Moment) {
+// setValues sets the fields as a moment has them.
+func (w *simulation) setValues(v map[string]any, m *cluster.Moment) {
 	v["now"], v["router"], v["rev"], v["ready"] = m.Now, int64(m.Router), int64(m.Rev), int64(m.Listed)
 	v["engine"], v["kind"], v["zone"], v["cell"] = "", "", "", int64(0)
 	v["told"], v["state"] = "", ""
 	if m.Engine >= 0 {
-		e := &w.set.Engines[m.Engine]
+		e := &w.setup.Engines[m.Engine]
 		v["engine"], v["kind"], v["zone"], v["cell"] = e.Name, w.settings.Kinds[e.Kind], w.settings.Zones[e.Zone], int64(e.Cell)
 		v["told"], v["state"] = stateName(m.Told), stateName(m.True)
 	}
@@ -90,19 +90,19 @@
 		v["age"] = math.Inf(1) // it started long ago
 	}
 	v["number"], v["out"], v["queries"], v["level"] = int64(m.Number), int64(m.Out), int64(m.EngineN), int64(m.Level)
-	v["ended"], v["further"], v["taken"], v["key_open"] = ends[m.End], int64(m.Further), int64(m.Commands), m.KeyOpen
+	v["ended"], v["further"], v["taken"], v["key_open"] = endTexts[m.End], int64(m.Further), int64(m.Commands), m.KeyOpen
 	if m.On != cluster.SendEnded {
 		v["ended"] = ""
 	}
 	v["recent"], v["cores"], v["last_end"], v["first_zone"], v["since_first"] = m.Recent, 0.0, "", "", m.Since
 	if m.Engine >= 0 {
-		v["cores"] = w.set.Engines[m.Engine].Cores
+		v["cores"] = w.setup.Engines[m.Engine].Cores
 	}
 	if m.Number > 0 {
-		v["last_end"] = ends[m.LastEnd]
+		v["last_end"] = endTexts[m.LastEnd]
 	}
 	if m.First >= 0 {
-		v["first_zone"] = w.settings.Zones[w.set.Engines[m.First].Zone]
+		v["first_zone"] = w.settings.Zones[w.setup.Engines[m.First].Zone]
 	}
 	if m.Try == nil {
 		return
@@ -112,8 +112,8 @@
 	if s.Tenant < len(w.settings.Tenants) {
 		v["tenant"] = w.settings.Tenants[s.Tenant]
 	}
-	if v["team"] = ""; s.Team < len(w.teams) {
-		v["team"] = w.teams[s.Team]
+	if v["team"] = ""; s.Team < len(w.teamNames) {
+		v["team"] = w.teamNames[s.Team]
 	}
 	v["how"], v["key"], v["waited"], v["target"] = t.How.String(), int64(t.Key), m.Waited, t.Target
 	v["took"], v["in_time"] = t.Ended-t.Taken, t.InTime()
@@ -121,90 +121,90 @@
 	v["pause"], v["was_sent"] = t.Pause, !math.IsNaN(t.Sent)
 }
 
-// holds compiles the conditions and finds the engines that they name.
-func (a one) holds(w *world) (all []*hold, err error) {
-	env, err := environment()
+// conditions compiles the conditions and finds the engines that they name.
+func (a expectationCheck) conditions(w *simulation) (all []*hold, err error) {
+	env, err := newCELEnvironment()
 	if err != nil {
 		return nil, err
 	}
-	for n, part := range a.e.Holds {
-		h := &hold{Hold: part, place: fmt.Sprintf("/holds/%d", n), open: map[uint64]float64{}, least: math.Inf(1)}
+	for n, spec := range a.expectation.Holds {
+		h := &hold{Hold: spec, path: fmt.Sprintf("/holds/%d", n), openSince: map[uint64]float64{}, minSlack: math.Inf(1)}
 		compile := func(field, text string) (p program) {
 			if text != "" && err == nil {
-				p, err = w.compile(env, h.place+"/"+field, text)
+				p, err = w.compile(env, h.path+"/"+field, text)
 			}
 			return p
 		}
-		parts := 0
-		if r := part.Never; r != nil {
-			parts++
+		kinds := 0
+		if r := spec.Never; r != nil {
+			kinds++
 			h.when, h.that = compile("never/when", r.When), compile("never/that", r.That)
 		}
-		if r := part.Always; r != nil {
-			parts++
+		if r := spec.Always; r != nil {
+			kinds++
 			h.when, h.that = compile("always/when", r.When), compile("always/that", r.That)
 		}
-		if r := part.AtLeast; r != nil {
-			parts++
+		if r := spec.AtLeast; r != nil {
+			kinds++
 			h.when, h.that = compile("at_least/when", r.When), compile("at_least/that", r.That)
 		}
-		if r := part.Within; r != nil {
-			parts++
+		if r := spec.Within; r != nil {
+			kinds++
 			h.when, h.then = compile("within/when", r.When), compile("within/that", r.That)
 		}
-		if err == nil && parts != 1 {
-			err = fault(h.place, "it has %d of never, always, within and at_least, and needs one", parts)
+		if err == nil && kinds != 1 {
+			err = errorAt(h.path, "it has %d of never, always, within and at_least, and needs one", kinds)
 		}
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, h)
 	}
-	return all, a.contradict(all)
+	return all, a.checkContradictions(all)
 }
 
-// contradict finds two holds that can't both be: the same moments always and never so.
-func (a one) contradict(all []*hold) error {
+// checkContradictions finds two holds that can't both be: the same moments always and never so.
+func (a expectationCheck) checkContradictions(all []*hold) error {
 	for n, h := range all {
 		for k, o := range all[:n] {
 			if h.Never != nil && o.Always != nil && *h.Never == *o.Always || h.Always != nil && o.Never != nil && *h.Always == *o.Never {
-				return fault(h.place, "it contradicts /holds/%d", k)
+				return errorAt(h.path, "it contradicts /holds/%d", k)
 			}
 		}
 	}
 	return nil
 }
 
-func (w *world) compile(env *cel.Env, place, text string) (p program, err error) {
+func (w *simulation) compile(env *cel.Env, place, text string) (p program, err error) {
 	tree, issues := env.Compile(text)
 	if issues.Err() != nil {
 		e := issues.Errors()[0]
-		return p, fault(place, "column %d: %s", e.Location.Column()+1, e.Message)
+		return p, errorAt(place, "column %d: %s", e.Location.Column()+1, e.Message)
 	}
 	if tree.OutputType() != cel.BoolType {
-		return p, fault(place, "it is a %s, not true or false", tree.OutputType())
+		return p, errorAt(place, "it is a %s, not true or false", tree.OutputType())
 	}
 	const cost = 10000 // steps of one evaluation: hundreds of times an ordinary condition's
 	if p.Program, err = env.Program(tree, cel.CostLimit(cost), cel.EvalOptions(cel.OptOptimize)); err != nil {
-		return p, fault(place, "%v", err)
+		return p, errorAt(place, "%v", err)
 	}
-	w.names(place, tree)
+	w.noteUnknownServers(place, tree)
 	return p, nil
 }
 
-// names notes engines that a condition compares with and the list never has.
-func (w *world) names(place string, tree *cel.Ast) {
+// noteUnknownServers notes engines that a condition compares with and the list never has.
+func (w *simulation) noteUnknownServers(place string, tree *cel.Ast) {
 	check := func(e ast.Expr) {
 		if e.Kind() != ast.LiteralKind {
 			return
 		}
 		if name, ok := e.AsLiteral().Value().(string); ok && name != "" {
-			for _, known := range w.named {
+			for _, known := range w.serverNames {
 				if known == name {
 					return
 				}
 			}
-			w.notes = append(w.notes, fmt.Sprintf("%s: it names the engine %q, which the list never has (its number: 1)", place, name))
+			w.voidReasons = append(w.voidReasons, fmt.Sprintf("%s: it names the engine %q, which the list never has (its number: 1)", place, name))
 		}
 	}
 	ast.PostOrderVisit(tree.NativeRep().Expr(), ast.NewExprVisitor(func(e ast.Expr) {
@@ -216,16 +216,16 @@
 		if len(args) != 2 {
 			return
 		}
-		is := func(e ast.Expr) bool { return e.Kind() == ast.IdentKind && e.AsIdent() == "engine" }
+		isServerName := func(e ast.Expr) bool { return e.Kind() == ast.IdentKind && e.AsIdent() == "engine" }
 		switch call.FunctionName() {
 		case operators.Equals, operators.NotEquals:
-			if is(args[0]) {
+			if isServerName(args[0]) {
 				check(args[1])
-			} else if is(args[1]) {
+			} else if isServerName(args[1]) {
 				check(args[0])
 			}
 		case operators.In:
-			if is(args[0]) && args[1].Kind() == ast.ListKind {
+			if isServerName(args[0]) && args[1].Kind() == ast.ListKind {
 				for _, x := range args[1].AsList().Elements() {
 					check(x)
 				}
--- a/internal/expect/files.go
+++ b/internal/expect/files.go
@@ -56,10 +56,10 @@
 }
 
 // Matching keeps the expectations whose name holds a part.
-func Matching(all []Source, part string) []Source {
+func Matching(all []Source, substring string) []Source {
 	for k := range all {
 		if f := all[k].File; f != nil {
-			f.Expectations = slices.DeleteFunc(f.Expectations, func(e Expectation) bool { return !strings.Contains(e.Name, part) })
+			f.Expectations = slices.DeleteFunc(f.Expectations, func(e Expectation) bool { return !strings.Contains(e.Name, substring) })
 		}
 	}
 	return all
--- a/internal/expect/mutate.go
+++ b/internal/expect/mutate.go
@@ -15,28 +15,28 @@
 // mutations break a configuration: its settings and the operators' file, as JSON values. They tell whether there was
 // something to break.
 var mutations = []struct {
-	name string
-	do   func(settings, operator map[string]any) bool
+	name  string
+	apply func(settings, operator map[string]any) bool
 }{
 	{"quotas gone", func(s, _ map[string]any) bool {
 		return each(s, "Realms", func(r map[string]any) bool { return set(r, "QuotaPerS", 1e9) })
 	}},
 	{"quotas a hundredth", func(s, _ map[string]any) bool {
-		return each(s, "Realms", func(r map[string]any) bool { return times(r, "QuotaPerS", 0.01) })
+		return each(s, "Realms", func(r map[string]any) bool { return scale(r, "QuotaPerS", 0.01) })
 	}},
 	{"what is over quota worth as much", func(s, _ map[string]any) bool { return set(s, "OverShareWorth", 1.0) }},
 	{"priorities off", func(s, _ map[string]any) bool { return set(in(s, "FamilyInfo"), "RanksHeeded", false) }},
 	{"threads of all profiles one", func(s, _ map[string]any) bool { return set(in(s, "FamilyInfo"), "Dop", []any{1.0, 1.0, 1.0, 1.0}) }},
 	{"threads of all profiles eight", func(s, _ map[string]any) bool { return set(in(s, "FamilyInfo"), "Dop", []any{8.0, 8.0, 8.0, 8.0}) }},
 	{"cold rule absent", func(s, _ map[string]any) bool { return set(in(s, "Obligations"), "WarmUp", 0.0) }},
-	{"cold engines take a hundred times", func(s, _ map[string]any) bool { return times(in(s, "Obligations"), "FallMultiple", 100) }},
+	{"cold engines take a hundred times", func(s, _ map[string]any) bool { return scale(in(s, "Obligations"), "FallMultiple", 100) }},
 	{"sends unlimited", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "SendCap", 1000.0) }},
 	{"one send only", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "SendCap", 1.0) }},
 	{"budget of further sends gone", func(s, _ map[string]any) bool { return set(in(s, "Obligations"), "LookBack", 0.0) }},
 	{"budget of further sends nothing", func(s, _ map[string]any) bool {
 		return set(in(s, "Obligations"), "ExtraFree", 0.0) && set(in(s, "Obligations"), "FurtherRatio", 0.0)
 	}},
-	{"grace ten times", func(s, _ map[string]any) bool { return times(in(s, "Obligations"), "DrainGrace", 10) }},
+	{"grace ten times", func(s, _ map[string]any) bool { return scale(in(s, "Obligations"), "DrainGrace", 10) }},
 	{"placement dropped", func(s, _ map[string]any) bool {
 		return each(s, "Classes", func(c map[string]any) bool {
 			a, b := drop(c, "RunsIn"), drop(c, "KindsOnly")
@@ -54,20 +54,20 @@
 		return each(s, "Classes", func(c map[string]any) bool { return set(c, "Effect", "unsafe") })
 	}},
 	{"latency targets a twentieth", func(s, _ map[string]any) bool {
-		return each(s, "Classes", func(c map[string]any) bool { return times(c, "Aim", 0.05) && set(c, "AimStretch", 0.0) })
+		return each(s, "Classes", func(c map[string]any) bool { return scale(c, "Aim", 0.05) && set(c, "AimStretch", 0.0) })
 	}},
 	{"latency targets twenty times", func(s, _ map[string]any) bool {
-		return each(s, "Classes", func(c map[string]any) bool { return times(c, "Aim", 20) })
+		return each(s, "Classes", func(c map[string]any) bool { return scale(c, "Aim", 20) })
 	}},
 	{"benefits equal", func(s, _ map[string]any) bool {
 		return each(s, "Classes", func(c map[string]any) bool { return set(c, "Worth", 1.0) })
 	}},
 	{"pauses not told", func(s, _ map[string]any) bool { return set(in(s, "Limits"), "RetryAfter", false) }},
-	{"pauses a hundred times", func(s, _ map[string]any) bool { return times(in(s, "Limits"), "MaxRetryAfter", 100) }},
+	{"pauses a hundred times", func(s, _ map[string]any) bool { return scale(in(s, "Limits"), "MaxRetryAfter", 100) }},
 	{"cores of all kinds one", func(s, _ map[string]any) bool {
 		return set(in(s, "FamilyInfo"), "CpuOfKind", []any{1.0, 1.0, 1.0, 1.0})
 	}},
-	{"routers ten times as many", func(s, _ map[string]any) bool { return times(s, "Balancers", 10) }},
+	{"routers ten times as many", func(s, _ map[string]any) bool { return scale(s, "Balancers", 10) }},
 	{"teams gone", func(_, o map[string]any) bool { return drop(o, "teams") }},
 	{"weights of teams equal", func(_, o map[string]any) bool {
 		return each(o, "teams", func(t map[string]any) bool { return set(t, "weight", 1.0) })
@@ -109,10 +109,10 @@
 	return !same
 }
 
-func times(m map[string]any, key string, f float64) bool {
+func scale(m map[string]any, key string, factor float64) bool {
 	v, ok := m[key].(float64)
 	if ok {
-		m[key] = v * f
+		m[key] = v * factor
 	}
 	return ok && v != 0
 }
@@ -128,19 +128,19 @@
 	return sub
 }
 
-func each(m map[string]any, key string, do func(map[string]any) bool) (some bool) {
+func each(m map[string]any, key string, apply func(map[string]any) bool) (changed bool) {
 	list, _ := m[key].([]any)
 	for _, x := range list {
-		if sub, ok := x.(map[string]any); ok && do(sub) {
-			some = true
+		if sub, ok := x.(map[string]any); ok && apply(sub) {
+			changed = true
 		}
 	}
-	return some
+	return changed
 }
 
 // Mutate breaks the configuration in each known way that it has something for, and tells which expectations notice. An
 // expectation's own changes of the settings come after, so it notices where it leaves the settings as they are.
-func Mutate(u Under, sources []Source, o Options, seen func(name string)) (all []Mutant, err error) {
+func Mutate(u Under, sources []Source, o Options, progress func(name string)) (all []Mutant, err error) {
 	for _, m := range mutations {
 		var config map[string]any
 		operator := map[string]any{}
@@ -150,10 +150,10 @@
 		if err := json.Unmarshal(u.Operator, &operator); err != nil {
 			return nil, err
 		}
-		if !m.do(in(config, "settings"), operator) {
+		if !m.apply(in(config, "settings"), operator) {
 			continue
 		}
-		seen(m.name)
+		progress(m.name)
 		broken := Under{}
 		if broken.Config, err = json.Marshal(config); err != nil {
 			return nil, err
@@ -162,7 +162,7 @@
 			return nil, err
 		}
 		found := Mutant{Name: m.name}
-		if _, err := build(broken, &File{}, &Expectation{}, 1); err != nil {
+		if _, err := newSimulation(broken, &File{}, &Expectation{}, 1); err != nil {
 			found.Err = err
 		} else {
 			for _, r := range Check(broken, sources, o) {
--- a/internal/expect/report.go
+++ b/internal/expect/report.go
@@ -43,35 +43,35 @@
 	return e.Encode(all)
 }
 
-type suite struct {
-	XMLName  xml.Name   `xml:"testsuite"`
-	Name     string     `xml:"name,attr"`
-	Tests    int        `xml:"tests,attr"`
-	Failures int        `xml:"failures,attr"`
-	Errors   int        `xml:"errors,attr"`
-	Cases    []testCase `xml:"testcase"`
+type junitSuite struct {
+	XMLName  xml.Name    `xml:"testsuite"`
+	Name     string      `xml:"name,attr"`
+	Tests    int         `xml:"tests,attr"`
+	Failures int         `xml:"failures,attr"`
+	Errors   int         `xml:"errors,attr"`
+	Cases    []junitCase `xml:"testcase"`
 }
 
-type testCase struct {
-	Name    string  `xml:"name,attr"`
-	Class   string  `xml:"classname,attr"`
-	Time    float64 `xml:"time,attr"`
-	Failure *reason `xml:"failure,omitempty"`
-	Error   *reason `xml:"error,omitempty"`
+type junitCase struct {
+	Name    string        `xml:"name,attr"`
+	Class   string        `xml:"classname,attr"`
+	Time    float64       `xml:"time,attr"`
+	Failure *junitMessage `xml:"failure,omitempty"`
+	Error   *junitMessage `xml:"error,omitempty"`
 }
 
-type reason struct {
+type junitMessage struct {
 	Message string `xml:"message,attr"`
 	Text    string `xml:",chardata"`
 }
 
 // JUnit writes the outcomes as other tools take them.
 func JUnit(w io.Writer, all []Outcome) error {
-	s := suite{Name: "expectations", Tests: len(all)}
+	s := junitSuite{Name: "expectations", Tests: len(all)}
 	for k := range all {
 		o := &all[k]
-		c := testCase{Name: o.Name, Class: o.File, Time: o.Seconds}
-		why := &reason{Message: string(o.Status) + ": " + o.Why, Text: o.Says + "\n" + o.Knew}
+		c := junitCase{Name: o.Name, Class: o.File, Time: o.Seconds}
+		why := &junitMessage{Message: string(o.Status) + ": " + o.Why, Text: o.Says + "\n" + o.Knew}
 		switch {
 		case o.Good():
 		case o.Status == Broken:
@@ -123,14 +123,14 @@
 	if err != nil {
 		return nil, err
 	}
-	var was map[string]Record
-	if err := json.Unmarshal(b, &was); err != nil {
+	var recorded map[string]Record
+	if err := json.Unmarshal(b, &recorded); err != nil {
 		return nil, fmt.Errorf("%s: %v", path, err)
 	}
-	now := map[string]bool{}
+	present := map[string]bool{}
 	for _, o := range all {
-		now[o.Name] = true
-		r, ok := was[o.Name]
+		present[o.Name] = true
+		r, ok := recorded[o.Name]
 		switch {
 		case !ok || !o.Good():
 		case o.Margin < r.Margin-share*max(r.Margin, 0):
@@ -139,8 +139,8 @@
 			shrunk = append(shrunk, fmt.Sprintf("%s: it was put to the test %d times and is %d times", o.Name, r.Exercised, o.Exercised))
 		}
 	}
-	for _, name := range sorted(was) {
-		if !now[name] {
+	for _, name := range sorted(recorded) {
+		if !present[name] {
 			shrunk = append(shrunk, name+": it is gone")
 		}
 	}
@@ -148,17 +148,17 @@
 }
 
 // Differ names the expectations that tell two configurations apart.
-func Differ(old, new []Outcome) (apart []string) {
-	was := map[string]Status{}
+func Differ(old, new []Outcome) (differences []string) {
+	oldStatus := map[string]Status{}
 	for _, o := range old {
-		was[o.Name] = o.Status
+		oldStatus[o.Name] = o.Status
 	}
 	for _, o := range new {
-		if s := was[o.Name]; s != o.Status {
-			apart = append(apart, fmt.Sprintf("%s: %s before, %s now. %s", o.Name, s, o.Status, o.Why))
+		if s := oldStatus[o.Name]; s != o.Status {
+			differences = append(differences, fmt.Sprintf("%s: %s before, %s now. %s", o.Name, s, o.Status, o.Why))
 		}
 	}
-	return apart
+	return differences
 }
 
 // Mutations writes which expectations notice each broken configuration, and gives those that none does.
--- a/internal/expect/trace.go
+++ b/internal/expect/trace.go
@@ -9,17 +9,17 @@
 	"dunereach/emulator/cluster"
 )
 
-// line prints a moment.
-func (w *world) line(m *cluster.Moment) string {
+// traceLine prints a moment.
+func (w *simulation) traceLine(m *cluster.Moment) string {
 	s := fmt.Sprintf("%9.3f router %d %-8s", m.Now, m.Router, m.On)
 	if m.Try != nil {
 		s += fmt.Sprintf(" %s try %d", m.Stream.Name, m.Try.Number)
 	}
 	switch m.On {
 	case cluster.Sent:
-		s += fmt.Sprintf(" send %d to %s (told %s, level %d)", m.Number, w.named[m.Engine], stateName(m.Told), m.Level)
+		s += fmt.Sprintf(" send %d to %s (told %s, level %d)", m.Number, w.serverNames[m.Engine], stateName(m.Told), m.Level)
 	case cluster.SendEnded:
-		s += fmt.Sprintf(" send %d at %s: %s", m.Number, w.named[m.Engine], ends[m.End])
+		s += fmt.Sprintf(" send %d at %s: %s", m.Number, w.serverNames[m.Engine], endTexts[m.End])
 	case cluster.Final:
 		s += " " + m.Try.How.String()
 	case cluster.Listed:
@@ -28,11 +28,11 @@
 	return s
 }
 
-// knew is what a router knew at a moment.
-func (w *world) knew(m *cluster.Moment) string {
+// routerState is what a router routerState at a moment.
+func (w *simulation) routerState(m *cluster.Moment) string {
 	s := fmt.Sprintf("list number %d", m.Rev)
 	if m.Engine >= 0 {
-		s += fmt.Sprintf("; engine %s told %s for %.3f s and %s, %d queries there", w.named[m.Engine], stateName(m.Told), m.ToldFor,
+		s += fmt.Sprintf("; engine %s told %s for %.3f s and %s, %d queries there", w.serverNames[m.Engine], stateName(m.Told), m.ToldFor,
 			stateName(m.True), m.EngineN)
 	}
 	if m.Try != nil {
@@ -43,4 +43,4 @@
 
 func stateName(s admission.State) string { return [...]string{"gone", "draining", "ready"}[s] }
 
-var ends = [...]string{"answered", "errored", "turned_away", "timed_out", "unreachable", "cut", "cancelled", "moot"}
+var endTexts = [...]string{"answered", "errored", "turned_away", "timed_out", "unreachable", "cut", "cancelled", "moot"}
--- a/internal/faultrig/observers.go
+++ b/internal/faultrig/observers.go
@@ -28,7 +28,7 @@
 		zone := k % n
 		m := agent.New(agent.Config{Name: fmt.Sprint("observer", k+1), Zone: fmt.Sprint("z", zone+1), Incarnation: uint64(k + 1), Seed: uint64(k + 1), ZoneCount: n,
 			ZoneNumber: zone, RoundTrips: way, CandidateKinds: []string{agent.PlanKind}, RouterCount: many, Window: 1, StartedAt: boottime.Now(), CleanStart: true, Log: func(string) {}}, agent.PersistentState{})
-		d := agentdriver.NewDriver(m, coordserver.NewClient(r.fronts(), ""))
+		d := agentdriver.NewDriver(m, coordserver.NewClient(r.coordinatorAddrs(), ""))
 		d.Run(ctx, group)
 		group.Go(func() error {
 			tick := time.NewTicker(100 * time.Millisecond)
--- a/internal/faultrig/link.go
+++ b/internal/faultrig/proxy.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// links stand before one process: whoever calls it is known by the address that the call comes from, and each direction of each
+// proxy stand before one process: whoever calls it is known by the address that the call comes from, and each direction of each
 // link can be cut, held, slowed or reset by itself.
-type links struct {
-	listener net.Listener
-	target   string
-	who      func(ip string) string
-	name     string // of the target
-
-	mu    sync.Mutex
-	state map[[2]string]*state
-	conns map[*pair]bool
-	done  bool
+type proxy struct {
+	listener   net.Listener
+	target     string
+	processAt  func(ip string) string
+	targetName string // of the target
+
+	mu        sync.Mutex
+	direction map[[2]string]*direction
+	conns     map[*proxiedConn]bool
+	closed    bool
 }
 
-// state of one direction between two processes.
-type state struct {
-	mode  mode
-	until time.Time
-	delay time.Duration
-	wake  chan struct{} // closed when it changes
+// direction of one direction between two processes.
+type direction struct {
+	mode    mode
+	until   time.Time
+	delay   time.Duration
+	changed chan struct{} // closed when it changes
 }
 
 type mode int
@@ -40,60 +40,60 @@
 	trickle      // a byte at a time
 )
 
-type pair struct {
-	who   string
-	a, b  net.Conn
-	stale bool // bytes were lost on it
+type proxiedConn struct {
+	caller               string
+	fromCaller, toTarget net.Conn
+	stale                bool // bytes were lost on it
 }
 
-func newLinks(listen, target, name string, who func(ip string) string) (*links, error) {
+func newProxy(listen, target, targetName string, processAt func(ip string) string) (*proxy, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	p := &links{listener: l, target: target, name: name, who: who, state: map[[2]string]*state{}, conns: map[*pair]bool{}}
+	p := &proxy{listener: l, target: target, targetName: targetName, processAt: processAt, direction: map[[2]string]*direction{}, conns: map[*proxiedConn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
-func (p *links) accept() {
+func (p *proxy) accept() {
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-		go p.join(c, p.who(host))
+		go p.forward(c, p.processAt(host))
 	}
 }
 
-// of the state of a direction.
-func (p *links) of(from, to string) *state {
+// directionOf the state directionOf a direction.
+func (p *proxy) directionOf(from, to string) *direction {
 	key := [2]string{from, to}
-	if p.state[key] == nil {
-		p.state[key] = &state{wake: make(chan struct{})}
+	if p.direction[key] == nil {
+		p.direction[key] = &direction{changed: make(chan struct{})}
 	}
-	return p.state[key]
+	return p.direction[key]
 }
 
 // set a direction's state.
-func (p *links) set(from, to string, m mode, until time.Time, delay time.Duration) {
+func (p *proxy) set(from, to string, m mode, until time.Time, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.of(from, to)
+	s := p.directionOf(from, to)
 	s.mode, s.until, s.delay = m, until, delay
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // heal all directions; connections that lost bytes end, as they would by their own time-outs.
-func (p *links) heal() {
+func (p *proxy) heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.state {
+	for _, s := range p.direction {
 		s.mode, s.delay = open, 0
-		close(s.wake)
-		s.wake = make(chan struct{})
+		close(s.changed)
+		s.changed = make(chan struct{})
 	}
 	for c := range p.conns {
 		if c.stale {
@@ -102,23 +102,23 @@
 	}
 }
 
-func (p *links) close() {
+func (p *proxy) close() {
 	p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.done = true
+	p.closed = true
 	for c := range p.conns {
 		c.reset()
 	}
-	for _, s := range p.state {
+	for _, s := range p.direction {
 		s.mode = open
-		close(s.wake)
-		s.wake = make(chan struct{})
+		close(s.changed)
+		s.changed = make(chan struct{})
 	}
 }
 
-func (c *pair) reset() {
-	for _, x := range []net.Conn{c.a, c.b} {
+func (c *proxiedConn) reset() {
+	for _, x := range []net.Conn{c.fromCaller, c.toTarget} {
 		if t, ok := x.(*net.TCPConn); ok {
 			t.SetLinger(0)
 			t.Close()
@@ -126,20 +126,20 @@
 	}
 }
 
-func (p *links) join(a net.Conn, who string) {
-	if !p.pass(who, p.name, nil) { // a call that is lost on its way never gets an answer
-		a.Close()
+func (p *proxy) forward(fromCaller net.Conn, caller string) {
+	if !p.waitOpen(caller, p.targetName, nil) { // a call that is lost on its way never gets an answer
+		fromCaller.Close()
 		return
 	}
-	b, err := net.DialTimeout("tcp", p.target, 2*time.Second)
+	toTarget, err := net.DialTimeout("tcp", p.target, 2*time.Second)
 	if err != nil {
-		a.(*net.TCPConn).SetLinger(0)
-		a.Close()
+		fromCaller.(*net.TCPConn).SetLinger(0)
+		fromCaller.Close()
 		return
 	}
-	c := &pair{who: who, a: a, b: b}
+	c := &proxiedConn{caller: caller, fromCaller: fromCaller, toTarget: toTarget}
 	p.mu.Lock()
-	if p.done {
+	if p.closed {
 		p.mu.Unlock()
 		c.reset()
 		return
@@ -147,42 +147,42 @@
 	p.conns[c] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(c, a, b, who, p.name) })
-	both.Go(func() { p.copy(c, b, a, p.name, who) })
+	both.Go(func() { p.copy(c, fromCaller, toTarget, caller, p.targetName) })
+	both.Go(func() { p.copy(c, toTarget, fromCaller, p.targetName, caller) })
 	both.Wait()
-	a.Close()
-	b.Close()
+	fromCaller.Close()
+	toTarget.Close()
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// pass waits until a direction is open; false: what came is lost.
-func (p *links) pass(from, to string, c *pair) bool {
+// waitOpen waits until a direction is open; false: what came is lost.
+func (p *proxy) waitOpen(from, to string, c *proxiedConn) bool {
 	for {
 		p.mu.Lock()
-		s := p.of(from, to)
-		m, wake, wait := s.mode, s.wake, time.Until(s.until)
+		s := p.directionOf(from, to)
+		m, changed, wait := s.mode, s.changed, time.Until(s.until)
 		if m == hold && wait <= 0 {
 			m = open
 		}
 		if m == cut && c != nil {
 			c.stale = true
 		}
-		done := p.done
+		closed := p.closed
 		p.mu.Unlock()
 		switch {
-		case done:
+		case closed:
 			return false
 		case m == open || m == trickle:
 			return true
 		case m == hold:
 			select {
 			case <-time.After(wait):
-			case <-wake:
+			case <-changed:
 			}
 		default:
-			<-wake
+			<-changed
 			if c == nil {
 				return false
 			}
@@ -191,9 +191,9 @@
 }
 
 // write gives a process what came for it, as late and as slowly as its direction is now.
-func (p *links) write(to net.Conn, text []byte, a, b string) error {
+func (p *proxy) write(to net.Conn, text []byte, a, b string) error {
 	p.mu.Lock()
-	s := p.of(a, b)
+	s := p.directionOf(a, b)
 	delay, slow := s.delay, s.mode == trickle
 	p.mu.Unlock()
 	if delay > 0 {
@@ -212,12 +212,12 @@
 	return nil
 }
 
-func (p *links) copy(c *pair, from, to net.Conn, a, b string) {
+func (p *proxy) copy(c *proxiedConn, from, to net.Conn, a, b string) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !p.pass(a, b, c) {
+			if !p.waitOpen(a, b, c) {
 				return
 			}
 			if p.write(to, buf[:n], a, b) != nil {
--- a/internal/faultrig/setup.go
+++ b/internal/faultrig/setup.go
@@ -44,9 +44,9 @@
 }
 
 // NewWith is New with options.
-func NewWith(f scenario.File, o Options, bin, dir string, log func(string)) (*Rig, error) {
-	r := &Rig{o: o, file: f, bin: bin, dir: dir, procs: map[string]*proc{}, links: map[string]*links{}, desk: &fake.Desk{}, log: log,
-		net: fmt.Sprintf("127.%d.%d.", 64+rand.IntN(128), rand.IntN(256)), began: time.Now(), stop: make(chan struct{}), starts: make(chan func())}
+func NewWith(f scenario.File, options Options, bin, dir string, log func(string)) (*Rig, error) {
+	r := &Rig{options: options, file: f, bin: bin, dir: dir, procs: map[string]*process{}, proxies: map[string]*proxy{}, fakes: &fake.Desk{}, log: log,
+		addressPrefix: fmt.Sprintf("127.%d.%d.", 64+rand.IntN(128), rand.IntN(256)), startedAt: time.Now(), stop: make(chan struct{}), startRequests: make(chan func())}
 	if r.log == nil {
 		r.log = func(string) {}
 	}
@@ -54,7 +54,7 @@
 	// A process that is to end with its parent ends with the thread that started it: one that stays until the rig is closed.
 	go func() {
 		runtime.LockOSThread()
-		for start := range r.starts {
+		for start := range r.startRequests {
 			start()
 		}
 	}()
@@ -63,68 +63,68 @@
 			return nil, errors.New("90 routers and nine keepers at most have addresses here")
 		}
 	}
-	r.names = fake.NewNameServer(r.desk, discovery.ServiceName)
+	r.nameServer = fake.NewNameServer(r.fakes, discovery.ServiceName)
 	var targets []string
-	boot := time.Now().Add(-time.Second).UnixMilli()
-	if o.Warm {
-		boot = 0
+	serversStartedMs := time.Now().Add(-time.Second).UnixMilli()
+	if options.Warm {
+		serversStartedMs = 0
 	}
 	r.hung = make([]atomic.Bool, f.Engines)
 	for n := range f.Engines {
-		heard := make(chan fake.Said, 1000)
-		e := fake.NewEngine(r.desk, heard)
-		if o.Cores > 0 {
-			seen := make(chan fake.Said, 1000)
+		messages := make(chan fake.Said, 1000)
+		e := fake.NewEngine(r.fakes, messages)
+		if options.Cores > 0 {
+			modelMessages := make(chan fake.Said, 1000)
 			ctx, cancel := context.WithCancel(context.Background())
-			r.desk.Cleanup(cancel)
+			r.fakes.Cleanup(cancel)
 			pace := make(chan float64)
-			r.paces = append(r.paces, pace)
-			go fake.Paced(ctx, engine.Settings{Cores: o.Cores, Sessions: 256, Knee: 2, Thrash: 0.3}, seen, pace)
-			go r.watch(n, heard, seen)
+			r.paceChanges = append(r.paceChanges, pace)
+			go fake.Paced(ctx, engine.Settings{Cores: options.Cores, Sessions: 256, Knee: 2, Thrash: 0.3}, modelMessages, pace)
+			go r.forwardToModel(n, messages, modelMessages)
 		} else {
-			go r.engine(n, heard)
+			go r.answerRequests(n, messages)
 		}
-		r.engines = append(r.engines, e.Addr)
-		r.list = append(r.list, fmt.Sprintf("e-%d.%s 0 10 std 0 %d %s", n+1, f.Zone(n), boot, e.Addr))
-		targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"%s","model":"std","state":"ready","boot_ms":%d}`, n+1, e.Addr, f.Zone(n), boot))
+		r.serverAddrs = append(r.serverAddrs, e.Addr)
+		r.serverList = append(r.serverList, fmt.Sprintf("e-%d.%s 0 10 std 0 %d %s", n+1, f.Zone(n), serversStartedMs, e.Addr))
+		targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"%s","model":"std","state":"ready","boot_ms":%d}`, n+1, e.Addr, f.Zone(n), serversStartedMs))
 	}
-	r.boot = boot
-	r.names.Set(1, r.list...)
-	if err := r.plan(targets); err != nil {
+	r.serversStartedMs = serversStartedMs
+	r.nameServer.Set(1, r.serverList...)
+	if err := r.configure(targets); err != nil {
 		r.Close()
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *Rig) plan(targets []string) error {
+func (r *Rig) configure(targets []string) error {
 	var spec, addrs []string
 	for n := range r.file.Keepers {
 		name := fmt.Sprint("k", n+1)
-		front, back := fmt.Sprint(r.net, 101+n, ":7000"), fmt.Sprint(r.net, 11+n, ":7000")
+		front, back := fmt.Sprint(r.addressPrefix, 101+n, ":7000"), fmt.Sprint(r.addressPrefix, 11+n, ":7000")
 		spec = append(spec, fmt.Sprintf("%s=%s@%s", name, front, r.file.Zone(n)))
 		addrs = append(addrs, front)
-		p := &proc{name: name, zone: r.file.Zone(n), addr: front, folder: filepath.Join(r.dir, name)}
+		p := &process{name: name, zone: r.file.Zone(n), addr: front, folder: filepath.Join(r.dir, name)}
 		p.args = []string{"dunekeep", "run", p.folder, "--listen", back, "--from", host(back)}
 		r.procs[name] = p
-		l, err := newLinks(front, back, name, r.whose)
+		l, err := newProxy(front, back, name, r.processAt)
 		if err != nil {
 			return err
 		}
-		r.links[name] = l
+		r.proxies[name] = l
 	}
 	for n := range r.file.Keepers {
 		name := fmt.Sprint("k", n+1)
 		args := []string{"init", r.procs[name].folder, "--name", name, "--keepers", strings.Join(spec, ","),
 			"--lease", fmt.Sprint(r.file.Lease), "--drift", fmt.Sprint(r.file.Drift)}
 		if n > 0 {
-			args = append(args, "--record", r.token)
+			args = append(args, "--record", r.registryToken)
 		}
 		out, err := exec.Command(filepath.Join(r.bin, "dunekeep"), args...).CombinedOutput()
 		if err != nil {
 			return fmt.Errorf("dunekeep init: %v: %s", err, out)
 		}
-		r.token = strings.TrimSpace(string(out))
+		r.registryToken = strings.TrimSpace(string(out))
 	}
 	var zones []string
 	for n := range r.file.Zones {
@@ -132,15 +132,15 @@
 	}
 	for n := range r.file.Routers {
 		name := fmt.Sprint("n", n+1)
-		ip := fmt.Sprint(r.net, 121+n)
-		p := &proc{name: name, zone: r.file.Zone(n), addr: ip + ":4100", folder: filepath.Join(r.dir, name)}
+		ip := fmt.Sprint(r.addressPrefix, 121+n)
+		p := &process{name: name, zone: r.file.Zone(n), addr: ip + ":4100", folder: filepath.Join(r.dir, name)}
 		if err := os.MkdirAll(p.folder, 0o700); err != nil {
 			return err
 		}
-		targets, names := targets, r.names.Addr
-		if r.o.Linked {
+		targets, nameServer := targets, r.nameServer.Addr
+		if r.options.Linked {
 			var err error
-			if targets, names, err = r.own(name); err != nil {
+			if targets, nameServer, err = r.newRouterList(name); err != nil {
 				return err
 			}
 		}
@@ -153,20 +153,20 @@
 			"FamilyInfo":{"CpuOfKind":[%d],"RanksHeeded":true},"Realms":[{"Name":"acme","QuotaPerS":%v}],
 			"Limits":{"ConnIdle":30000,"ConnectTimeout":250,"MaxStreams":100,"MaxRetryAfter":500,"OpenCap":1000,"RetryAfter":true,"SendCap":6},
 			"Obligations":{"ColdFrom":0.35,"DrainGrace":250,"Fall":1000,"FallMultiple":2,"WarmUp":7200000}}}`,
-			rand.Uint64(), names, strings.Join(targets, ","), r.file.Routers, n, n%r.file.Zones, strings.Join(zones, ","),
-			cmp.Or(r.o.Target, 1000), cmp.Or(r.o.Target, 1000), cores, cmp.Or(r.o.Quota, 1000))
+			rand.Uint64(), nameServer, strings.Join(targets, ","), r.file.Routers, n, n%r.file.Zones, strings.Join(zones, ","),
+			cmp.Or(r.options.Target, 1000), cmp.Or(r.options.Target, 1000), cores, cmp.Or(r.options.Quota, 1000))
 		fleet := map[string]any{"keepers": addrs, "zone": p.zone, "region": "r", "from": ip, "trace": true}
 		if r.file.Folders {
 			fleet["folder"] = filepath.Join(p.folder, "state")
 		}
-		if r.o.Works != nil {
-			fleet["works"] = r.o.Works
+		if r.options.Works != nil {
+			fleet["works"] = r.options.Works
 		}
 		section := map[string]any{}
 		if r.file.Keepers > 0 {
 			section["fleet"] = fleet
 		}
-		if r.o.State {
+		if r.options.State {
 			section["state"] = map[string]any{"folder": filepath.Join(p.folder, "kept"), "snapshot_s": 2, "record_s": 0.5}
 		}
 		operator, _ := json.Marshal(section)
@@ -182,43 +182,43 @@
 	return nil
 }
 
-// ownList is what one router is told of engines, by way of its own links.
-type ownList struct {
-	server *fake.NameServer
-	fronts []string // by engine
-	serial uint32
+// routerList is what one router is told of engines, by way of its own links.
+type routerList struct {
+	server     *fake.NameServer
+	proxyAddrs []string // by engine
+	serial     uint32
 }
 
-// own list and engines' addresses of one router: links of its own before each.
-func (r *Rig) own(name string) (targets []string, names string, err error) {
-	o := &ownList{server: fake.NewNameServer(r.desk, discovery.ServiceName)}
-	for n, addr := range r.engines {
+// newRouterList list and engines' addresses of one router: links of its newRouterList before each.
+func (r *Rig) newRouterList(name string) (targets []string, names string, err error) {
+	o := &routerList{server: fake.NewNameServer(r.fakes, discovery.ServiceName)}
+	for n, addr := range r.serverAddrs {
 		e := fmt.Sprint("e", n+1)
-		l, err := newLinks("127.0.0.1:0", addr, e, func(string) string { return name })
+		l, err := newProxy("127.0.0.1:0", addr, e, func(string) string { return name })
 		if err != nil {
 			return nil, "", err
 		}
-		r.links[name+" "+e] = l
-		o.fronts = append(o.fronts, l.listener.Addr().String())
-		if n%r.file.Zones != r.o.Hidden-1 {
-			targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"%s","model":"std","state":"ready","boot_ms":%d}`, n+1, o.fronts[n], r.file.Zone(n), r.boot))
+		r.proxies[name+" "+e] = l
+		o.proxyAddrs = append(o.proxyAddrs, l.listener.Addr().String())
+		if n%r.file.Zones != r.options.Hidden-1 {
+			targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"%s","model":"std","state":"ready","boot_ms":%d}`, n+1, o.proxyAddrs[n], r.file.Zone(n), r.serversStartedMs))
 		}
 	}
-	r.lists = append(r.lists, o)
-	o.say(r, r.o.Hidden, 0, 0)
+	r.routerLists = append(r.routerLists, o)
+	o.publish(r, r.options.Hidden, 0, 0)
 	return targets, o.server.Addr, nil
 }
 
-// say the list, but for a zone (from 1), and another one's engines as started at a time in milliseconds.
-func (o *ownList) say(r *Rig, but, zone int, boot int64) {
+// publish the list, but for a zone (from 1), and another one's engines as started at a time in milliseconds.
+func (o *routerList) publish(r *Rig, omittedZone, restartedZone int, serversStartedMs int64) {
 	var list []string
-	for n, front := range o.fronts {
-		if n%r.file.Zones == but-1 {
+	for n, front := range o.proxyAddrs {
+		if n%r.file.Zones == omittedZone-1 {
 			continue
 		}
-		start := r.boot
-		if n%r.file.Zones == zone-1 {
-			start = boot
+		start := r.serversStartedMs
+		if n%r.file.Zones == restartedZone-1 {
+			start = serversStartedMs
 		}
 		list = append(list, fmt.Sprintf("e-%d.%s 0 10 std 0 %d %s", n+1, r.file.Zone(n), start, front))
 	}
@@ -228,18 +228,18 @@
 
 // Relist tells all routers a list with all zones, one of which (from 1, 0: none) has just started.
 func (r *Rig) Relist(zone int) {
-	for _, o := range r.lists {
-		o.say(r, 0, zone, time.Now().UnixMilli())
+	for _, o := range r.routerLists {
+		o.publish(r, 0, zone, time.Now().UnixMilli())
 	}
 }
 
-// watch what a model engine is sent.
-func (r *Rig) watch(n int, heard <-chan fake.Said, model chan<- fake.Said) {
+// forwardToModel what a model engine is sent.
+func (r *Rig) forwardToModel(n int, messages <-chan fake.Said, model chan<- fake.Said) {
 	for {
 		select {
-		case s := <-heard:
+		case s := <-messages:
 			if s.Words[0] == "fetch" {
-				r.audit.sent(n, s.Body, strings.Contains(","+s.Words[2]+",", ",order=0,"))
+				r.audit.attemptReceived(n, s.Body, strings.Contains(","+s.Words[2]+",", ",order=0,"))
 			}
 			select {
 			case model <- s:
@@ -257,10 +257,10 @@
 	return h
 }
 
-// whose an address is that a call comes from.
-func (r *Rig) whose(ip string) string {
+// processAt an address is that a call comes from.
+func (r *Rig) processAt(ip string) string {
 	var n int
-	if _, err := fmt.Sscan(strings.TrimPrefix(ip, r.net), &n); err != nil {
+	if _, err := fmt.Sscan(strings.TrimPrefix(ip, r.addressPrefix), &n); err != nil {
 		return ip
 	}
 	if n > 120 {
@@ -269,15 +269,15 @@
 	return fmt.Sprint("k", n-10)
 }
 
-// engine answers all it is sent after some milliseconds, and counts what ran.
-func (r *Rig) engine(n int, heard <-chan fake.Said) {
+// answerRequests answers all it is sent after some milliseconds, and counts what ran.
+func (r *Rig) answerRequests(n int, messages <-chan fake.Said) {
 	for {
 		select {
-		case s := <-heard:
+		case s := <-messages:
 			if s.Words[0] == "fetch" {
-				r.audit.sent(n, s.Body, strings.Contains(","+s.Words[2]+",", ",order=0,"))
+				r.audit.attemptReceived(n, s.Body, strings.Contains(","+s.Words[2]+",", ",order=0,"))
 				if r.hung[n].Load() {
-					r.audit.hungProbe(n, s.Body)
+					r.audit.addHungProbe(n, s.Body)
 					break
 				}
 				time.AfterFunc(3*time.Millisecond, func() { s.Answer("served", "count=1,ticks=5", "x\t\t\n") })
