--- a/internal/expect/files.go
+++ b/internal/expect/files.go
@@ -16,9 +16,9 @@
 	Err  error
 }
 
-// Read reads files, and all files of folders whose names end in .json, in order of their names. check validates a text
+// ReadFiles reads files, and all files of folders whose names end in .json, in order of their names. check validates a text
 // against the schema.
-func Read(paths []string, check func([]byte) error) (all []Source, err error) {
+func ReadFiles(paths []string, check func([]byte) error) (all []Source, err error) {
 	for _, path := range paths {
 		info, err := os.Stat(path)
 		if err != nil {
--- a/internal/expect/format.go
+++ b/internal/expect/format.go
@@ -13,13 +13,13 @@
 
 // Expectation is a scenario and the conditions that must hold in it.
 type Expectation struct {
-	Name    string   `json:"name" jsonschema:"minLength=1,maxLength=100,description=Unique over all files."`
-	Says    string   `json:"says" jsonschema:"minLength=1,description=A sentence for people: what holds."`
-	Given   Given    `json:"given,omitzero"`
-	Happens []Event  `json:"happens,omitempty" jsonschema:"maxItems=200,description=In order of time."`
-	Seeds   []uint64 `json:"seeds,omitempty" jsonschema:"maxItems=100,description=Chance is tried with each of these. Absent: 1 and 2 and 3."`
-	Holds   []Hold   `json:"holds" jsonschema:"minItems=1,maxItems=50"`
-	MayIdle bool     `json:"may_idle,omitempty" jsonschema:"description=It may pass without ever being put to the test."`
+	Name        string   `json:"name" jsonschema:"minLength=1,maxLength=100,description=Unique over all files."`
+	Description string   `json:"says" jsonschema:"minLength=1,description=A sentence for people: what holds."`
+	Given       Given    `json:"given,omitzero"`
+	Happens     []Event  `json:"happens,omitempty" jsonschema:"maxItems=200,description=In order of time."`
+	Seeds       []uint64 `json:"seeds,omitempty" jsonschema:"maxItems=100,description=Chance is tried with each of these. Absent: 1 and 2 and 3."`
+	Holds       []Hold   `json:"holds" jsonschema:"minItems=1,maxItems=50"`
+	MayIdle     bool     `json:"may_idle,omitempty" jsonschema:"description=It may pass without ever being put to the test."`
 }
 
 // Given is the system that an expectation is checked on.
--- a/internal/expect/hold.go
+++ b/internal/expect/hold.go
@@ -23,8 +23,8 @@
 }
 
 // observe checks the hold at an event. It returns how the event violates the hold, "" if it does not.
-func (h *hold) observe(m *cluster.Moment, values map[string]any) (violation string, err error) {
-	isOn := func(name string) bool { return m.On.String() == name }
+func (h *hold) observe(m *cluster.Observation, values map[string]any) (violation string, err error) {
+	isOn := func(name string) bool { return m.Kind.String() == name }
 	switch {
 	case h.Never != nil && isOn(h.Never.On):
 		return h.checkRule(values, false, "the condition is met")
@@ -42,8 +42,8 @@
 			h.firstViolation = fmt.Sprintf("first event that did not meet the condition at %.3f s", m.Now)
 		}
 		return "", err
-	case h.Within != nil && m.Try != nil:
-		client := m.Try.Mark<<8 | uint64(m.Try.Number&0xff)
+	case h.Within != nil && m.Request != nil:
+		client := m.Request.RequestKey<<8 | uint64(m.Request.ClientRequest&0xff)
 		if isOn(h.Within.Then) {
 			if from, ok := h.openSince[client]; ok {
 				matches, err := h.then.matches(values)
@@ -68,7 +68,7 @@
 			}
 			return "", err
 		}
-		if m.On == cluster.Final { // the request has ended: the awaited event can no longer occur
+		if m.Kind == cluster.RequestFinished { // the request has ended: the awaited event can no longer occur
 			if from, ok := h.openSince[client]; ok {
 				delete(h.openSince, client)
 				return h.lateViolation(m.Now - from), nil
--- a/internal/expect/mutate.go
+++ b/internal/expect/mutate.go
@@ -7,9 +7,9 @@
 
 // Mutant is a configuration that was broken in one way.
 type Mutant struct {
-	Name    string
-	Noticed []string // expectations that do not hold with this configuration
-	Err     error    // the configuration's own validation rejected it
+	Name       string
+	DetectedBy []string // expectations that do not hold with this configuration
+	Err        error    // the configuration's own validation rejected it
 }
 
 // mutations break a configuration: its settings and the operators' file, as JSON values. Each function reports whether
@@ -143,10 +143,10 @@
 	return changed
 }
 
-// Mutate breaks the configuration in each known way that applies to it and returns which expectations detect that. An
+// CheckMutations breaks the configuration in each known way that applies to it and returns which expectations detect that. An
 // expectation's own changes of the settings are applied afterwards, so it detects only breaks of settings that it
 // leaves unchanged.
-func Mutate(u Under, sources []Source, o Options, progress func(name string)) (all []Mutant, err error) {
+func CheckMutations(u Configuration, sources []Source, o Options, progress func(name string)) (all []Mutant, err error) {
 	for _, m := range mutations {
 		var config map[string]any
 		operator := map[string]any{}
@@ -160,7 +160,7 @@
 			continue
 		}
 		progress(m.name)
-		broken := Under{}
+		broken := Configuration{}
 		if broken.Config, err = json.Marshal(config); err != nil {
 			return nil, err
 		}
@@ -172,8 +172,8 @@
 			mutant.Err = err
 		} else {
 			for _, r := range Check(broken, sources, o) {
-				if !r.Good() {
-					mutant.Noticed = append(mutant.Noticed, r.Name)
+				if !r.Held() {
+					mutant.DetectedBy = append(mutant.DetectedBy, r.Name)
 				}
 			}
 		}
--- a/internal/expect/report.go
+++ b/internal/expect/report.go
@@ -12,18 +12,18 @@
 )
 
 // WriteText writes a message for each expectation that does not hold, all expectations if verbose, and a summary.
-func Text(w io.Writer, all []Outcome, verbose bool) {
+func WriteText(w io.Writer, all []Outcome, verbose bool) {
 	for k := range all {
 		o := &all[k]
-		if o.Good() {
+		if o.Held() {
 			if verbose {
 				fmt.Fprintf(w, "%s  %s (%d events, margin %.4g, %.2f s)\n", text.FgGreen.Sprint("passed"), o.Name, o.Exercised, o.Margin, o.Seconds)
 			}
 			continue
 		}
-		fmt.Fprintf(w, "%s  %s: %s\n    %s: %s\n", text.FgRed.Sprint(string(o.Status)), o.Name, o.Says, o.File, o.Why)
-		if o.Knew != "" {
-			fmt.Fprintf(w, "    first at %.3f s with seed %d; state of the router: %s\n", o.At, o.Seed, o.Knew)
+		fmt.Fprintf(w, "%s  %s: %s\n    %s: %s\n", text.FgRed.Sprint(string(o.Status)), o.Name, o.Description, o.File, o.Reason)
+		if o.RouterState != "" {
+			fmt.Fprintf(w, "    first at %.3f s with seed %d; state of the router: %s\n", o.FailedAt, o.Seed, o.RouterState)
 		} else if o.Seed != 0 {
 			fmt.Fprintf(w, "    with seed %d\n", o.Seed)
 		}
@@ -33,11 +33,11 @@
 	}
 	n := Count(all)
 	fmt.Fprintf(w, "%d expectations: %d passed, %d failed, %d void, %d never exercised, %d can't be read\n", len(all), n[Passed], n[Failed],
-		n[Void], n[Idle], n[Broken])
+		n[UnknownServer], n[NeverExercised], n[Unreadable])
 }
 
 // WriteJSON encodes the outcomes, with indentation.
-func JSON(w io.Writer, all []Outcome) error {
+func WriteJSON(w io.Writer, all []Outcome) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(all)
@@ -66,15 +66,15 @@
 }
 
 // WriteJUnit writes the outcomes in the XML format of test reports that CI systems read.
-func JUnit(w io.Writer, all []Outcome) error {
+func WriteJUnit(w io.Writer, all []Outcome) error {
 	s := junitSuite{Name: "expectations", Tests: len(all)}
 	for k := range all {
 		o := &all[k]
 		c := junitCase{Name: o.Name, Class: o.File, Time: o.Seconds}
-		why := &junitMessage{Message: string(o.Status) + ": " + o.Why, Text: o.Says + "\n" + o.Knew}
+		why := &junitMessage{Message: string(o.Status) + ": " + o.Reason, Text: o.Description + "\n" + o.RouterState}
 		switch {
-		case o.Good():
-		case o.Status == Broken:
+		case o.Held():
+		case o.Status == Unreadable:
 			c.Error = why
 			s.Errors++
 		default:
@@ -96,17 +96,17 @@
 }
 
 // Figures are the saved results of an expectation in an earlier run.
-type Record struct {
+type Figures struct {
 	Margin    float64 `json:"margin"`
 	Exercised int     `json:"exercised"`
 }
 
 // SaveFigures saves the figures of all expectations that passed.
-func Save(path string, all []Outcome) error {
-	m := map[string]Record{}
+func SaveFigures(path string, all []Outcome) error {
+	m := map[string]Figures{}
 	for _, o := range all {
-		if o.Good() {
-			m[o.Name] = Record{o.Margin, o.Exercised}
+		if o.Held() {
+			m[o.Name] = Figures{o.Margin, o.Exercised}
 		}
 	}
 	b, err := json.MarshalIndent(m, "", "  ")
@@ -118,12 +118,12 @@
 
 // CompareFigures returns the expectations that still pass, but by less: the margin shrank by more than a share of its
 // earlier value, or fewer than half as many events were checked. It also returns those that are missing.
-func Against(path string, all []Outcome, share float64) (shrunk []string, err error) {
+func CompareFigures(path string, all []Outcome, share float64) (shrunk []string, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var recorded map[string]Record
+	var recorded map[string]Figures
 	if err := json.Unmarshal(b, &recorded); err != nil {
 		return nil, fmt.Errorf("%s: %v", path, err)
 	}
@@ -132,7 +132,7 @@
 		present[o.Name] = true
 		r, ok := recorded[o.Name]
 		switch {
-		case !ok || !o.Good():
+		case !ok || !o.Held():
 		case o.Margin < r.Margin-share*max(r.Margin, 0):
 			shrunk = append(shrunk, fmt.Sprintf("%s: its margin was %.4g and is %.4g", o.Name, r.Margin, o.Margin))
 		case 2*o.Exercised < r.Exercised:
@@ -148,14 +148,14 @@
 }
 
 // Differences returns the expectations whose status differs between two configurations.
-func Differ(old, new []Outcome) (differences []string) {
+func Differences(old, new []Outcome) (differences []string) {
 	oldStatus := map[string]Status{}
 	for _, o := range old {
 		oldStatus[o.Name] = o.Status
 	}
 	for _, o := range new {
 		if s := oldStatus[o.Name]; s != o.Status {
-			differences = append(differences, fmt.Sprintf("%s: %s before, %s now. %s", o.Name, s, o.Status, o.Why))
+			differences = append(differences, fmt.Sprintf("%s: %s before, %s now. %s", o.Name, s, o.Status, o.Reason))
 		}
 	}
 	return differences
@@ -163,7 +163,7 @@
 
 // WriteMutations writes which expectations detect each broken configuration and returns the mutations that none
 // detects.
-func Mutations(w io.Writer, all []Mutant) (unnoticed []string) {
+func WriteMutations(w io.Writer, all []Mutant) (unnoticed []string) {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
 	t.AppendHeader(table.Row{"mutation", "detected by", "for example"})
@@ -171,11 +171,11 @@
 		switch {
 		case m.Err != nil:
 			t.AppendRow(table.Row{m.Name, "the configuration's own validation", m.Err.Error()})
-		case len(m.Noticed) == 0:
+		case len(m.DetectedBy) == 0:
 			t.AppendRow(table.Row{m.Name, "NONE", ""})
 			unnoticed = append(unnoticed, m.Name)
 		default:
-			t.AppendRow(table.Row{m.Name, len(m.Noticed), m.Noticed[0]})
+			t.AppendRow(table.Row{m.Name, len(m.DetectedBy), m.DetectedBy[0]})
 		}
 	}
 	t.Render()
--- a/internal/expect/shrink.go
+++ b/internal/expect/shrink.go
@@ -24,8 +24,8 @@
 
 // affectedByEvent reports whether one of the remaining events affects a server.
 func (c *reduction) affectedByEvent(w *simulation, k int) bool {
-	for n, h := range w.setup.Happens {
-		if n < len(c.omittedEvents) && !c.omittedEvents[n] && slices.Contains(h.Engines, k) {
+	for n, h := range w.setup.Faults {
+		if n < len(c.omittedEvents) && !c.omittedEvents[n] && slices.Contains(h.Servers, k) {
 			return true
 		}
 	}
@@ -34,34 +34,34 @@
 
 // apply removes the omitted parts from a simulation.
 func (c *reduction) apply(w *simulation) {
-	var kept []cluster.Happening
-	for k, h := range w.setup.Happens {
+	var kept []cluster.Fault
+	for k, h := range w.setup.Faults {
 		if !c.omittedEvents[k] {
 			kept = append(kept, h)
 		}
 	}
-	w.setup.Happens = kept
+	w.setup.Faults = kept
 	for k := range w.setup.Streams {
 		if c.omittedStreams[k] {
-			w.setup.Streams[k].Peak = 0
+			w.setup.Streams[k].PeakRate = 0
 		}
 	}
-	for k := range w.setup.Engines {
-		w.setup.Engines[k].Absent = w.setup.Engines[k].Absent || c.omittedServers[k]
+	for k := range w.setup.Servers {
+		w.setup.Servers[k].Absent = w.setup.Servers[k].Absent || c.omittedServers[k]
 	}
 	if c.until > 0 {
-		w.setup.Length = min(w.setup.Length, c.until)
+		w.setup.Duration = min(w.setup.Duration, c.until)
 	}
 	if c.lastClients > 0 {
 		from := c.clientCount - c.lastClients
-		w.setup.Keep = func(n int) bool { return n >= from }
+		w.setup.KeepClient = func(n int) bool { return n >= from }
 	}
 }
 
 // shortestTrace omits events, traffic, servers and earlier clients as long as the same hold is still violated, and
 // returns the trace of the remaining parts.
-func (a expectationCheck) shortestTrace(ctx context.Context, u Under, seed uint64, r *run) []string {
-	c := &reduction{omittedEvents: make([]bool, len(r.simulation.setup.Happens)), omittedServers: make([]bool, len(r.simulation.setup.Engines)), omittedStreams: make([]bool, len(r.simulation.setup.Streams)), until: r.violatedAt + 1e-6}
+func (a expectationCheck) shortestTrace(ctx context.Context, u Configuration, seed uint64, r *run) []string {
+	c := &reduction{omittedEvents: make([]bool, len(r.simulation.setup.Faults)), omittedServers: make([]bool, len(r.simulation.setup.Servers)), omittedStreams: make([]bool, len(r.simulation.setup.Streams)), until: r.violatedAt + 1e-6}
 	shortest := r
 	runs := 0
 	stillFails := func() bool {
--- a/internal/expect/simulation.go
+++ b/internal/expect/simulation.go
@@ -18,7 +18,7 @@
 )
 
 // Configuration is the configuration under test as texts: the router's file and the operators' file ("{}" for none).
-type Under struct{ Config, Operator []byte }
+type Configuration struct{ Config, Operator []byte }
 
 // simulation is the cluster that one expectation is checked on.
 type simulation struct {
@@ -38,7 +38,7 @@
 
 // newSimulation sets up the simulation of an expectation: the configuration with the changes of its file and of the
 // expectation, servers, traffic and events.
-func newSimulation(u Under, f *File, e *Expectation, seed uint64) (*simulation, error) {
+func newSimulation(u Configuration, f *File, e *Expectation, seed uint64) (*simulation, error) {
 	w := &simulation{}
 	given := []*Given{&f.Given, &e.Given}
 	op, err := w.configure(u, given, seed)
@@ -46,10 +46,10 @@
 		return nil, err
 	}
 	t := &w.setup
-	*t = cluster.Settings{Seed: seed, Brain: w.settings.Admission, Zones: w.settings.Zones, Kinds: w.settings.Kinds,
-		Length: 30, Routers: w.settings.Admission.Routers, Waits: op.Waits != nil}
+	*t = cluster.Settings{Seed: seed, Controller: w.settings.Admission, Zones: w.settings.Zones, Kinds: w.settings.Kinds,
+		Duration: 30, Routers: w.settings.Admission.Routers, EstimateWaits: op.Waits != nil}
 	// Features that need probes, messages from other routers or requests for the list are not in a production router either.
-	t.Brain.Peers, t.Brain.ProbeLoads, t.Brain.Ask = false, false, false
+	t.Controller.Peers, t.Controller.ProbeLoads, t.Controller.Ask = false, false, false
 	var tree *fairshare.Tree
 	if len(w.spec.Nodes) > 0 {
 		t.Teams = &w.spec
@@ -63,7 +63,7 @@
 	engines, traffic := f.Given.Engines, f.Given.Traffic
 	for _, g := range given {
 		if g.Seconds > 0 {
-			t.Length = g.Seconds
+			t.Duration = g.Seconds
 		}
 		if g.Routers > 0 {
 			t.Routers = g.Routers
@@ -85,7 +85,7 @@
 }
 
 // configure reads the settings and the operators' file, each with the given merge patches (RFC 7396).
-func (w *simulation) configure(u Under, given []*Given, seed uint64) (op operator.File, err error) {
+func (w *simulation) configure(u Configuration, given []*Given, seed uint64) (op operator.File, err error) {
 	var file struct {
 		Settings json.RawMessage `json:"settings"`
 	}
@@ -123,7 +123,7 @@
 const maxServers, maxRequests = 1000, 2e6 // bounds of a simulation that takes at most half a minute
 
 // addServers adds the given servers, by default those of the configuration's initial list.
-func (w *simulation) addServers(list []Engines, u Under) error {
+func (w *simulation) addServers(list []Engines, u Configuration) error {
 	if len(list) == 0 {
 		c, err := config.Parse(u.Config, "x", "127.0.0.1:1")
 		if err != nil {
@@ -153,8 +153,8 @@
 			}
 		}
 		cores := 1.0
-		if kind < len(t.Brain.KindCores) {
-			cores = t.Brain.KindCores[kind]
+		if kind < len(t.Controller.KindCores) {
+			cores = t.Controller.KindCores[kind]
 		}
 		for k := range max(g.Count, 1) {
 			name := g.Name
@@ -167,9 +167,9 @@
 			if w.serverNames = append(w.serverNames, name); len(w.serverNames) > maxServers {
 				return errorAt(path, "more than %d engines", maxServers)
 			}
-			t.Engines = append(t.Engines, cluster.Engine{Name: name, Kind: kind, Zone: zone, Cell: g.Cell, Absent: g.Absent,
-				Settings: engine.Settings{Cores: cores, Speed: g.Pace, Sessions: g.Sessions, Memory: g.Memory, Spill: 3,
-					Knee: 2, Thrash: 0.3, Notes: 2}})
+			t.Servers = append(t.Servers, cluster.Server{Name: name, Kind: kind, Zone: zone, Cell: g.Cell, Absent: g.Absent,
+				Settings: engine.Settings{Cores: cores, Speed: g.Pace, MaxQueries: g.Sessions, Memory: g.Memory, SpillOverhead: 3,
+					Knee: 2, ContentionLoss: 0.3, ProgressInterval: 2}})
 		}
 	}
 	return nil
@@ -180,8 +180,8 @@
 	sum := 0.0
 	for n, g := range list {
 		path := fmt.Sprintf("/given/traffic/%d", n)
-		s := cluster.Stream{Name: g.Name, Work: g.Work, CV: g.Spread, Memory: g.Memory, Deadline: g.Deadline, Scatter: g.Scatter,
-			Bias: g.Bias, Blind: g.Blind, Keys: g.Keys, Tries: g.Tries, Ignores: g.Ignores}
+		s := cluster.Stream{Name: g.Name, Work: g.Work, CV: g.Spread, Memory: g.Memory, Deadline: g.Deadline, EstimateCV: g.Scatter,
+			EstimateBias: g.Bias, NoEstimates: g.Blind, Keys: g.Keys, MaxRequests: g.Tries, IgnoresPauseShare: g.Ignores}
 		if s.Profile = slices.Index(w.settings.Profiles, g.Profile); s.Profile < 0 {
 			return errorAt(path+"/profile", "the settings have no profile %q", g.Profile)
 		}
@@ -199,8 +199,8 @@
 		if s.Deadline == 0 {
 			s.Deadline = w.settings.ClientTimeouts[s.Profile]
 		}
-		s.Rate, s.Peak = cluster.Steady(g.Rate)
-		if sum += g.Rate * w.setup.Length; sum > maxRequests {
+		s.Rate, s.PeakRate = cluster.ConstantRate(g.Rate)
+		if sum += g.Rate * w.setup.Duration; sum > maxRequests {
 			return errorAt(path+"/rate", "more than %.0f requests in total", maxRequests)
 		}
 		w.setup.Streams = append(w.setup.Streams, s)
@@ -213,7 +213,7 @@
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	last := 0.0
 	absent := make([]bool, len(w.serverNames)) // by server: not in the server list at the time of the event
-	for k, e := range w.setup.Engines {
+	for k, e := range w.setup.Servers {
 		absent[k] = e.Absent
 	}
 	revision := 1
@@ -223,11 +223,11 @@
 			return errorAt(path+"/at", "%v s is before the preceding event, at %v s", g.At, last)
 		}
 		last = g.At
-		act, ok := cluster.ActOf(g.What)
+		act, ok := cluster.ParseFaultKind(g.What)
 		if !ok {
 			return errorAt(path+"/what", "unknown event %q", g.What)
 		}
-		h := cluster.Happening{At: g.At, For: g.For, Act: act, Value: g.Value, Routers: g.Routers}
+		h := cluster.Fault{At: g.At, Duration: g.For, Kind: act, Value: g.Value, Routers: g.Routers}
 		for _, r := range g.Routers {
 			if r < 0 || r >= w.setup.Routers {
 				return errorAt(path+"/routers", "there is no router %d of %d", r, w.setup.Routers)
@@ -239,33 +239,33 @@
 				w.voidReasons = append(w.voidReasons, fmt.Sprintf("at %v s: the server list never contains engine %q (list number then: %d)", g.At, name, revision))
 				continue
 			}
-			h.Engines = append(h.Engines, matching...)
+			h.Servers = append(h.Servers, matching...)
 		}
 		if g.Any > 0 {
-			rnd.Shuffle(len(h.Engines), func(i, j int) { h.Engines[i], h.Engines[j] = h.Engines[j], h.Engines[i] })
-			h.Engines = h.Engines[:min(g.Any, len(h.Engines))]
-			slices.Sort(h.Engines)
+			rnd.Shuffle(len(h.Servers), func(i, j int) { h.Servers[i], h.Servers[j] = h.Servers[j], h.Servers[i] })
+			h.Servers = h.Servers[:min(g.Any, len(h.Servers))]
+			slices.Sort(h.Servers)
 		}
-		if act <= cluster.Back {
+		if act <= cluster.StartServers {
 			revision++
 		}
-		for _, k := range h.Engines {
-			if wasAbsent := absent[k]; wasAbsent && act != cluster.Back {
+		for _, k := range h.Servers {
+			if wasAbsent := absent[k]; wasAbsent && act != cluster.StartServers {
 				w.voidReasons = append(w.voidReasons, fmt.Sprintf("at %v s: engine %q is not in the server list then (list number: %d): %s", g.At,
 					w.serverNames[k], revision, w.absenceReason(list, n, k)))
 			}
-			if act == cluster.Gone && g.For == 0 {
+			if act == cluster.StopServers && g.For == 0 {
 				absent[k] = true
-			} else if act == cluster.Back {
+			} else if act == cluster.StartServers {
 				absent[k] = false
 			}
 		}
-		if act == cluster.Burst {
+		if act == cluster.TrafficBurst {
 			if h.Stream = slices.IndexFunc(w.setup.Streams, func(s cluster.Stream) bool { return s.Name == g.Traffic }); h.Stream < 0 {
 				return errorAt(path+"/traffic", "there is no traffic %q", g.Traffic)
 			}
 		}
-		w.setup.Happens = append(w.setup.Happens, h)
+		w.setup.Faults = append(w.setup.Faults, h)
 	}
 	return nil
 }
@@ -282,8 +282,8 @@
 
 // matching returns the servers that a name stands for: one server, or all of a zone or kind.
 func (w *simulation) matching(name string) (list []int, ok bool) {
-	all := func(is func(cluster.Engine) bool) []int {
-		for k, e := range w.setup.Engines {
+	all := func(is func(cluster.Server) bool) []int {
+		for k, e := range w.setup.Servers {
 			if is(e) {
 				list = append(list, k)
 			}
@@ -292,14 +292,14 @@
 	}
 	if zone, is := strings.CutPrefix(name, "zone:"); is {
 		z := slices.Index(w.settings.Zones, zone)
-		return all(func(e cluster.Engine) bool { return e.Zone == z }), z >= 0
+		return all(func(e cluster.Server) bool { return e.Zone == z }), z >= 0
 	}
 	if kind, is := strings.CutPrefix(name, "kind:"); is {
 		z := slices.Index(w.settings.Kinds, kind)
-		return all(func(e cluster.Engine) bool { return e.Kind == z }), z >= 0
+		return all(func(e cluster.Server) bool { return e.Kind == z }), z >= 0
 	}
 	if name == "all" {
-		return all(func(cluster.Engine) bool { return true }), true
+		return all(func(cluster.Server) bool { return true }), true
 	}
 	k := slices.Index(w.serverNames, name)
 	return []int{k}, k >= 0
--- a/internal/expect/trace.go
+++ b/internal/expect/trace.go
@@ -10,33 +10,33 @@
 )
 
 // traceLine formats an event.
-func (w *simulation) traceLine(m *cluster.Moment) string {
-	s := fmt.Sprintf("%9.3f router %d %-8s", m.Now, m.Router, m.On)
-	if m.Try != nil {
-		s += fmt.Sprintf(" %s attempt %d of the client", m.Stream.Name, m.Try.Number)
+func (w *simulation) traceLine(m *cluster.Observation) string {
+	s := fmt.Sprintf("%9.3f router %d %-8s", m.Now, m.Router, m.Kind)
+	if m.Request != nil {
+		s += fmt.Sprintf(" %s attempt %d of the client", m.Stream.Name, m.Request.ClientRequest)
 	}
-	switch m.On {
-	case cluster.Sent:
-		s += fmt.Sprintf(" attempt %d to %s (reported %s, level %d)", m.Number, w.serverNames[m.Engine], stateName(m.Told), m.Level)
-	case cluster.SendEnded:
-		s += fmt.Sprintf(" attempt %d at %s: %s", m.Number, w.serverNames[m.Engine], endTexts[m.End])
-	case cluster.Final:
-		s += " " + m.Try.How.String()
-	case cluster.Listed:
-		s += fmt.Sprintf(" list number %d, %d engines ready", m.Rev, m.Listed)
+	switch m.Kind {
+	case cluster.AttemptSent:
+		s += fmt.Sprintf(" attempt %d to %s (reported %s, level %d)", m.Attempt, w.serverNames[m.Server], stateName(m.ListedState), m.Priority)
+	case cluster.AttemptEnded:
+		s += fmt.Sprintf(" attempt %d at %s: %s", m.Attempt, w.serverNames[m.Server], endTexts[m.End])
+	case cluster.RequestFinished:
+		s += " " + m.Request.Outcome.String()
+	case cluster.ListUpdated:
+		s += fmt.Sprintf(" list number %d, %d engines ready", m.ListRevision, m.ReadyListed)
 	}
 	return s
 }
 
 // routerState describes a router's state at an event.
-func (w *simulation) routerState(m *cluster.Moment) string {
-	s := fmt.Sprintf("list number %d", m.Rev)
-	if m.Engine >= 0 {
-		s += fmt.Sprintf("; engine %s reported %s for %.3f s and truly %s, %d queries there", w.serverNames[m.Engine], stateName(m.Told), m.ToldFor,
-			stateName(m.True), m.EngineN)
+func (w *simulation) routerState(m *cluster.Observation) string {
+	s := fmt.Sprintf("list number %d", m.ListRevision)
+	if m.Server >= 0 {
+		s += fmt.Sprintf("; engine %s reported %s for %.3f s and truly %s, %d queries there", w.serverNames[m.Server], stateName(m.ListedState), m.ListedStateAge,
+			stateName(m.ActualState), m.ServerQueries)
 	}
-	if m.Try != nil {
-		s += fmt.Sprintf("; request of %s, waited %.3f s, attempt %d, %d open", m.Stream.Name, m.Waited, m.Number, m.Out)
+	if m.Request != nil {
+		s += fmt.Sprintf("; request of %s, waited %.3f s, attempt %d, %d open", m.Stream.Name, m.Waited, m.Attempt, m.OutstandingAttempts)
 	}
 	return s
 }
--- a/internal/fake/model.go
+++ b/internal/fake/model.go
@@ -13,11 +13,13 @@
 
 // RunModel answers a server's messages like a model server, in real time, until the context ends. A comment in a
 // statement states its true work in core seconds, its threads and its memory: /* work=0.2 threads=1 memory=50 */.
-func Model(ctx context.Context, set engine.Settings, in <-chan Said) { Paced(ctx, set, in, nil) }
+func RunModel(ctx context.Context, set engine.Settings, in <-chan Message) {
+	RunPaced(ctx, set, in, nil)
+}
 
 // RunPaced is RunModel with changes of the server's speed, each a factor of the configured speed.
-func Paced(ctx context.Context, set engine.Settings, messages <-chan Said, pace <-chan float64) {
-	p := &modelServer{start: time.Now(), model: engine.New(set, 0), running: map[uint64]Said{}, queryIDs: map[requestID]uint64{}}
+func RunPaced(ctx context.Context, set engine.Settings, messages <-chan Message, pace <-chan float64) {
+	p := &modelServer{start: time.Now(), model: engine.New(set, 0), running: map[uint64]Message{}, queryIDs: map[requestID]uint64{}}
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
@@ -31,7 +33,7 @@
 			p.receive(s)
 		case <-timer.C:
 		case factor := <-pace:
-			p.model.Pace(p.now(), factor)
+			p.model.SetSpeed(p.now(), factor)
 		case <-ctx.Done():
 			return
 		}
@@ -52,7 +54,7 @@
 type modelServer struct {
 	start    time.Time
 	model    *engine.Engine
-	running  map[uint64]Said // running requests, by the model's query id
+	running  map[uint64]Message // running requests, by the model's query id
 	queryIDs map[requestID]uint64
 	lastID   uint64
 }
@@ -61,7 +63,7 @@
 func (p *modelServer) now() float64 { return time.Since(p.start).Seconds() }
 
 // receive passes a message to the model.
-func (p *modelServer) receive(s Said) {
+func (p *modelServer) receive(s Message) {
 	switch id := (requestID{s.conn, s.Words[1]}); s.Words[0] {
 	case "fetch":
 		p.lastID++
@@ -74,7 +76,7 @@
 		p.running[p.lastID], p.queryIDs[id] = s, p.lastID
 	case "renice":
 		if n, err := strconv.Atoi(s.Words[2]); err == nil {
-			p.model.Renice(p.now(), p.queryIDs[id], n)
+			p.model.SetPriority(p.now(), p.queryIDs[id], n)
 		}
 	case "abort": // the query goes on running, but its result is dropped
 		delete(p.running, p.queryIDs[id])
@@ -88,21 +90,21 @@
 	if !waiting {
 		return
 	}
-	switch event.What {
-	case engine.Done:
+	switch event.Kind {
+	case engine.Completed:
 		delete(p.running, event.ID)
 		delete(p.queryIDs, requestID{s.conn, s.Words[1]})
 		s.Answer("served", fmt.Sprintf("count=1,ticks=%.3f", event.Value*1000), "a\tb\tc\n")
 	case engine.Progress:
 		s.Answer("update", fmt.Sprintf("res=p,reading=%.3f", event.Value), "")
-	case engine.Spills:
+	case engine.Spilled:
 		s.Answer("update", fmt.Sprintf("res=s,reading=%.3f", event.Value), "")
 	}
 }
 
 // parseQuery reads a query from the comment in a statement and the fields of its request.
-func parseQuery(s Said) engine.Query {
-	q := engine.Query{Threads: 1, Level: 1}
+func parseQuery(s Message) engine.Query {
+	q := engine.Query{Threads: 1, Priority: 1}
 	for _, word := range strings.Fields(s.Body) {
 		name, value, _ := strings.Cut(word, "=")
 		v, err := strconv.ParseFloat(value, 64)
@@ -120,7 +122,7 @@
 	}
 	for _, field := range strings.Split(s.Words[2], ",") {
 		if level, ok := strings.CutPrefix(field, "order="); ok {
-			q.Level, _ = strconv.Atoi(level)
+			q.Priority, _ = strconv.Atoi(level)
 		}
 	}
 	return q
--- a/internal/fake/standalone.go
+++ b/internal/fake/standalone.go
@@ -7,26 +7,26 @@
 
 // Standalone implements T for programs that use the fakes outside of tests. RunCleanups runs the registered cleanups,
 // last first.
-type Desk struct {
+type Standalone struct {
 	mu       sync.Mutex
 	cleanups []func()
 }
 
 // Helper does nothing, since there is no test log with line numbers.
-func (d *Desk) Helper() {}
+func (d *Standalone) Helper() {}
 
 // Fatal panics with its arguments as text.
-func (d *Desk) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
+func (d *Standalone) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
 
 // Cleanup registers a function that RunCleanups calls.
-func (d *Desk) Cleanup(f func()) {
+func (d *Standalone) Cleanup(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cleanups = append(d.cleanups, f)
 }
 
 // RunCleanups runs all cleanups, the last registered first.
-func (d *Desk) End() {
+func (d *Standalone) RunCleanups() {
 	d.mu.Lock()
 	cleanups := d.cleanups
 	d.cleanups = nil
--- a/internal/faultrig/observers.go
+++ b/internal/faultrig/observers.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Observers starts sessions beside the routers', spread evenly over the zones, that send the reports of the function
+// StartObservers starts sessions beside the routers', spread evenly over the zones, that send the reports of the function
 // report, true or false, to the plan's owner. They connect to the coordinators as routers do. Start them after the plan
 // has an owner: they would own tasks as well otherwise.
-func (r *Rig) Observers(count int, report func(zone int) failover.Report) (stop func()) {
+func (r *Rig) StartObservers(count int, report func(zone int) failover.Report) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	n := r.file.Zones
@@ -43,7 +43,7 @@
 				case <-tick.C:
 					now := boottime.Now()
 					m.SetDemand(now, agent.Demand{Report: func() failover.Report { return report(zone) }})
-					d.Put(m.Tick(now))
+					d.Submit(m.Tick(now))
 				}
 			}
 		})
--- a/internal/faultrig/setup.go
+++ b/internal/faultrig/setup.go
@@ -26,16 +26,16 @@
 
 // Options of a rig in addition to its scenario.
 type Options struct {
-	Warm    bool     // the servers started long ago
-	Quota   float64  // quota in requests per second of the tenant of all clients; 0: 1000
-	Clients []int    // clients of each router, if there is load; nil: one each
-	Works   []string // kinds of tasks that routers are candidates for; nil: all
-	Linked  bool     // proxies between routers and servers, for faults in these links
-	Cores   float64  // cores of each model server; 0: servers that answer in 3 ms instead
-	Hidden  int      // zone (from 1) that is not in the server lists at first; 0: none; requires LinkFaults
-	Work    float64  // core seconds of each request; 0: 0.005
-	Target  int      // latency target in ms; 0: 1000
-	State   bool     // routers save their learned state in a folder
+	WarmServers    bool     // the servers started long ago
+	Quota          float64  // quota in requests per second of the tenant of all clients; 0: 1000
+	Clients        []int    // clients of each router, if there is load; nil: one each
+	TaskKinds      []string // kinds of tasks that routers are candidates for; nil: all
+	LinkFaults     bool     // proxies between routers and servers, for faults in these links
+	ServerCores    float64  // cores of each model server; 0: servers that answer in 3 ms instead
+	HiddenZone     int      // zone (from 1) that is not in the server lists at first; 0: none; requires LinkFaults
+	WorkPerRequest float64  // core seconds of each request; 0: 0.005
+	LatencyTarget  int      // latency target in ms; 0: 1000
+	SaveState      bool     // routers save their learned state in a folder
 }
 
 // New returns a fleet for a scenario. Start starts its processes.
@@ -45,7 +45,7 @@
 
 // NewWith is New with options.
 func NewWith(f scenario.File, options Options, bin, dir string, log func(string)) (*Rig, error) {
-	r := &Rig{options: options, file: f, bin: bin, dir: dir, procs: map[string]*process{}, proxies: map[string]*proxy{}, fakes: &fake.Desk{}, log: log,
+	r := &Rig{options: options, file: f, bin: bin, dir: dir, procs: map[string]*process{}, proxies: map[string]*proxy{}, fakes: &fake.Standalone{}, log: log,
 		addressPrefix: fmt.Sprintf("127.%d.%d.", 64+rand.IntN(128), rand.IntN(256)), startedAt: time.Now(), stop: make(chan struct{}), startRequests: make(chan func())}
 	if r.log == nil {
 		r.log = func(string) {}
@@ -59,27 +59,27 @@
 		}
 	}()
 	if len(f.Events) > 0 || f.Routers > 0 {
-		if f.Routers > 90 || f.Keepers > 9 {
+		if f.Routers > 90 || f.Coordinators > 9 {
 			return nil, errors.New("at most 90 routers and 9 coordinators are supported")
 		}
 	}
 	r.nameServer = fake.NewNameServer(r.fakes, discovery.ServiceName)
 	var targets []string
 	serversStartedMs := time.Now().Add(-time.Second).UnixMilli()
-	if options.Warm {
+	if options.WarmServers {
 		serversStartedMs = 0
 	}
-	r.hung = make([]atomic.Bool, f.Engines)
-	for n := range f.Engines {
-		messages := make(chan fake.Said, 1000)
-		e := fake.NewEngine(r.fakes, messages)
-		if options.Cores > 0 {
-			modelMessages := make(chan fake.Said, 1000)
+	r.hung = make([]atomic.Bool, f.Servers)
+	for n := range f.Servers {
+		messages := make(chan fake.Message, 1000)
+		e := fake.NewServer(r.fakes, messages)
+		if options.ServerCores > 0 {
+			modelMessages := make(chan fake.Message, 1000)
 			ctx, cancel := context.WithCancel(context.Background())
 			r.fakes.Cleanup(cancel)
 			pace := make(chan float64)
 			r.paceChanges = append(r.paceChanges, pace)
-			go fake.Paced(ctx, engine.Settings{Cores: options.Cores, Sessions: 256, Knee: 2, Thrash: 0.3}, modelMessages, pace)
+			go fake.RunPaced(ctx, engine.Settings{Cores: options.ServerCores, MaxQueries: 256, Knee: 2, ContentionLoss: 0.3}, modelMessages, pace)
 			go r.forwardToModel(n, messages, modelMessages)
 		} else {
 			go r.answerRequests(n, messages)
@@ -89,7 +89,7 @@
 		targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"%s","model":"std","state":"ready","boot_ms":%d}`, n+1, e.Addr, f.Zone(n), serversStartedMs))
 	}
 	r.serversStartedMs = serversStartedMs
-	r.nameServer.Set(1, r.serverList...)
+	r.nameServer.SetList(1, r.serverList...)
 	if err := r.configure(targets); err != nil {
 		r.Close()
 		return nil, err
@@ -100,7 +100,7 @@
 // configure creates the folders, proxies and configuration files of all processes.
 func (r *Rig) configure(targets []string) error {
 	var spec, addrs []string
-	for n := range r.file.Keepers {
+	for n := range r.file.Coordinators {
 		name := fmt.Sprint("k", n+1)
 		front, back := fmt.Sprint(r.addressPrefix, 101+n, ":7000"), fmt.Sprint(r.addressPrefix, 11+n, ":7000")
 		spec = append(spec, fmt.Sprintf("%s=%s@%s", name, front, r.file.Zone(n)))
@@ -114,7 +114,7 @@
 		}
 		r.proxies[name] = l
 	}
-	for n := range r.file.Keepers {
+	for n := range r.file.Coordinators {
 		name := fmt.Sprint("k", n+1)
 		args := []string{"init", r.procs[name].folder, "--name", name, "--keepers", strings.Join(spec, ","),
 			"--lease", fmt.Sprint(r.file.Lease), "--drift", fmt.Sprint(r.file.Drift)}
@@ -139,7 +139,7 @@
 			return err
 		}
 		targets, nameServer := targets, r.nameServer.Addr
-		if r.options.Linked {
+		if r.options.LinkFaults {
 			var err error
 			if targets, nameServer, err = r.newRouterList(name); err != nil {
 				return err
@@ -155,19 +155,19 @@
 			"Limits":{"ConnIdle":30000,"ConnectTimeout":250,"MaxStreams":100,"MaxRetryAfter":500,"OpenCap":1000,"RetryAfter":true,"SendCap":6},
 			"Obligations":{"ColdFrom":0.35,"DrainGrace":250,"Fall":1000,"FallMultiple":2,"WarmUp":7200000}}}`,
 			rand.Uint64(), nameServer, strings.Join(targets, ","), r.file.Routers, n, n%r.file.Zones, strings.Join(zones, ","),
-			cmp.Or(r.options.Target, 1000), cmp.Or(r.options.Target, 1000), cores, cmp.Or(r.options.Quota, 1000))
+			cmp.Or(r.options.LatencyTarget, 1000), cmp.Or(r.options.LatencyTarget, 1000), cores, cmp.Or(r.options.Quota, 1000))
 		fleet := map[string]any{"keepers": addrs, "zone": p.zone, "region": "r", "from": ip, "trace": true}
-		if r.file.Folders {
+		if r.file.PersistentFolders {
 			fleet["folder"] = filepath.Join(p.folder, "state")
 		}
-		if r.options.Works != nil {
-			fleet["works"] = r.options.Works
+		if r.options.TaskKinds != nil {
+			fleet["works"] = r.options.TaskKinds
 		}
 		section := map[string]any{}
-		if r.file.Keepers > 0 {
+		if r.file.Coordinators > 0 {
 			section["fleet"] = fleet
 		}
-		if r.options.State {
+		if r.options.SaveState {
 			section["state"] = map[string]any{"folder": filepath.Join(p.folder, "kept"), "snapshot_s": 2, "record_s": 0.5}
 		}
 		operator, _ := json.Marshal(section)
@@ -201,12 +201,12 @@
 		}
 		r.proxies[name+" "+e] = l
 		o.proxyAddrs = append(o.proxyAddrs, l.listener.Addr().String())
-		if n%r.file.Zones != r.options.Hidden-1 {
+		if n%r.file.Zones != r.options.HiddenZone-1 {
 			targets = append(targets, fmt.Sprintf(`{"uid":"e-%d","endpoint":"%s","az":"%s","model":"std","state":"ready","boot_ms":%d}`, n+1, o.proxyAddrs[n], r.file.Zone(n), r.serversStartedMs))
 		}
 	}
 	r.routerLists = append(r.routerLists, o)
-	o.publish(r, r.options.Hidden, 0, 0)
+	o.publish(r, r.options.HiddenZone, 0, 0)
 	return targets, o.server.Addr, nil
 }
 
@@ -225,19 +225,19 @@
 		list = append(list, fmt.Sprintf("e-%d.%s 0 10 std 0 %d %s", n+1, r.file.Zone(n), start, proxyAddr))
 	}
 	o.serial++
-	o.server.Set(o.serial, list...)
+	o.server.SetList(o.serial, list...)
 }
 
 // PublishServerLists publishes a list with all zones to all routers. The servers of one zone (from 1, 0: none) have
 // just started by it.
-func (r *Rig) Relist(zone int) {
+func (r *Rig) PublishServerLists(zone int) {
 	for _, o := range r.routerLists {
 		o.publish(r, 0, zone, time.Now().UnixMilli())
 	}
 }
 
 // forwardToModel records the messages of a model server and passes them on.
-func (r *Rig) forwardToModel(n int, messages <-chan fake.Said, model chan<- fake.Said) {
+func (r *Rig) forwardToModel(n int, messages <-chan fake.Message, model chan<- fake.Message) {
 	for {
 		select {
 		case s := <-messages:
@@ -274,7 +274,7 @@
 }
 
 // answerRequests answers all requests of a server after 3 ms, unless it is hung, and counts them.
-func (r *Rig) answerRequests(n int, messages <-chan fake.Said) {
+func (r *Rig) answerRequests(n int, messages <-chan fake.Message) {
 	for {
 		select {
 		case s := <-messages:
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -89,7 +89,7 @@
 	return &Session{handler: handler, scratch: scratch, open: map[int32]uint32{}}
 }
 
-// Up is called when the connection is established. There is nothing to do.
+// Connected is called when the connection is established. There is nothing to do.
 func (s *Session) Connected() {}
 
 // Feed processes received bytes. Once the session is closing it discards them, as an answer could not be sent any more.
--- a/internal/hollow/fleet.go
+++ b/internal/hollow/fleet.go
@@ -21,22 +21,22 @@
 
 // Limits of one fleet on one machine, checked while it runs.
 const (
-	MostMemoryMB  = 12 << 10
-	MostProcesses = 300
+	MaxMemoryMB  = 12 << 10
+	MaxProcesses = 300
 )
 
 // Options configures a fleet.
 type Options struct {
-	Keep         string // path of the coordinator program
-	Worker       string // path of the program that runs Worker.Serve; started with WorkerArgs
-	WorkerArgs   []string
-	Folder       string // parent of the coordinators' data folders; must be used by this fleet only
-	Coordinators int
-	Routers      int    // number of routers in the settings, and maximum number that run
-	PerWorker    int    // routers per worker process
-	Zones        []Zone // coordinators and routers are assigned to the zones round-robin
-	Databases    int
-	Lease        float64 // seconds
+	CoordinatorProgram string // path of the coordinator program
+	WorkerProgram      string // path of the program that runs Worker.Serve; started with WorkerArgs
+	WorkerArgs         []string
+	Folder             string // parent of the coordinators' data folders; must be used by this fleet only
+	Coordinators       int
+	Routers            int    // number of routers in the settings, and maximum number that run
+	RoutersPerWorker   int    // routers per worker process
+	Zones              []Zone // coordinators and routers are assigned to the zones round-robin
+	Databases          int
+	Lease              float64 // seconds
 }
 
 // Fleet runs a set of coordinators and the hollow routers that connect to them. Its methods must be called from one goroutine.
@@ -92,9 +92,9 @@
 		}
 	}
 	network := NewNetwork(route) // the fleet's own requests bypass the relays, as the routers' requests do
-	f.client = coordserver.NewClientOver(published, network.Dial(""))
-	for range (f.options.Routers + f.options.PerWorker - 1) / f.options.PerWorker {
-		w, err := startWorker(f.starter, f.options.Worker, f.options.WorkerArgs...)
+	f.client = coordserver.NewClientWithDial(published, network.Dial(""))
+	for range (f.options.Routers + f.options.RoutersPerWorker - 1) / f.options.RoutersPerWorker {
+		w, err := startWorker(f.starter, f.options.WorkerProgram, f.options.WorkerArgs...)
 		if err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 }
 
 func (f *Fleet) startCoordinator(c *coordinatorProcess) error {
-	cmd := exec.Command(f.options.Keep, "run", c.folder, "--listen", c.listenAddress, "--from", c.sourceHost)
+	cmd := exec.Command(f.options.CoordinatorProgram, "run", c.folder, "--listen", c.listenAddress, "--from", c.sourceHost)
 	cmd.Stderr = &c.log
 	if err := f.starter.start(cmd); err != nil {
 		return err
@@ -183,11 +183,11 @@
 	for n, c := range f.coordinators {
 		addresses[n] = c.published
 	}
-	return f.client.Each(ctx, addresses)
+	return f.client.Statuses(ctx, addresses)
 }
 
 // Registry returns the current registry from the coordinators.
-func (f *Fleet) Registry() (p coordserver.Picture, err error) {
+func (f *Fleet) Registry() (p coordserver.RegistrySnapshot, err error) {
 	const timeout = 3 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -230,7 +230,7 @@
 func (f *Fleet) sendTo(action Action, numbers []int, start bool) (Report, error) {
 	byWorker := make([][]int, len(f.workers))
 	for _, number := range numbers {
-		worker := (number - 1) / f.options.PerWorker
+		worker := (number - 1) / f.options.RoutersPerWorker
 		byWorker[worker] = append(byWorker[worker], number)
 		if start {
 			f.running[number] = true
@@ -250,20 +250,20 @@
 // StopRouters shuts these routers down, closing their sessions.
 func (f *Fleet) StopRouters(numbers []int) (Report, error) { return f.sendTo(Stop, numbers, false) }
 
-// Load sets the demand of all routers from now on.
-func (f *Fleet) Load(d Demand) error {
-	_, err := f.sendAll(Command{Action: Load, Demand: &d})
+// SetDemand sets the demand of all routers from now on.
+func (f *Fleet) SetDemand(d Demand) error {
+	_, err := f.sendAll(Command{Action: SetDemand, Demand: &d})
 	return err
 }
 
-// Mark resets the confirmations: only those from now on count for Report.Confirmed.
-func (f *Fleet) Mark() error {
-	_, err := f.sendAll(Command{Action: Mark})
+// ResetConfirmed resets the confirmations: only those from now on count for Report.Confirmed.
+func (f *Fleet) ResetConfirmed() error {
+	_, err := f.sendAll(Command{Action: ResetConfirmed})
 	return err
 }
 
-// Look collects the reports of all routers.
-func (f *Fleet) Look() (Report, error) { return f.sendAll(Command{Action: Look}) }
+// CollectReports collects the reports of all routers.
+func (f *Fleet) CollectReports() (Report, error) { return f.sendAll(Command{Action: CollectReports}) }
 
 // KillCoordinator kills coordinator n without a shutdown, as a power loss would.
 func (f *Fleet) KillCoordinator(n int) {
@@ -380,14 +380,14 @@
 	Report    Report
 }
 
-// Recover waits until the control plane has recovered: the sessions of the given number of routers have been confirmed since the last
+// AwaitRecovery waits until the control plane has recovered: the sessions of the given number of routers have been confirmed since the last
 // ResetConfirmed, the registry contains no other sessions, and the given number of tasks are owned.
-func (f *Fleet) Recover(since float64, routers, tasks int, timeout time.Duration) (r Recovery, err error) {
+func (f *Fleet) AwaitRecovery(since float64, routers, tasks int, timeout time.Duration) (r Recovery, err error) {
 	confirmed := false
-	var registry coordserver.Picture
+	var registry coordserver.RegistrySnapshot
 	err = f.await(timeout, "waiting for the control plane to recover", func() (bool, error) {
 		if !confirmed {
-			report, err := f.Look()
+			report, err := f.CollectReports()
 			if err != nil {
 				return false, err
 			}
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -126,11 +126,11 @@
 
 // Usage is the resource usage of one process.
 type Usage struct {
-	Core        float64 // seconds of processor time
-	MemoryMB    float64 // resident
-	Transferred float64 // bytes transferred by read and write calls, on sockets and files
-	Written     float64 // bytes written to disk
-	Descriptors int     // open file descriptors
+	CPU              float64 // seconds of processor time
+	MemoryMB         float64 // resident
+	TransferredBytes float64 // bytes transferred by read and write calls, on sockets and files
+	WrittenBytes     float64 // bytes written to disk
+	Descriptors      int     // open file descriptors
 }
 
 // clockTicks is USER_HZ, which is the same on every Linux platform that Go supports.
@@ -155,7 +155,7 @@
 		ticks += n
 	}
 	fmt.Sscan(fields[resident], &pages)
-	u.Core = ticks / clockTicks
+	u.CPU = ticks / clockTicks
 	u.MemoryMB = pages * float64(os.Getpagesize()) / (1 << 20)
 	if text, err = os.ReadFile(fmt.Sprintf("/proc/%d/io", pid)); err != nil {
 		return u, err
@@ -166,9 +166,9 @@
 		fmt.Sscan(value, &n)
 		switch name {
 		case "rchar", "wchar":
-			u.Transferred += n
+			u.TransferredBytes += n
 		case "write_bytes":
-			u.Written = n
+			u.WrittenBytes = n
 		}
 	}
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -177,9 +177,9 @@
 }
 
 func (u *Usage) add(o Usage) {
-	u.Core += o.Core
+	u.CPU += o.CPU
 	u.MemoryMB += o.MemoryMB
-	u.Transferred += o.Transferred
-	u.Written += o.Written
+	u.TransferredBytes += o.TransferredBytes
+	u.WrittenBytes += o.WrittenBytes
 	u.Descriptors += o.Descriptors
 }
--- a/internal/hollow/protocol.go
+++ b/internal/hollow/protocol.go
@@ -9,15 +9,15 @@
 
 // The actions, with the command fields that each uses. Every command is answered by one report.
 const (
-	Configure Action = "configure" // Setup: must be the first command, and sent only once
-	Start     Action = "start"     // Routers: start these as new incarnations
-	Crash     Action = "crash"     // Routers: end these without closing their sessions, as SIGKILL would
-	Stop      Action = "stop"      // Routers: close the sessions of these and end them, as SIGTERM would
-	Load      Action = "load"      // Demand: the demand of all routers from now on
-	Cut       Action = "cut"       // Region, Addresses: links that drop all data from now on
-	Heal      Action = "heal"      // restore all links
-	Mark      Action = "mark"      // only confirmations from now on count for Report.Confirmed
-	Look      Action = "look"      // only report
+	Configure      Action = "configure" // Setup: must be the first command, and sent only once
+	Start          Action = "start"     // Routers: start these as new incarnations
+	Crash          Action = "crash"     // Routers: end these without closing their sessions, as SIGKILL would
+	Stop           Action = "stop"      // Routers: close the sessions of these and end them, as SIGTERM would
+	SetDemand      Action = "load"      // Demand: the demand of all routers from now on
+	Cut            Action = "cut"       // Region, Addresses: links that drop all data from now on
+	Heal           Action = "heal"      // restore all links
+	ResetConfirmed Action = "mark"      // only confirmations from now on count for Report.Confirmed
+	CollectReports Action = "look"      // only report
 )
 
 // Setup configures the routers of one process.
@@ -37,9 +37,9 @@
 
 // Demand is the demand that a router's data path would report to its control part.
 type Demand struct {
-	Cold       int  `json:"cold"`       // number of databases that are warming up, each needed by every router
-	Generation int  `json:"generation"` // distinguishes restarts of these databases: each generation has its own tasks
-	Reports    bool `json:"reports"`    // send evidence about zones to the plan's owner once a second
+	ColdDatabases int  `json:"cold"`       // number of databases that are warming up, each needed by every router
+	Generation    int  `json:"generation"` // distinguishes restarts of these databases: each generation has its own tasks
+	SendEvidence  bool `json:"reports"`    // send evidence about zones to the plan's owner once a second
 }
 
 // Command is one command to a worker process.
--- a/internal/hollow/router.go
+++ b/internal/hollow/router.go
@@ -74,7 +74,7 @@
 		roundTrips[k] = make([]float64, len(s.Zones))
 	}
 	id := fmt.Sprintf("%s/%x", r.name, r.incarnation)
-	r.client = coordserver.NewClientOver(s.Coordinators, n.Dial(r.zone.Region))
+	r.client = coordserver.NewClientWithDial(s.Coordinators, n.Dial(r.zone.Region))
 	r.member = agent.New(agent.Config{Name: r.name, Zone: r.zone.Name, Region: r.zone.Region, Incarnation: r.incarnation, Seed: rand.Uint64(),
 		CandidateKinds: []string{agent.WarmUpKind, agent.ProbeKind, agent.QuotaKind, agent.PlanKind}, ZoneCount: len(names), ZoneNames: names, ZoneNumber: zoneNumber, RoundTrips: roundTrips,
 		RouterCount: s.Routers, Window: 1, StartedAt: boottime.Now(), Now: boottime.Now,
@@ -112,14 +112,14 @@
 			return
 		case <-stop:
 			stop = nil
-			r.driver.Put(r.member.Close(boottime.Now()))
+			r.driver.Submit(r.member.Close(boottime.Now()))
 			time.AfterFunc(closeGrace, r.cancel)
 		case handle := <-r.driver.News():
 			handle()
 		case <-tick.C:
 			now := boottime.Now()
 			r.member.SetDemand(now, r.agentDemand(r.demand()))
-			r.driver.Put(r.member.Tick(now))
+			r.driver.Submit(r.member.Tick(now))
 		}
 		r.publish()
 	}
@@ -131,10 +131,10 @@
 // agentDemand converts a demand into the form in which the data path reports it to the agent.
 func (r *router) agentDemand(d Demand) agent.Demand {
 	var demand agent.Demand
-	for n := range d.Cold {
+	for n := range d.ColdDatabases {
 		demand.ColdServers = append(demand.ColdServers, agent.ColdServer{Server: coldServer(n, d.Generation), Need: sharesNeeded / float64(max(r.member.FleetSize(), 1))})
 	}
-	if d.Reports {
+	if d.SendEvidence {
 		demand.Report = r.zoneReport
 	}
 	return demand
@@ -162,7 +162,7 @@
 func (r *router) publish() {
 	now, d := boottime.Now(), r.demand()
 	shares := 0
-	for n := range d.Cold {
+	for n := range d.ColdDatabases {
 		server := coldServer(n, d.Generation)
 		if share, ok := r.member.WarmUpShare(now, server.ID, server.Start); ok && share > 0 {
 			shares++
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -50,7 +50,7 @@
 		var report Report
 		err := json.Unmarshal(lines.Bytes(), &c)
 		if err == nil {
-			report, err = w.Do(c)
+			report, err = w.Execute(c)
 		}
 		if err != nil {
 			report.Error = err.Error()
@@ -69,8 +69,8 @@
 	errTooManyRouters  = fmt.Errorf("more than %d routers in one process", maxRouters)
 )
 
-// Do executes one command and returns the report.
-func (w *Worker) Do(c Command) (Report, error) {
+// Execute executes one command and returns the report.
+func (w *Worker) Execute(c Command) (Report, error) {
 	if (c.Action == Configure) != (w.setup == nil) || c.Action == Configure && c.Setup == nil {
 		return Report{}, errNotConfigured
 	}
@@ -84,7 +84,7 @@
 		w.end(c.Routers, func(r *router) { r.cancel() })
 	case Stop:
 		w.end(c.Routers, func(r *router) { close(r.stop) })
-	case Load:
+	case SetDemand:
 		if c.Demand == nil {
 			return w.report(), errNoDemand
 		}
@@ -93,11 +93,11 @@
 		w.network.Cut(c.Region, c.Addresses)
 	case Heal:
 		w.network.Heal()
-	case Mark:
+	case ResetConfirmed:
 		for _, r := range w.routers {
 			r.resetConfirmed()
 		}
-	case Look:
+	case CollectReports:
 	default:
 		err = fmt.Errorf("unknown action %q", c.Action)
 	}
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -24,8 +24,8 @@
 
 // ControlPart is one group of control measurements that can be run alone.
 type ControlPart struct {
-	Name, About string
-	Run         func(routers int) ([]measure.Row, error) // with at most that many routers
+	Name, Description string
+	Run               func(routers int) ([]measure.Row, error) // with at most that many routers
 }
 
 // ControlParts are all groups, in the order in which they are printed.
@@ -89,8 +89,8 @@
 	if err != nil {
 		return nil, err
 	}
-	fleet, err := hollow.New(hollow.Options{Keep: dunekeepPath, Worker: executable, WorkerArgs: []string{"hollow"}, Folder: folder,
-		Coordinators: coordinatorCount, Routers: routers, PerWorker: min(routersPerProcess, (routers+1)/2), Zones: targetZones(),
+	fleet, err := hollow.New(hollow.Options{CoordinatorProgram: dunekeepPath, WorkerProgram: executable, WorkerArgs: []string{"hollow"}, Folder: folder,
+		Coordinators: coordinatorCount, Routers: routers, RoutersPerWorker: min(routersPerProcess, (routers+1)/2), Zones: targetZones(),
 		Databases: TargetDatabases, Lease: controlLease})
 	if err != nil {
 		os.RemoveAll(folder)
@@ -106,10 +106,10 @@
 
 // loadAndAwaitTasks sets the demand of all routers and waits until the resulting tasks have owners.
 func (f *controlFleet) loadAndAwaitTasks(d hollow.Demand) error {
-	if err := f.Load(d); err != nil {
+	if err := f.SetDemand(d); err != nil {
 		return err
 	}
-	return f.AwaitTasks(planTasks+d.Cold, recoveryTimeout)
+	return f.AwaitTasks(planTasks+d.ColdDatabases, recoveryTimeout)
 }
 
 // takePeak returns the peak usage since the last call.
@@ -119,13 +119,13 @@
 		time.Sleep(100 * time.Millisecond)
 		p = f.TakePeak()
 	}
-	f.peak.Raise(p)
+	f.peak.RaiseTo(p)
 	return p
 }
 
 // grow starts routers until the given number runs, and returns how long that took.
 func (f *controlFleet) grow(from, to int) (hollow.Recovery, error) {
-	if err := f.Mark(); err != nil {
+	if err := f.ResetConfirmed(); err != nil {
 		return hollow.Recovery{}, err
 	}
 	start := boottime.Now()
@@ -144,7 +144,7 @@
 
 // awaitRecovery waits until control has recovered for all routers that run.
 func (f *controlFleet) awaitRecovery(since float64, tasks int) (hollow.Recovery, error) {
-	r, err := f.Recover(since, f.Live(), tasks, recoveryTimeout)
+	r, err := f.AwaitRecovery(since, f.Live(), tasks, recoveryTimeout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, f.Logs())
 	}
@@ -175,7 +175,7 @@
 
 // measure returns what a fleet of the given number of routers uses over the given time.
 func (f *controlFleet) measure(routers int, length time.Duration) (w controlUsage, err error) {
-	report0, err := f.Look()
+	report0, err := f.CollectReports()
 	if err != nil {
 		return w, err
 	}
@@ -190,14 +190,14 @@
 		return w, err
 	}
 	elapsed := time.Since(start).Seconds()
-	report1, err := f.Look()
+	report1, err := f.CollectReports()
 	if err != nil {
 		return w, err
 	}
 	progress("measured %d routers over %.1f s", routers, elapsed)
 	w.setCoordinators(usage0.Coordinators, usage1.Coordinators, elapsed)
 	n := float64(routers)
-	w.routerCore = (usage1.Routers.Core - usage0.Routers.Core) / elapsed / n
+	w.routerCore = (usage1.Routers.CPU - usage0.Routers.CPU) / elapsed / n
 	w.routerMB = usage1.Routers.MemoryMB / n
 	w.routerRequests = float64(report1.Requests-report0.Requests) / elapsed / n
 	w.routerBytes = float64(report1.Bytes-report0.Bytes) / elapsed / n
@@ -229,13 +229,13 @@
 func (w *controlUsage) setCoordinators(before, after []hollow.Usage, elapsed float64) {
 	busiest, mostCore := 0, math.Inf(-1)
 	for n := range after {
-		if used := after[n].Core - before[n].Core; used > mostCore {
+		if used := after[n].CPU - before[n].CPU; used > mostCore {
 			busiest, mostCore = n, used
 		}
 	}
 	others := float64(len(after) - 1)
 	for n, u := range after {
-		core, bytes, disk := (u.Core-before[n].Core)/elapsed, (u.Transferred-before[n].Transferred)/elapsed, (u.Written-before[n].Written)/elapsed
+		core, bytes, disk := (u.CPU-before[n].CPU)/elapsed, (u.TransferredBytes-before[n].TransferredBytes)/elapsed, (u.WrittenBytes-before[n].WrittenBytes)/elapsed
 		if n == busiest {
 			w.leaderCore, w.leaderBytes, w.leaderDisk = core, bytes, disk
 			w.leaderMB, w.leaderDescriptors = u.MemoryMB, float64(u.Descriptors)
@@ -249,13 +249,13 @@
 // limitRows returns the resource limits of the whole run and the findings of its auditor.
 func (f *controlFleet) limitRows(name string) []measure.Row {
 	f.takePeak()
-	f.Audit.Judge()
-	for _, violation := range f.Audit.Wrong {
+	f.Audit.Check()
+	for _, violation := range f.Audit.Violations {
 		fmt.Fprintln(os.Stderr, violation)
 	}
 	return []measure.Row{
-		measure.AtMost(name+": memory of all processes, GB", f.peak.MemoryMB/1024, hollow.MostMemoryMB/1024),
-		measure.AtMost(name+": processes", float64(f.peak.Processes), hollow.MostProcesses),
+		measure.AtMost(name+": memory of all processes, GB", f.peak.MemoryMB/1024, hollow.MaxMemoryMB/1024),
+		measure.AtMost(name+": processes", float64(f.peak.Processes), hollow.MaxProcesses),
 		measure.Figure(name+": audited acts of owners", float64(f.Audit.Acts)),
 		measure.AtMost(name+": stale decisions", float64(f.Audit.Stale), 0),
 	}
--- a/internal/scale/control_cold.go
+++ b/internal/scale/control_cold.go
@@ -26,7 +26,7 @@
 	defer f.close()
 	windows := make([][]controlUsage, len(sizes)) // by size and by number of cold databases
 	for k, size := range sizes {
-		if err := f.Load(hollow.Demand{}); err != nil {
+		if err := f.SetDemand(hollow.Demand{}); err != nil {
 			return nil, err
 		}
 		// All routers are restarted, because the coordinators detect crashed owners sooner than they release tasks that no router requests
@@ -38,7 +38,7 @@
 			return nil, err
 		}
 		for _, cold := range coldCounts {
-			if err := f.loadAndAwaitTasks(hollow.Demand{Cold: cold, Generation: k}); err != nil {
+			if err := f.loadAndAwaitTasks(hollow.Demand{ColdDatabases: cold, Generation: k}); err != nil {
 				return nil, fmt.Errorf("%d routers, %d cold: %w", size, cold, err)
 			}
 			if cold > 0 {
@@ -74,9 +74,9 @@
 	fit("leader, core", noBound, func(w controlUsage) float64 { return w.leaderCore })
 	fit("leader, KB a second in and out", noBound, func(w controlUsage) float64 { return w.leaderBytes / 1000 })
 	fit("follower, core", noBound, func(w controlUsage) float64 { return w.followerCore })
-	fit("router, core", ControlCore, func(w controlUsage) float64 { return w.routerCore })
-	fit("router, MB", ControlMemoryMB, func(w controlUsage) float64 { return w.routerMB })
-	fit("router, bytes a second", ControlBytes, func(w controlUsage) float64 { return w.routerBytes })
+	fit("router, core", MaxControlCore, func(w controlUsage) float64 { return w.routerCore })
+	fit("router, MB", MaxControlMemoryMB, func(w controlUsage) float64 { return w.routerMB })
+	fit("router, bytes a second", MaxControlByteRate, func(w controlUsage) float64 { return w.routerBytes })
 	fit("router, granted shares", noBound, func(w controlUsage) float64 { return w.grantedShares })
 	fit("grants a second", noBound, func(w controlUsage) float64 { return w.grants })
 	fit("shares relinquished a second", noBound, func(w controlUsage) float64 { return w.relinquished })
--- a/internal/scale/control_faults.go
+++ b/internal/scale/control_faults.go
@@ -124,7 +124,7 @@
 		}
 	}
 	f.takePeak()
-	if err := f.Mark(); err != nil {
+	if err := f.ResetConfirmed(); err != nil {
 		return nil, err
 	}
 	start := boottime.Now()
@@ -132,18 +132,18 @@
 	if err := f.CutRegion(region); err != nil {
 		return nil, err
 	}
-	cutRecovery, err := f.Recover(start, majorityRouters, faultTasks, recoveryTimeout)
+	cutRecovery, err := f.AwaitRecovery(start, majorityRouters, faultTasks, recoveryTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("region cut: %w", err)
 	}
 	name := fmt.Sprintf("region cut for %.0f s, the leader with the minority", regionCutDuration.Seconds())
 	rows := fault{name: name + ", the majority", recovery: cutRecovery, peak: f.takePeak()}.rows()
 	// The leases of the minority's routers have expired by now: nothing that was in flight before the cut counts as a confirmation.
-	if err := f.Mark(); err != nil {
+	if err := f.ResetConfirmed(); err != nil {
 		return nil, err
 	}
 	time.Sleep(max(time.Until(end), 2*time.Second))
-	report, err := f.Look()
+	report, err := f.CollectReports()
 	if err != nil {
 		return nil, err
 	}
@@ -210,9 +210,9 @@
 		rows = append(rows,
 			measure.AtMost(name+": seconds until the added routers' sessions were open", growth.Confirmed, 15),
 			measure.AtMost(name+": leader, core", w.leaderCore, 0.3),
-			measure.AtMost(name+": router, core", w.routerCore, ControlCore),
-			measure.AtMost(name+": router, MB", w.routerMB, ControlMemoryMB),
-			measure.AtMost(name+": router, bytes a second", w.routerBytes, ControlBytes))
+			measure.AtMost(name+": router, core", w.routerCore, MaxControlCore),
+			measure.AtMost(name+": router, MB", w.routerMB, MaxControlMemoryMB),
+			measure.AtMost(name+": router, bytes a second", w.routerBytes, MaxControlByteRate))
 	}
 	if err := f.loadAndAwaitTasks(faultDemand); err != nil {
 		return nil, err
--- a/internal/scale/control_idle.go
+++ b/internal/scale/control_idle.go
@@ -30,14 +30,14 @@
 	defer f.close()
 	var heartbeats, reports []controlUsage
 	for k, size := range sizes {
-		if err := f.Load(hollow.Demand{}); err != nil {
+		if err := f.SetDemand(hollow.Demand{}); err != nil {
 			return nil, err
 		}
 		if _, err := f.grow(previousSize(sizes, k), size); err != nil {
 			return nil, err
 		}
-		for _, load := range []hollow.Demand{{}, {Reports: true}} {
-			if err := f.Load(load); err != nil {
+		for _, load := range []hollow.Demand{{}, {SendEvidence: true}} {
+			if err := f.SetDemand(load); err != nil {
 				return nil, err
 			}
 			time.Sleep(idleSettleTime)
@@ -45,14 +45,14 @@
 			if err != nil {
 				return nil, err
 			}
-			if load.Reports {
+			if load.SendEvidence {
 				reports = append(reports, w)
 			} else {
 				heartbeats = append(heartbeats, w)
 			}
 		}
 	}
-	lastReport, err := f.Look()
+	lastReport, err := f.CollectReports()
 	if err != nil {
 		return nil, err
 	}
@@ -101,10 +101,10 @@
 	fit("follower, core", 1000, noBound, func(w controlUsage) float64 { return w.followerCore })
 	fit("follower, MB", 1000, noBound, func(w controlUsage) float64 { return w.followerMB })
 	fit("follower, KB a second to the disk", 1000, noBound, func(w controlUsage) float64 { return w.followerDisk / 1000 })
-	perRouter("core", ControlCore, func(w controlUsage) float64 { return w.routerCore })
-	perRouter("MB", ControlMemoryMB, func(w controlUsage) float64 { return w.routerMB })
+	perRouter("core", MaxControlCore, func(w controlUsage) float64 { return w.routerCore })
+	perRouter("MB", MaxControlMemoryMB, func(w controlUsage) float64 { return w.routerMB })
 	perRouter("requests a second", noBound, func(w controlUsage) float64 { return w.routerRequests })
-	perRouter("bytes a second", ControlBytes, func(w controlUsage) float64 { return w.routerBytes })
+	perRouter("bytes a second", MaxControlByteRate, func(w controlUsage) float64 { return w.routerBytes })
 	return rows
 }
 
--- a/internal/scale/control_return.go
+++ b/internal/scale/control_return.go
@@ -9,7 +9,7 @@
 )
 
 // faultDemand is the demand of the routers during faults: a few tasks whose owners act all the time.
-var faultDemand = hollow.Demand{Cold: 2, Reports: true}
+var faultDemand = hollow.Demand{ColdDatabases: 2, SendEvidence: true}
 
 const faultTasks = planTasks + 2
 
@@ -23,7 +23,7 @@
 // playFault injects a fault and waits until control has recovered for all routers that run then.
 func (f *controlFleet) playFault(name string, event func() error) (fault, error) {
 	f.takePeak()
-	if err := f.Mark(); err != nil {
+	if err := f.ResetConfirmed(); err != nil {
 		return fault{}, err
 	}
 	start := boottime.Now()
@@ -35,7 +35,7 @@
 		return fault{}, fmt.Errorf("%s: %w", name, err)
 	}
 	result := fault{name: name, recovery: recovery, peak: f.takePeak()}
-	progress("%s: sessions confirmed after %.1f s, recovered after %.1f s, at most %.2f core and %.1f MB/s", name, recovery.Confirmed, recovery.Settled, result.peak.Core, result.peak.Bytes/1e6)
+	progress("%s: sessions confirmed after %.1f s, recovered after %.1f s, at most %.2f core and %.1f MB/s", name, recovery.Confirmed, recovery.Settled, result.peak.CPU, result.peak.CoordinatorBytesPerS/1e6)
 	return result, nil
 }
 
@@ -44,8 +44,8 @@
 	return []measure.Row{
 		measure.Figure(result.name+": seconds until all sessions were confirmed", result.recovery.Confirmed),
 		measure.AtMost(result.name+": seconds until all tasks were owned and no session of a stopped router was left", result.recovery.Settled, recoveryTimeout.Seconds()),
-		measure.Figure(result.name+": busiest coordinator, core over a second at most", result.peak.Core),
-		measure.Figure(result.name+": busiest coordinator, MB a second in and out at most", result.peak.Bytes/1e6),
+		measure.Figure(result.name+": busiest coordinator, core over a second at most", result.peak.CPU),
+		measure.Figure(result.name+": busiest coordinator, MB a second in and out at most", result.peak.CoordinatorBytesPerS/1e6),
 	}
 }
 
--- a/internal/scale/datapath_decision.go
+++ b/internal/scale/datapath_decision.go
@@ -92,7 +92,7 @@
 }
 
 // statementsPerRouter is the number of statements a second per router at the target.
-const statementsPerRouter = float64(TargetStatements) / TargetRouters
+const statementsPerRouter = float64(TargetStatementRate) / TargetRouters
 
 // decisionCosts measures the processor time and the allocations of a decision, and the processor time of upkeep, by the number of
 // databases in one pool.
@@ -123,7 +123,7 @@
 	rows = append(rows, upkeepRows...)
 	return append(rows,
 		measure.AtMost("allocations of a decision, most of all sizes", allocations, 0),
-		measure.Figure("decisions over all databases of the target, core", decisionFit.At(TargetDatabases)*1e-6*statementsPerRouter),
-		measure.Figure("decisions over 64 databases, core", decisionFit.At(64)*1e-6*statementsPerRouter),
-		measure.Figure("upkeep over all databases of the target, core", upkeep.At(TargetDatabases)*1e-6*upkeepRate)), nil
+		measure.Figure("decisions over all databases of the target, core", decisionFit.CostAt(TargetDatabases)*1e-6*statementsPerRouter),
+		measure.Figure("decisions over 64 databases, core", decisionFit.CostAt(64)*1e-6*statementsPerRouter),
+		measure.Figure("upkeep over all databases of the target, core", upkeep.CostAt(TargetDatabases)*1e-6*upkeepRate)), nil
 }
--- a/internal/scale/datapath_list.go
+++ b/internal/scale/datapath_list.go
@@ -27,7 +27,7 @@
 // answerFits reports whether the answer that lists the given number of databases stays within maxAnswerBytes and parses completely.
 func answerFits(databases, nameLength int) bool {
 	const anyID, anySerial = 1, 7
-	answer := fake.Reply(anyID, anySerial, discovery.ServiceName, listLines(databases, nameLength)...)
+	answer := fake.ListAnswer(anyID, anySerial, discovery.ServiceName, listLines(databases, nameLength)...)
 	if len(answer) > maxAnswerBytes {
 		return false
 	}
--- a/internal/scale/datapath_load.go
+++ b/internal/scale/datapath_load.go
@@ -33,7 +33,7 @@
 // answerTogether holds the answers of the fake databases until the given number of requests has arrived or the time limit has passed.
 // It then answers all of them, and later requests at once. It returns how many had arrived.
 func (r *routerProcess) answerTogether(ctx context.Context, requests int, limit time.Duration) (arrived int) {
-	var held []fake.Said
+	var held []fake.Message
 	timeout := time.After(limit)
 gathering:
 	for len(held) < requests {
@@ -55,7 +55,7 @@
 	return len(held)
 }
 
-func answerFetch(message fake.Said) { message.Answer("served", "count=1,ticks=5", "a\tb\tc\n") }
+func answerFetch(message fake.Message) { message.Answer("served", "count=1,ticks=5", "a\tb\tc\n") }
 
 // lastRequestID is the last ID given to a request. IDs are unique over all clients, as a router does not accept two requests with the
 // same ID.
@@ -107,7 +107,7 @@
 	var completedCount atomic.Int64
 	inParallel(senders, len(clients), func(k int) {
 		sendRequest(clients[k])
-		if isCompleted(clients[k].Next()) {
+		if isCompleted(clients[k].NextAnswer()) {
 			completedCount.Add(1)
 		}
 	})
@@ -131,7 +131,7 @@
 			for ; next.Before(start.Add(length)); next = next.Add(gap) {
 				time.Sleep(time.Until(next))
 				sendRequest(client)
-				if isCompleted(client.Next()) {
+				if isCompleted(client.NextAnswer()) {
 					completedRequests.Add(1)
 				}
 			}
--- a/internal/scale/datapath_module.go
+++ b/internal/scale/datapath_module.go
@@ -70,8 +70,8 @@
 		rows, targetFit = append(rows, moreRows...), fit
 	}
 	rows = append(rows,
-		measure.Figure("controller's heap at the target, whole pool, MB", targetFit.At(TargetDatabases)/1000),
-		measure.Figure("controller's heap at the target, subset of 64, MB", targetFit.At(64)/1000))
+		measure.Figure("controller's heap at the target, whole pool, MB", targetFit.CostAt(TargetDatabases)/1000),
+		measure.Figure("controller's heap at the target, subset of 64, MB", targetFit.CostAt(64)/1000))
 	moreRows, _, err := heapSlope("controller's heap, KB, by profiles", classes, func(size int) any {
 		settings := routerSettings()
 		for len(settings.Profiles) < size {
